--- a/src/core/apart.rs
+++ b/src/core/apart.rs
@@ -69,12 +69,13 @@
     /// Zones that were heard again: they are to be removed.
     heard: BTreeSet<Arc<str>>,
     waiting: Vec<Waiting>,
+    /// Tasks that the waiting reports list.
+    waiting_tasks: usize,
     retry: Duration,
 }
 
-/// Reports that wait for their zone at a time, and for how long: less than the second that
-/// another node gives a relay, and than a worker waits.
-const WAITING_MOST: usize = 512;
+/// How long a report waits for its zone: less than the second that another node gives a
+/// relay, and than a worker waits.
 const WAITS: Duration = Duration::from_millis(900);
 /// A zone that was heard again is not listed again at once.
 const RESTS: Duration = Duration::from_secs(5);
@@ -133,10 +134,15 @@
             until: self.now() + WAITS,
             report,
         };
-        match self.apart.waiting.len() < WAITING_MOST {
-            true => self.apart.waiting.push(waiting),
-            false => self.turn_away(waiting.asker),
+        let tasks = self.apart.waiting_tasks + waiting.report.tasks.len();
+        let full = self.apart.waiting.len() >= self.config.requests_most
+            || tasks > self.config.waiting_tasks_most;
+        if full {
+            self.turn_away(waiting.asker);
+            return None;
         }
+        self.apart.waiting_tasks = tasks;
+        self.apart.waiting.push(waiting);
         None
     }
 
@@ -151,13 +157,31 @@
         }
     }
 
+    /// Whether a waiting report can be answered or has waited too long.
+    fn waiting_due(&self, now: Duration) -> bool {
+        let Some(first) = self.apart.waiting.first() else {
+            return false;
+        };
+        // They wait equally long, so the first is over before the others.
+        if !self.leads() || now >= first.until {
+            return true;
+        }
+        let mut waiting = self.apart.waiting.iter();
+        waiting.any(|waiting| !self.withholds(&waiting.report.zone))
+    }
+
     /// Reports whose zone was removed are answered; those that waited too long, or whose
     /// node leads no more, are sent on.
     fn pump_waiting(&mut self) {
         let now = self.now();
+        if !self.waiting_due(now) {
+            return;
+        }
+        self.apart.waiting_tasks = 0;
         for waiting in std::mem::take(&mut self.apart.waiting) {
             let free = self.leads() && !self.withholds(&waiting.report.zone);
             if !free && self.leads() && now < waiting.until {
+                self.apart.waiting_tasks += waiting.report.tasks.len();
                 self.apart.waiting.push(waiting);
                 continue;
             }
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -21,6 +21,13 @@
 /// A leader's lease lasts no longer, however much time a cancellation has.
 const TTL_MOST: Duration = Duration::from_secs(30);
 
+/// Machines of a fleet that may all report to one node at once, on however small a box.
+const FLEET_LEAST: usize = 4096;
+/// Tasks that reports which wait at a node may list in all: they take memory, which a box
+/// with more sockets has more of.
+const WAITING_TASKS_LEAST: usize = 20_000;
+const WAITING_TASKS_PER_SOCKET: usize = 10;
+
 /// Choices of the operators.
 #[derive(Debug, Clone)]
 pub struct Options {
@@ -94,6 +101,11 @@
     pub list_lag: Duration,
     /// The time of day may be off by so much.
     pub wall_error: Duration,
+    /// Requests that wait for an answer at a time. Each has a connection, so the sockets
+    /// bound them on a small box.
+    pub requests_most: usize,
+    /// Tasks that all reports which wait for a leader, or for their zone, may list.
+    pub waiting_tasks_most: usize,
     pub options: Options,
 }
 
@@ -146,6 +158,9 @@
             cloud_every: seconds(1.25 / params.cloud.rps),
             wall_error: seconds(params.time_bound_ms / 1000.0),
             list_lag: seconds(params.cloud.list_lag_s),
+            requests_most: params.resources.sockets.max(FLEET_LEAST),
+            waiting_tasks_most: (params.resources.sockets * WAITING_TASKS_PER_SOCKET)
+                .max(WAITING_TASKS_LEAST),
             options,
         }
     }
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -2,7 +2,7 @@
 //! and how far jobs are, for display.
 
 use std::{
-    collections::{BTreeMap, HashMap},
+    collections::{BTreeMap, HashMap, VecDeque},
     time::Duration,
 };
 
@@ -73,7 +73,8 @@
     /// begins elsewhere.
     next: u64,
     waiting: BTreeMap<u64, Waiting>,
-    held: Vec<Held>,
+    /// In the order in which their time is up.
+    held: VecDeque<Held>,
     /// Tasks that the held reports list.
     held_tasks: usize,
     /// Workers that were sent to the leader or came from it, and when.
@@ -84,6 +85,8 @@
     /// How licences stand, as the leader told, and when.
     licences: (Vec<LicenceView>, Duration),
     next_digest: Duration,
+    /// When old entries of `tried` and `answered` are removed next.
+    next_cleanup: Duration,
 }
 
 impl Relays {
@@ -100,12 +103,9 @@
 }
 
 const DIGEST_EVERY: Duration = Duration::from_secs(1);
-/// Reports under way to the leader at a time, and as many again of workers whose lease
-/// is half over: hundreds may come at once, and those can't wait.
-const RELAYS_MOST: usize = 512;
-/// Reports that are held at a time, and the tasks that all of them list.
-const HELD_MOST: usize = 512;
-const HELD_TASKS_MOST: usize = 20_000;
+/// How often entries of workers that were not seen for long are removed: looking through
+/// them at each report would take time that grows with the square of the fleet.
+const CLEANUP_EVERY: Duration = Duration::from_secs(1);
 /// How long a report is held: a worker waits 4 s for its answer.
 const HELD_FOR: Duration = Duration::from_millis(3400);
 
@@ -193,12 +193,16 @@
         }
     }
 
-    /// No more reports are relayed, but for those of workers that wait too long.
+    /// No more reports are relayed, but for those of workers whose lease is half over:
+    /// the whole fleet may come at once, and those can't wait.
     fn relays_full(&self, machine: &MachineId) -> bool {
         let half = self.config.worker_lease_bound / 2;
         let answered = self.relays.answered.get(machine);
         let urgent = answered.is_none_or(|at| self.now() > *at + half);
-        let most = if urgent { RELAYS_MOST * 2 } else { RELAYS_MOST };
+        let most = match urgent {
+            true => self.config.requests_most * 2,
+            false => self.config.requests_most,
+        };
         self.relays.waiting.len() >= most
     }
 
@@ -232,14 +236,14 @@
     fn hold(&mut self, request: RequestId, report: WorkerReport) {
         let now = self.now();
         let tasks = report.tasks.len();
-        let full =
-            self.relays.held.len() >= HELD_MOST || self.relays.held_tasks + tasks > HELD_TASKS_MOST;
+        let full = self.relays.held.len() >= self.config.requests_most
+            || self.relays.held_tasks + tasks > self.config.waiting_tasks_most;
         match self.hearer() {
             Some(node) => self.answer(request, Answer::Redirect(Some(node))),
             None if full => self.answer(request, Answer::Redirect(None)),
             None => {
                 self.relays.held_tasks += tasks;
-                self.relays.held.push(Held {
+                self.relays.held.push_back(Held {
                     request,
                     report,
                     until: now + HELD_FOR,
@@ -250,26 +254,40 @@
 
     /// Answers the held reports once a leader is heard, or their time is up.
     fn pump_held(&mut self) {
-        if self.relays.held.is_empty() {
-            return;
-        }
         let now = self.now();
+        let Some(first) = self.relays.held.front() else {
+            return;
+        };
+        let over = now >= first.until;
         let heard = (self.hears_leader() || self.leader_writes()) && self.other_leader().is_some();
         let on = heard || self.leads() || self.hearer().is_some();
-        for held in std::mem::take(&mut self.relays.held) {
+        if !on && !over {
+            return;
+        }
+        for held in self.take_held(on) {
             if on {
                 self.report(held.request, held.report);
-            } else if now >= held.until {
+            } else {
                 // Not to the next node of its list: that may be the one that is gone,
                 // and would cost it most of its lease.
                 let answer = Answer::Redirect(self.other_alive());
                 self.answer(held.request, answer);
-            } else {
-                self.relays.held.push(held);
             }
         }
-        let held = self.relays.held.iter();
-        self.relays.held_tasks = held.map(|h| h.report.tasks.len()).sum();
+    }
+
+    /// Takes out all held reports, or those whose time is up.
+    fn take_held(&mut self, all: bool) -> Vec<Held> {
+        let now = self.now();
+        let relays = &mut self.relays;
+        let due = match all {
+            true => relays.held.len(),
+            false => relays.held.partition_point(|held| now >= held.until),
+        };
+        let taken: Vec<Held> = relays.held.drain(..due).collect();
+        let tasks: usize = taken.iter().map(|held| held.report.tasks.len()).sum();
+        relays.held_tasks -= tasks;
+        taken
     }
 
     pub(super) fn peer_message(&mut self, from: String, message: PeerMessage) {
@@ -321,7 +339,8 @@
             self.answer(waiting.request, Answer::Redirect(None));
         }
         let keep = self.config.worker_lease_bound * 4;
-        if self.relays.tried.len() > 64 {
+        if now >= self.relays.next_cleanup {
+            self.relays.next_cleanup = now + CLEANUP_EVERY;
             self.relays.tried.retain(|_, at| now < *at + keep);
             self.relays.answered.retain(|_, at| now < *at + keep);
         }
