--- a/src/core/front.rs
+++ b/src/core/front.rs
@@ -61,8 +61,6 @@
 const RETRY: Duration = Duration::from_secs(1);
 /// How often a submission is tried that something else came before.
 const TRIES: u8 = 4;
-/// Questions that wait for a proof at a time.
-const ASKED_MOST: usize = 2000;
 
 impl Node {
     pub(super) fn submit(&mut self, request: RequestId, spec: Arc<JobSpec>) {
@@ -231,7 +229,10 @@
     pub(super) fn ask(&mut self, request: RequestId, id: JobId, question: Question) {
         if let Some(record) = self.finals.get(&id).copied() {
             self.answer_final(request, &id, &question, record);
-        } else if !self.mirror.loaded || self.estranged() || self.front.asked.len() >= ASKED_MOST {
+        } else if !self.mirror.loaded
+            || self.estranged()
+            || self.front.asked.len() >= self.config.requests_most
+        {
             self.answer(request, Answer::Later { retry: RETRY });
         } else {
             self.front.asked.push(Asked {
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -43,7 +43,6 @@
 
 /// Serves until the process is ended.
 pub async fn serve(settings: Settings, options: Options) -> std::io::Result<()> {
-    let (calls, mut incoming) = mpsc::channel::<Call>(1024);
     let licensed = options.licences.is_some();
     let asked_to_end = Arc::new(AtomicBool::new(false));
     if options.rollout.is_some() {
@@ -51,13 +50,15 @@
         signal_hook::flag::register(signal_hook::consts::SIGTERM, asked_to_end.clone())?;
     }
     let config = Config::new(&settings, options);
+    let requests_most = config.requests_most;
+    let (calls, mut incoming) = mpsc::channel::<Call>(requests_most);
     let sockets = settings.params.resources.sockets;
     let listener = server::bind(settings.listen, sockets).await?;
     let peer_listener = server::bind(settings.peer_listen, sockets).await?;
     let tasks = tokio::task::LocalSet::new();
     tasks
         .run_until(async move {
-            tokio::task::spawn_local(server::serve(listener, calls, licensed));
+            tokio::task::spawn_local(server::serve(listener, calls, licensed, requests_most));
             let (results, mut replies) = mpsc::unbounded_channel::<Input>();
             let peers = settings.peers.len();
             tokio::task::spawn_local(peer::listen(peer_listener, peers * 4, results.clone()));
@@ -69,7 +70,7 @@
                 waiting: RefCell::default(),
                 started: Instant::now(),
                 client: Rc::new(client),
-                peers: peer::Peers::new(&settings),
+                peers: peer::Peers::new(&settings, requests_most),
             };
             let mut next_request: RequestId = 0;
             let mut retired = None;
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -2,7 +2,7 @@
 //! connections it dialled; what can't be sent now is dropped, since whoever
 //! waits for an answer has a time limit.
 
-use std::{net::SocketAddr, time::Duration};
+use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
 use tokio::{
     io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader},
@@ -18,24 +18,74 @@
     wire::peer::Line,
 };
 
-/// Lines that wait for one peer.
-const QUEUED_MOST: usize = 1024;
-const LINE_MOST: u64 = 1 << 20;
+/// Bytes of the lines that wait for one peer, and so of the longest line: what a leader of
+/// 6,000 machines knows of them is about a megabyte.
+const QUEUED_BYTES_MOST: usize = 4 << 20;
+const LINE_MOST: u64 = QUEUED_BYTES_MOST as u64;
 const RETRY: Duration = Duration::from_millis(300);
 const WITHIN: Duration = Duration::from_secs(1);
 
 pub struct Peers {
     from: String,
-    queues: Vec<(String, Sender<String>)>,
+    queues: Vec<(String, Queue)>,
+}
+
+/// Lines that wait for one peer, bounded by their number and their bytes.
+struct Queue {
+    lines: Sender<String>,
+    bytes: Rc<Cell<usize>>,
+}
+
+impl Queue {
+    /// Drops the line where there is no room for it.
+    fn push(&self, line: String) {
+        let length = line.len();
+        let bytes = self.bytes.get() + length;
+        if bytes <= QUEUED_BYTES_MOST && self.lines.try_send(line).is_ok() {
+            self.bytes.set(bytes);
+        }
+    }
+}
+
+/// The other end of a queue.
+struct Queued {
+    lines: Receiver<String>,
+    bytes: Rc<Cell<usize>>,
+}
+
+impl Queued {
+    async fn next(&mut self) -> Option<String> {
+        let line = self.lines.recv().await?;
+        self.bytes.set(self.bytes.get() - line.len());
+        Some(line)
+    }
+
+    fn clear(&mut self) {
+        while let Ok(line) = self.lines.try_recv() {
+            self.bytes.set(self.bytes.get() - line.len());
+        }
+    }
+}
+
+/// A queue for so many lines.
+fn queue(lines_most: usize) -> (Queue, Queued) {
+    let (lines, received) = channel(lines_most);
+    let bytes = Rc::new(Cell::new(0));
+    let queued = Queued {
+        lines: received,
+        bytes: bytes.clone(),
+    };
+    (Queue { lines, bytes }, queued)
 }
 
 impl Peers {
-    pub fn new(settings: &Settings) -> Self {
+    /// Dials every peer; so many lines may wait for each.
+    pub fn new(settings: &Settings, lines_most: usize) -> Self {
         let queues = settings
             .peers
             .iter()
             .map(|peer| {
-                let (queue, lines) = channel(QUEUED_MOST);
+                let (queue, lines) = queue(lines_most);
                 tokio::task::spawn_local(dial(peer.addr, lines));
                 (peer.node.clone(), queue)
             })
@@ -56,12 +106,12 @@
         {
             text.push('\n');
             // A full queue means that the peer can't be reached.
-            let _ = queue.try_send(text);
+            queue.push(text);
         }
     }
 }
 
-async fn dial(addr: SocketAddr, mut lines: Receiver<String>) {
+async fn dial(addr: SocketAddr, mut lines: Queued) {
     loop {
         if let Ok(Ok(stream)) = timeout(WITHIN, TcpStream::connect(addr)).await {
             let _ = stream.set_nodelay(true);
@@ -70,20 +120,20 @@
             }
         }
         // Lines that waited meanwhile are too old to be of use.
-        while lines.try_recv().is_ok() {}
+        lines.clear();
         sleep(RETRY).await;
     }
 }
 
 /// Writes lines until the connection fails; none once there will be no more.
-async fn talk(mut stream: TcpStream, lines: &mut Receiver<String>) -> Option<()> {
+async fn talk(mut stream: TcpStream, lines: &mut Queued) -> Option<()> {
     let mut byte = [0u8; 1];
     loop {
         let line = tokio::select! {
             biased;
             // Nothing is ever sent back: this ends when the peer does.
             _ = stream.read(&mut byte) => return Some(()),
-            line = lines.recv() => line?,
+            line = lines.next() => line?,
         };
         match timeout(WITHIN, stream.write_all(line.as_bytes())).await {
             Ok(Ok(())) => {}
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -26,8 +26,6 @@
 };
 
 const BODY_MOST: usize = 64 * 1024;
-/// Requests that are worked on at a time.
-const IN_WORK_MOST: usize = 1024;
 /// Longer than the core takes to give up on any call of its own.
 const ANSWER_WITHIN: Duration = Duration::from_secs(4);
 const IDLE_CONNECTION: Duration = Duration::from_secs(60);
@@ -81,15 +79,17 @@
     licensed: bool,
 }
 
+/// Serves so many requests at a time; others are asked to come again.
 pub async fn serve(
     listener: TcpListener,
     calls: mpsc::Sender<Call>,
     licensed: bool,
+    requests_most: usize,
 ) -> std::io::Result<()> {
     let acceptor = TcpAcceptor::from_tokio(listener)?;
     let api = Api {
         calls,
-        in_work: Arc::new(Semaphore::new(IN_WORK_MOST)),
+        in_work: Arc::new(Semaphore::new(requests_most)),
         licensed,
     };
     Server::new_with_acceptor(acceptor)
