--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -259,3 +259,37 @@
     assert!(!ok && error.contains("params.workers.lease_s"), "{error}");
     let _ = std::fs::remove_file(&path);
 }
+
+/// What a leader tells of 6,000 machines with long names is more than a megabyte in one
+/// line: a node that does not read it loses the connection, and each report relayed on it.
+#[tokio::test]
+async fn a_line_between_nodes_may_name_a_whole_fleet() {
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    let site = Site::of("line", vec![Build::default(); 2]).await;
+    let worker = |machine: usize| {
+        let name = format!("cielo-archivo-pilbara-quetzal-node-highmem-{machine:06}");
+        let images: Vec<usize> = (0..25).collect();
+        (
+            name,
+            (json!(["10.1.200.231:9000", u64::MAX]), json!(images)),
+        )
+    };
+    let workers: Vec<_> = (0..6000).map(worker).collect();
+    let addresses = workers
+        .iter()
+        .map(|(name, (at, _))| (name.clone(), at.clone()));
+    let images = workers
+        .iter()
+        .map(|(name, (_, of))| (name.clone(), of.clone()));
+    let hints = json!({"images": (0..25).map(|i| format!("img-{i}")).collect::<Vec<_>>(),
+        "machines": images.collect::<serde_json::Map<_, _>>(),
+        "workers": addresses.collect::<serde_json::Map<_, _>>()});
+    let line = json!({"from": "node-1", "message": {"hints": hints}}).to_string() + "\n";
+    assert!((1 << 20..4 << 20).contains(&line.len()), "{}", line.len());
+    let stream = tokio::net::TcpStream::connect(site.nodes[0].1).await;
+    let mut stream = stream.expect("a connection");
+    stream.write_all(line.as_bytes()).await.expect("written");
+    let mut byte = [0; 1];
+    let closed = tokio::time::timeout(std::time::Duration::from_secs(2), stream.read(&mut byte));
+    assert!(closed.await.is_err(), "the line was not read");
+}
