--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -469,7 +469,7 @@
 
 /// Rentals without a final answer at a time.
 const OPEN_MOST: usize = 8;
-/// Returned machines whose names are kept.
-const RETURNED_KEPT: usize = 2048;
+/// Returned machines whose names are kept: the cloud's list may show all of a fleet yet.
+const RETURNED_KEPT: usize = 16_384;
 /// What the cloud refused is not asked for again for so long.
 const REFUSED_FOR: Duration = Duration::from_secs(15);
--- a/tests/scheduling/fleet.rs
+++ b/tests/scheduling/fleet.rs
@@ -142,3 +142,34 @@
     assert_eq!(amount(0.0).share_of(&amount(0.0)), 0.0);
     assert!(need.share_of(&amount(64.0)).is_infinite());
 }
+
+/// The cloud's list lags: machines that were returned are in it yet, and none is taken for
+/// a new one, also where a whole fleet was returned at once.
+#[test]
+fn none_of_a_returned_fleet_is_met_again() {
+    const MACHINES: usize = 6000;
+    let mut c = Cluster::new(4.0);
+    let names: Vec<String> = (0..MACHINES).map(|i| format!("vm-{i:06}")).collect();
+    for some in names.chunks(100) {
+        let machines = some.iter().map(|name| Arc::from(name.as_str())).collect();
+        let request = CloudRequest::Release { machines };
+        c.leader.cloud_reply(&request, CloudReply::Released, c.now);
+    }
+    let names: Vec<&str> = names.iter().map(String::as_str).collect();
+    // What is due now is a list.
+    let lists = (0..40).any(|_| {
+        c.now += Duration::from_millis(250);
+        c.leader.proven = c.now;
+        c.leader.tick(c.now);
+        let Some(request) = c.leader.cloud_work(c.now) else {
+            return false;
+        };
+        let lists = matches!(request, CloudRequest::List { .. });
+        if lists {
+            c.leader.cloud_reply(&request, listed(&names), c.now);
+        }
+        lists
+    });
+    assert!(lists, "a list is asked for");
+    assert_eq!(c.leader.machines.len(), 0);
+}
