--- a/crates/maintenance/src/drain.rs
+++ b/crates/maintenance/src/drain.rs
@@ -30,9 +30,6 @@
     pub machines: BTreeMap<String, Drain>,
 }
 
-/// Machines in one record: it has to fit into a value of the state service.
-pub const MACHINES_MOST: usize = 200;
-
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use kiteyard_maintenance::drain::{Drain, Drains, MACHINES_MOST, Waits};
+use kiteyard_maintenance::drain::{Drain, Drains, Waits};
 use kiteyard_rollout::generation::Stage;
 use serde::{Deserialize, Serialize};
 use tracing::info;
@@ -51,6 +51,8 @@
 }
 
 const RETRY: Duration = Duration::from_secs(1);
+/// A change of the state service has 64 KiB at most; its keys and conditions are in it.
+const TRANSACTION_BYTES: usize = 63 * 1024;
 
 impl Node {
     pub(super) fn maintenance_asked(&mut self, request: RequestId, ask: Ask) {
@@ -67,23 +69,16 @@
         }
         match ask {
             Ask::Status => self.answer_drains(request, None),
-            Ask::Plan(machines) => match self.objection_to_drain(&machines) {
+            Ask::Plan(machines) => match self.objection_to_drain(&machines, None) {
                 Some(why) => self.answer(request, Answer::Impossible(why)),
                 None => self.answer_drains(request, Some(machines)),
             },
             Ask::Start { machines, by } => {
-                if let Some(why) = self.objection_to_drain(&machines) {
+                if let Some(why) = self.objection_to_drain(&machines, by) {
                     self.answer(request, Answer::Impossible(why));
                     return;
                 }
-                let mut drains = self.mirror.drains.0.clone();
-                let since_ms = self.clock.wall_ms;
-                let by_ms = by.map(|by| since_ms + by.as_millis() as u64);
-                for machine in machines {
-                    // Asked for again, only its time may change.
-                    let drain = drains.machines.entry(machine);
-                    drain.or_insert(Drain { since_ms, by_ms }).by_ms = by_ms;
-                }
+                let drains = self.drains_with(&machines, by);
                 self.store_drains(drains, Some(request));
             }
             Ask::Cancel(machines) => {
@@ -102,8 +97,21 @@
         }
     }
 
+    /// The stored list with these machines.
+    fn drains_with(&self, machines: &[String], by: Option<Duration>) -> Drains {
+        let mut drains = self.mirror.drains.0.clone();
+        let since_ms = self.clock.wall_ms;
+        let by_ms = by.map(|by| since_ms + by.as_millis() as u64);
+        for machine in machines {
+            // Asked for again, only its time may change.
+            let drain = drains.machines.entry(machine.clone());
+            drain.or_insert(Drain { since_ms, by_ms }).by_ms = by_ms;
+        }
+        drains
+    }
+
     /// What is in the way of emptying these machines, said when it is asked for.
-    fn objection_to_drain(&self, machines: &[String]) -> Option<String> {
+    fn objection_to_drain(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
         let leader = self.leader.as_ref()?;
         if self.mirror.cluster.0.written() < DRAINS.since {
             let needs = DRAINS.since;
@@ -114,10 +122,8 @@
         if machines.is_empty() {
             return Some("machines: name one at least".into());
         }
-        let drains = &self.mirror.drains.0.machines;
-        let new = machines.iter().filter(|m| !drains.contains_key(*m)).count();
-        if drains.len() + new > MACHINES_MOST {
-            return Some(format!("no more than {MACHINES_MOST} machines at a time"));
+        if let Some(why) = self.too_long(&self.drains_with(machines, by)) {
+            return Some(why);
         }
         for name in machines {
             let Some(machine) = leader.machines.get(&**name) else {
@@ -153,6 +159,16 @@
         None
     }
 
+    /// The whole list is one value of the state service.
+    fn too_long(&self, drains: &Drains) -> Option<String> {
+        let most = self.config.value_most.min(TRANSACTION_BYTES);
+        let bytes = serde_json::to_vec(drains).map_or(usize::MAX, |text| text.len());
+        let machines = drains.machines.len();
+        (bytes > most).then(|| {
+            format!("{machines} machines take {bytes} bytes, and the state service stores {most}")
+        })
+    }
+
     fn answer_drains(&mut self, request: RequestId, planned: Option<Vec<String>>) {
         let Some(leader) = &self.leader else { return };
         let drains = &self.mirror.drains.0.machines;
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -201,9 +201,13 @@
     serde_json::to_string(status).unwrap_or_default()
 }
 
-/// Machines that are to be emptied, or would be.
+/// Machines that are to be emptied, or would be: one a line, as the protocol bounds lines.
 pub fn drains_answer(machines: &[MachineView]) -> String {
-    serde_json::json!({ "machines": machines }).to_string()
+    let lines = machines
+        .iter()
+        .map(|machine| serde_json::to_string(machine).unwrap_or_default());
+    let lines: Vec<String> = lines.collect();
+    format!("{{\"machines\":[\n{}\n]}}", lines.join(",\n"))
 }
 
 #[derive(Debug, Deserialize)]
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -9,10 +9,11 @@
         Answer, CallId, Clock, Input, Node, Output, RequestId,
         config::{Config, Options},
         machine::{ReportedTask, TaskPhase, WorkerReport},
+        maintenance::Ask,
         members::nodes::Pulse,
         mirror::LeaderRecord,
         relay::PeerMessage,
-        store::{Entry, Event, LEADER, StateReply, StateRequest},
+        store::{APART, Change, Entry, Event, GENERATION, LEADER, StateReply, StateRequest, TYPES},
     },
     settings::Settings,
 };
@@ -214,3 +215,260 @@
         }
     }
 }
+
+const TYPE: &str = r#"[{"name":"m","size":{"cpus":8.0,"gpus":0.0,"memory_gb":64.0},"cache_gb":5.0,
+  "fetch_gb_per_s":1.0,"price":1.0,"spot_price":0.4,"boot_s":30.0,"zones":["a"]}]"#;
+
+fn entry(key: &str, text: &str) -> Entry {
+    Entry {
+        key: key.to_owned(),
+        value: RawValue::from_string(text.to_owned()).expect("JSON"),
+        version: 5,
+    }
+}
+
+/// A node that leads, and a state service that commits whatever it is asked for, but for
+/// the list of zones that are apart, which waits.
+struct LeadingNode {
+    node: Node,
+    now: u64,
+    live: Vec<Entry>,
+    revision: u64,
+    events: Vec<Event>,
+    /// The write of that list, while it waits.
+    apart: Option<CallId>,
+}
+
+impl LeadingNode {
+    fn new(settings: &Settings, mut live: Vec<Entry>) -> Self {
+        live.push(entry(TYPES, TYPE));
+        live.push(entry(GENERATION, r#"{"from":4,"to":4,"stage":"settled"}"#));
+        let options = Options {
+            maintenance: Some(Arc::new(kiteyard_maintenance::config::Config::plain(1))),
+            ..Options::default()
+        };
+        let mut leading = Self {
+            node: Node::new(Config::new(settings, options)),
+            now: 0,
+            live,
+            revision: 9,
+            events: Vec::new(),
+            apart: None,
+        };
+        for _ in 0..100 {
+            leading.run(Input::Tick);
+        }
+        leading
+    }
+
+    fn run(&mut self, input: Input) -> Vec<Output> {
+        self.now += 20;
+        self.run_at_once(input)
+    }
+
+    fn run_at_once(&mut self, input: Input) -> Vec<Output> {
+        let mut inputs = vec![input];
+        let mut all = Vec::new();
+        while let Some(input) = inputs.pop() {
+            for output in step(&mut self.node, self.now, input) {
+                match output {
+                    Output::State { call, request, .. } => {
+                        let reply = self.reply(call, &request);
+                        inputs.extend(reply.map(|reply| Input::State { call, reply }));
+                    }
+                    output => all.push(output),
+                }
+            }
+        }
+        all
+    }
+
+    fn reply(&mut self, call: CallId, request: &StateRequest) -> Option<StateReply> {
+        Some(match request {
+            StateRequest::List { prefix, .. } => {
+                let live = self.live.iter();
+                let own = live.filter(|entry| entry.key.starts_with(prefix.as_str()));
+                StateReply::Entries {
+                    entries: own.cloned().collect(),
+                    more: false,
+                    revision: 9,
+                }
+            }
+            StateRequest::Get { .. } => StateReply::Missing,
+            StateRequest::Txn { changes, .. } => {
+                let is_apart =
+                    |change: &Change| matches!(change, Change::Put { key, .. } if key == APART);
+                if changes.iter().any(is_apart) {
+                    self.apart = Some(call);
+                    return None;
+                }
+                self.revision += 1;
+                self.events.extend(changes.iter().map(|change| {
+                    let (key, value) = match change.clone() {
+                        Change::Put { key, value, .. } => (key, Some(value)),
+                        Change::Delete { key } => (key, None),
+                    };
+                    Event {
+                        key,
+                        value,
+                        revision: self.revision,
+                    }
+                }));
+                StateReply::Committed {
+                    revision: self.revision,
+                }
+            }
+            StateRequest::Grant { .. } => StateReply::Granted { lease: 1 },
+            StateRequest::Renew { .. } => StateReply::Renewed,
+            StateRequest::Watch { wait, after, .. } if wait.is_zero() => {
+                let events = self.events.iter();
+                let newer = events.filter(|e| e.revision > *after && e.key.starts_with("live/"));
+                StateReply::Events {
+                    events: newer.cloned().collect(),
+                    revision: self.revision,
+                }
+            }
+            StateRequest::Watch { .. } => return None,
+        })
+    }
+}
+
+#[test]
+fn every_report_of_a_zone_that_was_apart_waits_until_it_is_taken_in() {
+    for (machines, sockets) in FLEETS {
+        let apart = entry(APART, r#"{"zones":{"a":0}}"#);
+        let mut leading = LeadingNode::new(&settings(sockets), vec![apart]);
+        let mut outputs = Vec::new();
+        for machine in 0..machines {
+            outputs.extend(leading.run_at_once(Input::Report {
+                request: machine as RequestId,
+                report: report(machine, 0, Vec::new()),
+            }));
+        }
+        assert!(answers(&outputs).is_empty(), "{machines} machines");
+        let call = leading.apart.expect("the zone is taken off the list");
+        let revision = leading.revision + 1;
+        leading.revision = revision;
+        let reply = StateReply::Committed { revision };
+        let mut outputs = leading.run(Input::State { call, reply });
+        outputs.extend(leading.run(Input::Tick));
+        let answers = answers(&outputs);
+        assert_eq!(answers.len(), machines);
+        let commanded = |answer: &&&Answer| matches!(answer, Answer::Commands { .. });
+        assert_eq!(answers.iter().filter(commanded).count(), machines);
+    }
+}
+
+/// What one value of the state service holds may be drained at a time.
+#[test]
+fn a_drain_is_refused_for_its_bytes_alone() {
+    let objection = |machines: usize, value_kb: f64, names: &str| {
+        let mut settings = settings(700);
+        settings.params.state.value_kb = value_kb;
+        let mut leading = LeadingNode::new(&settings, Vec::new());
+        let ask = Ask::Start {
+            machines: (0..machines).map(|i| format!("{names}{i}")).collect(),
+            by: Some(Duration::from_secs(60)),
+        };
+        // Whoever led before may act for a while yet.
+        for _ in 0..3_000 {
+            leading.run(Input::Tick);
+        }
+        let outputs = leading.run(Input::Maintenance { request: 7, ask });
+        match answers(&outputs)[..] {
+            [Answer::Impossible(why)] => why.clone(),
+            ref other => panic!("{other:?}"),
+        }
+    };
+    // As many as fit get as far as that there are none of that name.
+    assert_eq!(objection(250, 16.0, "vm-"), "no machine vm-0");
+    assert_eq!(objection(1000, 64.0, "vm-"), "no machine vm-0");
+    for (machines, value_kb) in [(1000, 16.0), (4000, 16.0), (4000, 512.0)] {
+        let why = objection(machines, value_kb, "vm-");
+        assert!(why.contains("bytes"), "{why}");
+    }
+}
+
+/// Each line of an answer has 64 KiB at most, however many machines are named.
+#[test]
+fn drains_are_answered_a_machine_a_line() {
+    let view = |number: usize| kiteyard::core::maintenance::MachineView {
+        machine: format!("vm-{number:06}"),
+        zone: "a".into(),
+        state: "draining".into(),
+        replicas: 1,
+        array_tasks: 2,
+        gang_tasks: 3,
+        waits: None,
+        by_ms: Some(5),
+    };
+    for machines in [0, 1, 6000] {
+        let views: Vec<_> = (0..machines).map(view).collect();
+        let text = kiteyard::wire::user::drains_answer(&views);
+        assert!(text.lines().all(|line| line.len() < 1000));
+        let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+        assert_eq!(
+            value["machines"],
+            serde_json::to_value(&views).expect("JSON")
+        );
+    }
+}
+
+/// Users' questions are not turned away before their connections are.
+#[test]
+fn as_many_questions_wait_as_requests_are_taken() {
+    for (machines, sockets) in FLEETS {
+        let mut leading = LeadingNode::new(&settings(sockets), Vec::new());
+        let outputs: Vec<_> = (0..machines)
+            .flat_map(|request| {
+                let id = kiteyard::core::job::JobId::parse("run-000001").expect("an id");
+                let request = request as RequestId;
+                step(
+                    &mut leading.node,
+                    leading.now,
+                    Input::Status { request, id },
+                )
+            })
+            .collect();
+        let later = |answer: &&&Answer| matches!(answer, Answer::Later { .. });
+        assert_eq!(answers(&outputs).iter().filter(later).count(), 0);
+    }
+}
+
+/// The next leader is told where every worker of the fleet is, in a line that is read.
+#[test]
+fn hints_name_every_machine_of_a_fleet() {
+    const LINE_MOST: usize = 4 << 20;
+    for (machines, sockets) in FLEETS {
+        let mut leading = LeadingNode::new(&settings(sockets), Vec::new());
+        let mut token = 0;
+        for seq in [5, 6] {
+            for machine in 0..machines {
+                let report = WorkerReport {
+                    seq,
+                    ..report(machine, token, Vec::new())
+                };
+                let request = machine as RequestId;
+                let outputs = leading.run_at_once(Input::Report { request, report });
+                if let [Answer::Commands { token: told, .. }] = answers(&outputs)[..] {
+                    token = *told;
+                }
+            }
+        }
+        assert!(token > 0, "the workers are commanded");
+        let told = (0..500).find_map(|_| {
+            let outputs = leading.run(Input::Tick);
+            outputs.into_iter().find_map(|output| match output {
+                Output::Peer {
+                    message: PeerMessage::Hints(hints),
+                    ..
+                } => serde_json::to_value(&hints).ok(),
+                _ => None,
+            })
+        });
+        let told = told.expect("hints");
+        let workers = told["workers"].as_object().map(|workers| workers.len());
+        assert_eq!(workers, Some(machines));
+        assert!(told.to_string().len() < LINE_MOST);
+    }
+}
