--- a/crates/toml-file/src/lib.rs
+++ b/crates/toml-file/src/lib.rs
@@ -1,5 +1,7 @@
 //! Operators' TOML files: read, and what is wrong with them in one line.
 
+#![warn(missing_docs, unreachable_pub)]
+
 use std::fmt;
 
 use serde::de::DeserializeOwned;
@@ -7,6 +9,7 @@
 /// Not a file of the form that was expected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wrong {
+    /// The line of the file, from 1.
     pub line: usize,
     /// Without line breaks.
     pub message: String,
@@ -18,6 +21,7 @@
     }
 }
 
+/// Reads a file's text into `T`, or tells the line that does not fit.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Wrong> {
     toml::from_str(text).map_err(|error| {
         let start = error.span().map_or(0, |span| span.start.min(text.len()));
