--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -5,6 +5,8 @@
 //! what becomes of a task that a worker reports. Nothing here reads a clock, sends anything
 //! or decides where a task may be: that rests on claims, tokens and leases alone.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod pace;
 pub mod squaring;
 pub mod verdict;
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -34,6 +34,7 @@
         self.now
     }
 
+    /// Adapts the window to how an order ended.
     pub fn step(&mut self, outcome: Outcome) {
         self.now = match outcome {
             Outcome::Done => (self.now * 2).min(self.most),
--- a/crates/recovery/src/squaring.rs
+++ b/crates/recovery/src/squaring.rs
@@ -19,6 +19,7 @@
 /// The machines of one zone that are stored as holding tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
+    /// Machines that the stored state lists.
     pub stored: usize,
     /// Of these, not heard and not proven empty, nor asked in vain.
     pub silent: usize,
@@ -30,6 +31,7 @@
 /// waits for the last ones.
 const FEW_ONE_IN: usize = 10;
 
+/// How far a zone's reconciliation is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// Machines are still likely to be heard.
@@ -40,6 +42,7 @@
     Overdue,
 }
 
+/// What the state machine is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// How the zones stand now.
@@ -51,14 +54,22 @@
 /// What has changed, for the log and for whoever held something back.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
+    /// A zone has entered a stage.
     Stage {
+        /// The zone.
         zone: Arc<str>,
+        /// The stage that it has entered.
         stage: Stage,
+        /// Machines that were heard or proven empty.
         heard: usize,
+        /// Machines that the stored state lists.
         stored: usize,
     },
     /// No zone is waited for any more.
-    Squared { after: Duration },
+    Squared {
+        /// Time since the leader began.
+        after: Duration,
+    },
     /// What waited for the cloud's list may go on.
     Listed,
 }
@@ -71,6 +82,7 @@
     fell: Option<Duration>,
 }
 
+/// Tracks, zone by zone, which stored machines a new leader has heard.
 #[derive(Debug, Clone)]
 pub struct Squaring {
     patience: Patience,
@@ -83,6 +95,7 @@
 }
 
 impl Squaring {
+    /// Begins at `now`, with no zone seen yet.
     pub fn new(patience: Patience, now: Duration) -> Self {
         Self {
             patience,
@@ -94,6 +107,7 @@
         }
     }
 
+    /// Takes an input in, and tells what has changed.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         match input {
--- a/crates/recovery/src/verdict.rs
+++ b/crates/recovery/src/verdict.rs
@@ -24,6 +24,7 @@
     Ended,
 }
 
+/// What the leader does with a reported task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It is the task's attempt from now on.
