--- a/crates/licences/src/config.rs
+++ b/crates/licences/src/config.rs
@@ -4,15 +4,20 @@
 
 use serde::Deserialize;
 
+/// Why a licences file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
     /// Not a file of this form; the message names the line.
     #[error("licences: {0}")]
     Form(String),
+    /// A value is out of its range.
     #[error("licences: `{licence}.{field}`: {message}")]
     Field {
+        /// The licence as the file names it.
         licence: String,
+        /// The field within the licence.
         field: String,
+        /// What is wrong with it.
         message: String,
     },
 }
@@ -20,6 +25,7 @@
 /// One licence.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Licence {
+    /// How many seats there are.
     pub seats: u32,
     /// How long a seat stays taken after its task is proven gone: counters give seats
     /// back late.
@@ -30,11 +36,14 @@
     pub counter: Option<SocketAddr>,
 }
 
+/// A team's part of a licence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
+    /// Seats that are reserved for the team.
     #[serde(default)]
     pub least: u32,
+    /// Seats that the team may hold at most; none: no limit of its own.
     pub most: Option<u32>,
 }
 
@@ -52,6 +61,7 @@
 /// All licences by name.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Config {
+    /// The licences by name.
     pub licences: BTreeMap<String, Licence>,
 }
 
@@ -78,6 +88,7 @@
 const LINGER_MOST: f64 = 86_400.0;
 
 impl Config {
+    /// Reads and checks a licences file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
             .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
--- a/crates/licences/src/grant.rs
+++ b/crates/licences/src/grant.rs
@@ -7,12 +7,17 @@
 
 use crate::ledger::Attempt;
 
+/// Permission for one attempt to use seats of one licence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
+    /// The licence.
     pub licence: String,
+    /// How many seats of it.
     pub seats: u32,
+    /// The task that holds them.
     pub task: String,
+    /// The attempt of that task.
     pub attempt: u64,
     /// The leader's claim: a later one outdates what an earlier one gave.
     pub claim: u64,
@@ -23,14 +28,19 @@
 /// Why a grant does not count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Refusal {
+    /// The text is not of the form that [`Keys::seal`] makes.
     #[error("not a grant")]
     Malformed,
+    /// Neither the current key nor the former one made it.
     #[error("its MAC does not match")]
     Forged,
+    /// It was valid until an earlier time.
     #[error("it has expired")]
     Expired,
+    /// The same attempt entered with the same licence before.
     #[error("it was used before")]
     Replayed,
+    /// A grant of a later claim has been accepted since.
     #[error("a later leader gives the seats now")]
     Outdated,
 }
@@ -49,6 +59,7 @@
 const TEXT_MOST: usize = 2048;
 
 impl Keys {
+    /// Derives the keys from a secret, and from the one before it while that still counts.
     pub fn new(secret: &[u8], former: Option<&[u8]>) -> Self {
         let key = |secret: &[u8]| blake3::derive_key(CONTEXT, secret);
         Self {
@@ -90,10 +101,12 @@
     claim: u64,
     /// Attempts let in, and until when they have to be remembered.
     seen: BTreeMap<(Attempt, String), u64>,
+    /// Grants that were refused so far, by reason.
     pub refused: BTreeMap<Refusal, u64>,
 }
 
 impl Gate {
+    /// Accepts a grant, or counts and tells why it is refused.
     pub fn enter(&mut self, keys: &Keys, sealed: &str, now_ms: u64) -> Result<Grant, Refusal> {
         let result = self.check(keys, sealed, now_ms);
         if let Err(refusal) = &result {
--- a/crates/licences/src/history.rs
+++ b/crates/licences/src/history.rs
@@ -8,11 +8,17 @@
 /// One attempt's time with its seats, in milliseconds of the time of day.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stay {
+    /// The licence.
     pub licence: String,
+    /// The team that was charged.
     pub team: String,
+    /// The task that held the seats.
     pub task: String,
+    /// The attempt of that task.
     pub attempt: u64,
+    /// How many seats it held.
     pub seats: u32,
+    /// When it took them.
     pub from_ms: u64,
     /// None while it holds them.
     pub to_ms: Option<u64>,
@@ -28,6 +34,7 @@
 }
 
 impl History {
+    /// An empty history of at most `most` stays, one at least.
     pub fn new(most: usize) -> Self {
         Self {
             most: most.max(1),
@@ -37,6 +44,7 @@
         }
     }
 
+    /// Records that an attempt took seats. Repeated, it changes nothing.
     pub fn begins(&mut self, stay: Stay) {
         let key = (stay.task.clone(), stay.attempt, stay.licence.clone());
         // Told twice, as after a take-over, it is one stay.
@@ -49,6 +57,7 @@
         self.trim();
     }
 
+    /// Records that an attempt gave back all of its seats.
     pub fn ends(&mut self, attempt: &Attempt, to_ms: u64) {
         let first = (attempt.task.clone(), attempt.attempt, String::new());
         let of = |key: &(String, u64, String)| key.0 == attempt.task && key.1 == attempt.attempt;
@@ -78,14 +87,17 @@
         }
     }
 
+    /// All stays, in the order in which they began.
     pub fn stays(&self) -> impl Iterator<Item = &Stay> {
         self.stays.values()
     }
 
+    /// How many stays there are.
     pub fn len(&self) -> usize {
         self.stays.len()
     }
 
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.stays.is_empty()
     }
--- a/crates/licences/src/ledger.rs
+++ b/crates/licences/src/ledger.rs
@@ -11,18 +11,23 @@
 /// One try of one task.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
+    /// The task's name.
     pub task: String,
+    /// The number of the attempt.
     pub attempt: u64,
 }
 
 /// Seats by licence.
 pub type Needs = BTreeMap<String, u32>;
 
+/// What the ledger is told.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
     /// A start of these is about to be sent: all of them get their seats, or none does.
     Take {
+        /// The team that is charged.
         team: String,
+        /// The attempts to be started.
         attempts: Vec<Attempt>,
         /// Of each.
         needs: Needs,
@@ -31,40 +36,65 @@
     Gone(Attempt),
     /// A task was found that holds seats, after a take-over.
     Found {
+        /// The team that is charged.
         team: String,
+        /// The attempt that was found.
         attempt: Attempt,
+        /// The seats that it holds.
         needs: Needs,
     },
     /// All that holds seats now, as it is known otherwise: who is not named is gone.
     Holding(BTreeMap<Attempt, (String, Needs)>),
     /// A silent machine may hold as much; what was told of it before is replaced.
-    MayHold { machine: String, needs: Needs },
+    MayHold {
+        /// The machine.
+        machine: String,
+        /// The seats that it may hold.
+        needs: Needs,
+    },
     /// Nothing of a former leader is left there.
-    Empty { machine: String },
+    Empty {
+        /// The machine.
+        machine: String,
+    },
     /// The counter says how many seats are in use by others.
-    Counted { licence: String, elsewhere: u32 },
+    Counted {
+        /// The licence.
+        licence: String,
+        /// Seats in use outside the cluster.
+        elsewhere: u32,
+    },
     /// The counter gave no seat though there should be one.
-    Refused { licence: String },
+    Refused {
+        /// The licence.
+        licence: String,
+    },
     /// Another file.
     Configured(Config),
     /// Time goes on.
     Tick,
 }
 
+/// What follows from an input.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
+    /// The attempt holds its seats from now on.
     Taken(Attempt),
     /// None of them: this licence lacks so many seats.
     Lacking {
+        /// The licence that lacks seats.
         licence: String,
+        /// How many seats are missing.
         seats: u32,
     },
     /// The licence is not known at all.
     Unknown {
+        /// The name that is not in the configuration.
         licence: String,
     },
     /// Seats have come back: whoever waits for this licence may try again.
     Freed {
+        /// The licence whose seats came back.
         licence: String,
     },
 }
@@ -87,6 +117,7 @@
 const BACK_OFF: Duration = Duration::from_secs(1);
 const BACK_OFF_DOUBLED_MOST: u32 = 6;
 
+/// The seats of all licences, and who holds them.
 #[derive(Debug, Default)]
 pub struct Ledger {
     config: Config,
@@ -105,11 +136,15 @@
 /// How a licence stands.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Standing {
+    /// Seats in all.
     pub seats: u32,
+    /// Seats of tasks that are not proven gone.
     pub held: u32,
     /// Gone, and not given back by the counter yet.
     pub lingering: u32,
+    /// Seats that silent machines may hold.
     pub maybe: u32,
+    /// Seats in use outside the cluster.
     pub elsewhere: u32,
 }
 
@@ -123,6 +158,7 @@
 }
 
 impl Ledger {
+    /// A ledger in which nobody holds a seat.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -139,10 +175,12 @@
         }
     }
 
+    /// The names of all configured licences.
     pub fn licences(&self) -> impl Iterator<Item = &str> {
         self.config.licences.keys().map(String::as_str)
     }
 
+    /// Takes an input in, after expiring what lingers no more, and tells what follows.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let mut out = self.expire(now);
         match input {
--- a/crates/licences/src/lib.rs
+++ b/crates/licences/src/lib.rs
@@ -7,6 +7,8 @@
 //! there are. [`grant`] makes and checks the word that goes with a start, [`history`]
 //! remembers who held what, and [`config`] reads the operators' file.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod config;
 pub mod grant;
 pub mod history;
