--- a/crates/maintenance/src/config.rs
+++ b/crates/maintenance/src/config.rs
@@ -4,13 +4,20 @@
 
 use serde::Deserialize;
 
+/// Why a maintenance file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
     /// Not a file of this form; the message names the line.
     #[error("maintenance: {0}")]
     Form(String),
+    /// A value is out of its range.
     #[error("maintenance: `{field}`: {message}")]
-    Field { field: String, message: String },
+    Field {
+        /// The field, with the table that it is in.
+        field: String,
+        /// What is wrong with it.
+        message: String,
+    },
 }
 
 /// What a team can bear.
@@ -19,19 +26,25 @@
     /// Replicas of one service that may be down at a time: so many, and no more than this
     /// share of them where it is above zero.
     pub tasks: u32,
+    /// The largest share of a service's replicas that may be down; 0: no limit by share.
     pub share: f64,
     /// While replicas are down by themselves and fewer than this share of the team's are
     /// up, none is stopped.
     pub floor: f64,
     /// Tasks that may be stopped within the window, and seconds of work lost.
     pub in_window: Option<u32>,
+    /// Tasks that may be stopped within the window; none: any number.
     pub lost: Option<Duration>,
+    /// Work that may be lost within the window; none: any amount.
     pub window: Duration,
 }
 
+/// The disruption budgets of all teams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
+    /// The budget of a team that has none of its own.
     pub default: Budget,
+    /// Budgets by team.
     pub teams: BTreeMap<String, Budget>,
     /// What is down by itself counts in a breach as well.
     pub counts_failures: bool,
@@ -54,7 +67,8 @@
         }
     }
 
-    pub fn longest_window(&self) -> Duration {
+    /// The longest window of any budget: what was stopped earlier counts nowhere.
+    pub(crate) fn longest_window(&self) -> Duration {
         let teams = self.teams.values().map(|budget| budget.window);
         teams.fold(self.default.window, Duration::max)
     }
--- a/crates/maintenance/src/drain.rs
+++ b/crates/maintenance/src/drain.rs
@@ -27,28 +27,37 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drains {
+    /// When each machine was ordered to be drained, and its deadline, by the machine's name.
     pub machines: BTreeMap<String, Drain>,
 }
 
 /// Machines in one record: it has to fit into a value of the state service.
 pub const MACHINES_MOST: usize = 200;
 
+/// What kind of job a task belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
+    /// A task that runs to completion by itself.
     Array,
+    /// A task of a gang, stopped only with the rest of it.
     Gang,
+    /// A replica of a service.
     Replica,
 }
 
 /// A task on a machine that is to be emptied.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Task<K> {
+    /// Identifies the task to the caller.
     pub key: K,
+    /// The team whose budget is charged.
     pub team: String,
+    /// The kind of its job.
     pub kind: Kind,
     /// Told to stop already, or only decided on and not sent.
     pub stopping: bool,
+    /// How its service stands, for a replica.
     pub service: Option<Replicas>,
     /// Another machine has room for it now.
     pub room: bool,
@@ -68,9 +77,13 @@
     Ending,
     /// No other machine has room for a replica.
     Room,
+    /// The service has as many replicas down as its team allows.
     Service,
+    /// The team's replicas are below the floor of its budget.
     Floor,
+    /// The team's stops within the window are used up.
     Window,
+    /// The team's lost work within the window is used up.
     Work,
     /// The leader does not hear all of its machines.
     Outlook,
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -15,6 +15,7 @@
 /// How a service stands, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Replicas {
+    /// Replicas that the service should have.
     pub wanted: u32,
     /// Running, and not told to stop.
     pub up: u32,
@@ -23,6 +24,7 @@
 }
 
 impl Replicas {
+    /// Replicas that are not up, for whatever reason.
     pub fn down(&self) -> u32 {
         self.wanted.saturating_sub(self.up)
     }
@@ -36,6 +38,7 @@
 /// One task that somebody would stop.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ask<'a> {
+    /// The team whose budget is asked.
     pub team: &'a str,
     /// The service that it belongs to, if it is a replica.
     pub service: Option<Replicas>,
@@ -46,12 +49,16 @@
 /// Why it may not be stopped now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
+    /// See [`Ledger::most_down`].
     #[error("as many replicas of the service are down as its team allows")]
     Service,
+    /// See [`Budget::floor`].
     #[error("replicas of the team are down by themselves")]
     Floor,
+    /// See [`Budget::in_window`].
     #[error("the team's tasks that may be stopped in a while are used up")]
     Window,
+    /// See [`Budget::lost`].
     #[error("the team's work that may be lost in a while is used up")]
     Work,
 }
@@ -63,6 +70,7 @@
     lost: Duration,
 }
 
+/// Counts what was stopped on purpose, and says what still may be.
 #[derive(Debug)]
 pub struct Ledger {
     config: Config,
@@ -73,6 +81,7 @@
 }
 
 impl Ledger {
+    /// A ledger in which nothing was stopped yet.
     pub fn new(config: Config) -> Self {
         Self {
             config,
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -5,6 +5,8 @@
 //! be emptied may be stopped now, and what the rest waits for. Neither reads a clock nor
 //! sends anything.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod config;
 pub mod drain;
 pub mod ledger;
