--- a/crates/rollout/src/config.rs
+++ b/crates/rollout/src/config.rs
@@ -7,18 +7,23 @@
 
 use crate::generation::{Feature, Generation, OLDEST};
 
+/// Why a rollout file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
     /// Not a file of this form; the message names the line.
     #[error("rollout: {0}")]
     Form(String),
+    /// A value is out of its range, or names something unknown.
     #[error("rollout: `{field}`: {message}")]
     Field {
+        /// The field.
         field: &'static str,
+        /// What is wrong with it.
         message: String,
     },
 }
 
+/// How a rollout is carried out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
     /// How long all nodes must have been seen able to a generation before it is written.
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -14,6 +14,7 @@
 /// A change of the stored state with a name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Feature {
+    /// The name, as operators write it.
     pub name: &'static str,
     /// The first generation that has it.
     pub since: Generation,
@@ -26,9 +27,11 @@
 /// What a node's process is able to, as it says itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ability {
+    /// The build's name, for people.
     pub build: String,
     /// Generations that it reads and writes, the first and the last.
     pub least: Generation,
+    /// The newest generation that it reads and writes.
     pub most: Generation,
     /// The names of the features, for people.
     #[serde(default)]
@@ -40,6 +43,7 @@
 }
 
 impl Ability {
+    /// Whether the process reads and writes this generation.
     pub fn can(&self, generation: Generation) -> bool {
         (self.least..=self.most).contains(&generation)
     }
@@ -79,8 +83,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
+    /// The generation that is left, or at rest the one in use.
     pub from: Generation,
+    /// The generation that is moved to; at rest the same.
     pub to: Generation,
+    /// How far the move is.
     pub stage: Stage,
 }
 
@@ -91,6 +98,7 @@
 }
 
 impl Cluster {
+    /// A cluster at rest in a generation.
     pub fn settled(generation: Generation) -> Self {
         Self {
             from: generation,
@@ -159,8 +167,11 @@
 /// One order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
+    /// Stop moving, and rewriting records.
     Pause,
+    /// Go on after a pause.
     Resume,
+    /// Count this node no longer: it is gone for good.
     Forget(String),
     /// Go to that generation and stay there.
     Target(Generation),
@@ -169,6 +180,7 @@
 }
 
 impl Orders {
+    /// Changes the record as the order says.
     pub fn apply(&mut self, order: &Order) {
         match order {
             Order::Pause => self.paused = true,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -5,6 +5,8 @@
 //! able to follow. [`machine::Machine`] decides that, from what it is told and nothing else:
 //! no clocks, no requests. Why no mix of processes breaks a rule: `docs/design/rollout.md`.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod config;
 pub mod generation;
 pub mod machine;
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -19,6 +19,7 @@
 pub struct Seen {
     /// Its own stored record, and the revision of it: a process writes one when it starts.
     pub ability: Option<Ability>,
+    /// The revision of that record; 0: there is none.
     pub started: u64,
     /// What its process told lately; none where it was not heard.
     pub told: Option<Told>,
@@ -36,26 +37,34 @@
 /// All that a step looks at.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct View {
+    /// The cluster's record.
     pub cluster: Cluster,
     /// Revision of the cluster's record; 0: there is none.
     pub revision: u64,
+    /// What operators want.
     pub orders: Orders,
+    /// All configured nodes by name.
     pub nodes: BTreeMap<String, Seen>,
     /// A listing of old records that began at the stage now found none.
     pub clean: bool,
 }
 
+/// What the machine wants done, or logged.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Store this on condition of the record it follows, the claim, and these nodes'
     /// records at these revisions.
     Store {
+        /// The record to store.
         cluster: Cluster,
+        /// The reason, for the log.
         why: &'static str,
+        /// Nodes, each with the revision of its own record, that the write depends on.
         nodes: Vec<(String, u64)>,
     },
     /// All were seen able to, and it begins to be counted for how long.
     SoakBegins,
+    /// The soak was broken for this reason, and is counted from the start.
     SoakBeginsAgain(String),
 }
 
@@ -64,6 +73,7 @@
 pub enum Held {
     /// There is nothing to move to.
     Nothing,
+    /// An operator has paused the rollout.
     Paused,
     /// No record of its own: a build from before generations, or not started since.
     Silent(String),
@@ -81,16 +91,19 @@
     Free,
 }
 
+/// Decides when the cluster's record moves, and to what.
 #[derive(Debug)]
 pub struct Machine {
     config: Config,
     features: &'static [Feature],
     /// Since when the soak lasts, and the processes that it is about.
     soak: Option<(Duration, BTreeMap<String, u64>)>,
+    /// What keeps the next step from being taken, as of the last one.
     pub held: Held,
 }
 
 impl Machine {
+    /// A machine that has seen nothing; `features` are those that this build knows.
     pub fn new(config: Config, features: &'static [Feature]) -> Self {
         Self {
             config,
@@ -100,6 +113,7 @@
         }
     }
 
+    /// How long the soak under way has lasted.
     pub fn soaked(&self, now: Duration) -> Duration {
         let since = self.soak.as_ref().map(|(since, _)| *since);
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
@@ -125,6 +139,7 @@
         }
     }
 
+    /// Looks at the cluster, and tells what is to be stored and logged.
     pub fn step(&mut self, now: Duration, view: &View) -> Vec<Output> {
         let mut out = Vec::new();
         self.held = self.decide(now, view, &mut out);
--- a/crates/rollout/src/next.rs
+++ b/crates/rollout/src/next.rs
@@ -52,16 +52,22 @@
 /// Why none may.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NotNow {
+    /// A node that counts is not here.
     #[error("{0} is away")]
     Away(String),
+    /// No node that counts leads.
     #[error("no leader is known")]
     NoLeader,
+    /// Only the leader knows enough to tell.
     #[error("the answer did not come from the leader")]
     NotTheLeader,
+    /// Some of the machines are out of reach.
     #[error("the leader does not hear all of its machines")]
     Outlook,
+    /// A restart would delay the rewriting.
     #[error("old records are being rewritten")]
     Migrating,
+    /// Nothing is left to restart.
     #[error("every node is of build {0} already")]
     Done(String),
 }
