--- a/crates/quota/src/cell.rs
+++ b/crates/quota/src/cell.rs
@@ -23,7 +23,9 @@
 /// What a write depends on, beside the leader's claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Condition {
+    /// The key must not exist.
     Absent,
+    /// The key must still have this revision.
     Unchanged(Revision),
 }
 
@@ -38,28 +40,36 @@
     pub unmet_guarantee: Units,
 }
 
+/// What the cell is told.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// The answer to [`Output::Read`].
     Found {
+        /// The record as stored.
         record: Record,
+        /// The revision of its last change.
         revision: Revision,
     },
     /// The answer to [`Output::Read`]: no record. The id must be greater than any earlier one,
     /// as the state service's revision at the read is.
     Absent {
+        /// The id of the new record.
         fresh: RecordId,
     },
     /// The term of every former leader is over, and what it started is in [`Load::in_use`].
     Settled,
     /// Once a round of the leader.
     Poll(Load),
+    /// A message of a peer has come.
     Received {
+        /// The peer.
         from: CellId,
+        /// What it says.
         message: Message,
     },
     /// The write is stored.
     Stored {
+        /// The revision of the new record.
         revision: Revision,
     },
     /// The write's condition failed.
@@ -68,20 +78,30 @@
     Unclear,
 }
 
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
+    /// Read the record, and answer with [`Input::Found`] or [`Input::Absent`].
     Read,
+    /// Write the record, and answer with [`Input::Stored`], [`Input::Conflict`] or [`Input::Unclear`].
     Store {
+        /// What to write.
         record: Record,
+        /// What the write depends on.
         condition: Condition,
     },
+    /// Send a message. It may be lost.
     Send {
+        /// The receiver.
         to: CellId,
+        /// What to say.
         message: Message,
     },
     /// A message changed nothing; for logs and metrics.
     Refused {
+        /// The sender of the message.
         from: CellId,
+        /// Why it changed nothing.
         refusal: Refusal,
     },
 }
@@ -111,9 +131,13 @@
 /// What a cell is by configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
+    /// The cell itself.
     pub id: CellId,
+    /// Its part of the limit.
     pub share: Share,
+    /// The times that all cells agree on.
     pub terms: Terms,
+    /// The cells that it lends to and borrows from.
     pub peers: BTreeSet<CellId>,
 }
 
@@ -184,6 +208,7 @@
         known.map(|known| &known.record)
     }
 
+    /// Takes an input in, and tells what the caller is to do.
     pub fn step(&mut self, now: SystemTime, input: Input) -> Vec<Output> {
         match input {
             Input::Found { record, revision } => self.found(record, revision),
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -11,6 +11,7 @@
 /// A cell's part of a team's limit and guarantee, by configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Share {
+    /// Units of the limit that the cell owns, and may lend beyond its guarantee.
     pub base: Units,
     /// Never lent.
     pub guarantee: Units,
@@ -39,12 +40,15 @@
 /// What a cell stores of one team and resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Record {
+    /// Which life of the cell's record this is.
     pub id: RecordId,
     /// Set where an earlier record was lost: until then the base may still be lent.
     pub quarantined_until: Option<SystemTime>,
     /// The number of the last loan made.
     pub last_number: u64,
+    /// Loans to other cells that may still be in use.
     pub lent: BTreeMap<LoanId, Lent>,
+    /// Loans from other cells that were not given back.
     pub borrowed: BTreeMap<LoanId, Borrowed>,
     /// The newest loan ever taken from each lender.
     pub newest_taken: BTreeMap<CellId, LoanId>,
@@ -64,7 +68,7 @@
     }
 
     /// The record of a cell whose earlier one is lost.
-    pub fn after_loss(id: RecordId, now: SystemTime, terms: &Terms) -> Record {
+    pub(crate) fn after_loss(id: RecordId, now: SystemTime, terms: &Terms) -> Record {
         let until = now + terms.quarantine();
         Record {
             quarantined_until: Some(until),
@@ -73,7 +77,7 @@
     }
 
     /// Units of the base that are the cell's own now.
-    pub fn own(&self, share: &Share, now: SystemTime) -> Units {
+    pub(crate) fn own(&self, share: &Share, now: SystemTime) -> Units {
         if self.quarantined_until.is_some_and(|until| now < until) {
             return share.guarantee;
         }
@@ -99,7 +103,7 @@
     }
 
     /// Makes a loan; the caller has checked that the units are free.
-    pub fn lend(
+    pub(crate) fn lend(
         &mut self,
         lender: CellId,
         to: (CellId, RecordId),
@@ -128,7 +132,12 @@
     }
 
     /// The borrower takes a new loan, or the later end of one that it has.
-    pub fn take(&mut self, grant: &Grant, now: SystemTime, terms: &Terms) -> Result<(), Refusal> {
+    pub(crate) fn take(
+        &mut self,
+        grant: &Grant,
+        now: SystemTime,
+        terms: &Terms,
+    ) -> Result<(), Refusal> {
         if grant.borrower_record != self.id {
             return Err(Refusal::OtherRecord);
         }
@@ -156,7 +165,7 @@
     }
 
     /// Lowers a borrowed loan; at nothing it is returned.
-    pub fn give_back(&mut self, loan: &LoanId, units: Units) {
+    pub(crate) fn give_back(&mut self, loan: &LoanId, units: Units) {
         let Some(held) = self.borrowed.get_mut(loan) else {
             return;
         };
@@ -167,7 +176,7 @@
     }
 
     /// The lender takes in what a borrower still holds.
-    pub fn reconcile(&mut self, from: CellId, holdings: &Holdings) {
+    pub(crate) fn reconcile(&mut self, from: CellId, holdings: &Holdings) {
         self.lent.retain(|id, loan| {
             if loan.borrower != from || loan.borrower_record != holdings.record {
                 return true;
@@ -182,7 +191,7 @@
     }
 
     /// The lender renews what a borrower still holds, if it is time, except what it recalls.
-    pub fn renew(
+    pub(crate) fn renew(
         &mut self,
         from: CellId,
         holdings: &Holdings,
@@ -201,7 +210,7 @@
     }
 
     /// Removes, on both sides, loans that nobody can use any more by any clock.
-    pub fn expire(&mut self, now: SystemTime, terms: &Terms) {
+    pub(crate) fn expire(&mut self, now: SystemTime, terms: &Terms) {
         self.lent
             .retain(|_, loan| now < terms.surely_over(loan.end));
         self.borrowed
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -9,6 +9,8 @@
 //! Nothing uses this crate yet: a deployment has one cell, whose limit is the configured one, and
 //! behaves exactly as it did without the crate.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod cell;
 pub mod division;
 pub mod error;
