--- a/crates/stand-ins/src/availability.rs
+++ b/crates/stand-ins/src/availability.rs
@@ -10,6 +10,7 @@
 pub struct Outage {
     /// Counted from the start of the service.
     pub at_s: f64,
+    /// How long it lasts, in seconds.
     pub for_s: f64,
 }
 
@@ -23,11 +24,14 @@
 /// Latency and outages of one service.
 #[derive(Debug, Clone, Default)]
 pub struct Availability {
+    /// How long each answer is held back.
     pub latency: Duration,
+    /// When nothing is answered.
     pub outages: Vec<Outage>,
 }
 
 impl Availability {
+    /// Whether an outage covers this time since the start.
     pub fn is_out(&self, now: Duration) -> bool {
         self.outages.iter().any(|outage| outage.covers(now))
     }
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -32,71 +32,104 @@
 pub struct CloudSettings {
     /// Requests a second.
     pub rps: f64,
+    /// Latency and outages.
     pub availability: Availability,
 }
 
 /// A machine type as the interface lists it.
 #[derive(Debug, Clone, Serialize)]
 pub struct MachineType {
+    /// The type's name.
     pub label: String,
+    /// CPUs of a machine.
     pub cpus: f64,
+    /// GPUs of a machine.
     pub gpus: f64,
+    /// Memory of a machine, in GB.
     pub mem_gb: f64,
+    /// Image cache of a machine, in GB.
     pub local_gb: f64,
+    /// How fast a machine fetches images, in GB a second.
     pub fetch_gb_per_s: f64,
+    /// Price of an ordinary machine.
     pub hourly: f64,
+    /// Price of a spot machine.
     pub market_price: f64,
+    /// How long a machine usually takes to boot, in seconds.
     pub boot_s: f64,
+    /// Zones that offer the type.
     pub fields: Vec<String>,
 }
 
 /// A machine as the interface lists it.
 #[derive(Debug, Clone, Serialize)]
 pub struct Machine {
+    /// The machine's name.
     pub uid: String,
+    /// Where its worker listens.
     pub endpoint: SocketAddr,
+    /// Its type.
     pub frame: String,
+    /// Its zone.
     pub field: String,
+    /// It is a spot machine.
     pub gusts: bool,
+    /// How far it is.
     pub attitude: MachineState,
+    /// Time since it was rented, in seconds.
     pub age_s: f64,
 }
 
+/// How far a machine is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
+    /// It boots.
     Starting,
+    /// It is up.
     Running,
+    /// It has failed.
     Failed,
 }
 
 /// A request for machines.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Rental {
+    /// The request's name: repeated, it rents nothing more.
     pub charter: String,
+    /// The machine type.
     pub frame: String,
+    /// The zone.
     pub field: String,
+    /// Spot machines are asked for.
     #[serde(default)]
     pub gusts: bool,
+    /// How many machines.
     pub how_many: u32,
 }
 
 /// The machines behind the interface.
 pub trait Machines: Send + Sync + 'static {
+    /// The machine types on offer.
     fn types(&self) -> Vec<MachineType>;
     /// Machines in the order of their names, beyond `after`, and whether there are more.
     fn list(&self, after: &str, most: usize) -> (Vec<Machine>, bool);
     /// Names of the machines rented; none: there is no capacity.
     fn rent(&self, rental: &Rental) -> Vec<String>;
+    /// Takes machines back; unknown names are passed over.
     fn release(&self, names: &[String]);
 }
 
 /// Counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloudCounts {
+    /// Requests of any kind.
     pub requests: u64,
+    /// Requests refused by the limit.
     pub refused: u64,
+    /// Bytes received.
     pub bytes_received: u64,
+    /// Bytes sent.
     pub bytes_sent: u64,
 }
 
@@ -163,6 +196,7 @@
         Ok((service, address))
     }
 
+    /// What was counted so far.
     pub fn counts(&self) -> CloudCounts {
         CloudCounts {
             requests: self.shared.requests.load(Ordering::Relaxed),
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -36,10 +36,12 @@
 }
 
 impl Traffic {
+    /// Bytes received so far.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
+    /// Bytes sent so far.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
@@ -118,9 +120,13 @@
 /// A request as the stand-ins see it.
 #[derive(Debug)]
 pub struct Asked {
+    /// The method.
     pub method: Method,
+    /// The path, without the query.
     pub path: String,
+    /// The query as it stands in the request.
     pub query: String,
+    /// The body.
     pub body: Bytes,
     /// The address that the client connected to.
     pub local: SocketAddr,
@@ -140,11 +146,14 @@
 /// Status and JSON body of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
+    /// The HTTP status.
     pub status: u16,
+    /// The JSON text.
     pub body: String,
 }
 
 impl Reply {
+    /// A reply with a body that is JSON already.
     pub fn new(status: u16, body: impl Into<String>) -> Self {
         Self {
             status,
@@ -152,6 +161,7 @@
         }
     }
 
+    /// A reply with a value as its body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Self {
         Self::new(status, serde_json::to_string(body).unwrap_or_default())
     }
@@ -240,6 +250,7 @@
 }
 
 impl Connection {
+    /// A connection that is not opened yet.
     pub fn new(to: SocketAddr, traffic: Arc<Traffic>) -> Self {
         Self {
             to,
@@ -248,6 +259,7 @@
         }
     }
 
+    /// The server's address.
     pub fn to(&self) -> SocketAddr {
         self.to
     }
--- a/crates/stand-ins/src/rate_limit.rs
+++ b/crates/stand-ins/src/rate_limit.rs
@@ -12,6 +12,7 @@
 }
 
 impl RateLimit {
+    /// A full bucket.
     pub fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -35,33 +35,49 @@
     pub rps: f64,
     /// Puts and deletes a second.
     pub write_rps: f64,
+    /// Size of the largest value, in KiB.
     pub value_kb: f64,
+    /// Changes that one transaction may hold.
     pub txn_ops: usize,
+    /// Latency and outages.
     pub availability: Availability,
 }
 
 /// Counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateCounts {
+    /// Requests of any kind.
     pub requests: u64,
+    /// Transactions that the limits admitted.
     pub transactions: u64,
+    /// Transactions that failed on a condition.
     pub conflicts: u64,
+    /// Puts and deletes in those transactions.
     pub changes: u64,
+    /// Watches.
     pub watches: u64,
+    /// Renewals of leases.
     pub renewals: u64,
+    /// Requests refused by the limit of requests.
     pub refused_requests: u64,
+    /// Puts and deletes refused by the limit of changes.
     pub refused_changes: u64,
+    /// Requests refused by an outage.
     pub outage_answers: u64,
+    /// Bytes received.
     pub bytes_received: u64,
+    /// Bytes sent.
     pub bytes_sent: u64,
 }
 
 /// What is stored.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StateSize {
+    /// Keys.
     pub keys: usize,
     /// Of keys and values.
     pub bytes: usize,
+    /// Bytes of the largest value.
     pub largest_value: usize,
 }
 
@@ -249,6 +265,7 @@
         Ok((service, address))
     }
 
+    /// What was counted so far.
     pub fn counts(&self) -> StateCounts {
         let counters = &self.shared.counters;
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -267,6 +284,7 @@
         }
     }
 
+    /// What is stored now.
     pub fn size(&self) -> StateSize {
         let inner = self.inner();
         StateSize {
--- a/crates/stand-ins/src/store.rs
+++ b/crates/stand-ins/src/store.rs
@@ -18,29 +18,42 @@
 /// A key with its value and the revision of its last change.
 #[derive(Debug, Clone)]
 pub struct Item {
+    /// The key.
     pub key: String,
+    /// The value.
     pub value: Box<RawValue>,
+    /// The revision of the key's last change.
     pub revision: u64,
+    /// The lease that it hangs on.
     pub lease: Option<u64>,
 }
 
 /// A change as watches see it; no value: deleted.
 #[derive(Debug, Clone)]
 pub struct Event {
+    /// The key.
     pub key: String,
+    /// The new value; none: the key was deleted.
     pub value: Option<Box<RawValue>>,
+    /// The revision of the change.
     pub revision: u64,
 }
 
 /// One part of a transaction.
 #[derive(Debug, Clone)]
 pub enum Change {
+    /// Sets a key.
     Put {
+        /// The key.
         key: String,
+        /// The new value.
         value: Box<RawValue>,
+        /// The lease that the key hangs on from now on.
         lease: Option<u64>,
     },
+    /// Deletes a key, if it exists.
     Delete {
+        /// The key.
         key: String,
     },
 }
@@ -48,20 +61,27 @@
 /// A key must be at this revision; 0: it must not exist.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
+    /// The key.
     pub key: String,
+    /// The revision that it must have.
     pub revision: u64,
 }
 
+/// Why a transaction changed nothing.
 #[derive(Debug, PartialEq, Eq)]
 pub enum TxnError {
     /// Keys whose condition did not hold.
     Conflict(Vec<String>),
+    /// A put names a lease that does not exist.
     NoSuchLease,
 }
 
+/// A part of a list.
 #[derive(Debug)]
 pub struct Page {
+    /// The items, in the order of their keys.
     pub items: Vec<Item>,
+    /// There are more.
     pub more: bool,
 }
 
@@ -79,6 +99,7 @@
     keys: BTreeSet<String>,
 }
 
+/// Keys with revisions, leases and a log of changes.
 #[derive(Debug, Default)]
 pub struct Store {
     revision: u64,
@@ -91,14 +112,17 @@
 }
 
 impl Store {
+    /// The revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// How many keys there are.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
@@ -118,6 +142,7 @@
         sizes.max().unwrap_or(0)
     }
 
+    /// A key with its value.
     pub fn get(&self, key: &str) -> Option<Item> {
         self.keys.get(key).map(|stored| item(key, stored))
     }
@@ -221,6 +246,7 @@
         }
     }
 
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self, now: Duration, ttl: Duration) -> u64 {
         self.next_lease += 1;
         let lease = Lease {
@@ -265,6 +291,7 @@
         self.revision > before
     }
 
+    /// Ends a lease and deletes the keys that hang on it.
     pub fn end_lease(&mut self, id: u64) {
         let Some(lease) = self.leases.remove(&id) else {
             return;
