--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/ask.rs
@@ -12,21 +12,29 @@
 /// What came of one try.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Tried {
+    /// A node answered with this status, and after how long it may be asked again, if it said so.
     Status(u16, Option<Duration>),
     /// No connection, or no answer in time: it may have been executed.
     Nothing,
 }
 
+/// What to do after a try.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Next {
     /// The status is the answer.
     Final(u16),
     /// Ask this node, after this time.
-    Again { node: usize, after: Duration },
+    Again {
+        /// The node's place in the list.
+        node: usize,
+        /// How long to wait first.
+        after: Duration,
+    },
     /// The time is over.
     GiveUp,
 }
 
+/// The tries of one request at several nodes.
 #[derive(Debug)]
 pub struct Ask {
     nodes: usize,
@@ -36,6 +44,7 @@
 }
 
 impl Ask {
+    /// A request that begins with the first of so many nodes.
     pub fn new(nodes: usize, within: Duration) -> Self {
         Self {
             nodes: nodes.max(1),
@@ -49,6 +58,7 @@
         self.node
     }
 
+    /// Says what follows from a try that ended so long after the first one began.
     pub fn step(&mut self, since_first: Duration, tried: Tried) -> Next {
         let wait = match tried {
             Tried::Status(status @ (200 | 201 | 400 | 404 | 422), _) => {
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -20,6 +20,7 @@
 const ANSWER: Duration = Duration::from_secs(5);
 const BODY_MOST: usize = 1 << 20;
 
+/// Sends requests to a cluster's nodes.
 pub struct Client {
     http: HttpClient<HttpConnector, Full<Bytes>>,
     nodes: Vec<SocketAddr>,
@@ -29,7 +30,9 @@
 /// A final answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
+    /// The HTTP status.
     pub status: u16,
+    /// The JSON body; null where it was none.
     pub body: Value,
 }
 
@@ -39,12 +42,14 @@
         self.body["attitude"].as_str().unwrap_or("unknown")
     }
 
+    /// What the node says is wrong.
     pub fn error(&self) -> &str {
         self.body["error"].as_str().unwrap_or("no reason given")
     }
 }
 
 impl Client {
+    /// A client of these nodes that tries each request again for `within`.
     pub fn new(nodes: Vec<SocketAddr>, within: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
--- a/crates/ctl/src/drain.rs
+++ b/crates/ctl/src/drain.rs
@@ -10,7 +10,7 @@
 use crate::{Cli, REFUSED, UNANSWERED, WRONG, fail, seconds};
 
 #[derive(Debug, Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// What emptying these machines would move and wait for
     Plan {
         #[arg(required = true)]
@@ -33,7 +33,7 @@
     },
 }
 
-pub async fn run(cli: &Cli, client: &Client, command: &Command) -> ExitCode {
+pub(crate) async fn run(cli: &Cli, client: &Client, command: &Command) -> ExitCode {
     let (method, path, body) = match command {
         Command::Status => (Method::GET, "/drains", None),
         Command::Plan { machines } => (
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -5,73 +5,111 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
+/// Why a job is rejected before it is submitted.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum JobError {
+    /// The file can't be read: its name, and why.
     #[error("cannot read {0}: {1}")]
     Read(String, String),
+    /// The file is not of the form of a job.
     #[error("{file}: line {line}: {message}")]
     Form {
+        /// The file's name.
         file: String,
+        /// The line, from 1.
         line: usize,
+        /// What is wrong with it.
         message: String,
     },
+    /// A value that no node could take: the field, and why.
     #[error("job field `{0}`: {1}")]
     Field(&'static str, String),
 }
 
+/// What kind of job it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
+    /// Independent tasks, each runs to completion.
     Array,
+    /// All tasks run at the same time or none does.
     Gang,
+    /// Replicas that run until the job is cancelled.
     Service,
 }
 
+/// How important a job is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
+    /// Stopped first to make room.
     Low,
+    /// The usual priority.
     Normal,
+    /// Before the usual work.
     High,
+    /// Stopped last.
     Production,
 }
 
+/// A job as it is submitted.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
+    /// Its id, `run-` and digits.
     pub id: String,
+    /// The class of jobs that it belongs to.
     pub class: String,
+    /// The team that it is charged to.
     pub team: String,
+    /// What kind of job it is.
     #[serde(default = "array")]
     pub kind: Kind,
+    /// How important it is.
     #[serde(default = "normal")]
     pub priority: Priority,
+    /// How many tasks it has.
     #[serde(default = "one")]
     pub tasks: u32,
+    /// CPUs of each task.
     #[serde(default = "one_cpu")]
     pub cpus: f64,
+    /// GPUs of each task.
     #[serde(default)]
     pub gpus: f64,
+    /// Memory of each task, in GB.
     #[serde(default = "one_cpu")]
     pub memory_gb: f64,
+    /// The image that a task starts from.
     pub image: String,
+    /// The image's size, in GB.
     #[serde(default)]
     pub image_gb: f64,
+    /// Machine types that it may use; none: any.
     pub types: Option<Vec<String>>,
+    /// The only zone that it may use; none: any.
     pub zone: Option<String>,
+    /// All tasks must be in one zone.
     #[serde(default)]
     pub one_zone: bool,
+    /// At most half of the tasks may be in one zone.
     #[serde(default)]
     pub spread: bool,
+    /// It may use spot machines.
     #[serde(default)]
     pub spot: bool,
+    /// How long a task runs as its owner expects, in seconds; 0 for services.
     #[serde(default)]
     pub run_s: f64,
+    /// How often a task saves a checkpoint, in seconds of run time; 0: never.
     #[serde(default)]
     pub checkpoint_s: f64,
+    /// How long a task needs to save when it is stopped, in seconds.
     #[serde(default)]
     pub save_s: f64,
+    /// When it should be complete, in seconds from its submission.
     pub deadline_s: Option<f64>,
+    /// Licence seats of each task, by licence.
     #[serde(default)]
     pub licences: BTreeMap<String, u32>,
 }
@@ -93,6 +131,7 @@
 }
 
 impl Job {
+    /// Reads a job file.
     pub fn load(path: &Path) -> Result<Self, JobError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -100,6 +139,7 @@
         Self::parse(&file, &text)
     }
 
+    /// Reads the text of a job file; `file` is named in errors.
     pub fn parse(file: &str, text: &str) -> Result<Self, JobError> {
         kiteyard_toml_file::parse(text).map_err(|wrong| JobError::Form {
             file: file.to_owned(),
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,5 +1,7 @@
 //! `kiteyardctl`: submits jobs, follows them and cancels them.
 
+#![warn(missing_docs, unreachable_pub)]
+
 mod drain;
 mod rollout;
 
--- a/crates/ctl/src/rollout.rs
+++ b/crates/ctl/src/rollout.rs
@@ -16,7 +16,7 @@
 use crate::{Cli, REFUSED, UNANSWERED, WRONG, fail};
 
 #[derive(Debug, Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Nodes, builds, the generation, and what holds it
     Status,
     /// What would be done next, step by step
@@ -51,7 +51,7 @@
     },
 }
 
-pub async fn run(cli: &Cli, client: &Client, command: &Command) -> ExitCode {
+pub(crate) async fn run(cli: &Cli, client: &Client, command: &Command) -> ExitCode {
     match command {
         Command::Status => match status(client).await {
             Ok(status) => show(cli, &status),
