--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -27,29 +27,55 @@
 pub enum Violation {
     /// A task started on one machine while it was on another.
     RanTwice {
+        /// The task.
         task: TaskName,
+        /// The machine that it started on.
         on: String,
+        /// The machine that it was on.
         also_on: String,
     },
     /// A team's tasks used more than its limit.
-    TeamLimit { team: usize, cpus: f64, limit: f64 },
+    TeamLimit {
+        /// The team's number.
+        team: usize,
+        /// What its tasks used.
+        cpus: f64,
+        /// What they may use.
+        limit: f64,
+    },
     /// A task completed by running more than once.
-    CompletedTwice { task: TaskName },
+    CompletedTwice {
+        /// The task.
+        task: TaskName,
+    },
     /// A job was called done before all of its tasks were.
-    NotDone { job: String },
+    NotDone {
+        /// The job's id.
+        job: String,
+    },
     /// A job called done was called something else.
-    WentBack { job: String },
+    WentBack {
+        /// The job's id.
+        job: String,
+    },
     /// An accepted job got 404.
-    Forgotten { job: String },
+    Forgotten {
+        /// The job's id.
+        job: String,
+    },
 }
 
 /// What users are told of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
+    /// No task runs.
     Pending,
+    /// Some task runs.
     Running,
+    /// All tasks have completed.
     Done,
+    /// Its user has withdrawn it.
     Cancelled,
 }
 
@@ -86,11 +112,15 @@
 /// The first start of a task that counts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FirstStart {
+    /// The job is urgent.
     pub urgent: bool,
+    /// When the job was submitted.
     pub submitted: Duration,
+    /// When the task started.
     pub at: Duration,
 }
 
+/// Follows jobs and tasks, and keeps the rules that were broken.
 #[derive(Debug, Default)]
 pub struct Checks {
     team_limit: f64,
@@ -108,6 +138,7 @@
 /// How far the jobs are.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobCounts {
+    /// Jobs that were accepted.
     pub accepted: usize,
     /// Told to be done, of those accepted.
     pub done: usize,
@@ -124,6 +155,7 @@
         }
     }
 
+    /// A job is about to be submitted for the first time.
     pub fn submitted(&mut self, description: Arc<JobDescription>, now: Duration) {
         let job = Job {
             submitted: now,
@@ -135,6 +167,7 @@
         self.jobs.insert(description.id.clone(), job);
     }
 
+    /// The job was accepted.
     pub fn accepted(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted = true;
@@ -251,10 +284,12 @@
         self.over_limits.retain(|over| over.cpus > limit);
     }
 
+    /// Starts of tasks so far, repeated ones included.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
+    /// Completed tasks so far.
     pub fn completed_tasks(&self) -> u64 {
         self.completed
     }
@@ -264,6 +299,7 @@
         self.on_machines.len()
     }
 
+    /// How far the accepted jobs are.
     pub fn job_counts(&self) -> JobCounts {
         let accepted = self.jobs.values().filter(|job| job.accepted);
         let mut counts = JobCounts::default();
--- a/crates/scale-test/src/config.rs
+++ b/crates/scale-test/src/config.rs
@@ -8,28 +8,46 @@
 /// What is wrong with a file, in one line.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
+    /// Not a file of this form; the message names the line.
     #[error("{0}")]
     Form(String),
+    /// A value is out of its range.
     #[error("`{field}`: {message}")]
-    Field { field: String, message: String },
+    Field {
+        /// The field.
+        field: String,
+        /// What is wrong with it.
+        message: String,
+    },
 }
 
+/// One run, as its file says it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
+    /// The run's name; results are named by it.
     pub name: String,
+    /// The seed of all random numbers.
     #[serde(default = "one")]
     pub seed: u64,
     /// The controllers' program.
     #[serde(default = "default_binary")]
     pub binary: PathBuf,
+    /// How long the run takes.
     pub duration: DurationConfig,
+    /// The controllers.
     pub controllers: ControllersConfig,
+    /// The machines and their workers.
     pub fleet: FleetConfig,
+    /// The teams, and what they may use.
     pub teams: TeamsConfig,
+    /// What users submit.
     pub load: LoadConfig,
+    /// The state service.
     pub state: StateConfig,
+    /// The cloud.
     pub cloud: CloudConfig,
+    /// What fails during the run.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -49,18 +67,23 @@
 pub struct DurationConfig {
     /// Before anything is measured.
     pub warmup_s: f64,
+    /// For how long it is measured.
     pub measured_s: f64,
     /// After the last submission, for jobs to end.
     pub drain_s: f64,
 }
 
+/// The controllers, and the resources that their settings name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllersConfig {
+    /// How many there are.
     pub count: usize,
     /// Of one core, as told to the controllers; nothing enforces it.
     pub cpu_share: f64,
+    /// Sockets that each may use, as told to the controllers.
     pub sockets: usize,
+    /// Memory that each may use, in MB, as told to the controllers.
     pub memory_mb: f64,
     /// A controller that is ended is started again after so long.
     #[serde(default = "default_restart_s")]
@@ -71,30 +94,43 @@
     4.0
 }
 
+/// The fleet of hollow workers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
+    /// How many workers there are.
     pub workers: usize,
+    /// The zones that they are spread over.
     pub zones: Vec<String>,
     /// Of each machine.
     pub cpus: f64,
+    /// Memory of each machine, in GB.
     pub mem_gb: f64,
+    /// How long a machine usually takes to boot, in seconds.
     pub boot_s: f64,
+    /// How fast a machine fetches images, in GB a second.
     pub fetch_gb_per_s: f64,
+    /// The interval of reports, in seconds.
     pub report_s: f64,
+    /// How long a worker's lease lasts, in seconds.
     pub lease_s: f64,
+    /// By when tasks of a cancelled job have to be gone, in seconds.
     pub cancel_s: f64,
 }
 
+/// Teams that are alike.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamsConfig {
+    /// How many there are.
     pub count: usize,
     /// Of the fleet's CPUs, for each team.
     pub guarantee_share: f64,
+    /// What each team may use at most, as a share of the fleet's CPUs.
     pub limit_share: f64,
 }
 
+/// What users submit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadConfig {
@@ -104,12 +140,17 @@
     pub tasks_per_job: f64,
     /// Median and sigma of a log-normal distribution.
     pub run_s: f64,
+    /// Sigma of the run time's distribution.
     pub run_sigma: f64,
     /// Urgent jobs a second, of one task each, whatever the size of the fleet.
     pub urgent_jobs_per_s: f64,
+    /// Median run time of an urgent task, in seconds.
     pub urgent_run_s: f64,
+    /// How many images the jobs use.
     pub images: usize,
+    /// The size of each image, in GB.
     pub image_gb: f64,
+    /// A time with more arrivals, if there is one.
     #[serde(default)]
     pub peak: Option<Peak>,
 }
@@ -118,43 +159,70 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peak {
+    /// When it begins, in seconds.
     pub at_s: f64,
+    /// How long it lasts, in seconds.
     pub for_s: f64,
+    /// How many times as many arrivals there are.
     pub times: f64,
 }
 
+/// What the state service admits, and how it behaves.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateConfig {
+    /// Requests a second.
     pub rps: f64,
+    /// Puts and deletes a second.
     pub write_rps: f64,
+    /// Size of the largest value, in KiB.
     pub value_kb: f64,
+    /// Changes that one transaction may hold.
     pub txn_ops: usize,
+    /// How long each answer is held back, in milliseconds.
     pub latency_ms: f64,
+    /// When it answers nothing.
     #[serde(default, rename = "outage")]
     pub outages: Vec<Outage>,
 }
 
+/// What the cloud admits, and how it behaves.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CloudConfig {
+    /// Requests a second.
     pub rps: f64,
+    /// How far the list of machines may lag, in seconds, as told to the controllers.
     pub list_lag_s: f64,
+    /// How long each answer is held back, in milliseconds.
     pub latency_ms: f64,
+    /// When it answers nothing.
     #[serde(default, rename = "outage")]
     pub outages: Vec<Outage>,
 }
 
+/// Something that fails during the run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
     /// A controller's process is ended, and started again.
-    ControllerRestart { at_s: f64, controller: usize },
+    ControllerRestart {
+        /// When, in seconds.
+        at_s: f64,
+        /// The controller's number.
+        controller: usize,
+    },
     /// Machines stop without notice; the cloud lists them as failed.
-    MachinesFail { at_s: f64, count: usize },
+    MachinesFail {
+        /// When, in seconds.
+        at_s: f64,
+        /// How many machines.
+        count: usize,
+    },
 }
 
 impl Fault {
+    /// When it happens.
     pub fn at(&self) -> Duration {
         match self {
             Self::ControllerRestart { at_s, .. } | Self::MachinesFail { at_s, .. } => {
@@ -173,6 +241,7 @@
 const AMOUNT_MOST: f64 = 1e6;
 
 impl Config {
+    /// Reads and checks the text of a file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let config: Self = kiteyard_toml_file::parse(text)
             .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
@@ -196,10 +265,12 @@
         Ok(config)
     }
 
+    /// CPUs of all machines together.
     pub fn fleet_cpus(&self) -> f64 {
         self.fleet.workers as f64 * self.fleet.cpus
     }
 
+    /// CPUs that each team may use at most.
     pub fn team_limit_cpus(&self) -> f64 {
         self.fleet_cpus() * self.teams.limit_share
     }
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -24,17 +24,22 @@
 /// The addresses of one controller.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
+    /// Where users and workers reach it.
     pub api: SocketAddr,
+    /// Where other controllers reach it.
     pub peer: SocketAddr,
 }
 
 /// The services that controllers need.
 #[derive(Debug, Clone, Copy)]
 pub struct Services {
+    /// The state service.
     pub state: SocketAddr,
+    /// The cloud.
     pub cloud: SocketAddr,
 }
 
+/// The name of a controller.
 pub fn name(index: usize) -> String {
     format!("controller-{index}")
 }
@@ -113,6 +118,7 @@
     (0..config.teams.count).map(team).collect()
 }
 
+/// The name of a team.
 pub fn team_name(index: usize) -> String {
     format!("team-{index}")
 }
@@ -150,6 +156,7 @@
         self.directory.join(format!("{}.json", name(index)))
     }
 
+    /// Starts the process of one controller.
     pub fn start_one(&mut self, index: usize) -> std::io::Result<()> {
         let log_path = self.directory.join(format!("{}.log", name(index)));
         let log = File::options().create(true).append(true).open(log_path)?;
@@ -169,6 +176,7 @@
         Ok(())
     }
 
+    /// Ends the process of one controller, if it has one.
     pub fn end_one(&mut self, index: usize) {
         if let Some(mut child) = self.children[index].take() {
             // It may have ended by itself.
@@ -177,6 +185,7 @@
         }
     }
 
+    /// A look at each controller's process; none where it has ended.
     pub fn sample(&self) -> Vec<Option<ProcessSample>> {
         let sample = |child: &Option<Child>| procfs::sample(child.as_ref()?.id());
         self.children.iter().map(sample).collect()
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -2,21 +2,28 @@
 
 use serde::{Deserialize, Serialize};
 
+/// A point in the plane.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
+    /// What it is placed by.
     pub x: f64,
+    /// What was measured there.
     pub y: f64,
 }
 
+/// A straight line.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Line {
+    /// How much `y` rises with `x`.
     pub slope: f64,
+    /// Where the line is at 0.
     pub offset: f64,
     /// The furthest that a point is from the line.
     pub largest_error: f64,
 }
 
 impl Line {
+    /// Where the line is at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.slope * x + self.offset
     }
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -33,6 +33,7 @@
     worker::{Commands, DirectOutcome, HollowWorker, SentReport, WorkerSpec},
 };
 
+/// The only machine type of the fleet.
 pub const MACHINE_TYPE: &str = "m4";
 const LOOPBACK_DEVICE: &[u8] = b"lo";
 const BACKLOG: u32 = 4096;
@@ -52,7 +53,9 @@
 /// Where controllers take reports.
 #[derive(Debug, Clone)]
 pub struct Controller {
+    /// Its name, as redirects give it.
     pub name: String,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
@@ -76,12 +79,19 @@
 /// Counted since the start.
 #[derive(Debug, Default)]
 pub struct FleetCounts {
+    /// Reports that were sent.
     pub reports: AtomicU64,
+    /// Reports answered with 200.
     pub reports_answered: AtomicU64,
+    /// Reports answered with 421.
     pub redirects: AtomicU64,
+    /// Reports that got another answer, or none.
     pub reports_failed: AtomicU64,
+    /// Answers with 200 that the worker had to drop.
     pub answers_dropped: AtomicU64,
+    /// Requests with direct commands.
     pub direct_commands: AtomicU64,
+    /// Of these, refused by the worker.
     pub direct_refused: AtomicU64,
     /// Reports answered with 200, by controller.
     pub answered_by: Vec<AtomicU64>,
@@ -167,14 +177,17 @@
         Ok(fleet)
     }
 
+    /// What was counted so far.
     pub fn counts(&self) -> &FleetCounts {
         &self.shared.counts
     }
 
+    /// Bytes of reports and their answers, as the workers sent and received them.
     pub fn report_traffic(&self) -> &Traffic {
         &self.shared.report_traffic
     }
 
+    /// Bytes of direct commands and their answers.
     pub fn direct_traffic(&self) -> &Traffic {
         &self.shared.direct_traffic
     }
--- a/crates/scale-test/src/guard.rs
+++ b/crates/scale-test/src/guard.rs
@@ -2,6 +2,7 @@
 
 use crate::config::Config;
 
+/// Processes that one run may have.
 pub const PROCESSES_MOST: usize = 300;
 
 /// What a run is taken to need: a bound from runs of up to 4,000 workers, not a measurement.
@@ -10,14 +11,32 @@
 /// Of this process and the leader together.
 const WORKER_KB: u64 = 400;
 
+/// Why a run is refused.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Refusal {
+    /// It would have too many processes.
     #[error("a run of {processes} processes is more than {PROCESSES_MOST}")]
-    Processes { processes: usize },
+    Processes {
+        /// How many it would have.
+        processes: usize,
+    },
+    /// It may need more than half of the memory.
     #[error("the run may need {needed_kb} kB, more than half of the machine's {total_kb} kB")]
-    Memory { needed_kb: u64, total_kb: u64 },
+    Memory {
+        /// What the run may need.
+        needed_kb: u64,
+        /// What the machine has.
+        total_kb: u64,
+    },
+    /// It may need more than is free.
     #[error("the run may need {needed_kb} kB, and {available_kb} kB are free")]
-    Available { needed_kb: u64, available_kb: u64 },
+    Available {
+        /// What the run may need.
+        needed_kb: u64,
+        /// What is free.
+        available_kb: u64,
+    },
+    /// Nothing is known of the machine's memory.
     #[error("can't read /proc/meminfo")]
     Unknown,
 }
--- a/crates/scale-test/src/jobs.rs
+++ b/crates/scale-test/src/jobs.rs
@@ -11,16 +11,25 @@
 /// What a worker has to know of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobDescription {
+    /// The job's id.
     pub id: String,
+    /// The team's number.
     pub team: usize,
+    /// It is one of the urgent jobs.
     pub urgent: bool,
+    /// How many tasks it has.
     pub tasks: u32,
+    /// CPUs of each task.
     pub cpus: f64,
+    /// Memory of each task, in GB.
     pub mem_gb: f64,
+    /// The image.
     pub image: String,
+    /// The image's size, in GB.
     pub image_gb: f64,
     /// Median and sigma of the run time of a task.
     pub run_s: f64,
+    /// Sigma of the run time's distribution.
     pub run_sigma: f64,
 }
 
@@ -29,6 +38,7 @@
     task.split_once('/').map_or(task, |(job, _)| job)
 }
 
+/// The jobs of a run, shared by users and workers.
 #[derive(Debug, Default)]
 pub struct Jobs {
     inner: RwLock<Inner>,
@@ -41,6 +51,7 @@
 }
 
 impl Jobs {
+    /// Makes a job known to the workers.
     pub fn upload(&self, job: JobDescription) -> Arc<JobDescription> {
         let job = Arc::new(job);
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
@@ -57,6 +68,7 @@
         (number < job.tasks).then(|| job.clone())
     }
 
+    /// Remembers that a task has completed.
     pub fn keep_result(&self, task: &str) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         inner.results.insert(task.to_owned());
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -5,6 +5,8 @@
 //! the protocol over loopback and run nothing, and users with an arrival process. Rules are
 //! checked while it runs; what each role costs is measured and written as JSON.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod checks;
 pub mod config;
 pub mod controllers;
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -1,5 +1,7 @@
 //! The program around the library: arguments, files and exit codes.
 
+#![warn(missing_docs, unreachable_pub)]
+
 use std::{
     path::{Path, PathBuf},
     process::ExitCode,
--- a/crates/scale-test/src/observer.rs
+++ b/crates/scale-test/src/observer.rs
@@ -12,6 +12,7 @@
     worker::TaskEvent,
 };
 
+/// Collects what happens in one run.
 pub struct Observer {
     started: Instant,
     inner: Mutex<Inner>,
@@ -30,13 +31,18 @@
 /// Latencies of what was submitted while it was measured.
 #[derive(Debug, Clone, Copy)]
 pub struct Observed {
+    /// From submission to the first start of each task of an urgent job.
     pub urgent_starts: Percentiles,
+    /// The same of the other jobs.
     pub other_starts: Percentiles,
+    /// From the first try to submit to the acceptance.
     pub submissions: Percentiles,
+    /// From each poll to its answer.
     pub polls: Percentiles,
 }
 
 impl Observer {
+    /// Begins a run in which each team may use so many CPUs.
     pub fn new(team_limit: f64) -> Arc<Self> {
         let inner = Inner {
             checks: Checks::new(team_limit),
@@ -61,16 +67,19 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Only what is submitted within this span counts for the latencies from now on.
     pub fn measure(&self, from: Duration, until: Duration) {
         self.inner().window = Some((from, until));
     }
 
+    /// A job is about to be submitted for the first time; says when that is.
     pub fn submitted(&self, job: Arc<JobDescription>) -> Duration {
         let now = self.now();
         self.inner().checks.submitted(job, now);
         now
     }
 
+    /// A job was accepted that was submitted at that time.
     pub fn accepted(&self, id: &str, submitted: Duration) {
         let latency = self.now().saturating_sub(submitted);
         let mut inner = self.inner();
@@ -80,10 +89,12 @@
         }
     }
 
+    /// A user was told how a job is.
     pub fn told(&self, id: &str, state: JobState) {
         self.inner().checks.told(id, state);
     }
 
+    /// A poll that was sent at that time was answered.
     pub fn polled(&self, asked: Duration) {
         let latency = self.now().saturating_sub(asked);
         let mut inner = self.inner();
@@ -92,10 +103,12 @@
         }
     }
 
+    /// A user was told that there is no such job.
     pub fn not_found(&self, id: &str) {
         self.inner().checks.not_found(id);
     }
 
+    /// Takes in what happened on a machine.
     pub fn happened(&self, machine: &str, events: &[TaskEvent]) {
         if events.is_empty() {
             return;
@@ -116,26 +129,32 @@
         }
     }
 
+    /// Starts of tasks so far, repeated ones included.
     pub fn starts(&self) -> u64 {
         self.inner().checks.starts()
     }
 
+    /// Completed tasks so far.
     pub fn completed_tasks(&self) -> u64 {
         self.inner().checks.completed_tasks()
     }
 
+    /// Tasks that are on machines.
     pub fn running(&self) -> usize {
         self.inner().checks.running()
     }
 
+    /// How far the accepted jobs are.
     pub fn job_counts(&self) -> JobCounts {
         self.inner().checks.job_counts()
     }
 
+    /// The rules that were broken so far.
     pub fn violations(&self) -> Vec<Violation> {
         self.inner().checks.violations()
     }
 
+    /// The latencies so far.
     pub fn observed(&self) -> Observed {
         let inner = self.inner();
         Observed {
--- a/crates/scale-test/src/procfs.rs
+++ b/crates/scale-test/src/procfs.rs
@@ -11,9 +11,13 @@
 /// One look at a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProcessSample {
+    /// Processor time used so far, in seconds.
     pub cpu_s: f64,
+    /// Memory in use, in kB.
     pub resident_kb: u64,
+    /// The most memory that was in use, in kB.
     pub peak_resident_kb: u64,
+    /// Open sockets.
     pub sockets: usize,
 }
 
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -13,7 +13,9 @@
 /// What the points are placed by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Axis {
+    /// The size of the fleet.
     Workers,
+    /// Starts of tasks a second, as measured.
     StartsPerSecond,
 }
 
@@ -35,7 +37,9 @@
 
 /// One measured quantity.
 pub struct Measure {
+    /// What it is, with its unit.
     pub name: &'static str,
+    /// Its value in a result.
     pub of: fn(&RunResult) -> f64,
 }
 
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -34,14 +34,22 @@
 const READY_AGAIN: Duration = Duration::from_millis(100);
 const ROUND: Duration = Duration::from_millis(200);
 
+/// Why a run gives no result.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
+    /// The machine should not carry it.
     #[error("refused: {0}")]
     Refused(#[from] Refusal),
+    /// A file, a socket or a process failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
+    /// No controller came up.
     #[error("no controller was ready within {} s; see its log in {directory}", READY_WITHIN.as_secs())]
-    NotReady { directory: String },
+    NotReady {
+        /// Where its log is.
+        directory: String,
+    },
+    /// Somebody asked it to stop.
     #[error("stopped")]
     Stopped,
 }
--- a/crates/scale-test/src/snapshot.rs
+++ b/crates/scale-test/src/snapshot.rs
@@ -14,47 +14,78 @@
 
 /// Counters at one moment.
 pub struct Snapshot {
+    /// When it was taken, since the start of the run.
     pub at: Duration,
+    /// The controllers' processes; none where one has ended.
     pub processes: Vec<Option<ProcessSample>>,
+    /// This process.
     pub harness: ProcessSample,
+    /// Reports answered with 200, by controller.
     pub answered_by: Vec<u64>,
+    /// The state service's counters.
     pub state: StateCounts,
+    /// What is stored.
     pub stored: StateSize,
+    /// The cloud's counters.
     pub cloud: CloudCounts,
+    /// The workers' counters.
     pub fleet: FleetNumbers,
+    /// The users' counters.
     pub users: UserNumbers,
+    /// Starts of tasks, repeated ones included.
     pub starts: u64,
+    /// Completed tasks.
     pub completed: u64,
+    /// Tasks that are on machines.
     pub running: usize,
 }
 
+/// The workers' counters, as of one moment.
 pub struct FleetNumbers {
+    /// Reports that were sent.
     pub reports: u64,
+    /// Reports answered with 421.
     pub redirects: u64,
+    /// Reports that got another answer than 200 or 421, or none.
     pub reports_failed: u64,
+    /// Answers with 200 that the workers had to drop.
     pub answers_dropped: u64,
+    /// Requests with direct commands.
     pub direct_commands: u64,
+    /// Of these, refused by the worker.
     pub direct_refused: u64,
+    /// Bytes that the workers sent.
     pub sent: u64,
+    /// Bytes that the workers received.
     pub received: u64,
 }
 
+/// The users' counters, as of one moment.
 pub struct UserNumbers {
+    /// Jobs submitted for the first time.
     pub submissions: u64,
+    /// Polls.
     pub polls: u64,
+    /// Submissions that were tried again.
     pub retries: u64,
+    /// Polls that got neither a state nor 404.
     pub polls_failed: u64,
+    /// Bytes in both directions.
     pub bytes: u64,
 }
 
 /// What lies between two moments.
 pub struct Window<'a> {
+    /// The earlier moment.
     pub first: &'a Snapshot,
+    /// The later moment.
     pub last: &'a Snapshot,
+    /// How long lies between them.
     pub seconds: f64,
 }
 
 impl Window<'_> {
+    /// How fast a counter rose, a second.
     pub fn rate(&self, pick: impl Fn(&Snapshot) -> u64) -> f64 {
         pick(self.last).saturating_sub(pick(self.first)) as f64 / self.seconds
     }
@@ -70,11 +101,13 @@
             .unwrap_or(0)
     }
 
+    /// What one controller used.
     pub fn controller(&self, index: usize) -> ControllerResult {
         let first = self.first.processes[index].as_ref();
         process_result(first, self.last.processes[index].as_ref(), self.seconds)
     }
 
+    /// The mean of all controllers but the leader; none if there is only one.
     pub fn followers(&self, leader: usize) -> Option<ControllerResult> {
         let others: Vec<ControllerResult> = (0..self.last.processes.len())
             .filter(|index| *index != leader)
@@ -94,6 +127,7 @@
         })
     }
 
+    /// The load of the state service, and its size at the end.
     pub fn state(&self) -> StateResult {
         StateResult {
             requests_per_s: self.rate(|at| at.state.requests),
@@ -110,6 +144,7 @@
         }
     }
 
+    /// The load of the cloud.
     pub fn cloud(&self) -> CloudResult {
         CloudResult {
             requests_per_s: self.rate(|at| at.cloud.requests),
@@ -119,6 +154,7 @@
         }
     }
 
+    /// What so many workers exchanged with the controllers.
     pub fn workers(&self, workers: f64) -> WorkersResult {
         WorkersResult {
             reports_per_s: self.rate(|at| at.fleet.reports),
@@ -133,6 +169,7 @@
         }
     }
 
+    /// What users exchanged with the controllers, without latencies.
     pub fn users(&self) -> UsersResult {
         UsersResult {
             submissions_per_s: self.rate(|at| at.users.submissions),
@@ -147,6 +184,7 @@
     }
 }
 
+/// What a process used between two looks at it.
 pub fn process_result(
     first: Option<&ProcessSample>,
     last: Option<&ProcessSample>,
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -43,10 +43,15 @@
 /// Counted since the start.
 #[derive(Debug, Default)]
 pub struct UserCounts {
+    /// Jobs submitted for the first time.
     pub submissions: AtomicU64,
+    /// Jobs that were refused, or not accepted in time.
     pub not_accepted: AtomicU64,
+    /// Submissions that were tried again.
     pub retries: AtomicU64,
+    /// Polls.
     pub polls: AtomicU64,
+    /// Polls that got neither a state nor 404.
     pub polls_failed: AtomicU64,
 }
 
@@ -88,6 +93,7 @@
 }
 
 impl Users {
+    /// Users who reach the controllers at these addresses.
     pub fn new(
         config: &Config,
         controllers: &[SocketAddr],
@@ -111,10 +117,12 @@
         }
     }
 
+    /// What was counted so far.
     pub fn counts(&self) -> &UserCounts {
         &self.shared.counts
     }
 
+    /// Bytes of all that users exchanged with the controllers.
     pub fn traffic(&self) -> &Traffic {
         &self.shared.traffic
     }
--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -21,39 +21,60 @@
 /// What a machine is and offers.
 #[derive(Debug, Clone)]
 pub struct WorkerSpec {
+    /// The machine's name.
     pub name: String,
+    /// Where the worker listens for direct commands.
     pub endpoint: SocketAddr,
+    /// The machine's type.
     pub machine_type: String,
+    /// The machine's zone.
     pub zone: String,
+    /// CPUs that tasks may take.
     pub cpus: f64,
+    /// Memory that tasks may take, in GB.
     pub mem_gb: f64,
+    /// How fast images are fetched, in GB a second.
     pub fetch_gb_per_s: f64,
+    /// How long the worker's lease lasts.
     pub lease: Duration,
 }
 
 /// Something that the observer has to know, with the time at which it was due.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskEvent {
+    /// The task.
     pub task: TaskName,
+    /// When it was due.
     pub at: Duration,
+    /// What became of the task.
     pub what: TaskChange,
 }
 
+/// What became of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskChange {
     /// It has its image and is on its machine.
     Started,
     /// It is no longer on its machine.
-    Left { completed: bool },
+    Left {
+        /// It has completed, and was not stopped or refused.
+        completed: bool,
+    },
 }
 
+/// Why a task exited, as reports name it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
+    /// It has completed.
     Done,
+    /// It was stopped.
     Halted,
+    /// The machine has no room for it.
     NoRoom,
+    /// Another attempt of it is on the machine.
     InUse,
+    /// There is no such task.
     NoSuch,
 }
 
@@ -104,45 +125,62 @@
 /// Commands, in an answer to a report or straight to the worker.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Commands {
+    /// The fencing token.
     pub handle: Option<u64>,
+    /// The session that direct commands are for.
     pub launch: Option<u64>,
+    /// The commands, in their order.
     #[serde(default)]
     pub signals: Vec<Command>,
 }
 
+/// One command about one task.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Command {
+    /// What to do.
     #[serde(rename = "signal")]
     pub kind: CommandKind,
+    /// The task.
     #[serde(rename = "string")]
     pub task: TaskName,
+    /// The attempt of it.
     #[serde(rename = "try")]
     pub attempt: u64,
 }
 
+/// What a worker is told to do with a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
+    /// Start it.
     Start,
+    /// Stop it.
     Kill,
+    /// Forget that it has exited.
     Reap,
 }
 
 /// A report as it was sent, to tell what its answer is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentReport {
+    /// The session that it was sent in.
     pub session: u64,
+    /// When it was sent.
     pub at: Duration,
 }
 
 /// How direct commands were taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectOutcome {
+    /// They were carried out.
     Executed,
+    /// They are for another session or of an older leader; nothing was carried out.
     Refused,
+    /// They can't be read.
     Malformed,
 }
 
+/// A worker that keeps to the protocol and runs nothing.
 #[derive(Debug)]
 pub struct HollowWorker {
     spec: WorkerSpec,
@@ -163,6 +201,7 @@
 }
 
 impl HollowWorker {
+    /// A worker in its first session, which begins now.
     pub fn new(spec: WorkerSpec, jobs: Arc<Jobs>, seed: u64, now: Duration) -> Self {
         Self {
             spec,
@@ -180,6 +219,7 @@
         }
     }
 
+    /// What the machine is and offers.
     pub fn spec(&self) -> &WorkerSpec {
         &self.spec
     }
@@ -194,6 +234,7 @@
         std::mem::take(&mut self.changed)
     }
 
+    /// Takes what happened since it was asked last.
     pub fn take_events(&mut self) -> Vec<TaskEvent> {
         std::mem::take(&mut self.events)
     }
