--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -223,7 +223,7 @@
         }
         if !self.admit(now) {
             shared.refused.fetch_add(1, Ordering::Relaxed);
-            return Reply::new(429, r#"{"error":"too many requests"}"#);
+            return Reply::too_many_requests();
         }
         match (&asked.method, asked.path.as_str()) {
             (&Method::GET, "/flavors") => Reply::json(
@@ -235,7 +235,7 @@
             (&Method::GET, "/hosts") => self.list(&asked),
             (&Method::POST, "/hosts") => self.rent(&asked),
             (&Method::POST, "/hosts/release") => self.release(&asked),
-            _ => Reply::new(400, r#"{"error":"malformed"}"#),
+            _ => Reply::malformed(),
         }
     }
 
@@ -250,7 +250,7 @@
     fn rent(&self, asked: &Asked) -> Reply {
         let rental = match serde_json::from_slice::<Rental>(&asked.body) {
             Ok(rental) if (1..=RENT_MOST).contains(&rental.how_many) => rental,
-            _ => return Reply::new(400, r#"{"error":"malformed"}"#),
+            _ => return Reply::malformed(),
         };
         let mut rentals = self
             .shared
@@ -275,7 +275,7 @@
                 self.shared.machines.release(&names.perches);
                 Reply::new(200, "{}")
             }
-            _ => Reply::new(400, r#"{"error":"malformed"}"#),
+            _ => Reply::malformed(),
         }
     }
 }
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -161,6 +161,16 @@
         }
     }
 
+    /// The request is not of the form that the interface takes.
+    pub(crate) fn malformed() -> Self {
+        Self::new(400, r#"{"error":"malformed"}"#)
+    }
+
+    /// The request is over a limit.
+    pub(crate) fn too_many_requests() -> Self {
+        Self::new(429, r#"{"error":"too many requests"}"#)
+    }
+
     /// A reply with a value as its body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Self {
         Self::new(status, serde_json::to_string(body).unwrap_or_default())
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -224,14 +224,6 @@
     format!("{{\"logline\":{revision}}}")
 }
 
-fn malformed() -> Reply {
-    Reply::new(400, r#"{"error":"malformed"}"#)
-}
-
-fn too_many() -> Reply {
-    Reply::new(429, r#"{"error":"too many requests"}"#)
-}
-
 fn add(counter: &AtomicU64, amount: u64) {
     counter.fetch_add(amount, Ordering::Relaxed);
 }
@@ -336,7 +328,7 @@
         let now = self.now();
         if !self.inner().requests.admit(now, 1.0) {
             add(&counters.refused_requests, 1);
-            return too_many();
+            return Reply::too_many_requests();
         }
         let path = asked.path.as_str();
         match (&asked.method, path) {
@@ -347,7 +339,7 @@
             _ => match (path.strip_prefix("/kv/"), path.strip_prefix("/holds/")) {
                 (Some(key), _) if asked.method == Method::GET => self.get(key),
                 (_, Some(lease)) => self.lease(&asked.method, lease),
-                _ => malformed(),
+                _ => Reply::malformed(),
             },
         }
     }
@@ -362,7 +354,7 @@
 
     fn list(&self, asked: &Asked) -> Reply {
         let Some(prefix) = asked.query("prefix") else {
-            return malformed();
+            return Reply::malformed();
         };
         let most = asked.query("page").and_then(|page| page.parse().ok());
         let inner = self.inner();
@@ -386,7 +378,7 @@
                 .and_then(|value| value.parse::<u64>().ok())
         };
         let (Some(prefix), Some(mut after)) = (asked.query("prefix"), number("after")) else {
-            return malformed();
+            return Reply::malformed();
         };
         let wait = number("wait_ms").unwrap_or(0).min(WAIT_MOST_MS);
         let until = tokio::time::Instant::now() + Duration::from_millis(wait);
@@ -420,11 +412,11 @@
     fn transact(&self, asked: &Asked) -> Reply {
         let settings = &self.shared.settings;
         let Ok(txn) = serde_json::from_slice::<WireTxn>(&asked.body) else {
-            return malformed();
+            return Reply::malformed();
         };
         let changes: Option<Vec<Change>> = txn.apply.into_iter().map(WireChange::change).collect();
         let Some(changes) = changes else {
-            return malformed();
+            return Reply::malformed();
         };
         let value_most = (settings.value_kb * 1024.0) as usize;
         let too_large = changes.iter().any(|change| match change {
@@ -434,7 +426,7 @@
         let too_many_parts =
             changes.len() > settings.txn_ops || txn.when.len() > settings.txn_ops * 4;
         if too_large || too_many_parts || asked.body.len() > TXN_BYTES {
-            return malformed();
+            return Reply::malformed();
         }
         let conditions: Vec<Condition> = txn
             .when
@@ -454,7 +446,7 @@
         let mut inner = self.inner();
         if !inner.changes.admit(now, count as f64) {
             add(&counters.refused_changes, count as u64);
-            return too_many();
+            return Reply::too_many_requests();
         }
         add(&counters.transactions, 1);
         add(&counters.changes, count as u64);
@@ -482,7 +474,7 @@
                 let lease = self.inner().store.grant(self.now(), ttl);
                 Reply::new(200, format!("{{\"tether\":{lease}}}"))
             }
-            _ => malformed(),
+            _ => Reply::malformed(),
         }
     }
 
@@ -492,7 +484,7 @@
             None => (path, false),
         };
         let Ok(id) = id.parse::<u64>() else {
-            return malformed();
+            return Reply::malformed();
         };
         match (method, renews) {
             (&Method::POST, true) => {
@@ -510,7 +502,7 @@
                 self.shared.changed.notify_waiters();
                 Reply::new(200, "{}")
             }
-            _ => malformed(),
+            _ => Reply::malformed(),
         }
     }
 }
