--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -81,8 +81,6 @@
 pub struct FleetCounts {
     /// Reports that were sent.
     pub reports: AtomicU64,
-    /// Reports answered with 200.
-    pub reports_answered: AtomicU64,
     /// Reports answered with 421.
     pub redirects: AtomicU64,
     /// Reports that got another answer, or none.
@@ -393,7 +391,6 @@
             .await;
         match answer {
             Some((200, body)) => {
-                count(&counts.reports_answered);
                 count(&counts.answered_by[reporter.controller]);
                 self.take_answer(slot, sent, &body);
                 None
