--- a/crates/recovery/src/verdict.rs
+++ b/crates/recovery/src/adoption.rs
@@ -1,8 +1,8 @@
 //! What becomes of a task that a worker reports and that this leader did not start.
 
-/// What the book says of the task.
+/// What the cluster state says of the task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Book {
+pub enum KnownState {
     /// No active job lists it: it is over, or never was.
     Unknown,
     /// It waits to be started.
@@ -26,7 +26,7 @@
 
 /// What the leader does with a reported task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdoptionDecision {
     /// It is the task's attempt from now on.
     Adopt,
     /// It has no business there.
@@ -39,13 +39,13 @@
 
 /// One attempt is adopted where the task waits, so no task has two. What is alive beside
 /// that is stopped: an orphan, or one of two reporters of one task. A result always counts.
-pub fn verdict(book: Book, reported: Reported) -> Verdict {
-    match (reported, book) {
-        (Reported::Alive, Book::Waiting) => Verdict::Adopt,
-        (Reported::Alive, _) => Verdict::Stop,
-        (Reported::Completed, Book::Unknown | Book::Done) => Verdict::Forget,
-        (Reported::Completed, _) => Verdict::Finish,
-        (Reported::Ended, _) => Verdict::Forget,
+pub fn decide_adoption(known_state: KnownState, reported: Reported) -> AdoptionDecision {
+    match (reported, known_state) {
+        (Reported::Alive, KnownState::Waiting) => AdoptionDecision::Adopt,
+        (Reported::Alive, _) => AdoptionDecision::Stop,
+        (Reported::Completed, KnownState::Unknown | KnownState::Done) => AdoptionDecision::Forget,
+        (Reported::Completed, _) => AdoptionDecision::Finish,
+        (Reported::Ended, _) => AdoptionDecision::Forget,
     }
 }
 
@@ -56,22 +56,22 @@
     /// The rules, each said by itself.
     #[test]
     fn every_case_keeps_the_rules() {
-        use {Book::*, Reported::*};
-        for book in [Unknown, Waiting, Elsewhere, Done] {
+        use {KnownState::*, Reported::*};
+        for known_state in [Unknown, Waiting, Elsewhere, Done] {
             for reported in [Alive, Completed, Ended] {
-                let verdict = verdict(book, reported);
-                let what = format!("{book:?} {reported:?} {verdict:?}");
+                let decision = decide_adoption(known_state, reported);
+                let what = format!("{known_state:?} {reported:?} {decision:?}");
                 // Never two attempts of one task, none of a job that is over.
                 assert_eq!(
-                    verdict == Verdict::Adopt,
-                    (book, reported) == (Waiting, Alive)
+                    decision == AdoptionDecision::Adopt,
+                    (known_state, reported) == (Waiting, Alive)
                 );
                 // What is alive is either ours or stopped.
-                let settled = matches!(verdict, Verdict::Adopt | Verdict::Stop);
+                let settled = matches!(decision, AdoptionDecision::Adopt | AdoptionDecision::Stop);
                 assert_eq!(settled, reported == Alive, "{what}");
                 // No result of an active task is lost.
-                let wanted = matches!(book, Waiting | Elsewhere) && reported == Completed;
-                assert_eq!(verdict == Verdict::Finish, wanted, "{what}");
+                let wanted = matches!(known_state, Waiting | Elsewhere) && reported == Completed;
+                assert_eq!(decision == AdoptionDecision::Finish, wanted, "{what}");
             }
         }
     }
--- a/crates/recovery/src/squaring.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -37,7 +37,7 @@
     /// Machines are still likely to be heard.
     Hearing,
     /// All that is stored was heard or proven empty.
-    Squared,
+    Reconciled,
     /// Some are silent still, and nobody waits for them any more.
     Overdue,
 }
@@ -66,7 +66,7 @@
         stored: usize,
     },
     /// No zone is waited for any more.
-    Squared {
+    Reconciled {
         /// Time since the leader began.
         after: Duration,
     },
@@ -78,23 +78,23 @@
 struct Zone {
     count: Count,
     stage: Stage,
-    /// When the number of silent machines fell last.
+    /// When the number of unresponsive machines fell last.
     fell: Option<Duration>,
 }
 
 /// Tracks, zone by zone, which stored machines a new leader has heard.
 #[derive(Debug, Clone)]
-pub struct Squaring {
+pub struct Reconciliation {
     patience: Patience,
     began: Duration,
     zones: BTreeMap<Arc<str>, Zone>,
     /// Every zone was looked at once.
     looked: bool,
     listed: bool,
-    squared: bool,
+    reconciled: bool,
 }
 
-impl Squaring {
+impl Reconciliation {
     /// Begins at `now`, with no zone seen yet.
     pub fn new(patience: Patience, now: Duration) -> Self {
         Self {
@@ -103,7 +103,7 @@
             zones: BTreeMap::new(),
             looked: false,
             listed: false,
-            squared: false,
+            reconciled: false,
         }
     }
 
@@ -119,19 +119,19 @@
             Input::Heard(counts) => {
                 self.looked = true;
                 for (name, count) in counts {
-                    out.extend(self.heard(now, name, count));
+                    out.extend(self.update_zone(now, name, count));
                 }
-                if !self.squared && self.zones.values().all(|z| z.stage != Stage::Hearing) {
-                    self.squared = true;
+                if !self.reconciled && self.zones.values().all(|z| z.stage != Stage::Hearing) {
+                    self.reconciled = true;
                     let after = now.saturating_sub(self.began);
-                    out.push(Output::Squared { after });
+                    out.push(Output::Reconciled { after });
                 }
             }
         }
         out
     }
 
-    fn heard(&mut self, now: Duration, name: Arc<str>, count: Count) -> Option<Output> {
+    fn update_zone(&mut self, now: Duration, name: Arc<str>, count: Count) -> Option<Output> {
         let zone = self.zones.entry(name.clone()).or_insert(Zone {
             count,
             stage: Stage::Hearing,
@@ -146,7 +146,7 @@
         let few = count.silent * FEW_ONE_IN <= count.stored;
         let stage = match (zone.stage, count.silent) {
             // What was given up on is not waited for again.
-            (Stage::Hearing | Stage::Overdue, 0) | (Stage::Squared, _) => Stage::Squared,
+            (Stage::Hearing | Stage::Overdue, 0) | (Stage::Reconciled, _) => Stage::Reconciled,
             (Stage::Overdue, _) => Stage::Overdue,
             _ if waited || quiet || count.cut || few => Stage::Overdue,
             _ => Stage::Hearing,
@@ -162,14 +162,14 @@
     }
 
     /// Machines there are still likely to be heard: what they have room for is not known.
-    pub fn hearing(&self, zone: &str) -> bool {
+    pub fn is_awaited(&self, zone: &str) -> bool {
         let stage = self.zones.get(zone).map(|zone| zone.stage);
         stage.map_or(!self.looked, |stage| stage == Stage::Hearing)
     }
 
     /// Any zone is still heard.
-    pub fn hears_any(&self) -> bool {
-        !self.squared
+    pub fn is_in_progress(&self) -> bool {
+        !self.reconciled
     }
 
     /// Machines that were ordered before may not be known yet. A cloud that gives no list is
--- a/crates/recovery/tests/squaring.rs
+++ b/crates/recovery/tests/reconciliation.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use kiteyard_recovery::squaring::{Count, Input, Patience, Squaring, Stage};
+use kiteyard_recovery::reconciliation::{Count, Input, Patience, Reconciliation, Stage};
 
 const S: Duration = Duration::from_secs(1);
 const PATIENCE: Patience = Patience {
@@ -46,7 +46,7 @@
         });
         histories = longer.collect();
         for history in &histories {
-            let mut squaring = Squaring::new(PATIENCE, Duration::ZERO);
+            let mut reconciliation = Reconciliation::new(PATIENCE, Duration::ZERO);
             for (at, (silent, cut)) in history.iter().enumerate() {
                 let count = Count {
                     stored: STORED,
@@ -54,10 +54,18 @@
                     cut: *cut,
                 };
                 let zone: Arc<str> = "a".into();
-                squaring.step(S * at as u32, Input::Heard(BTreeMap::from([(zone, count)])));
+                reconciliation.step(S * at as u32, Input::Heard(BTreeMap::from([(zone, count)])));
             }
-            assert_eq!(squaring.hearing("a"), waits_for(history), "{history:?}");
-            assert_eq!(squaring.hears_any(), waits_for(history), "{history:?}");
+            assert_eq!(
+                reconciliation.is_awaited("a"),
+                waits_for(history),
+                "{history:?}"
+            );
+            assert_eq!(
+                reconciliation.is_in_progress(),
+                waits_for(history),
+                "{history:?}"
+            );
             match waits_for(history) {
                 true => waited += 1,
                 false => not += 1,
@@ -69,48 +77,48 @@
 
 #[test]
 fn one_zone_that_is_silent_holds_up_no_other() {
-    let mut squaring = Squaring::new(PATIENCE, S);
-    assert!(squaring.hearing("a"), "nothing was looked at yet");
+    let mut reconciliation = Reconciliation::new(PATIENCE, S);
+    assert!(reconciliation.is_awaited("a"), "nothing was looked at yet");
     let heard = |silent| Count {
         stored: 3,
         silent,
         cut: false,
     };
     let counts = BTreeMap::from([("a".into(), heard(3)), ("b".into(), heard(0))]);
-    squaring.step(S, Input::Heard(counts));
-    assert!(squaring.hearing("a") && !squaring.hearing("b"));
-    assert!(!squaring.hearing("c"), "nothing is stored there");
-    let zones: Vec<_> = squaring
+    reconciliation.step(S, Input::Heard(counts));
+    assert!(reconciliation.is_awaited("a") && !reconciliation.is_awaited("b"));
+    assert!(!reconciliation.is_awaited("c"), "nothing is stored there");
+    let zones: Vec<_> = reconciliation
         .zones()
         .map(|(_, stage, heard, of)| (stage, heard, of))
         .collect();
-    assert_eq!(zones, [(Stage::Hearing, 0, 3), (Stage::Squared, 3, 3)]);
+    assert_eq!(zones, [(Stage::Hearing, 0, 3), (Stage::Reconciled, 3, 3)]);
 }
 
 #[test]
 fn nobody_waits_for_the_last_few() {
     let hears = |silent| {
-        let mut squaring = Squaring::new(PATIENCE, S);
+        let mut reconciliation = Reconciliation::new(PATIENCE, S);
         let count = Count {
             stored: 40,
             silent,
             cut: false,
         };
-        squaring.step(S, Input::Heard(BTreeMap::from([("a".into(), count)])));
-        squaring.hearing("a")
+        reconciliation.step(S, Input::Heard(BTreeMap::from([("a".into(), count)])));
+        reconciliation.is_awaited("a")
     };
     assert!(hears(5) && !hears(4));
 }
 
 #[test]
 fn the_clouds_list_is_waited_for_within_bounds() {
-    let mut squaring = Squaring::new(PATIENCE, S);
-    assert!(squaring.unlisted(S * 2));
+    let mut reconciliation = Reconciliation::new(PATIENCE, S);
+    assert!(reconciliation.unlisted(S * 2));
     assert!(
-        !squaring.unlisted(S * 6),
+        !reconciliation.unlisted(S * 6),
         "a cloud that is away holds nothing up for ever"
     );
-    assert_eq!(squaring.step(S * 3, Input::Listed).len(), 1);
-    assert!(!squaring.unlisted(S * 3));
-    assert!(squaring.step(S * 4, Input::Listed).is_empty());
+    assert_eq!(reconciliation.step(S * 3, Input::Listed).len(), 1);
+    assert!(!reconciliation.unlisted(S * 3));
+    assert!(reconciliation.step(S * 4, Input::Listed).is_empty());
 }
--- a/src/core/book.rs
+++ b/src/core/active_job.rs
@@ -1,12 +1,12 @@
-//! An active job in the leader's book.
+//! An active job in the leader's cluster state.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use super::{
     job::{JobSpec, Kind, TaskSet},
     machine::MachineId,
-    mirror::LiveJob,
     results::Results,
+    state_cache::LiveJob,
 };
 
 /// Where one task stands.
@@ -17,7 +17,7 @@
     Done,
 }
 
-/// An active job in the leader's book.
+/// An active job in the leader's cluster state.
 #[derive(Debug)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
@@ -38,13 +38,13 @@
     pub failed_on: BTreeSet<MachineId>,
     pub failures: u32,
     pub(super) failed_at: Duration,
-    /// The former leader found that it fails wherever it runs.
-    pub(super) told_faulty: bool,
+    /// The previous leader found that it fails wherever it runs.
+    pub(super) inherited_faulty: bool,
     /// Tries since the job was found to fail.
     pub(super) probes: u32,
     pub retry_at: Duration,
-    /// Since when it found no room with its image, see `near`.
-    pub(super) passed_over: Option<Duration>,
+    /// Since when it found no room with its image, see `image_locality`.
+    pub(super) locality_wait_since: Option<Duration>,
     /// A gang whose last attempt was not complete in time, while images still arrive.
     pub(super) gathers: bool,
     /// Machines held for waiting tasks, one entry a task.
@@ -80,10 +80,10 @@
             failed_on: BTreeSet::new(),
             failures: 0,
             failed_at: Duration::ZERO,
-            told_faulty: false,
+            inherited_faulty: false,
             probes: 0,
             retry_at: Duration::ZERO,
-            passed_over: None,
+            locality_wait_since: None,
             gathers: false,
             nominations: Vec::new(),
             spec,
--- a/src/core/flow.rs
+++ b/src/core/admission.rs
@@ -12,21 +12,21 @@
 use tracing::debug;
 
 use super::{
+    cluster::{ClusterState, Counts},
     job::Priority,
-    leader::{Counts, Leader},
     machine::{Machine, Phase, Standing, TaskPhase},
 };
 
 /// Starts that were confirmed, over the last one to two spans of time.
 #[derive(Debug)]
-pub struct Flow {
+pub struct StartRate {
     span: Duration,
     since: Duration,
     now: usize,
     before: usize,
 }
 
-impl Flow {
+impl StartRate {
     pub fn new(span: Duration) -> Self {
         Self {
             span: span.max(Duration::from_millis(1)),
@@ -59,7 +59,7 @@
 
 /// How much holds its room without running, by what it waits for.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Holding {
+pub struct PendingPlacements {
     /// Decided, and the job is not listed with the machine yet.
     pub unlisted: usize,
     /// Listed, in no message yet.
@@ -77,27 +77,27 @@
     pub nominated: usize,
 }
 
-impl Leader {
-    pub fn holding(&self) -> Holding {
-        let mut holding = Holding::default();
+impl ClusterState {
+    pub fn pending_placements(&self) -> PendingPlacements {
+        let mut pending_placements = PendingPlacements::default();
         for machine in self.machines.values() {
             for ((task, _), p) in &machine.tasks {
                 match p.phase {
-                    Phase::Seen(phase) if phase.exited() => holding.unstored += 1,
-                    _ if p.stopping() => holding.stopping += 1,
-                    Phase::Decided if !machine.entry.jobs.contains(&task.job) => {
-                        holding.unlisted += 1;
+                    Phase::Seen(phase) if phase.exited() => pending_placements.unstored += 1,
+                    _ if p.stopping() => pending_placements.stopping += 1,
+                    Phase::Decided if !machine.assignment.jobs.contains(&task.job) => {
+                        pending_placements.unlisted += 1;
                     }
-                    Phase::Decided => holding.unsent += 1,
-                    Phase::Sent { .. } => holding.unconfirmed += 1,
-                    Phase::Seen(TaskPhase::Fetching) => holding.fetching += 1,
-                    Phase::Seen(TaskPhase::Waiting) => holding.gathering += 1,
+                    Phase::Decided => pending_placements.unsent += 1,
+                    Phase::Sent { .. } => pending_placements.unconfirmed += 1,
+                    Phase::Seen(TaskPhase::Fetching) => pending_placements.fetching += 1,
+                    Phase::Seen(TaskPhase::Waiting) => pending_placements.gathering += 1,
                     Phase::Seen(_) => {}
                 }
             }
         }
-        holding.nominated = self.jobs.values().map(|j| j.nominations.len()).sum();
-        holding
+        pending_placements.nominated = self.jobs.values().map(|j| j.nominations.len()).sum();
+        pending_placements
     }
 
     /// How things stand, for the log.
@@ -130,19 +130,19 @@
             "counts"
         );
         self.log_use();
-        let holding = self.holding();
+        let pending_placements = self.pending_placements();
         debug!(
-            unlisted = holding.unlisted,
-            unsent = holding.unsent,
-            unconfirmed = holding.unconfirmed,
-            fetching = holding.fetching,
-            gathering = holding.gathering,
-            stopping = holding.stopping,
-            unstored = holding.unstored,
-            nominated = holding.nominated,
-            started = self.flow.lately(now),
-            shut = ?self.shut,
-            "holding"
+            unlisted = pending_placements.unlisted,
+            unsent = pending_placements.unsent,
+            unconfirmed = pending_placements.unconfirmed,
+            fetching = pending_placements.fetching,
+            gathering = pending_placements.gathering,
+            stopping = pending_placements.stopping,
+            unstored = pending_placements.unstored,
+            nominated = pending_placements.nominated,
+            started = self.start_rate.lately(now),
+            closed_priority = ?self.closed_priority,
+            "pending placements"
         );
     }
 
@@ -173,8 +173,8 @@
 
     /// The highest priority that nothing more is let in of, if any: more of it, and of
     /// what is above it, has waited for a whole span than started in one.
-    pub(super) fn held_up(&mut self, now: Duration) -> Option<Priority> {
-        let span = self.flow.span;
+    pub(super) fn priority_to_close(&mut self, now: Duration) -> Option<Priority> {
+        let span = self.start_rate.span;
         let mut late = [0; Priority::ALL.len()];
         for machine in self.machines.values() {
             if machine.standing != Standing::Up {
@@ -189,16 +189,16 @@
                 }
             }
         }
-        let starts = self.flow.lately(now);
+        let starts = self.start_rate.lately(now);
         let mut sum = 0;
-        let shut = Priority::ALL.into_iter().rev().find(|priority| {
+        let closed_priority = Priority::ALL.into_iter().rev().find(|priority| {
             sum += late[*priority as usize];
             sum > starts
         });
-        if shut.is_some() {
+        if closed_priority.is_some() {
             // Starts are confirmed, and late ones go out, without an end of any task.
             self.retry_by(now + span);
         }
-        shut
+        closed_priority
     }
 }
--- a/src/core/roster.rs
+++ b/src/core/assignment_index.rs
@@ -1,7 +1,7 @@
-//! The roster in the state service: which jobs may have tasks on which machine.
+//! The assignment index in the state service: which jobs may have tasks on which machine.
 //!
 //! A start is sent only for a job that is listed with its machine, so that a next
-//! leader knows which jobs a silent machine may hold. One stored value, a shard,
+//! leader knows which jobs an unresponsive machine may hold. One stored value, a shard,
 //! speaks for many machines: changes are what the state service counts, and a
 //! large array lands on every machine within moments.
 
@@ -14,13 +14,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
+    cluster::ClusterState,
     job::JobId,
-    leader::Leader,
     machine::{Machine, MachineId, Standing},
     store::{Change, Condition, StateReply, delete, put, shard_key, when},
 };
 
-/// What one key of the roster holds. Types, zones and jobs are named once, and
+/// What one key of the assignment index holds. Types, zones and jobs are named once, and
 /// machines refer to them by number.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -33,9 +33,9 @@
 /// Machine type, zone, and whether it is a spot machine.
 type Kind = (Arc<str>, Arc<str>, bool);
 
-/// A machine in the roster.
+/// A machine in the assignment index.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Enrolled {
+pub struct AssignedMachine {
     pub id: MachineId,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
@@ -54,11 +54,11 @@
         record.machines.iter().all(known).then_some(record)
     }
 
-    pub fn machines(&self) -> impl Iterator<Item = Enrolled> + '_ {
+    pub fn machines(&self) -> impl Iterator<Item = AssignedMachine> + '_ {
         self.machines.iter().filter_map(|(id, kind, jobs)| {
             let (machine_type, zone, spot) = self.kinds.get(*kind)?.clone();
             let jobs = jobs.iter().filter_map(|job| self.jobs.get(*job).cloned());
-            Some(Enrolled {
+            Some(AssignedMachine {
                 id: id.clone(),
                 machine_type,
                 zone,
@@ -69,9 +69,9 @@
     }
 }
 
-/// What is known of a machine's place in the stored roster.
+/// What is known of a machine's place in the stored assignment index.
 #[derive(Debug, Clone, Default)]
-pub struct RosterEntry {
+pub struct AssignmentEntry {
     shard: Option<u32>,
     /// Jobs that are listed for certain.
     pub jobs: BTreeSet<JobId>,
@@ -93,21 +93,21 @@
     /// A machine that is gone is still listed.
     stale: bool,
     /// The number of its last write.
-    turn: u64,
+    last_write: u64,
 }
 
 #[derive(Debug)]
-pub struct Roster {
+pub struct AssignmentIndex {
     shards: BTreeMap<u32, Shard>,
     /// Writes so far.
-    turns: u64,
+    write_count: u64,
     /// Bytes that a value may have.
     value_most: usize,
 }
 
 /// A write of one shard, and what it lists.
 #[derive(Debug)]
-pub struct Listing {
+pub struct ShardWrite {
     shard: u32,
     machines: Vec<(MachineId, BTreeSet<JobId>)>,
     empty: bool,
@@ -185,22 +185,26 @@
     }
 }
 
-impl Roster {
+impl AssignmentIndex {
     pub fn new(value_most: usize) -> Self {
         Self {
             shards: BTreeMap::new(),
-            turns: 0,
+            write_count: 0,
             value_most,
         }
     }
 
     /// The machine does not exist any more.
-    pub fn gone(&mut self, machine: &Machine) {
-        if let Some(shard) = machine.entry.shard.and_then(|s| self.shards.get_mut(&s)) {
+    pub fn remove_machine(&mut self, machine: &Machine) {
+        if let Some(shard) = machine
+            .assignment
+            .shard
+            .and_then(|s| self.shards.get_mut(&s))
+        {
             if shard.members.remove(&machine.id) {
                 shard.taken = shard.taken.saturating_sub(share(machine));
             }
-            shard.stale |= machine.entry.stored;
+            shard.stale |= machine.assignment.stored;
         }
     }
 
@@ -251,49 +255,49 @@
     }
 }
 
-impl Leader {
-    /// What a take-over found in one shard.
-    pub fn enroll(&mut self, id: u32, record: &ShardRecord, version: u64, now: Duration) {
+impl ClusterState {
+    /// What a failover found in one shard.
+    pub fn load_shard(&mut self, id: u32, record: &ShardRecord, version: u64, now: Duration) {
         let mut shard = Shard {
             version,
             ..Shard::default()
         };
         for found in record.machines() {
-            let Enrolled {
+            let AssignedMachine {
                 id: name,
                 machine_type,
                 zone,
                 spot,
                 jobs,
             } = found;
-            let machine = self.meet(&name, &machine_type, &zone, spot, now);
+            let machine = self.ensure_machine(&name, &machine_type, &zone, spot, now);
             shard.join(machine);
             machine.unresolved = true;
-            machine.entry = RosterEntry {
+            machine.assignment = AssignmentEntry {
                 shard: Some(id),
                 jobs,
                 stored: true,
             };
         }
-        self.roster.shards.insert(id, shard);
+        self.assignment_index.shards.insert(id, shard);
     }
 
-    /// The next write of the roster. An urgent one lists jobs whose starts wait
+    /// The next write of the assignment index. An urgent one lists jobs whose starts wait
     /// for it, any other only strikes off what is there no more.
-    pub fn roster_write(
+    pub fn assignment_index_write(
         &mut self,
         urgent: bool,
         changes_most: usize,
-    ) -> Option<(Vec<Listing>, Vec<Condition>, Vec<Change>)> {
+    ) -> Option<(Vec<ShardWrite>, Vec<Condition>, Vec<Change>)> {
         let due = self.due_shards(urgent);
         let (mut listings, mut conditions, mut changes) = (Vec::new(), Vec::new(), Vec::new());
         // Two values of full size leave room in one transaction for the rest.
         for id in due.into_iter().take(changes_most.min(2)) {
             let (listing, record) = self.list_shard(id);
-            let shard = self.roster.shards.get_mut(&id)?;
+            let shard = self.assignment_index.shards.get_mut(&id)?;
             shard.stale = false;
-            self.roster.turns += 1;
-            shard.turn = self.roster.turns;
+            self.assignment_index.write_count += 1;
+            shard.last_write = self.assignment_index.write_count;
             if listing.empty && shard.version == 0 {
                 continue;
             }
@@ -308,8 +312,8 @@
                 if let Some(machine) = self.machines.get_mut(machine) {
                     // Until the answer only what is listed before and after counts:
                     // a start for a job that this write drops must not go out.
-                    machine.entry.jobs.retain(|id| jobs.contains(id));
-                    machine.entry.stored |= !jobs.is_empty();
+                    machine.assignment.jobs.retain(|id| jobs.contains(id));
+                    machine.assignment.stored |= !jobs.is_empty();
                 }
             }
             listings.push(listing);
@@ -332,7 +336,7 @@
                 // They get no more tasks, and a next leader need not wait for them.
                 false => {
                     matches!(m.standing, Standing::Leaving | Standing::Lost)
-                        && m.entry.stored
+                        && m.assignment.stored
                         && m.tasks.is_empty()
                         && !m.unresolved
                 }
@@ -341,33 +345,33 @@
             .collect();
         for id in wanting {
             let machine = &self.machines[&id];
-            let shard = match machine.entry.shard {
+            let shard = match machine.assignment.shard {
                 Some(shard) => shard,
-                None => self.roster.shard_for(machine),
+                None => self.assignment_index.shard_for(machine),
             };
             let machine = self.machines.get_mut(&id).expect("just seen");
-            machine.entry.shard = Some(shard);
+            machine.assignment.shard = Some(shard);
             due.insert(shard);
         }
         if !urgent {
-            let stale = self.roster.shards.iter().filter(|(_, s)| s.stale);
+            let stale = self.assignment_index.shards.iter().filter(|(_, s)| s.stale);
             due.extend(stale.map(|(id, _)| *id));
         }
-        let shards = &self.roster.shards;
+        let shards = &self.assignment_index.shards;
         due.retain(|id| shards.get(id).is_some_and(|s| !s.writing && !s.unsure));
         let mut due: Vec<u32> = due.into_iter().collect();
-        due.sort_by_key(|id| (shards[id].turn, *id));
+        due.sort_by_key(|id| (shards[id].last_write, *id));
         due
     }
 
     /// What a shard is to say now.
-    fn list_shard(&self, id: u32) -> (Listing, ShardRecord) {
+    fn list_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
         let mut builder = Builder::new();
-        let members: Vec<&Machine> = self.roster.shards[&id]
+        let members: Vec<&Machine> = self.assignment_index.shards[&id]
             .members
             .iter()
             .filter_map(|name| self.machines.get(name))
-            .filter(|m| m.entry.shard == Some(id))
+            .filter(|m| m.assignment.shard == Some(id))
             .collect();
         let mut machines: Vec<(MachineId, BTreeSet<JobId>)> = Vec::new();
         let mut new: Vec<(usize, JobId)> = Vec::new();
@@ -375,7 +379,7 @@
             let mut jobs = BTreeSet::new();
             for job in Self::may_hold(machine) {
                 // What is listed already may run there: it stays, come what may.
-                if machine.entry.jobs.contains(&job) {
+                if machine.assignment.jobs.contains(&job) {
                     builder.list(machine, &job, usize::MAX);
                     jobs.insert(job);
                 } else {
@@ -386,11 +390,11 @@
         }
         // One that finds no room any more waits until others are struck off.
         for (place, job) in new {
-            if builder.list(members[place], &job, self.roster.value_most) {
+            if builder.list(members[place], &job, self.assignment_index.value_most) {
                 machines[place].1.insert(job);
             }
         }
-        let listing = Listing {
+        let listing = ShardWrite {
             shard: id,
             machines,
             empty: builder.record.machines.is_empty(),
@@ -403,19 +407,19 @@
     fn may_hold(machine: &Machine) -> BTreeSet<JobId> {
         let mut jobs: BTreeSet<JobId> = machine.tasks.keys().map(|(t, _)| t.job.clone()).collect();
         if machine.unresolved {
-            // Its tasks are not known yet; the former leader's list stands.
-            jobs.extend(machine.entry.jobs.iter().cloned());
+            // Its tasks are not known yet; the previous leader's list stands.
+            jobs.extend(machine.assignment.jobs.iter().cloned());
         }
         jobs
     }
 
-    pub fn roster_written(&mut self, listings: Vec<Listing>, reply: &StateReply) {
-        if self.shut.is_some() && matches!(reply, StateReply::Committed { .. }) {
+    pub fn assignment_index_written(&mut self, listings: Vec<ShardWrite>, reply: &StateReply) {
+        if self.closed_priority.is_some() && matches!(reply, StateReply::Committed { .. }) {
             // Nothing else may happen that brings the parked back to the heap.
             self.requeue();
         }
         for listing in listings {
-            let Some(shard) = self.roster.shards.get_mut(&listing.shard) else {
+            let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) else {
                 continue;
             };
             shard.writing = false;
@@ -437,9 +441,9 @@
             for (id, jobs) in listing.machines {
                 match self.machines.get_mut(&id) {
                     // One that came back after it was gone is no member any more.
-                    Some(machine) if machine.entry.shard == Some(listing.shard) => {
-                        machine.entry.stored = !jobs.is_empty();
-                        machine.entry.jobs = jobs;
+                    Some(machine) if machine.assignment.shard == Some(listing.shard) => {
+                        machine.assignment.stored = !jobs.is_empty();
+                        machine.assignment.jobs = jobs;
                     }
                     _ => shard.stale |= !jobs.is_empty(),
                 }
--- a/src/core/room.rs
+++ b/src/core/capacity_snapshot.rs
@@ -13,7 +13,7 @@
 
 /// A machine as one pass sees it. A pass looks at every room for most jobs, so
 /// what rules a room out is kept at hand: most are ruled out by numbers alone.
-pub(super) struct Room {
+pub(super) struct MachineCapacity {
     pub id: MachineId,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
@@ -30,7 +30,7 @@
     pub victims: HashSet<(TaskId, u64)>,
 }
 
-impl Room {
+impl MachineCapacity {
     pub fn new(machine: &Machine) -> Self {
         let mut room = Self {
             id: machine.id.clone(),
@@ -73,7 +73,7 @@
     }
 }
 
-impl Room {
+impl MachineCapacity {
     /// At least so high is the highest victim of whoever makes room here for the job.
     pub fn least_highest(&self, spec: &JobSpec, reclaims: bool) -> Option<Priority> {
         if spec.need.fits_in(&self.free.plus(&self.stopping)) {
@@ -111,11 +111,11 @@
 /// A task that found neither room nor victims in this pass. Others that ask for
 /// the same kinds of machine, for as much or more, would find none either: with a
 /// long queue most jobs need not look at every machine.
-pub(super) struct Hopeless {
+pub(super) struct Unplaceable {
     pub spec: Arc<JobSpec>,
 }
 
-impl Hopeless {
+impl Unplaceable {
     fn covers(&self, spec: &JobSpec) -> bool {
         let known = &self.spec;
         known.need.fits_in(&spec.need)
@@ -127,10 +127,10 @@
     }
 }
 
-pub(super) struct View {
+pub(super) struct Snapshot {
     /// Emptied when nominations change, and with them what is held and stopped.
-    pub hopeless: Vec<Hopeless>,
-    pub rooms: Vec<Room>,
+    pub unplaceable: Vec<Unplaceable>,
+    pub rooms: Vec<MachineCapacity>,
     /// Where they are.
     all_zones: Vec<Arc<str>>,
     /// Rooms that are not full, and some that have become so since. In a rush nearly all
@@ -138,31 +138,36 @@
     open: Vec<usize>,
     /// The same by GPUs, where those are what runs out.
     open_gpus: Vec<usize>,
-    /// What each team's tasks take, those that silent machines may hold included.
+    /// What each team's tasks take, those that unresponsive machines may hold included.
     pub usage: Usage,
     /// The part of it that is stopping.
     pub leaving: Usage,
     /// Tasks of the job at hand by zone, and the replicas by machine.
     pub zones: BTreeMap<Arc<str>, u32>,
-    /// Jobs that silent machines list.
-    pub silent: HashSet<JobId>,
+    /// Jobs that unresponsive machines list.
+    pub on_unresolved: HashSet<JobId>,
     /// Tasks by job and zone, as counted when they were asked for first.
     by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
 }
 
-impl View {
-    pub fn new(rooms: Vec<Room>, usage: Usage, leaving: Usage, silent: HashSet<JobId>) -> Self {
+impl Snapshot {
+    pub fn new(
+        rooms: Vec<MachineCapacity>,
+        usage: Usage,
+        leaving: Usage,
+        on_unresolved: HashSet<JobId>,
+    ) -> Self {
         let zones: BTreeSet<&Arc<str>> = rooms.iter().map(|room| &room.zone).collect();
         let mut view = Self {
             all_zones: zones.into_iter().cloned().collect(),
-            hopeless: Vec::new(),
+            unplaceable: Vec::new(),
             rooms,
             open: Vec::new(),
             open_gpus: Vec::new(),
             usage,
             leaving,
             zones: BTreeMap::new(),
-            silent,
+            on_unresolved,
             by_zone: None,
         };
         view.look_for_open();
@@ -205,7 +210,7 @@
         spec: &JobSpec,
         tasks: usize,
         zones: &[Arc<str>],
-        free: impl Fn(&Room) -> Resources,
+        free: impl Fn(&MachineCapacity) -> Resources,
     ) -> bool {
         let mut left = tasks as u32;
         for room in &self.rooms {
@@ -224,12 +229,12 @@
     /// Another job like it found no room. A nominated one may have room that is held
     /// for itself alone.
     pub fn rules_out(&self, spec: &JobSpec, nominated: bool) -> bool {
-        !nominated && self.hopeless.iter().any(|h| h.covers(spec))
+        !nominated && self.unplaceable.iter().any(|h| h.covers(spec))
     }
 
     /// The zones of a job's tasks, the stopping ones included, are to be at hand. Looked
     /// up at every machine for each waiting service, they were most of a pass.
-    pub fn look_at(&mut self, spec: &JobSpec, machines: &BTreeMap<MachineId, Machine>) {
+    pub fn select_job(&mut self, spec: &JobSpec, machines: &BTreeMap<MachineId, Machine>) {
         self.zones.clear();
         if !by_zone(spec) {
             return;
@@ -263,7 +268,7 @@
 
     /// The nominations of one job have changed.
     pub fn refresh_held(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
-        self.hopeless.clear();
+        self.unplaceable.clear();
         for room in &mut self.rooms {
             room.held.retain(|(_, held, _)| *held != spec.id);
         }
@@ -303,7 +308,9 @@
 }
 
 /// Jobs that machines list of which it is not known yet what they hold.
-pub(super) fn listed_by_silent(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
-    let silent = machines.values().filter(|m| m.unresolved);
-    silent.flat_map(|m| m.entry.jobs.iter().cloned()).collect()
+pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
+    let on_unresolved = machines.values().filter(|m| m.unresolved);
+    on_unresolved
+        .flat_map(|m| m.assignment.jobs.iter().cloned())
+        .collect()
 }
--- a/src/core/leader.rs
+++ b/src/core/cluster.rs
@@ -1,4 +1,4 @@
-//! The leader's book of jobs and picture of machines: where each task is or may be.
+//! The leader's cluster state, its jobs and machines: where each task is or may be.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -8,35 +8,35 @@
 
 use tracing::{debug, info};
 
-pub use super::book::{Job, Slot};
+pub use super::active_job::{Job, Slot};
 use super::{
+    admission::StartRate,
+    assignment_index::{AssignmentIndex, ShardRecord},
     config::Config,
-    drains::Progress,
-    fleet::Fleet,
-    flow::Flow,
-    hints::Hints,
+    drain::Progress,
+    handover::HandoverSnapshot,
     job::{JobId, Kind, TaskId},
     machine::{
-        Command, Machine, MachineId, MachineType, Phase, Placement, Standing, Stop, TaskPhase, Why,
-        WorkerReport,
+        Command, ExitReason, Machine, MachineId, MachineType, Phase, Placement, Standing, Stop,
+        TaskPhase, WorkerReport,
     },
-    members::sight::Outlook,
-    mirror::LiveJob,
+    membership::reachability::Reachability,
+    provisioning::Provisioning,
     queue::Queue,
-    rent::arrivals::Arrivals,
+    reconciliation::Reconciler,
     results::Results,
-    roster::{Roster, ShardRecord},
-    squaring::Start,
+    scale_out::arrivals::Arrivals,
+    state_cache::LiveJob,
     store::progress_key,
 };
 use kiteyard_maintenance::{
     drain::{Drains, Waits},
     ledger::Ledger,
 };
-use kiteyard_recovery::verdict::Verdict;
+use kiteyard_recovery::adoption::AdoptionDecision;
 
-/// The picture of one leader, built at its take-over and dropped with its claim.
-pub struct Leader {
+/// The picture of one leader, built at its failover and dropped with its claim.
+pub struct ClusterState {
     pub config: Arc<Config>,
     pub claim: u64,
     pub token: u64,
@@ -44,8 +44,8 @@
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<MachineId, Machine>,
     pub queue: Queue,
-    pub fleet: Fleet,
-    /// Until then a silent machine may hold tasks that a former leader started.
+    pub provisioning: Provisioning,
+    /// Until then an unresponsive machine may hold tasks that a previous leader started.
     pub resolve_by: Duration,
     /// The claim is known to have stood at this time.
     pub proven: Duration,
@@ -59,12 +59,12 @@
     /// The time of day.
     pub wall_ms: u64,
     /// How far run times of a class are from their estimates, as a logarithm.
-    pub seen: HashMap<Arc<str>, f64>,
-    pub roster: Roster,
+    pub runtime_corrections: HashMap<Arc<str>, f64>,
+    pub assignment_index: AssignmentIndex,
     /// Counted licences, if there are any.
-    pub seats: Option<kiteyard_licences::ledger::Ledger>,
+    pub licence_ledger: Option<kiteyard_licences::ledger::Ledger>,
     /// What the silence of machines means, and the zones where somebody is to be asked.
-    pub outlook: Outlook,
+    pub reachability: Reachability,
     /// What may be taken down on purpose.
     pub(super) ledger: Ledger,
     /// Machines that operators want emptied, and how far they are.
@@ -74,37 +74,37 @@
     pub(super) drains_pause: Option<Waits>,
     pub(super) drains_paused: Option<Waits>,
     /// When it took over, and how far it is with that.
-    pub(super) since: Duration,
-    pub(super) start: Start,
+    pub(super) leading_since: Duration,
+    pub(super) reconciler: Reconciler,
     /// Zones where nobody may be sent a start.
     pub(super) withheld: BTreeSet<Arc<str>>,
-    /// When the leases of zones are over that a former leader left unanswered.
-    zones_over: BTreeMap<Arc<str>, Duration>,
-    pub(super) ask: BTreeSet<Arc<str>>,
+    /// When the leases of zones are over that a previous leader left unanswered.
+    zone_lease_ends: BTreeMap<Arc<str>, Duration>,
+    pub(super) zones_to_probe: BTreeSet<Arc<str>>,
     /// Machines that were returned, for the node to forget.
-    pub(super) parted: Vec<MachineId>,
+    pub(super) returned_machines: Vec<MachineId>,
     /// How fast tasks start.
-    pub flow: Flow,
+    pub start_rate: StartRate,
     /// What usually comes.
     pub(super) arrivals: Arrivals,
-    /// What is let in no more, see `held_up`.
-    pub(super) shut: Option<super::job::Priority>,
-    /// What the former leader told of machines not met yet.
-    pub(super) told: Hints,
+    /// What is let in no more, see `priority_to_close`.
+    pub(super) closed_priority: Option<super::job::Priority>,
+    /// What the previous leader told of machines not met yet.
+    pub(super) pending_handover: HandoverSnapshot,
     /// Stored results of jobs that are over.
     pub garbage: Vec<String>,
 }
 
-/// What a take-over found in the state service.
-pub struct Found<'a> {
+/// What a failover found in the state service.
+pub struct StoredClusterState<'a> {
     pub jobs: &'a BTreeMap<JobId, LiveJob>,
     pub progress: BTreeMap<JobId, Results>,
-    /// The roster's shards, each with its number and revision.
-    pub roster: Vec<(u32, ShardRecord, u64)>,
-    /// By then every lease that a former leader kept alive is over.
+    /// The assignment index's shards, each with its number and revision.
+    pub assignment_index: Vec<(u32, ShardRecord, u64)>,
+    /// By then every lease that a previous leader kept alive is over.
     pub resolve_by: Duration,
     /// The same for zones that nobody has answered for a while.
-    pub zones_over: BTreeMap<Arc<str>, Duration>,
+    pub zone_lease_ends: BTreeMap<Arc<str>, Duration>,
 }
 
 /// Commands for one worker, to be sent straight to it.
@@ -127,38 +127,38 @@
     pub lost: u64,
 }
 
-impl Leader {
+impl ClusterState {
     pub fn new(
         config: Arc<Config>,
         claim: u64,
         types: Arc<Vec<MachineType>>,
-        found: Found<'_>,
+        found: StoredClusterState<'_>,
         now: Duration,
     ) -> Self {
-        let Found {
+        let StoredClusterState {
             jobs: live,
             mut progress,
-            roster,
+            assignment_index,
             resolve_by,
-            zones_over,
+            zone_lease_ends,
         } = found;
-        let mut leader = Self {
+        let mut cluster = Self {
             claim,
             token: claim << 16,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             queue: Queue::default(),
-            fleet: Fleet::new(format!("{}-{claim}", config.node)),
+            provisioning: Provisioning::new(format!("{}-{claim}", config.node)),
             resolve_by,
-            zones_over,
+            zone_lease_ends,
             withheld: BTreeSet::new(),
             ledger: Ledger::new(config.budgets()),
             drains: Drains::default(),
             draining: BTreeMap::new(),
             drains_pause: None,
             drains_paused: None,
-            since: now,
-            start: Start::new(&config, now),
+            leading_since: now,
+            reconciler: Reconciler::new(&config, now),
             proven: Duration::ZERO,
             attempts: claim << 24,
             next_pass: Duration::ZERO,
@@ -167,38 +167,38 @@
             counts: Counts::default(),
             next_log: Duration::ZERO,
             wall_ms: 0,
-            seen: HashMap::new(),
-            roster: Roster::new(config.value_most),
-            seats: None,
-            outlook: Outlook::default(),
-            ask: BTreeSet::new(),
-            parted: Vec::new(),
-            flow: Flow::new(config.report),
+            runtime_corrections: HashMap::new(),
+            assignment_index: AssignmentIndex::new(config.value_most),
+            licence_ledger: None,
+            reachability: Reachability::default(),
+            zones_to_probe: BTreeSet::new(),
+            returned_machines: Vec::new(),
+            start_rate: StartRate::new(config.report),
             arrivals: Arrivals::default(),
-            shut: None,
-            told: Hints::default(),
+            closed_priority: None,
+            pending_handover: HandoverSnapshot::default(),
             garbage: Vec::new(),
             types,
             config,
         };
-        leader.seats = leader.new_ledger(now);
-        for (shard, record, version) in roster {
-            leader.enroll(shard, &record, version, now);
+        cluster.licence_ledger = cluster.new_ledger(now);
+        for (shard, record, version) in assignment_index {
+            cluster.load_shard(shard, &record, version, now);
         }
         for (id, job) in live {
             let done = progress.remove(id).unwrap_or_default();
-            leader.add_job(id, job, done);
+            cluster.add_job(id, job, done);
         }
         for (id, set) in progress {
-            leader.discard_results(&id, &set);
+            cluster.discard_results(&id, &set);
         }
         info!(
             claim,
-            jobs = leader.jobs.len(),
-            machines = leader.machines.len(),
-            "take-over"
+            jobs = cluster.jobs.len(),
+            machines = cluster.machines.len(),
+            "failover complete"
         );
-        leader
+        cluster
     }
 
     fn machine(
@@ -220,7 +220,7 @@
         machine
     }
 
-    pub fn meet(
+    pub fn ensure_machine(
         &mut self,
         id: &MachineId,
         machine_type: &Arc<str>,
@@ -231,7 +231,7 @@
         if !self.machines.contains_key(id) {
             let mut machine =
                 self.machine(id.clone(), machine_type.clone(), zone.clone(), spot, now);
-            self.recall_one(&mut machine);
+            self.restore_machine(&mut machine);
             self.machines.insert(id.clone(), machine);
         }
         self.machines.get_mut(id).expect("just inserted")
@@ -251,7 +251,7 @@
         self.arrivals.came(&job.spec, job.accepted_ms);
         self.queue.push(id, &job);
         self.jobs.insert(id.clone(), job);
-        self.wake();
+        self.request_pass();
     }
 
     /// The job is done or cancelled: whatever is left of it stops.
@@ -283,22 +283,22 @@
 
     /// The machine was returned, with all that was on it.
     pub fn machine_gone(&mut self, id: &MachineId, now: Duration) {
-        self.session_over(id, now);
+        self.end_session(id, now);
         if let Some(machine) = self.machines.remove(id) {
-            self.parted.push(id.clone());
-            self.roster.gone(&machine);
+            self.returned_machines.push(id.clone());
+            self.assignment_index.remove_machine(&machine);
         }
     }
 
     /// Asks for a scheduling pass soon.
-    pub fn wake(&mut self) {
+    pub fn request_pass(&mut self) {
         self.queue.dirty = true;
     }
 
     /// Any end of a task, and any change of machines, gives the parked another chance.
     pub fn requeue(&mut self) {
         self.queue.unpark(&self.jobs);
-        self.wake();
+        self.request_pass();
     }
 
     pub fn unresolved(&self) -> bool {
@@ -308,13 +308,13 @@
     /// Takes in a report and says what to answer, or none where it came too late.
     pub fn report(&mut self, report: &WorkerReport, now: Duration) -> Option<(u64, Vec<Command>)> {
         let id = report.machine.clone();
-        if self.fleet.was_returned(&id) {
+        if self.provisioning.was_returned(&id) {
             // It is gone: this was held back on its way, and nobody waits for an answer.
             debug!(machine = %id, "report of a machine that was returned");
             return None;
         }
         let token = self.token;
-        self.meet(&id, &report.machine_type, &report.zone, report.spot, now);
+        self.ensure_machine(&id, &report.machine_type, &report.zone, report.spot, now);
         let before = self.availability(&id, now);
         let machine = self.machines.get_mut(&id)?;
         // A report of a session that is over, or older than one seen already,
@@ -334,7 +334,7 @@
         }
         machine.addr = Some(report.addr);
         machine.heard_at = Some(now);
-        machine.mute = false;
+        machine.commands_unanswered = false;
         machine.answered_at = Some(now);
         if matches!(machine.standing, Standing::Booting | Standing::Lost) {
             info!(machine = %id, kind = %machine.machine_type, zone = %machine.zone, "machine up");
@@ -357,14 +357,14 @@
             if tasks > 0 {
                 info!(machine = %id, tasks, "worker's lease ran out");
             }
-            self.session_over(&id, now);
+            self.end_session(&id, now);
         }
         let machine = self.machines.get_mut(&id)?;
         machine.report_seq = report.seq;
         // A direct command's answer may have brought newer news already.
         if report.seq > machine.content_seq {
             machine.content_seq = report.seq;
-            self.take_in(&id, report, true, now);
+            self.apply_report(&id, report, true, now);
         }
         if self.availability(&id, now) != before {
             self.requeue();
@@ -380,7 +380,7 @@
     }
 
     /// A new session has none of the tasks of the one before.
-    fn session_over(&mut self, id: &MachineId, now: Duration) {
+    fn end_session(&mut self, id: &MachineId, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -390,13 +390,13 @@
             // One that exited was counted then. Counting it again would free a
             // task that runs elsewhere by now, and it would be started twice.
             if !placement.exited() {
-                self.ended(id, &task, &placement, None, now);
+                self.placement_ended(id, &task, &placement, None, now);
             }
         }
     }
 
     /// The worker's list of tasks against what is known of the machine.
-    pub(super) fn take_in(
+    pub(super) fn apply_report(
         &mut self,
         id: &MachineId,
         report: &WorkerReport,
@@ -415,7 +415,7 @@
             })
             .collect();
         for (key, phase) in news {
-            self.take_in_task(id, key, phase, now);
+            self.apply_task_report(id, key, phase, now);
         }
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -453,12 +453,12 @@
                 machine.idle_since = now;
             }
             if !placement.exited() {
-                self.ended(id, &key.0, &placement, None, now);
+                self.placement_ended(id, &key.0, &placement, None, now);
             }
         }
     }
 
-    fn take_in_task(
+    fn apply_task_report(
         &mut self,
         id: &MachineId,
         key: (TaskId, u64),
@@ -473,7 +473,7 @@
         let placement = machine.tasks.get_mut(&key).expect("adopted");
         let before = placement.phase;
         if matches!(before, Phase::Sent { .. }) && !adopted {
-            self.flow.started(now);
+            self.start_rate.started(now);
         }
         // Listed twice in one report, it has ended but once.
         if before == Phase::Seen(phase) {
@@ -486,7 +486,7 @@
             placement.running_since = Some(now);
         }
         let placement = placement.clone();
-        let has_image = phase.on_machine() || matches!(phase, TaskPhase::Exited(Why::Done));
+        let has_image = phase.on_machine() || matches!(phase, TaskPhase::Exited(ExitReason::Done));
         if has_image && let Some(spec) = &placement.spec {
             self.image_seen(id, spec, now);
         }
@@ -504,14 +504,14 @@
             }
         }
         if let TaskPhase::Exited(why) = phase {
-            if let (Why::Done, Some(since)) = (why, placement.running_since) {
-                self.learn(&key.0.job, now - since);
+            if let (ExitReason::Done, Some(since)) = (why, placement.running_since) {
+                self.record_run_time(&key.0.job, now - since);
             }
             let machine = self.machines.get_mut(id).expect("known machine");
             if !machine.busy() {
                 machine.idle_since = now;
             }
-            self.ended(
+            self.placement_ended(
                 id,
                 &key.0,
                 &Placement {
@@ -527,8 +527,8 @@
     /// A task in a report that this leader did not start: one that a former
     /// leader started, or one that has no business there.
     fn adopt(&mut self, id: &MachineId, key: &(TaskId, u64), phase: TaskPhase, now: Duration) {
-        let verdict = self.verdict(&key.0, phase);
-        let ours = verdict == Verdict::Adopt;
+        let decision = self.decide_adoption(&key.0, phase);
+        let ours = decision == AdoptionDecision::Adopt;
         let job = self.jobs.get_mut(&key.0.job);
         let spec = job.as_ref().map(|job| job.spec.clone());
         if let (Some(job), true) = (job, ours) {
@@ -553,22 +553,22 @@
                 offered: 0,
             },
         );
-        if verdict == Verdict::Finish {
+        if decision == AdoptionDecision::Finish {
             self.finish(&key.0, now);
         }
     }
 
     /// A placement has come to its end; `why` is none where it just went.
-    fn ended(
+    fn placement_ended(
         &mut self,
         id: &MachineId,
         task: &TaskId,
         placement: &Placement,
-        why: Option<Why>,
+        why: Option<ExitReason>,
         now: Duration,
     ) {
         self.queue.dirty = true;
-        if why == Some(Why::Done) {
+        if why == Some(ExitReason::Done) {
             if !placement.foreign {
                 self.release_slot(id, task, placement);
             }
@@ -713,14 +713,14 @@
         );
     }
 
-    /// What time brings: leases that are over, and silent machines proven empty.
+    /// What time brings: leases that are over, and unresponsive machines proven empty.
     ///
     /// A lease ends only if no other leader has answered the worker meanwhile. One
     /// that has taken this one's place can have done so from its claim on; so the
     /// time that counts is not now, but when this claim was last known to stand.
     pub fn tick(&mut self, now: Duration) {
         self.log_counts(now);
-        self.square(now);
+        self.reconcile(now);
         // Where nothing else happens, nothing else would bring it back to the heap.
         if self.next_retry.take_if(|at| now >= *at).is_some() {
             self.requeue();
@@ -731,7 +731,7 @@
             .values()
             .filter(|m| m.standing == Standing::Up || m.standing == Standing::Leaving)
             .filter(|m| m.session > m.dead_session)
-            .filter(|m| self.lease_over(m).is_some_and(|at| proven > at))
+            .filter(|m| self.lease_end(m).is_some_and(|at| proven > at))
             .map(|m| m.id.clone())
             .collect();
         for id in &lost {
@@ -745,9 +745,9 @@
             }
             self.counts.lost += 1;
             info!(machine = %id, tasks = machine.tasks.len(), "machine lost");
-            self.session_over(id, now);
+            self.end_session(id, now);
         }
-        self.lost_at_once(lost.len(), now);
+        self.delay_after_mass_loss(lost.len(), now);
         let unresolved = self.machines.values().filter(|m| m.unresolved);
         let empty = unresolved.filter(|m| proven > self.resolved_by(m));
         let empty: Vec<MachineId> = empty.map(|m| m.id.clone()).collect();
@@ -755,7 +755,7 @@
             return;
         }
         for id in empty {
-            info!(machine = %id, "silent machine proven empty");
+            info!(machine = %id, "unresponsive machine proven empty");
             let machine = self.machines.get_mut(&id).expect("just listed");
             machine.unresolved = false;
             if machine.standing == Standing::Booting {
@@ -768,15 +768,15 @@
     /// By then a machine whose tasks are not known is empty, if it stays silent: one that
     /// this leader answered, a lease after that.
     fn resolved_by(&self, machine: &Machine) -> Duration {
-        let zone = self.zones_over.get(&machine.zone).copied();
+        let zone = self.zone_lease_ends.get(&machine.zone).copied();
         let unmet = zone.map_or(self.resolve_by, |over| over.min(self.resolve_by));
-        self.lease_over(machine).unwrap_or(unmet)
+        self.lease_end(machine).unwrap_or(unmet)
     }
 
     /// When the lease of a worker that stays silent is over. One that has not seen
-    /// this leader's token may have been answered by a former leader until that
+    /// this leader's token may have been answered by a previous leader until that
     /// one stopped: an answer to a report that was held back proves nothing.
-    fn lease_over(&self, machine: &Machine) -> Option<Duration> {
+    fn lease_end(&self, machine: &Machine) -> Option<Duration> {
         let over = machine.answered_at? + self.config.worker_lease_bound;
         Some(match machine.fenced {
             true => over,
@@ -785,12 +785,12 @@
     }
 
     /// A lease would be over if the claim were known to stand still.
-    pub fn wants_proof(&self, now: Duration) -> bool {
+    pub fn needs_proof(&self, now: Duration) -> bool {
         let over = |end: Duration| now > end && self.proven <= end;
         self.machines.values().any(|m| {
             let lost = matches!(m.standing, Standing::Up | Standing::Leaving)
                 && m.session > m.dead_session
-                && self.lease_over(m).is_some_and(over);
+                && self.lease_end(m).is_some_and(over);
             lost || (m.unresolved && over(self.resolved_by(m)))
         })
     }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -4,18 +4,18 @@
 
 use super::{
     Answer, Node,
+    cluster::{ClusterState, Direct},
     job::Kind,
-    leader::{Direct, Leader},
     machine::{
-        Command, DirectReply, MachineId, Phase, Standing, Stop, TaskPhase, Why, WorkerReport,
+        Command, DirectReply, ExitReason, MachineId, Phase, Standing, Stop, TaskPhase, WorkerReport,
     },
 };
 use tracing::debug;
 
-/// Machines that are called at a time after a take-over.
-const CALLED_MOST: usize = 128;
+/// Machines that are called at a time after a failover.
+const CONTACTED_MOST: usize = 128;
 /// Machines of one zone that are asked at a time whether they answer.
-const ASKED: usize = 4;
+const PROBED_PER_ZONE: usize = 4;
 
 /// Commands in one answer at most: it stays under the protocol's limit for one line.
 const COMMANDS_MOST: usize = 400;
@@ -23,11 +23,11 @@
 impl Node {
     /// While it takes over, a worker's lease is kept alive, and its tasks of jobs that are
     /// over are stopped: a lease that is renewed without that would carry cancelled tasks
-    /// through one take-over after the other. Other commands come later, and the report is
+    /// through one failover after the other. Other commands come later, and the report is
     /// not counted as heard.
-    pub(super) fn keep_alive(&self, report: &WorkerReport) -> Option<Answer> {
-        let token = self.lead.token()?;
-        let over = |job| !self.mirror.jobs.contains_key(job) && !self.mirror.obscure(job);
+    pub(super) fn keep_lease_alive(&self, report: &WorkerReport) -> Option<Answer> {
+        let token = self.election.token()?;
+        let over = |job| !self.cache.jobs.contains_key(job) && !self.cache.is_unreadable(job);
         let left = report.tasks.iter().filter(|t| !t.phase.exited());
         let commands = left.filter(|t| over(&t.task.job)).take(COMMANDS_MOST);
         let commands = commands.map(|t| Command::Stop {
@@ -42,12 +42,12 @@
     }
 }
 
-impl Leader {
+impl ClusterState {
     /// Commands that need not wait for the next report. A worker that does not
     /// know this leader's token yet gets it at once, and its tasks become known.
     pub fn direct_commands(&mut self, now: Duration) -> Vec<Direct> {
-        let asked = self.asked(now);
-        let called = self.called(now);
+        let machines_to_probe = self.machines_to_probe(now);
+        let machines_to_contact = self.machines_to_contact(now);
         let due: Vec<MachineId> = self
             .machines
             .values()
@@ -57,19 +57,19 @@
                 let silence = now.saturating_sub(m.heard_at.unwrap_or_default());
                 let silent = m.heard_at.is_none() || silence > self.config.report * 2;
                 (!silent && (!m.fenced || m.urgent()))
-                    || self.doubtful(m, now)
-                    || asked.contains(&m.id)
+                    || self.should_probe(m, now)
+                    || machines_to_probe.contains(&m.id)
             })
             .map(|m| m.id.clone())
             .collect();
-        let due = due.into_iter().chain(called);
+        let due = due.into_iter().chain(machines_to_contact);
         due.filter_map(|id| self.direct(id)).collect()
     }
 
     /// Some machines of each zone that is heard no more, to learn whether they answer.
-    fn asked(&self, now: Duration) -> BTreeSet<MachineId> {
-        let mut asked = BTreeSet::new();
-        for zone in &self.ask {
+    fn machines_to_probe(&self, now: Duration) -> BTreeSet<MachineId> {
+        let mut machines_to_probe = BTreeSet::new();
+        for zone in &self.zones_to_probe {
             let machines = self.machines.values().filter(|m| m.zone == *zone);
             let known = machines.filter(|m| m.standing == Standing::Up && m.addr.is_some());
             let under_way = known.clone().filter(|m| m.direct).count();
@@ -77,20 +77,20 @@
             // Those heard last answer most likely.
             let mut idle: Vec<_> = idle.map(|m| (Reverse(m.heard_at), &m.id)).collect();
             idle.sort();
-            let more = ASKED.saturating_sub(under_way);
-            asked.extend(idle.into_iter().take(more).map(|(_, id)| id.clone()));
+            let more = PROBED_PER_ZONE.saturating_sub(under_way);
+            machines_to_probe.extend(idle.into_iter().take(more).map(|(_, id)| id.clone()));
         }
-        asked
+        machines_to_probe
     }
 
-    /// After a take-over, machines that may hold tasks and have not reported yet: asked
-    /// where the former leader found them, they need not come by themselves first.
-    fn called(&self, now: Duration) -> Vec<MachineId> {
-        let unmet = self.machines.values().filter(|m| m.session == 0);
-        let unmet = unmet.filter(|m| m.unresolved && m.told.is_some());
-        let under_way = unmet.clone().filter(|m| m.direct).count();
-        let idle = unmet.filter(|m| !m.direct && now >= m.direct_retry);
-        let more = CALLED_MOST.saturating_sub(under_way);
+    /// After a failover, machines that may hold tasks and have not reported yet: asked
+    /// where the previous leader found them, they need not come by themselves first.
+    fn machines_to_contact(&self, now: Duration) -> Vec<MachineId> {
+        let not_heard = self.machines.values().filter(|m| m.session == 0);
+        let not_heard = not_heard.filter(|m| m.unresolved && m.last_known_worker.is_some());
+        let under_way = not_heard.clone().filter(|m| m.direct).count();
+        let idle = not_heard.filter(|m| !m.direct && now >= m.direct_retry);
+        let more = CONTACTED_MOST.saturating_sub(under_way);
         idle.map(|m| m.id.clone()).take(more).collect()
     }
 
@@ -98,11 +98,11 @@
     /// nothing that a former one sent can begin there any more, and this is what it
     /// holds. Its lease began with its last answered report, or with its session, which
     /// may be a new one: before this answer in any case, and not sooner than that is known.
-    fn met(&mut self, id: &MachineId, report: &WorkerReport, now: Duration) {
+    fn record_direct_heartbeat(&mut self, id: &MachineId, report: &WorkerReport, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        debug!(machine = %id, "called");
+        debug!(machine = %id, "direct heartbeat");
         machine.addr = Some(report.addr);
         machine.session = report.session;
         machine.answered_at = Some(now);
@@ -115,7 +115,7 @@
         let machine = &self.machines[&id];
         let (addr, session) = match machine.addr {
             Some(addr) => (addr, machine.session),
-            None => machine.told?,
+            None => machine.last_known_worker?,
         };
         let commands = self.commands(&id, None);
         let machine = self.machines.get_mut(&id)?;
@@ -134,7 +134,7 @@
             return;
         };
         machine.direct = false;
-        let unmet = machine.session == 0;
+        let not_heard = machine.session == 0;
         let (executed, report) = match reply {
             DirectReply::Executed(report) => (true, report),
             DirectReply::Refused(report) => (false, report),
@@ -143,7 +143,7 @@
                 if !direct.commands.is_empty() {
                     machine.token += 1;
                 }
-                machine.mute = true;
+                machine.commands_unanswered = true;
                 machine.direct_retry = now + self.config.report * 2;
                 return;
             }
@@ -151,13 +151,13 @@
         if !executed {
             machine.direct_retry = now + self.config.report;
         }
-        if unmet {
+        if not_heard {
             // Another session, or another leader: where it is now is known at least.
-            machine.told = Some((report.addr, report.session));
+            machine.last_known_worker = Some((report.addr, report.session));
             if !executed || report.session != direct.session {
                 return;
             }
-            self.met(&direct.machine, &report, now);
+            self.record_direct_heartbeat(&direct.machine, &report, now);
         }
         let Some(machine) = self.machines.get_mut(&direct.machine) else {
             return;
@@ -181,14 +181,14 @@
         }
         machine.content_seq = report.seq;
         machine.heard_at = Some(now);
-        machine.mute = false;
+        machine.commands_unanswered = false;
         if report.token >= self.token && !machine.fenced {
             machine.fenced = true;
             machine.unresolved = false;
-            self.wake();
+            self.request_pass();
         }
         let id = direct.machine.clone();
-        self.take_in(&id, &report, false, now);
+        self.apply_report(&id, &report, false, now);
         self.requeue();
     }
 
@@ -204,7 +204,7 @@
                 (Phase::Seen(TaskPhase::Exited(why)), _) => {
                     // A result must be stored before the worker forgets it.
                     let stored = match self.jobs.get(&task.job) {
-                        Some(job) if why == Why::Done => {
+                        Some(job) if why == ExitReason::Done => {
                             job.spec.kind == Kind::Service || job.saved.contains(task.index)
                         }
                         _ => true,
@@ -215,7 +215,9 @@
                     }
                 }
                 (Phase::Decided | Phase::Sent { .. }, None)
-                    if machine.fenced && !withheld && machine.entry.jobs.contains(&task.job) =>
+                    if machine.fenced
+                        && !withheld
+                        && machine.assignment.jobs.contains(&task.job) =>
                 {
                     let (last, direct) = match placement.phase {
                         Phase::Sent { seq, direct } => (seq, direct),
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -87,8 +87,8 @@
     /// A leader that was not heard for so long is missed. A process that ended is
     /// mostly back by then and knows more than any other node; in the time that is
     /// left of a worker's lease another one has to take over and answer it.
-    pub leader_silent: Duration,
-    /// Least time between two requests that prove this node's copy.
+    pub leader_silence_limit: Duration,
+    /// Least time between two requests that prove this node's cache.
     pub sync_every: Duration,
     /// Least time between two watches of a follower; the leader's follow at once.
     pub watch_every: Duration,
@@ -145,7 +145,7 @@
             worker_lease_bound: workers.lease_bound(),
             leader_ttl,
             leader_term: leader_ttl.mul_f64(1.0 - 2.0 * DRIFT).saturating_sub(MARGIN),
-            leader_silent: super::pulse::leader_silent(seconds(workers.lease_s)),
+            leader_silence_limit: super::heartbeat::leader_silence_limit(seconds(workers.lease_s)),
             round_per_machine: ROUND_PER_MACHINE
                 .div_f64(params.resources.cpu_share.clamp(0.05, 1.0)),
             renew_every: (leader_ttl / 8).min(Duration::from_millis(1500)),
--- a/src/core/order.rs
+++ b/src/core/deadline_ordering.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use super::{
+    cluster::{ClusterState, Job},
     job::{JobId, Kind, Resources},
-    leader::{Job, Leader},
     machine::Standing,
 };
 
@@ -29,11 +29,11 @@
 /// A task takes no more than so many times all there is: sums stay numbers.
 const SHARE_MOST: f64 = 1e6;
 
-impl Leader {
+impl ClusterState {
     /// Places of the waiting jobs, the first one lowest.
-    pub fn order(&self) -> HashMap<JobId, usize> {
+    pub fn deadline_order(&self) -> HashMap<JobId, usize> {
         let mut first: Vec<(&JobId, &Job)> = Vec::new();
-        let finite = self.finite_room();
+        let finite = self.batch_capacity();
         let mut left: Vec<Entry> = Vec::new();
         let mut last: Vec<JobId> = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.waiting_count() > 0) {
@@ -108,7 +108,7 @@
         if dues.last().is_some_and(|due| age > due * STARVED) {
             return None;
         }
-        let run = self.run_time(job);
+        let run = self.estimated_run_time(job);
         dues.iter_mut().for_each(|due| *due -= age);
         dues.retain(|due| *due >= run);
         Some(Entry {
@@ -122,13 +122,17 @@
     }
 
     /// The owner's estimate, corrected by what was seen of the class.
-    pub fn run_time(&self, job: &Job) -> f64 {
-        let seen = self.seen.get(&job.spec.class).copied().unwrap_or_default();
-        (job.spec.estimate_s * seen.exp()).max(1.0)
+    pub fn estimated_run_time(&self, job: &Job) -> f64 {
+        let correction = self
+            .runtime_corrections
+            .get(&job.spec.class)
+            .copied()
+            .unwrap_or_default();
+        (job.spec.estimate_s * correction.exp()).max(1.0)
     }
 
     /// A task of the class took `ran`, estimated at `estimate_s`.
-    pub fn learn(&mut self, job: &JobId, ran: Duration) {
+    pub fn record_run_time(&mut self, job: &JobId, ran: Duration) {
         let Some(job) = self.jobs.get(job) else {
             return;
         };
@@ -136,13 +140,16 @@
             let ratio = (ran.as_secs_f64() / job.spec.estimate_s)
                 .ln()
                 .clamp(-2.0, 2.0);
-            let seen = self.seen.entry(job.spec.class.clone()).or_insert(0.0);
-            *seen += (ratio - *seen) * 0.02;
+            let correction = self
+                .runtime_corrections
+                .entry(job.spec.class.clone())
+                .or_insert(0.0);
+            *correction += (ratio - *correction) * 0.02;
         }
     }
 
     /// What is up and not taken by replicas and gangs, which arrays don't get.
-    pub(super) fn finite_room(&self) -> Resources {
+    pub(super) fn batch_capacity(&self) -> Resources {
         let mut sum = Resources::default();
         let up = self.machines.values();
         for machine in up.filter(|m| m.standing == Standing::Up && m.notice_at.is_none()) {
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -1,141 +1,231 @@
-//! Emptying dear machines that are kept for a few replicas only.
-//!
-//! Replicas run for minutes and end one by one. What is left of them is spread
-//! over machines that were rented for a rush, and each keeps a whole one. When
-//! nothing waits, the machine that is used least is emptied: its replicas start
-//! anew where there is room and their image, and it is returned.
+//! Emptying machines that operators asked to be emptied, and the ledger that every
+//! voluntary stop asks.
 
-use std::{collections::HashMap, time::Duration};
+use std::{collections::BTreeMap, time::Duration};
 
-use kiteyard_maintenance::ledger::{Ask, Replicas};
+use kiteyard_maintenance::{
+    drain::{self, Task, Waits},
+    ledger::Replicas,
+};
+use kiteyard_rollout::generation::Feature;
 use tracing::info;
 
 use super::{
+    cluster::ClusterState,
     job::{JobId, Kind, TaskId},
-    leader::Leader,
-    machine::{Machine, MachineId, Phase, Standing, TaskPhase},
+    machine::{MachineId, Phase, Placement, Standing, TaskPhase},
 };
 
-/// A machine is worth emptying when it is used for less than one part in so many.
-const USED_ONE_IN: f64 = 4.0;
-/// A replica that started less than this ago stays where it is.
-const SETTLED: Duration = Duration::from_secs(30);
+pub const DRAINS: Feature = Feature {
+    name: "drains",
+    since: 4,
+    way_back: true,
+    forms: &["live/drains"],
+};
 
-impl Leader {
-    /// Begins to empty a machine, or goes on with one, as the ledger of disruption allows.
-    pub(super) fn plan_drain(&mut self, now: Duration) {
-        let draining = self
-            .machines
-            .values()
-            .find(|m| m.standing == Standing::Leaving && m.busy())
-            .map(|m| m.id.clone());
-        let id = match draining {
-            Some(id) => id,
-            None => {
-                if now < self.fleet.next_drain {
-                    return;
-                }
-                self.fleet.next_drain = now + Duration::from_secs(1);
-                if self.unresolved() || self.jobs.values().any(|j| j.waiting_count() > 0) {
-                    self.fleet.waited_at = now;
-                    return;
-                }
-                let Some(id) = self.hardly_used(now) else {
-                    return;
-                };
-                info!(machine = %id, why = "hardly used", "leaving");
-                let machine = self.machines.get_mut(&id).expect("just seen");
-                machine.standing = Standing::Leaving;
-                id
-            }
+/// How a machine that is to be emptied stands.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Progress {
+    pub tasks: u32,
+    pub waits: Waits,
+}
+
+impl ClusterState {
+    /// A service as the ledger counts it.
+    pub(super) fn standing(&self, id: &JobId) -> Replicas {
+        let wanted = self.jobs.get(id).map_or(0, |job| job.spec.tasks);
+        let mut replicas = Replicas {
+            wanted,
+            ..Replicas::default()
         };
-        self.move_replicas(&id, now);
+        let placements = self.machines.values().flat_map(|m| &m.tasks);
+        let own = placements.filter(|((task, _), _)| task.job == *id);
+        own.for_each(|(_, placement)| count(&mut replicas, placement));
+        replicas
     }
 
-    /// The dearest machine with a few settled replicas and nothing else, all of
-    /// which others can take at once.
-    fn hardly_used(&self, now: Duration) -> Option<MachineId> {
-        let dear = self
-            .machines
-            .values()
-            .filter(|m| self.usable(m, now) && !m.direct)
-            // What comes next may need it: it is kept as long as an idle one.
-            .filter(|m| now > self.fleet.waited_at + self.idle_time(&m.machine_type))
-            .filter(|m| {
-                let used = m.size.minus(&m.free());
-                m.busy() && used.share_of(&m.size) * USED_ONE_IN <= 1.0
-            })
-            .filter(|m| {
-                m.tasks.values().filter(|p| !p.exited()).all(|p| {
-                    let replica = p.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
-                    replica
-                        && p.phase == Phase::Seen(TaskPhase::Running)
-                        && !p.stopping()
-                        && now > p.since + SETTLED
-                })
+    /// All services by team, told to the ledger before it is asked.
+    pub(super) fn observe_services(&mut self) -> BTreeMap<JobId, Replicas> {
+        let services = self.jobs.iter();
+        let services = services.filter(|(_, job)| job.spec.kind == Kind::Service);
+        let mut all: BTreeMap<JobId, Replicas> = services
+            .map(|(id, job)| {
+                let wanted = job.spec.tasks;
+                (
+                    id.clone(),
+                    Replicas {
+                        wanted,
+                        ..Replicas::default()
+                    },
+                )
             })
-            .filter(|m| self.others_take(m, now));
-        let price = |m: &Machine| self.price(&m.machine_type, m.spot);
-        dear.max_by(|a, b| price(a).total_cmp(&price(b)))
-            .map(|m| m.id.clone())
+            .collect();
+        for ((task, _), placement) in self.machines.values().flat_map(|m| &m.tasks) {
+            if let Some(replicas) = all.get_mut(&task.job) {
+                count(replicas, placement);
+            }
+        }
+        let jobs = &self.jobs;
+        let told = all.iter().map(|(id, s)| (&*jobs[id].spec.team, *s));
+        self.ledger.observe(told);
+        all
     }
 
-    /// Whether other machines that are kept anyway have room for what runs here,
-    /// and the images of it.
-    fn others_take(&self, machine: &Machine, now: Duration) -> bool {
-        let mut rooms: Vec<_> = self
-            .machines
-            .values()
-            .filter(|m| m.id != machine.id && m.busy() && self.usable(m, now))
-            .map(|m| (m, m.free()))
-            .collect();
-        machine.tasks.values().filter(|p| !p.exited()).all(|p| {
-            let Some(spec) = &p.spec else { return false };
-            let room = rooms.iter_mut().find(|(m, free)| {
-                // Within its zone a replica breaks no rule of where the others are.
-                (m.zone == machine.zone || !(spec.one_zone || spec.spread))
-                    && spec.allows_type(&m.machine_type)
-                    && spec.allows_place(&m.zone, m.spot)
-                    && m.has_image(&spec.image)
-                    && spec.need.fits_in(free)
-            });
-            room.map(|(_, free)| *free = free.minus(&spec.need))
-                .is_some()
-        })
+    /// Nothing new comes to a machine that is to be emptied.
+    pub(super) fn cordoned(&self, id: &str) -> bool {
+        !self.drains.machines.is_empty() && self.drains.machines.contains_key(id)
     }
 
-    /// Stops replicas on a machine that is to go, as far as the ledger allows.
-    fn move_replicas(&mut self, id: &MachineId, now: Duration) {
-        let services = self.observe_services();
-        let running: Vec<(TaskId, u64)> = self.machines[id]
-            .tasks
-            .iter()
-            .filter(|(_, p)| !p.exited() && !p.stopping() && !p.foreign)
-            .map(|(key, _)| key.clone())
+    /// The operators' list has changed. What was only decided for a machine goes elsewhere,
+    /// and it is held for nobody any more.
+    pub fn cordon(&mut self, drains: drain::Drains, now: Duration) {
+        if drains == self.drains {
+            return;
+        }
+        let new = drains.machines.keys();
+        let new: Vec<MachineId> = new
+            .filter(|id| !self.drains.machines.contains_key(*id))
+            .map(|id| MachineId::from(id.as_str()))
             .collect();
-        let mut moved: HashMap<JobId, u32> = HashMap::new();
-        for key in running {
-            let (Some(job), Some(standing)) = (self.jobs.get(&key.0.job), services.get(&key.0.job))
-            else {
+        self.drains = drains;
+        for id in new {
+            for job in self.jobs.values_mut() {
+                job.nominations.retain(|machine| *machine != id);
+            }
+            let Some(machine) = self.machines.get(&id) else {
                 continue;
             };
-            let stops = moved.entry(key.0.job.clone()).or_insert(0);
-            let service = Replicas {
-                up: standing.up.saturating_sub(*stops),
-                stopping: standing.stopping + *stops,
-                ..*standing
+            info!(machine = %id, tasks = machine.tasks.len(), "cordoned");
+            let decided = machine.tasks.iter();
+            let decided = decided.filter(|(_, p)| p.phase == Phase::Decided);
+            let decided: Vec<(TaskId, u64)> = decided.map(|(key, _)| key.clone()).collect();
+            for key in decided {
+                self.stop(&id, &key, Duration::ZERO, now);
+            }
+        }
+        self.requeue();
+    }
+
+    /// A machine that was to be emptied has been returned, or never was there.
+    pub(super) fn is_gone(&self, id: &str, now: Duration) -> bool {
+        let known = self.machines.contains_key(id);
+        // After a failover the cloud's list shows what the assignment index does not.
+        !known && now > self.leading_since + self.config.list_lag * 3
+    }
+
+    /// Goes on with the machines that are to be emptied.
+    pub(super) fn plan_drains(&mut self, now: Duration) {
+        if self.drains.machines.is_empty() {
+            self.draining.clear();
+            return;
+        }
+        let pause = self.drains_pause.or_else(|| {
+            let clear =
+                !self.reachability.is_uncertain && self.reachability.partitioned_zones.is_empty();
+            (!clear || self.unresolved()).then_some(Waits::Outlook)
+        });
+        if pause != self.drains_paused {
+            match &pause {
+                Some(why) => info!(?why, "maintenance paused"),
+                None => info!("maintenance goes on"),
+            }
+            self.drains_paused = pause;
+        }
+        let services = self.observe_services();
+        let mut draining = BTreeMap::new();
+        for (name, ordered) in self.drains.machines.clone() {
+            let id = MachineId::from(name.as_str());
+            let Some(machine) = self.machines.get(&id) else {
+                continue;
             };
-            let team = job.spec.team.clone();
-            let ask = Ask {
-                team: &team,
-                service: Some(service),
-                lost: Duration::ZERO,
+            let mut tasks = self.tasks_to_move(&id, &services, now);
+            let left = tasks.len() as u32;
+            let over = ordered.by_ms.is_some_and(|by| self.wall_ms >= by);
+            let (stop, waits) = match pause {
+                Some(why) if left > 0 => (Vec::new(), why),
+                _ => drain::step(now, over, &mut tasks, &mut self.ledger),
             };
-            if self.ledger.ask(now, &ask).is_ok() {
-                self.ledger.take(now, &ask);
-                *stops += 1;
-                self.stop(id, &key, self.config.options.grace, now);
+            let empty = machine.tasks.is_empty() && !machine.unresolved;
+            let leaves = empty && matches!(machine.standing, Standing::Up | Standing::Booting);
+            if leaves && pause.is_none() {
+                info!(machine = %id, why = "drained", "leaving");
+                let machine = self.machines.get_mut(&id).expect("just seen");
+                machine.standing = Standing::Leaving;
+            }
+            for key in stop {
+                info!(task = %key.0, machine = %id, "moved");
+                self.stop(&id, &key, self.config.options.grace, now);
             }
+            draining.insert(id, Progress { tasks: left, waits });
         }
+        self.draining = draining;
+    }
+
+    /// What is on a machine that is to be emptied, replicas last.
+    fn tasks_to_move(
+        &self,
+        id: &MachineId,
+        services: &BTreeMap<JobId, Replicas>,
+        now: Duration,
+    ) -> Vec<Task<(TaskId, u64)>> {
+        let placements = self.machines[id].tasks.iter();
+        let left = placements.filter(|(_, p)| !p.exited() && !p.foreign);
+        let mut tasks: Vec<Task<(TaskId, u64)>> = left
+            .filter_map(|(key, placement)| {
+                let spec = placement.spec.as_ref()?;
+                let kind = match spec.kind {
+                    Kind::Array => drain::Kind::Array,
+                    Kind::Gang => drain::Kind::Gang,
+                    Kind::Service => drain::Kind::Replica,
+                };
+                Some(Task {
+                    key: key.clone(),
+                    team: spec.team.to_string(),
+                    kind,
+                    stopping: placement.stopping(),
+                    service: services.get(&key.0.job).copied(),
+                    room: self.has_room_elsewhere(id, placement, now),
+                    lost: work_lost(placement, now),
+                })
+            })
+            .collect();
+        tasks.sort_by_key(|task| task.kind == drain::Kind::Replica);
+        tasks
+    }
+
+    /// Whether a task could start on some other machine now. Where its image is, is not
+    /// asked: a fetch is shorter than a machine that is never emptied.
+    fn has_room_elsewhere(&self, id: &MachineId, placement: &Placement, now: Duration) -> bool {
+        let Some(spec) = &placement.spec else {
+            return false;
+        };
+        let mut others = self.machines.values().filter(|m| m.id != *id);
+        others.any(|m| {
+            self.usable(m, now)
+                && spec.allows_type(&m.machine_type)
+                && spec.allows_place(&m.zone, m.spot)
+                && spec.need.fits_in(&m.free())
+        })
+    }
+}
+
+fn count(replicas: &mut Replicas, placement: &Placement) {
+    if !placement.exited() {
+        let runs = placement.phase == Phase::Seen(TaskPhase::Running);
+        replicas.stopping += u32::from(placement.stopping());
+        replicas.up += u32::from(runs && !placement.stopping());
+    }
+}
+
+/// Run time that is not saved: since the last checkpoint at most.
+fn work_lost(placement: &Placement, now: Duration) -> Duration {
+    let Some(spec) = placement.spec.as_ref().filter(|s| s.kind != Kind::Service) else {
+        return Duration::ZERO;
+    };
+    let since = placement.running_since.unwrap_or(now);
+    let ran = now.saturating_sub(since);
+    match spec.checkpoint_s > 0.0 {
+        true => ran.min(crate::settings::seconds(spec.checkpoint_s)),
+        false => ran,
     }
 }
--- /dev/null
+++ b/src/core/election.rs
@@ -0,0 +1,623 @@
+//! Leadership: a key under a short lease in the state service.
+//!
+//! The leader counts its lease from when it asked for the last good renewal, so
+//! it stops before the service can end the lease. Its token is made of the
+//! revision of its claim, and every write of a leader depends on that claim.
+
+use std::{collections::BTreeMap, time::Duration};
+
+use tracing::info;
+
+use super::{
+    BACK_OFF, Node, Purpose, STATE_TIMEOUT,
+    assignment_index::ShardRecord,
+    cluster::{ClusterState, StoredClusterState},
+    job::JobId,
+    results::Results,
+    state_cache::LeaderRecord,
+    store::{
+        ASSIGNMENTS, CLAIMS, Entry, GENERATION, LEADER, PARTITIONED, PROGRESS, SETTLED, StateReply,
+        StateRequest, delete, put, put_leased, when,
+    },
+};
+
+#[derive(Debug, Default)]
+pub struct Election {
+    lease: Option<u64>,
+    /// Revision of the claim while it stands.
+    claim: Option<u64>,
+    /// The last good renewal was asked for then.
+    renewed: Duration,
+    /// Until then this node may act as the leader: a term after the last renewal that was
+    /// followed by a proof of the claim and of the cache. Never before the first proof.
+    valid_until: Duration,
+    next_renewal: Duration,
+    renewing: bool,
+    claiming: bool,
+    retry: Duration,
+    /// This process has asked for a vacant leadership, so a leader key of this
+    /// node need not be that of the process before it.
+    requested: bool,
+    /// The claim is known to have stood at this time.
+    proven: Duration,
+    /// When that was asked for last.
+    proof_asked: Duration,
+    /// The previous leader has stopped acting by then.
+    previous_stopped_at: Duration,
+    /// The leader key that this node saw last, and since when.
+    observed: Option<ObservedLeader>,
+    /// A note that this claim is settled is under way, or was tried at this time.
+    storing_settled: bool,
+    settled_at: Duration,
+    /// A claim that resigned for this node.
+    resigned: Option<u64>,
+    /// A claim that was given away to whoever comes first: its key is still to go,
+    /// since when, and whether that was asked for.
+    key_removal: Option<KeyRemoval>,
+    loader: Option<FailoverLoader>,
+}
+
+#[derive(Debug)]
+struct KeyRemoval {
+    claim: u64,
+    since: Duration,
+    asking: bool,
+    retry: Duration,
+}
+
+#[derive(Debug)]
+struct ObservedLeader {
+    version: u64,
+    since: Duration,
+    /// Its owner took the place of one that may act for another term.
+    superseded: bool,
+}
+
+/// What is known of the leader before a claim, and so of when it has stopped.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum PreviousLeader {
+    /// Its lease has ended, and its term before that.
+    LeaseExpired,
+    /// It was the process before this one.
+    SameNode,
+    /// It said so.
+    Resigned,
+    /// It may act until the end of its term: it last renewed it before this claim.
+    Superseded,
+}
+
+impl Election {
+    pub fn may_act_until(&self) -> Duration {
+        self.valid_until
+    }
+
+    /// By then whoever led before this claim has stopped.
+    pub fn previous_leader_stopped_at(&self) -> Duration {
+        self.previous_stopped_at
+    }
+
+    pub fn token(&self) -> Option<u64> {
+        self.claim.map(|claim| claim << 16)
+    }
+}
+
+/// What a new leader reads before it acts.
+#[derive(Debug, Default)]
+struct FailoverLoader {
+    started: bool,
+    progress: Option<BTreeMap<JobId, Results>>,
+    index: Option<Vec<(u32, ShardRecord, u64)>>,
+    progress_so_far: BTreeMap<JobId, Results>,
+    index_so_far: Vec<(u32, ShardRecord, u64)>,
+    retry: Duration,
+    in_flight: u32,
+    /// It was not read at the first try.
+    again: bool,
+}
+
+/// The first try of a failover is given up after this time: what it reads changes nothing,
+/// and an answer that was lost must not hold everything up. Later ones take the usual time.
+const FIRST_ATTEMPT: Duration = Duration::from_millis(500);
+
+impl FailoverLoader {
+    /// Takes a shard of the assignment index in; none where it can't be read.
+    fn add_shard(&mut self, entry: &Entry) -> Option<()> {
+        let shard = entry.key.strip_prefix(ASSIGNMENTS)?.parse().ok()?;
+        let record = ShardRecord::parse(entry.value.get())?;
+        self.index_so_far.push((shard, record, entry.version));
+        Some(())
+    }
+
+    /// The same for done tasks of an array.
+    fn add_progress(&mut self, entry: &Entry) -> Option<()> {
+        let (id, chunk) = entry.key.strip_prefix(PROGRESS)?.split_once('/')?;
+        let (id, chunk) = (JobId::parse(id)?, chunk.parse().ok()?);
+        let text: String = serde_json::from_str(entry.value.get()).ok()?;
+        let results = self.progress_so_far.entry(id).or_default();
+        results.read(chunk, entry.version, &text).then_some(())
+    }
+}
+
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum FailoverRead {
+    Progress { claim: u64 },
+    AssignmentIndex { claim: u64 },
+}
+
+impl FailoverRead {
+    fn claim(self) -> u64 {
+        match self {
+            FailoverRead::Progress { claim } | FailoverRead::AssignmentIndex { claim } => claim,
+        }
+    }
+}
+
+impl Node {
+    /// Holds a claim and is inside its term. A claim whose term ran out while
+    /// the state service was away stands again with the next good renewal and proof,
+    /// since the lease then never ended.
+    pub(super) fn is_leader(&self) -> bool {
+        self.election.claim.is_some() && self.now() < self.election.valid_until
+    }
+
+    pub(super) fn claim(&self) -> Option<u64> {
+        self.election.claim
+    }
+
+    pub(super) fn drive_election(&mut self) {
+        let now = self.now();
+        if !self.cache.loaded {
+            return;
+        }
+        if let Some(lease) = self.election.lease
+            && !self.election.renewing
+            && now >= self.election.next_renewal
+        {
+            self.election.renewing = true;
+            self.election.next_renewal = now + self.config.renew_every;
+            self.call(Purpose::Renew { sent: now }, StateRequest::Renew { lease });
+        }
+        if self.election.claim.is_some() {
+            self.drive_failover();
+            self.store_settled_claim();
+            return;
+        }
+        self.drive_key_removal();
+        let patience = self.config.leader_ttl;
+        if self.election.claiming
+            || now < self.election.retry
+            || !self.membership.may_campaign(now, patience)
+            || !self.may_claim()
+        {
+            return;
+        }
+        let Some(prior) = self.previous() else { return };
+        let version = self.cache.leader.as_ref().map_or(0, |(_, v)| *v);
+        self.election.claiming = true;
+        match self.election.lease {
+            None => self.call(
+                Purpose::Grant,
+                StateRequest::Grant {
+                    ttl: self.config.leader_ttl,
+                },
+            ),
+            Some(lease) => {
+                // By the time of the answer the key may be this claim's already.
+                self.election.requested |= prior != PreviousLeader::SameNode;
+                let record = LeaderRecord {
+                    node: self.config.node.clone(),
+                    superseded: prior == PreviousLeader::Superseded,
+                };
+                self.call(
+                    Purpose::Claim {
+                        lease,
+                        sent: now,
+                        prior,
+                    },
+                    StateRequest::Txn {
+                        // A process that does not know how the records are written
+                        // now can't claim, nor one that does not know whom it may not
+                        // answer.
+                        conditions: vec![
+                            when(LEADER, version),
+                            when(CLAIMS, self.cache.claims),
+                            when(GENERATION, self.cache.cluster.1),
+                            when(PARTITIONED, self.cache.partitioned_zones.1),
+                        ],
+                        changes: vec![
+                            put_leased(LEADER, &record, Some(lease)),
+                            put(CLAIMS, &self.config.node),
+                        ],
+                    },
+                );
+            }
+        }
+    }
+
+    /// Whether this node may claim the leadership now, and what it takes the place of.
+    fn previous(&self) -> Option<PreviousLeader> {
+        let Some((record, version)) = &self.cache.leader else {
+            // A key that stood for less than a term may have taken the place of
+            // one that still acts, and one that was never seen may have, too.
+            let ended = self.election.observed.as_ref().is_some_and(|observed| {
+                !observed.superseded
+                    || self.cache.settled == observed.version
+                    || self.now() > observed.since + self.config.leader_ttl
+            });
+            return Some(match ended {
+                true => PreviousLeader::LeaseExpired,
+                false => PreviousLeader::Superseded,
+            });
+        };
+        if record.node == self.config.node {
+            // A process that ended never acts again: its successor on the same
+            // node need not wait for the end of its lease. One that itself took
+            // another's place may have ended before that one's term.
+            return Some(match (self.cache.unsettled(), self.election.requested) {
+                (true, _) => PreviousLeader::Superseded,
+                (false, false) => PreviousLeader::SameNode,
+                (false, true) => PreviousLeader::LeaseExpired,
+            });
+        }
+        if self.election.resigned == Some(*version) {
+            return Some(PreviousLeader::Resigned);
+        }
+        self.leader_to_supersede()
+    }
+
+    /// The leader has made way for this node.
+    pub(super) fn resigned(&mut self, claim: u64) {
+        self.election.resigned = Some(claim);
+        self.election.retry = self.now();
+    }
+
+    /// Whoever led before has stopped acting.
+    pub(super) fn has_previous_leader_stopped(&self) -> bool {
+        self.now() >= self.election.previous_stopped_at
+    }
+
+    pub(super) fn granted(&mut self, reply: StateReply) {
+        self.election.claiming = false;
+        match reply {
+            StateReply::Granted { lease } => {
+                self.election.lease = Some(lease);
+                // The claim follows at once; a renewal fixes the start of the term.
+                self.election.next_renewal = self.now();
+            }
+            _ => self.election.retry = self.now() + BACK_OFF,
+        }
+    }
+
+    pub(super) fn renewed(&mut self, sent: Duration, reply: StateReply) {
+        self.election.renewing = false;
+        match reply {
+            StateReply::Renewed => {
+                self.election.renewed = self.election.renewed.max(sent);
+                // The lease outlives a claim that another node has replaced, so
+                // the term grows only once the claim was seen to stand as well.
+                self.verify_claim();
+            }
+            StateReply::LeaseGone => {
+                self.election.lease = None;
+                self.election.valid_until = Duration::ZERO;
+                self.drop_leadership("its lease is gone");
+            }
+            _ => self.election.next_renewal = self.now() + BACK_OFF,
+        }
+    }
+
+    /// Asks whether the claim stands, and for all that was stored until now: a watch that
+    /// does not wait tells both. Were the claim alone compared, a leader whose own watch is
+    /// refused, lost or slow would go on without the cancellations that others confirm.
+    fn verify_claim(&mut self) {
+        let Some(claim) = self.claim() else { return };
+        let (asked, renewed) = (self.now(), self.election.renewed);
+        self.election.proof_asked = asked;
+        self.call_within(
+            self.failover_timeout(),
+            Purpose::Verify {
+                claim,
+                renewed,
+                asked,
+            },
+            self.watch(Duration::ZERO),
+        );
+    }
+
+    /// What rests on the claim must not wait for the next renewal.
+    pub(super) fn expedite_proof(&mut self) {
+        if self.now() > self.election.proof_asked + BACK_OFF {
+            self.verify_claim();
+        }
+    }
+
+    pub(super) fn proven(&self) -> Duration {
+        self.election.proven
+    }
+
+    /// The claim stood after `asked`, and whatever was stored before is in the cache. So
+    /// whoever acts knows each cancellation that was confirmed more than a term ago.
+    pub(super) fn verified(
+        &mut self,
+        claim: u64,
+        renewed: Duration,
+        asked: Duration,
+        reply: StateReply,
+    ) {
+        let copied = self.take_events(reply);
+        let standing = self.cache.leader.as_ref().map(|(_, version)| *version);
+        // A claim that has gone was dropped with the events.
+        if copied && self.election.claim == Some(claim) && standing == Some(claim) {
+            self.election.proven = self.election.proven.max(asked);
+            let until = renewed + self.config.leader_term;
+            self.election.valid_until = self.election.valid_until.max(until);
+        }
+    }
+
+    pub(super) fn claimed(
+        &mut self,
+        lease: u64,
+        sent: Duration,
+        prior: PreviousLeader,
+        reply: StateReply,
+    ) {
+        self.election.claiming = false;
+        let now = self.now();
+        match reply {
+            StateReply::Committed { revision } if self.election.lease == Some(lease) => {
+                info!(claim = revision, after = ?(now - sent), ?prior, "became leader");
+                self.election.claim = Some(revision);
+                // What was confirmed until now may be missing in the cache yet.
+                self.election.valid_until = Duration::ZERO;
+                self.election.proven = sent;
+                self.election.previous_stopped_at = match prior {
+                    PreviousLeader::SameNode => Duration::ZERO,
+                    PreviousLeader::LeaseExpired | PreviousLeader::Resigned => now,
+                    PreviousLeader::Superseded => now + self.config.leader_ttl,
+                };
+                self.election.requested = true;
+                self.election.loader = Some(FailoverLoader::default());
+                self.election.key_removal = None;
+                self.membership.begin_leading(now);
+                self.verify_claim();
+            }
+            StateReply::LeaseGone => {
+                self.election.lease = None;
+                self.election.retry = now;
+            }
+            // Unclear: the watch shows whether the claim stands; if it does, it
+            // is taken again as one of this node's own.
+            _ => self.election.retry = now + BACK_OFF,
+        }
+    }
+
+    /// The leader key has changed.
+    pub(super) fn leader_changed(&mut self) {
+        self.observe_leader();
+        let standing = self.cache.leader.as_ref().map(|(_, version)| *version);
+        if let Some(claim) = self.election.claim
+            && self.cache.cursor >= claim
+            && standing != Some(claim)
+        {
+            self.drop_leadership("its claim is gone");
+        }
+        if standing.is_none() {
+            self.election.retry = self.now();
+        }
+    }
+
+    pub(super) fn observe_leader(&mut self) {
+        if let Some((record, version)) = &self.cache.leader
+            && self
+                .election
+                .observed
+                .as_ref()
+                .is_none_or(|s| s.version != *version)
+        {
+            self.election.observed = Some(ObservedLeader {
+                version: *version,
+                since: self.now(),
+                superseded: record.superseded,
+            });
+            self.forward_handover();
+        }
+    }
+
+    pub(super) fn drop_leadership(&mut self, why: &str) {
+        if self.election.claim.take().is_some() {
+            info!(why, "no longer leads");
+        }
+        self.cluster = None;
+        self.election.loader = None;
+        self.write_queue.reset();
+        self.ranges.reset();
+    }
+
+    /// Whoever led before this claim has stopped: once that is stored, a successor
+    /// of this process need not wait for it any more.
+    fn store_settled_claim(&mut self) {
+        let now = self.now();
+        if !self.cache.unsettled()
+            || !self.is_leader()
+            || !self.has_previous_leader_stopped()
+            || self.election.storing_settled
+            || now < self.election.settled_at + BACK_OFF
+        {
+            return;
+        }
+        let Some(claim) = self.claim() else { return };
+        self.election.storing_settled = true;
+        self.call(
+            Purpose::StoreSettledClaim,
+            StateRequest::Txn {
+                conditions: vec![when(LEADER, claim)],
+                changes: vec![put(SETTLED, &claim)],
+            },
+        );
+    }
+
+    pub(super) fn settled_claim_stored(&mut self) {
+        self.election.storing_settled = false;
+        self.election.settled_at = self.now() + BACK_OFF;
+    }
+
+    /// Removes the key of a claim that this node has given up, after it stopped acting:
+    /// the next leader need not wait for the end of the lease then. If it can't be
+    /// removed, the lease, which is not renewed any more, ends by itself.
+    pub(super) fn remove_leader_key(&mut self, claim: u64, wait: Duration) {
+        self.election.lease = None;
+        self.election.valid_until = Duration::ZERO;
+        self.election.key_removal = Some(KeyRemoval {
+            claim,
+            since: self.now(),
+            asking: false,
+            retry: self.now() + wait,
+        });
+        self.drive_key_removal();
+    }
+
+    fn drive_key_removal(&mut self) {
+        let now = self.now();
+        let ttl = self.config.leader_ttl;
+        let over = |v: &mut KeyRemoval| now > v.since + ttl;
+        if self.election.key_removal.take_if(over).is_some() {
+            return;
+        }
+        let Some(key_removal) = &mut self.election.key_removal else {
+            return;
+        };
+        if key_removal.asking || now < key_removal.retry {
+            return;
+        }
+        key_removal.asking = true;
+        let claim = key_removal.claim;
+        self.call(
+            Purpose::RemoveLeaderKey { claim },
+            StateRequest::Txn {
+                conditions: vec![when(LEADER, claim)],
+                changes: vec![delete(LEADER)],
+            },
+        );
+    }
+
+    pub(super) fn leader_key_removed(&mut self, claim: u64, reply: &StateReply) {
+        let retry = self.now() + BACK_OFF;
+        match reply {
+            StateReply::Committed { .. } | StateReply::Conflict => {
+                self.election.key_removal.take_if(|v| v.claim == claim);
+            }
+            _ => {
+                if let Some(key_removal) = &mut self.election.key_removal {
+                    key_removal.asking = false;
+                    key_removal.retry = retry;
+                }
+            }
+        }
+    }
+
+    fn drive_failover(&mut self) {
+        let now = self.now();
+        let acts = self.is_leader();
+        if self.election.loader.is_some() && !acts {
+            self.expedite_proof();
+        }
+        let (Some(loader), Some(claim)) = (&mut self.election.loader, self.election.claim) else {
+            return;
+        };
+        if now < self.election.renewed + self.config.leader_term
+            && !loader.started
+            && loader.in_flight == 0
+            && now >= loader.retry
+        {
+            loader.started = true;
+            loader.progress_so_far.clear();
+            loader.index_so_far.clear();
+            loader.in_flight = 2;
+            self.read_failover_page(FailoverRead::Progress { claim }, None);
+            self.read_failover_page(FailoverRead::AssignmentIndex { claim }, None);
+            return;
+        }
+        // The cache must hold what came until the claim, too.
+        if loader.in_flight > 0 || !acts || loader.progress.is_none() || loader.index.is_none() {
+            return;
+        }
+        let Some(types) = self.cache.types.clone() else {
+            return;
+        };
+        let loader = self.election.loader.take().expect("just seen");
+        let found = StoredClusterState {
+            jobs: &self.cache.jobs,
+            progress: loader.progress.unwrap_or_default(),
+            assignment_index: loader.index.unwrap_or_default(),
+            resolve_by: self.election.previous_stopped_at + self.config.worker_lease_bound,
+            zone_lease_ends: self.zone_lease_ends(),
+        };
+        let mut cluster = ClusterState::new(self.config.clone(), claim, types, found, now);
+        cluster.apply_handover(std::mem::take(&mut self.handover), now);
+        self.cluster = Some(cluster);
+    }
+
+    fn failover_timeout(&self) -> Duration {
+        match &self.election.loader {
+            Some(loader) if !loader.again => FIRST_ATTEMPT,
+            _ => STATE_TIMEOUT,
+        }
+    }
+
+    fn read_failover_page(&mut self, loading: FailoverRead, after: Option<String>) {
+        let prefix = match loading {
+            FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS,
+            _ => PROGRESS,
+        };
+        self.call_within(
+            self.failover_timeout(),
+            Purpose::Failover(loading),
+            StateRequest::List {
+                prefix: prefix.into(),
+                after,
+            },
+        );
+    }
+
+    pub(super) fn failover_reply(&mut self, loading: FailoverRead, reply: StateReply) {
+        let now = self.now();
+        if self.election.claim != Some(loading.claim()) {
+            return;
+        }
+        let Some(loader) = &mut self.election.loader else {
+            return;
+        };
+        let StateReply::Entries { entries, more, .. } = reply else {
+            let lost = !loader.again && matches!(reply, StateReply::Unclear);
+            loader.in_flight -= 1;
+            loader.started = false;
+            loader.again = true;
+            loader.retry = if lost { now } else { now + BACK_OFF };
+            return;
+        };
+        let last = entries.last().map(|e| e.key.clone());
+        let mut unreadable = entries.iter().filter(|entry| {
+            let read = match loading {
+                FailoverRead::AssignmentIndex { .. } => loader.add_shard(entry),
+                _ => loader.add_progress(entry),
+            };
+            read.is_none()
+        });
+        if let Some(entry) = unreadable.next() {
+            let key = entry.key.clone();
+            self.abort_failover(&key);
+            return;
+        }
+        if let (true, Some(_)) = (more, &last) {
+            self.read_failover_page(loading, last);
+            return;
+        }
+        loader.in_flight -= 1;
+        match loading {
+            FailoverRead::AssignmentIndex { .. } => {
+                loader.index = Some(std::mem::take(&mut loader.index_so_far));
+            }
+            _ => loader.progress = Some(std::mem::take(&mut loader.progress_so_far)),
+        }
+    }
+}
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -9,9 +9,9 @@
 use tracing::{debug, info};
 
 use super::{
+    cluster::{ClusterState, Job},
     job::{JobId, Kind, TaskId},
-    leader::{Job, Leader},
-    machine::{MachineId, Phase, Placement, Stop, TaskPhase, Why},
+    machine::{ExitReason, MachineId, Phase, Placement, Stop, TaskPhase},
 };
 
 /// A job that failed on so many machines, and nowhere else was done, is at fault.
@@ -19,7 +19,7 @@
 /// Machines that are remembered of one job.
 const MACHINES_MOST: usize = 16;
 /// Failures further apart than this have nothing to do with one another.
-const APART: Duration = Duration::from_secs(60);
+const UNRELATED_AFTER: Duration = Duration::from_secs(60);
 /// A job at fault is tried again after twice as long each time, up to this power of
 /// two in seconds.
 const WAIT_MOST: u32 = 6;
@@ -31,7 +31,7 @@
     pub fn faulty(&self) -> bool {
         let serves = self.spec.kind == Kind::Service && self.running > 0;
         let works = serves || self.done_count > 0;
-        !works && (self.told_faulty || self.failed_on.len() >= MACHINES)
+        !works && (self.inherited_faulty || self.failed_on.len() >= MACHINES)
     }
 
     /// Of a job that fails everywhere one task at a time is tried.
@@ -40,22 +40,22 @@
     }
 }
 
-impl Leader {
+impl ClusterState {
     /// A task ended without being done.
     pub(super) fn failed(
         &mut self,
         id: &MachineId,
         task: &TaskId,
-        why: Option<Why>,
+        why: Option<ExitReason>,
         now: Duration,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if why == Some(Why::Error) {
+        if why == Some(ExitReason::Error) {
             job.failures += 1;
             // Failures far apart, as of replicas that run for long, say nothing of it.
-            if !job.faulty() && now > job.failed_at + APART {
+            if !job.faulty() && now > job.failed_at + UNRELATED_AFTER {
                 job.failed_on.clear();
             }
             job.failed_at = now;
@@ -85,14 +85,14 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if matches!(why, Some(Why::Unknown | Why::Busy)) {
+        if matches!(why, Some(ExitReason::Unknown | ExitReason::Busy)) {
             job.retry_at = now + self.config.report * 2;
         }
         if job.spec.kind == Kind::Gang {
             let id = task.job.clone();
             debug!(job = %id, ?why, "gang broken");
             match why {
-                Some(Why::Incomplete) => self.gather_again(&id, now),
+                Some(ExitReason::Incomplete) => self.gather_again(&id, now),
                 _ => self.break_gang(&id, Duration::ZERO, now),
             }
         }
--- a/src/core/hints.rs
+++ b/src/core/handover.rs
@@ -17,14 +17,14 @@
 
 use super::{
     Node, Output,
+    cluster::ClusterState,
+    heartbeat_forwarding::PeerMessage,
     job::JobId,
-    leader::Leader,
     machine::{Machine, MachineId, MachineKind},
-    relay::PeerMessage,
 };
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Hints {
+pub struct HandoverSnapshot {
     /// Each image is named once, and machines refer to it by number.
     images: Vec<Arc<str>>,
     machines: BTreeMap<MachineId, Vec<usize>>,
@@ -39,45 +39,48 @@
 }
 
 /// How often the leader tells them.
-const TELL_EVERY: Duration = Duration::from_secs(5);
+const SEND_EVERY: Duration = Duration::from_secs(5);
 /// Machines, and jobs, that are told of.
-const TOLD_MOST: usize = 8000;
+const ENTRIES_MOST: usize = 8000;
 
-impl Hints {
-    fn of(leader: &Leader, now: Duration) -> Self {
-        let faulty = leader.jobs.iter().filter(|(_, job)| job.faulty());
-        let mut hints = Self {
-            faulty: faulty.map(|(id, _)| id.clone()).take(TOLD_MOST).collect(),
-            refused: leader.fleet.refusals(now),
+impl HandoverSnapshot {
+    fn of(cluster: &ClusterState, now: Duration) -> Self {
+        let faulty = cluster.jobs.iter().filter(|(_, job)| job.faulty());
+        let mut handover = Self {
+            faulty: faulty
+                .map(|(id, _)| id.clone())
+                .take(ENTRIES_MOST)
+                .collect(),
+            refused: cluster.provisioning.refusals(now),
             ..Self::default()
         };
-        let up = leader.machines.values().filter(|m| m.fenced);
+        let up = cluster.machines.values().filter(|m| m.fenced);
         let workers = up.filter_map(|m| Some((m.id.clone(), (m.addr?, m.session))));
-        hints.workers = workers.take(TOLD_MOST).collect();
+        handover.workers = workers.take(ENTRIES_MOST).collect();
         let mut numbers: HashMap<Arc<str>, usize> = HashMap::new();
-        let machines = leader.machines.values().filter(|m| !m.images.is_empty());
-        for machine in machines.take(TOLD_MOST) {
+        let machines = cluster.machines.values().filter(|m| !m.images.is_empty());
+        for machine in machines.take(ENTRIES_MOST) {
             let number = |image: &Arc<str>| {
                 *numbers.entry(image.clone()).or_insert_with(|| {
-                    hints.images.push(image.clone());
-                    hints.images.len() - 1
+                    handover.images.push(image.clone());
+                    handover.images.len() - 1
                 })
             };
             let images = machine.images.keys().map(number).collect();
-            hints.machines.insert(machine.id.clone(), images);
+            handover.machines.insert(machine.id.clone(), images);
         }
-        hints
+        handover
     }
 
     /// What was told of one machine, given away to it.
-    fn give(&mut self, machine: &mut Machine) {
+    fn restore(&mut self, machine: &mut Machine) {
         let numbers = self.machines.remove(&machine.id).unwrap_or_default();
         let images = numbers.into_iter().filter_map(|n| self.images.get(n));
         for image in images {
             machine.images.entry(image.clone()).or_default();
         }
         if let Some(worker) = self.workers.remove(&machine.id) {
-            machine.told = Some(worker);
+            machine.last_known_worker = Some(worker);
         }
     }
 
@@ -91,62 +94,63 @@
 
 impl Node {
     /// The leader tells the others, again and again.
-    pub(super) fn pump_hints(&mut self) {
+    pub(super) fn drive_handover(&mut self) {
         let now = self.now();
-        if now < self.next_hints || !self.leads() {
+        if now < self.next_handover || !self.is_leader() {
             return;
         }
-        self.next_hints = now + TELL_EVERY;
-        let Some(leader) = &self.leader else { return };
-        let hints = Hints::of(leader, now);
+        self.next_handover = now + SEND_EVERY;
+        let Some(cluster) = &self.cluster else { return };
+        let handover = HandoverSnapshot::of(cluster, now);
         for to in self.config.peers.clone() {
             self.out.push(Output::Peer {
                 to,
-                message: PeerMessage::Hints(hints.clone()),
+                message: PeerMessage::Handover(handover.clone()),
             });
         }
     }
 
     /// What the leader told, or to a new one what the one before did.
-    pub(super) fn hints_told(&mut self, hints: Hints) {
-        match &mut self.leader {
-            Some(leader) => leader.recall(hints, self.clock.now),
-            None => self.hints = hints,
+    pub(super) fn handover_received(&mut self, handover: HandoverSnapshot) {
+        match &mut self.cluster {
+            Some(cluster) => cluster.apply_handover(handover, self.clock.now),
+            None => self.handover = handover,
         }
     }
 
     /// Another node leads now: a process that has just started knows nothing.
-    pub(super) fn pass_hints_on(&mut self) {
-        if let Some((record, _)) = &self.mirror.leader
+    pub(super) fn forward_handover(&mut self) {
+        if let Some((record, _)) = &self.cache.leader
             && record.node != self.config.node
-            && !self.hints.is_empty()
+            && !self.handover.is_empty()
         {
             self.out.push(Output::Peer {
                 to: record.node.clone(),
-                message: PeerMessage::Hints(self.hints.clone()),
+                message: PeerMessage::Handover(self.handover.clone()),
             });
         }
     }
 }
 
-impl Leader {
+impl ClusterState {
     /// Takes what was told of jobs and machines that it knows, and keeps the rest
     /// for machines that are yet to report.
-    pub fn recall(&mut self, mut hints: Hints, now: Duration) {
-        self.fleet.recall(std::mem::take(&mut hints.refused), now);
-        for id in std::mem::take(&mut hints.faulty) {
+    pub fn apply_handover(&mut self, mut handover: HandoverSnapshot, now: Duration) {
+        self.provisioning
+            .restore_refusals(std::mem::take(&mut handover.refused), now);
+        for id in std::mem::take(&mut handover.faulty) {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.told_faulty = true;
+                job.inherited_faulty = true;
             }
         }
         for machine in self.machines.values_mut() {
-            hints.give(machine);
+            handover.restore(machine);
         }
-        self.told = hints;
+        self.pending_handover = handover;
     }
 
     /// A machine that is new to this leader.
-    pub(super) fn recall_one(&mut self, machine: &mut Machine) {
-        self.told.give(machine);
+    pub(super) fn restore_machine(&mut self, machine: &mut Machine) {
+        self.pending_handover.restore(machine);
     }
 }
--- a/src/core/relay.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -10,12 +10,12 @@
 
 use super::{
     Answer, Node, Output, RequestId,
-    hints::Hints,
+    handover::HandoverSnapshot,
+    heartbeat::WORKER_RETURNS,
     job::JobId,
+    licences::LicenceView,
     machine::{MachineId, WorkerReport},
-    members::{nodes::Pulse, sight::Way},
-    pulse::WORKER_RETURNS,
-    seats::LicenceView,
+    membership::{nodes::NodeHeartbeat, reachability::HeartbeatPath},
 };
 
 /// One line between two nodes.
@@ -23,26 +23,18 @@
 #[serde(rename_all = "snake_case")]
 pub enum PeerMessage {
     /// A worker's report, for the leader.
-    Report {
-        relay: u64,
-        report: WorkerReport,
-    },
+    Report { relay: u64, report: WorkerReport },
     /// The leader's answer; none where it does not lead.
-    Reported {
-        relay: u64,
-        answer: Option<Answer>,
-    },
-    Pulse(Pulse),
+    Reported { relay: u64, answer: Option<Answer> },
+    #[serde(rename = "pulse")]
+    Heartbeat(NodeHeartbeat),
     /// The leader is asked to make way.
-    Resign {
-        claim: u64,
-    },
+    Resign { claim: u64 },
     /// It has, and does not act any more.
-    Resigned {
-        claim: u64,
-    },
+    Resigned { claim: u64 },
     /// What the next leader should not have to learn again.
-    Hints(Hints),
+    #[serde(rename = "hints")]
+    Handover(HandoverSnapshot),
     /// Done and running tasks of active jobs, and how licences stand.
     Digest {
         jobs: Vec<(JobId, u32, u32)>,
@@ -67,7 +59,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Relays {
+pub struct ForwardedHeartbeats {
     /// The last number that was given. An answer to the process before this one may come
     /// here yet: it must not be taken for one to another worker's report, so each process
     /// begins elsewhere.
@@ -89,7 +81,7 @@
     next_cleanup: Duration,
 }
 
-impl Relays {
+impl ForwardedHeartbeats {
     pub fn new(incarnation: u32) -> Self {
         Self {
             next: u64::from(incarnation) << 32,
@@ -111,28 +103,30 @@
 
 impl Node {
     pub(super) fn report(&mut self, request: RequestId, report: WorkerReport) {
-        if self.leads() {
-            self.machine_heard(&report.machine, &report.zone, Way::Report);
-            let Some(report) = self.wait_for_zone(request, report) else {
+        if self.is_leader() {
+            self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
+            let Some(report) = self.defer_report(request, report) else {
                 return;
             };
-            let answer = self.lead_report(&report);
+            let answer = self.answer_as_leader(&report);
             self.answer(request, answer.unwrap_or(Answer::Redirect(None)));
             return;
         }
         let Some((node, claim)) = self.other_leader() else {
-            self.machine_heard(&report.machine, &report.zone, Way::Report);
+            self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
             self.hold(request, report);
             return;
         };
         let now = self.now();
-        let lost_way = self.lost_way(&report, claim);
-        if lost_way {
-            self.members.nodes.strands(&report.machine, now);
-            self.machine_heard(&report.machine, &report.zone, Way::Report);
+        let is_cut_from_leader = self.is_cut_from_leader(&report, claim);
+        if is_cut_from_leader {
+            self.membership
+                .nodes
+                .record_stranded_worker(&report.machine, now);
+            self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
         }
-        if lost_way && !self.hears_leader() {
-            match self.leader_writes() {
+        if is_cut_from_leader && !self.hears_leader() {
+            match self.leader_stores_heartbeats() {
                 // Nobody can pass it on, and the leader goes on without: the worker tries
                 // the ways that it has.
                 true => self.answer(request, Answer::Redirect(None)),
@@ -140,23 +134,23 @@
             }
             return;
         }
-        if lost_way && self.relays_full(&report.machine) {
+        if is_cut_from_leader && self.is_forwarding_full(&report.machine) {
             self.answer(request, Answer::Redirect(None));
             return;
         }
-        if !lost_way {
-            self.relays.tried.insert(report.machine.clone(), now);
+        if !is_cut_from_leader {
+            self.forwarded.tried.insert(report.machine.clone(), now);
             self.answer(request, Answer::Redirect(Some(node)));
             return;
         }
-        self.relays.next += 1;
-        let relay = self.relays.next;
+        self.forwarded.next += 1;
+        let relay = self.forwarded.next;
         let waiting = Waiting {
             request,
             machine: report.machine.clone(),
             until: now + Duration::from_secs(1),
         };
-        self.relays.waiting.insert(relay, waiting);
+        self.forwarded.waiting.insert(relay, waiting);
         self.out.push(Output::Peer {
             to: node,
             message: PeerMessage::Report { relay, report },
@@ -172,21 +166,21 @@
     /// token and not where it is. A relayed worker stays where it is answered, so now
     /// and then it is sent to the leader again: else it would depend on two nodes and
     /// the way between them for ever.
-    fn lost_way(&mut self, report: &WorkerReport, claim: u64) -> bool {
+    fn is_cut_from_leader(&mut self, report: &WorkerReport, claim: u64) -> bool {
         let now = self.now();
         let knows = report.token >> 16 == claim;
-        if !self.hears_leader() && self.leader_writes() {
+        if !self.hears_leader() && self.leader_stores_heartbeats() {
             // Nothing is relayed: it is sent to the leader, unless it comes from there.
-            let tried = self.relays.tried.get(&report.machine);
+            let tried = self.forwarded.tried.get(&report.machine);
             return tried.is_some_and(|at| now < *at + WORKER_RETURNS);
         }
         if knows && !self.hears_leader() {
             return true;
         }
-        match self.relays.tried.get(&report.machine) {
+        match self.forwarded.tried.get(&report.machine) {
             Some(at) => now < *at + self.config.worker_lease_bound * 2,
-            None if knows && self.turned(claim) => {
-                self.relays.tried.insert(report.machine.clone(), now);
+            None if knows && self.workers_have_moved(claim) => {
+                self.forwarded.tried.insert(report.machine.clone(), now);
                 true
             }
             None => false,
@@ -195,15 +189,15 @@
 
     /// No more reports are relayed, but for those of workers whose lease is half over:
     /// the whole fleet may come at once, and those can't wait.
-    fn relays_full(&self, machine: &MachineId) -> bool {
+    fn is_forwarding_full(&self, machine: &MachineId) -> bool {
         let half = self.config.worker_lease_bound / 2;
-        let answered = self.relays.answered.get(machine);
+        let answered = self.forwarded.answered.get(machine);
         let urgent = answered.is_none_or(|at| self.now() > *at + half);
         let most = match urgent {
             true => self.config.requests_most * 2,
             false => self.config.requests_most,
         };
-        self.relays.waiting.len() >= most
+        self.forwarded.waiting.len() >= most
     }
 
     /// How licences stand: proven where this node leads, else as the leader told.
@@ -212,10 +206,10 @@
             self.answer(request, Answer::Licences(Vec::new(), None));
             return;
         }
-        let told = &self.relays.licences;
+        let told = &self.forwarded.licences;
         let age = self.now().saturating_sub(told.1);
-        let answer = match (&self.leader, self.leads()) {
-            (Some(leader), true) => Answer::Licences(leader.licence_view(), None),
+        let answer = match (&self.cluster, self.is_leader()) {
+            (Some(cluster), true) => Answer::Licences(cluster.licence_view(), None),
             _ if told.0.is_empty() => Answer::Later {
                 retry: DIGEST_EVERY,
             },
@@ -236,14 +230,14 @@
     fn hold(&mut self, request: RequestId, report: WorkerReport) {
         let now = self.now();
         let tasks = report.tasks.len();
-        let full = self.relays.held.len() >= self.config.requests_most
-            || self.relays.held_tasks + tasks > self.config.waiting_tasks_most;
-        match self.hearer() {
+        let full = self.forwarded.held.len() >= self.config.requests_most
+            || self.forwarded.held_tasks + tasks > self.config.waiting_tasks_most;
+        match self.peer_hearing_leader() {
             Some(node) => self.answer(request, Answer::Redirect(Some(node))),
             None if full => self.answer(request, Answer::Redirect(None)),
             None => {
-                self.relays.held_tasks += tasks;
-                self.relays.held.push_back(Held {
+                self.forwarded.held_tasks += tasks;
+                self.forwarded.held.push_back(Held {
                     request,
                     report,
                     until: now + HELD_FOR,
@@ -253,14 +247,15 @@
     }
 
     /// Answers the held reports once a leader is heard, or their time is up.
-    fn pump_held(&mut self) {
+    fn drive_held(&mut self) {
         let now = self.now();
-        let Some(first) = self.relays.held.front() else {
+        let Some(first) = self.forwarded.held.front() else {
             return;
         };
         let over = now >= first.until;
-        let heard = (self.hears_leader() || self.leader_writes()) && self.other_leader().is_some();
-        let on = heard || self.leads() || self.hearer().is_some();
+        let heard = (self.hears_leader() || self.leader_stores_heartbeats())
+            && self.other_leader().is_some();
+        let on = heard || self.is_leader() || self.peer_hearing_leader().is_some();
         if !on && !over {
             return;
         }
@@ -270,7 +265,7 @@
             } else {
                 // Not to the next node of its list: that may be the one that is gone,
                 // and would cost it most of its lease.
-                let answer = Answer::Redirect(self.other_alive());
+                let answer = Answer::Redirect(self.alive_peer());
                 self.answer(held.request, answer);
             }
         }
@@ -279,7 +274,7 @@
     /// Takes out all held reports, or those whose time is up.
     fn take_held(&mut self, all: bool) -> Vec<Held> {
         let now = self.now();
-        let relays = &mut self.relays;
+        let relays = &mut self.forwarded;
         let due = match all {
             true => relays.held.len(),
             false => relays.held.partition_point(|held| now >= held.until),
@@ -293,33 +288,33 @@
     pub(super) fn peer_message(&mut self, from: String, message: PeerMessage) {
         match message {
             PeerMessage::Report { relay, report } => {
-                self.machine_heard(&report.machine, &report.zone, Way::Relay);
-                let Some(report) = self.relay_waits_for_zone(&from, relay, report) else {
+                self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Forwarded);
+                let Some(report) = self.defer_forwarded_report(&from, relay, report) else {
                     return;
                 };
-                let answer = self.lead_report(&report);
+                let answer = self.answer_as_leader(&report);
                 self.out.push(Output::Peer {
                     to: from,
                     message: PeerMessage::Reported { relay, answer },
                 });
             }
             PeerMessage::Reported { relay, answer } => {
-                if let Some(waiting) = self.relays.waiting.remove(&relay) {
+                if let Some(waiting) = self.forwarded.waiting.remove(&relay) {
                     if matches!(answer, Some(Answer::Commands { .. })) {
                         let now = self.now();
-                        self.relays.answered.insert(waiting.machine, now);
+                        self.forwarded.answered.insert(waiting.machine, now);
                     }
                     let answer = answer.unwrap_or(Answer::Redirect(None));
                     self.answer(waiting.request, answer);
                 }
             }
-            PeerMessage::Pulse(pulse) => self.pulse(from, pulse),
+            PeerMessage::Heartbeat(heartbeat) => self.heartbeat(from, heartbeat),
             PeerMessage::Resign { claim } => self.resign(from, claim),
             PeerMessage::Resigned { claim } => self.resigned(claim),
-            PeerMessage::Hints(hints) => self.hints_told(hints),
+            PeerMessage::Handover(handover) => self.handover_received(handover),
             PeerMessage::Digest { jobs, licences } => {
-                self.relays.licences = (licences, self.now());
-                self.relays.digest = jobs
+                self.forwarded.licences = (licences, self.now());
+                self.forwarded.digest = jobs
                     .into_iter()
                     .map(|(id, done, running)| (id, (done, running)))
                     .collect();
@@ -327,10 +322,10 @@
         }
     }
 
-    pub(super) fn pump_relays(&mut self) {
-        self.pump_held();
+    pub(super) fn drive_forwarding(&mut self) {
+        self.drive_held();
         let now = self.now();
-        while let Some(entry) = self.relays.waiting.first_entry() {
+        while let Some(entry) = self.forwarded.waiting.first_entry() {
             if now < entry.get().until {
                 break;
             }
@@ -339,23 +334,23 @@
             self.answer(waiting.request, Answer::Redirect(None));
         }
         let keep = self.config.worker_lease_bound * 4;
-        if now >= self.relays.next_cleanup {
-            self.relays.next_cleanup = now + CLEANUP_EVERY;
-            self.relays.tried.retain(|_, at| now < *at + keep);
-            self.relays.answered.retain(|_, at| now < *at + keep);
+        if now >= self.forwarded.next_cleanup {
+            self.forwarded.next_cleanup = now + CLEANUP_EVERY;
+            self.forwarded.tried.retain(|_, at| now < *at + keep);
+            self.forwarded.answered.retain(|_, at| now < *at + keep);
         }
-        if now < self.relays.next_digest || !self.leads() {
+        if now < self.forwarded.next_digest || !self.is_leader() {
             return;
         }
-        self.relays.next_digest = now + DIGEST_EVERY;
-        let Some(leader) = &self.leader else { return };
-        let jobs: Vec<_> = leader
+        self.forwarded.next_digest = now + DIGEST_EVERY;
+        let Some(cluster) = &self.cluster else { return };
+        let jobs: Vec<_> = cluster
             .jobs
             .iter()
             .filter(|(_, job)| job.running > 0 || job.done_count > 0)
             .map(|(id, job)| (id.clone(), job.done_count, job.running))
             .collect();
-        let licences = leader.licence_view();
+        let licences = cluster.licence_view();
         for to in self.config.peers.clone() {
             let (jobs, licences) = (jobs.clone(), licences.clone());
             self.out.push(Output::Peer {
--- a/src/core/near.rs
+++ b/src/core/image_locality.rs
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 use super::{
+    capacity_snapshot::Snapshot,
+    cluster::{ClusterState, Job},
     job::{JobId, Kind},
-    leader::{Job, Leader},
-    room::View,
 };
 
-impl Leader {
+impl ClusterState {
     /// Whether the next job may take its turn beside those that took theirs near.
-    pub(super) fn beside(&mut self, first: Option<&JobId>) -> bool {
+    pub(super) fn shares_locality_round(&mut self, first: Option<&JobId>) -> bool {
         let Some(first) = first.and_then(|id| self.jobs.get(id)) else {
             return true;
         };
@@ -30,24 +30,26 @@
     }
 
     /// The job takes rooms with its image before any other.
-    pub(super) fn goes_near(&self, job: &Job, now: Duration) -> bool {
+    pub(super) fn prefers_image_locality(&self, job: &Job, now: Duration) -> bool {
         let spec = &job.spec;
         let patience = Duration::from_secs_f64(self.fetch_alone(spec).min(3600.0));
         spec.kind == Kind::Array
             && job.nominations.is_empty()
-            && job.passed_over.is_none_or(|since| now < since + patience)
+            && job
+                .locality_wait_since
+                .is_none_or(|since| now < since + patience)
     }
 
-    pub(super) fn place_near(&mut self, view: &mut View, id: &JobId, now: Duration) {
+    pub(super) fn place_with_image(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
         let Some(job) = self.jobs.get(id) else { return };
         let (spec, before) = (job.spec.clone(), job.placed);
-        view.look_at(&spec, &self.machines);
-        self.fill_rooms(view, id, &spec, true, now);
+        view.select_job(&spec, &self.machines);
+        self.fill_machines(view, id, &spec, true, now);
         if let Some(job) = self.jobs.get_mut(id) {
             match job.placed > before {
-                true => job.passed_over = None,
+                true => job.locality_wait_since = None,
                 false => {
-                    job.passed_over.get_or_insert(now);
+                    job.locality_wait_since.get_or_insert(now);
                 }
             }
         }
--- a/src/core/images.rs
+++ b/src/core/images.rs
@@ -4,8 +4,8 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use super::{
+    cluster::ClusterState,
     job::{JobSpec, Kind},
-    leader::Leader,
     machine::{Machine, MachineId, MachineType},
 };
 
@@ -14,7 +14,7 @@
 const LONG_FETCH: f64 = 20.0;
 const IMAGES_MOST: f64 = 4.0;
 
-impl Leader {
+impl ClusterState {
     /// The machine has the image of a task that was seen there.
     pub(super) fn image_seen(&mut self, id: &MachineId, spec: &JobSpec, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -283,7 +283,7 @@
 /// What is kept of a job for ever.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FinalRecord {
+pub struct TerminalRecord {
     pub state: JobState,
     pub done: u32,
 }
--- a/src/core/seats.rs
+++ b/src/core/licences.rs
@@ -1,8 +1,8 @@
-//! Counted licences in the leader's book: one more limit, beside a team's.
+//! Counted licences in the leader's cluster state: one more limit, beside a team's.
 //!
 //! A seat is in use from the decision to start a task until the same proof that lets it
 //! start elsewhere. So who holds seats is no book of its own: each pass tells the ledger
-//! what the placements hold and what silent machines may hold after a take-over, and the
+//! what the placements hold and what unresponsive machines may hold after a failover, and the
 //! ledger adds what it alone knows, such as seats that come back late.
 
 use std::{collections::BTreeMap, time::Duration};
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
+    cluster::ClusterState,
     job::{JobSpec, TaskId},
-    leader::Leader,
 };
 
 fn times(needs: &BTreeMap<String, u32>, count: u32) -> Needs {
@@ -35,7 +35,7 @@
     pub in_use: u32,
     /// Their tasks are gone, and they come back soon.
     pub lingering: u32,
-    /// Silent machines may hold them.
+    /// Unresponsive machines may hold them.
     pub maybe: u32,
     pub elsewhere: u32,
     /// Seats that waiting tasks want.
@@ -43,12 +43,12 @@
     pub teams: BTreeMap<String, u32>,
 }
 
-/// What silent machines may hold goes by one name.
+/// What unresponsive machines may hold goes by one name.
 const SILENT: &str = "silent";
 
-impl Leader {
+impl ClusterState {
     pub fn licence_view(&self) -> Vec<LicenceView> {
-        let Some(ledger) = &self.seats else {
+        let Some(ledger) = &self.licence_ledger else {
             return Vec::new();
         };
         let view = ledger.licences().filter_map(|name| {
@@ -78,7 +78,7 @@
 
     /// Tells the ledger who holds seats now.
     pub(super) fn count_seats(&mut self, now: Duration) {
-        let Some(ledger) = &mut self.seats else {
+        let Some(ledger) = &mut self.licence_ledger else {
             return;
         };
         let mut held = BTreeMap::new();
@@ -98,7 +98,7 @@
             if !machine.unresolved {
                 continue;
             }
-            for id in &machine.entry.jobs {
+            for id in &machine.assignment.jobs {
                 let Some(job) = self.jobs.get(id) else {
                     // It may have been anything.
                     unknown = true;
@@ -126,7 +126,7 @@
     /// How many more tasks of the job have seats, those put aside that are held for jobs
     /// of at least its priority by their nominations.
     pub(super) fn seats_for(&self, spec: &JobSpec, now: Duration) -> u32 {
-        let (Some(ledger), false) = (&self.seats, spec.licences.is_empty()) else {
+        let (Some(ledger), false) = (&self.licence_ledger, spec.licences.is_empty()) else {
             return u32::MAX;
         };
         let fits = spec.licences.iter().map(|(licence, seats)| {
@@ -153,7 +153,7 @@
         attempt: u64,
         now: Duration,
     ) {
-        let (Some(ledger), false) = (&mut self.seats, spec.licences.is_empty()) else {
+        let (Some(ledger), false) = (&mut self.licence_ledger, spec.licences.is_empty()) else {
             return;
         };
         let take = Input::Take {
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
+    assignment_index::AssignmentEntry,
     job::{JobId, JobSpec, Resources, TaskId},
-    roster::RosterEntry,
 };
 
 pub type MachineId = Arc<str>;
@@ -45,7 +45,7 @@
 
 /// Why a task exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     Done,
     Stopped { saved: bool },
     Peers,
@@ -62,7 +62,7 @@
     Waiting,
     Running,
     Saving,
-    Exited(Why),
+    Exited(ExitReason),
 }
 
 impl TaskPhase {
@@ -214,8 +214,8 @@
     pub spot: bool,
     pub size: Resources,
     pub addr: Option<SocketAddr>,
-    /// Where its worker was, and in which session, by what the former leader told.
-    pub told: Option<(SocketAddr, u64)>,
+    /// Where its worker was, and in which session, by what the previous leader told.
+    pub last_known_worker: Option<(SocketAddr, u64)>,
     pub standing: Standing,
     pub session: u64,
     /// The newest report in this session, and the newest message of any kind.
@@ -232,14 +232,14 @@
     pub dead_session: u64,
     /// The worker has been seen to know this leader's token.
     pub fenced: bool,
-    /// Its place in the stored roster.
-    pub entry: RosterEntry,
-    /// May hold tasks that a former leader started.
+    /// Its place in the stored assignment index.
+    pub assignment: AssignmentEntry,
+    /// May hold tasks that a previous leader started.
     pub unresolved: bool,
     pub answered_at: Option<Duration>,
     pub heard_at: Option<Duration>,
     /// It was asked since it was heard last, and did not answer.
-    pub mute: bool,
+    pub commands_unanswered: bool,
     pub first_seen: Duration,
     pub idle_since: Duration,
     pub notice_at: Option<Duration>,
@@ -309,7 +309,7 @@
             spot,
             size,
             addr: None,
-            told: None,
+            last_known_worker: None,
             standing: Standing::Booting,
             session: 0,
             report_seq: 0,
@@ -319,11 +319,11 @@
             direct_retry: Duration::ZERO,
             dead_session: 0,
             fenced: false,
-            entry: RosterEntry::default(),
+            assignment: AssignmentEntry::default(),
             unresolved: false,
             answered_at: None,
             heard_at: None,
-            mute: false,
+            commands_unanswered: false,
             first_seen: now,
             idle_since: now,
             notice_at: None,
@@ -353,16 +353,18 @@
         self.tasks
             .iter()
             .any(|((task, _), p)| match (p.phase, p.stop) {
-                (Phase::Decided, None) => self.fenced && self.entry.jobs.contains(&task.job),
+                (Phase::Decided, None) => self.fenced && self.assignment.jobs.contains(&task.job),
                 (Phase::Seen(phase), Some(stop)) => !phase.exited() && !stop.sent,
                 _ => false,
             })
     }
 
-    /// A start waits for its job to be listed in the roster.
+    /// A start waits for its job to be listed in the assignment index.
     pub fn unlisted(&self) -> bool {
         self.tasks.iter().any(|((task, _), p)| {
-            p.phase == Phase::Decided && p.stop.is_none() && !self.entry.jobs.contains(&task.job)
+            p.phase == Phase::Decided
+                && p.stop.is_none()
+                && !self.assignment.jobs.contains(&task.job)
         })
     }
 
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -1,7 +1,7 @@
 //! What operators ask of a node about machines: emptying them, how far that is, and not to.
 //!
 //! The list is one stored record, so that a machine stays cordoned through any change of
-//! the leader. The leader carries it out (`drains`) and strikes off what is gone.
+//! the leader. The leader carries it out (`drain`) and strikes off what is gone.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use super::{
     Answer, BACK_OFF, Node, Purpose, RequestId,
-    drains::DRAINS,
+    drain::DRAINS,
     job::Kind,
     store::{DRAINS as KEY, GENERATION, LEADER, StateReply, StateRequest, put, when},
 };
@@ -61,7 +61,7 @@
             self.answer(request, Answer::Impossible(why.into()));
             return;
         }
-        if !self.places() || !self.former_stopped() {
+        if !self.places() || !self.has_previous_leader_stopped() {
             // Only the leader knows the machines, and one before it may still start
             // something there.
             self.answer(request, Answer::Later { retry: RETRY });
@@ -82,7 +82,7 @@
                 self.store_drains(drains, Some(request));
             }
             Ask::Cancel(machines) => {
-                let mut drains = self.mirror.drains.0.clone();
+                let mut drains = self.cache.drains.0.clone();
                 let unknown = machines.iter().find(|m| !drains.machines.contains_key(*m));
                 if let Some(machine) = unknown {
                     let why = format!("{machine} is not being emptied");
@@ -99,7 +99,7 @@
 
     /// The stored list with these machines.
     fn drains_with(&self, machines: &[String], by: Option<Duration>) -> Drains {
-        let mut drains = self.mirror.drains.0.clone();
+        let mut drains = self.cache.drains.0.clone();
         let since_ms = self.clock.wall_ms;
         let by_ms = by.map(|by| since_ms + by.as_millis() as u64);
         for machine in machines {
@@ -112,8 +112,8 @@
 
     /// What is in the way of emptying these machines, said when it is asked for.
     fn objection_to_drain(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
-        let leader = self.leader.as_ref()?;
-        if self.mirror.cluster.0.written() < DRAINS.since {
+        let cluster = self.cluster.as_ref()?;
+        if self.cache.cluster.0.written() < DRAINS.since {
             let needs = DRAINS.since;
             return Some(format!(
                 "generation {needs} is not in use, see rollout status"
@@ -126,21 +126,21 @@
             return Some(why);
         }
         for name in machines {
-            let Some(machine) = leader.machines.get(&**name) else {
+            let Some(machine) = cluster.machines.get(&**name) else {
                 return Some(format!("no machine {name}"));
             };
             for placement in machine.tasks.values().filter(|p| !p.exited()) {
                 let Some(spec) = placement.spec.as_ref() else {
                     continue;
                 };
-                let none = leader.ledger.most_down(&spec.team, spec.tasks) == 0;
+                let none = cluster.ledger.most_down(&spec.team, spec.tasks) == 0;
                 if spec.kind == Kind::Service && none {
                     let (team, id) = (&spec.team, &spec.id);
                     return Some(format!(
                         "{name} has a replica of {id}, and team {team} allows none to be down"
                     ));
                 }
-                let elsewhere = leader.types.iter().any(|t| {
+                let elsewhere = cluster.types.iter().any(|t| {
                     spec.allows_type(&t.name)
                         && spec.need.fits_in(&t.size)
                         && spec
@@ -170,21 +170,21 @@
     }
 
     fn answer_drains(&mut self, request: RequestId, planned: Option<Vec<String>>) {
-        let Some(leader) = &self.leader else { return };
-        let drains = &self.mirror.drains.0.machines;
+        let Some(cluster) = &self.cluster else { return };
+        let drains = &self.cache.drains.0.machines;
         let names = match &planned {
             Some(names) => names.clone(),
             None => drains.keys().cloned().collect(),
         };
         let view = |name: String| {
-            let machine = leader.machines.get(&*name);
+            let machine = cluster.machines.get(&*name);
             let count = |kind: Kind| {
                 let tasks = machine.into_iter().flat_map(|m| m.tasks.values());
                 let left = tasks.filter(|p| !p.exited());
                 let own = left.filter(|p| p.spec.as_ref().is_some_and(|s| s.kind == kind));
                 own.count() as u32
             };
-            let progress = leader.draining.get(&*name);
+            let progress = cluster.draining.get(&*name);
             let state = match (drains.contains_key(&name), machine, progress) {
                 (_, None, _) => "unknown",
                 (false, _, _) => "kept",
@@ -212,8 +212,8 @@
         self.maintenance.storing = true;
         let conditions = vec![
             when(LEADER, claim),
-            when(KEY, self.mirror.drains.1),
-            when(GENERATION, self.mirror.cluster.1),
+            when(KEY, self.cache.drains.1),
+            when(GENERATION, self.cache.cluster.1),
         ];
         let changes = vec![put(KEY, &drains)];
         self.call(
@@ -235,8 +235,8 @@
         self.maintenance.retry = self.now() + BACK_OFF;
         let committed = match reply {
             StateReply::Committed { revision } => {
-                if *revision > self.mirror.drains.1 {
-                    self.mirror.drains = (drains, *revision);
+                if *revision > self.cache.drains.1 {
+                    self.cache.drains = (drains, *revision);
                 }
                 true
             }
@@ -253,33 +253,33 @@
 
     fn cordon(&mut self) {
         let now = self.now();
-        if let Some(leader) = &mut self.leader {
-            leader.cordon(self.mirror.drains.0.clone(), now);
+        if let Some(cluster) = &mut self.cluster {
+            cluster.cordon(self.cache.drains.0.clone(), now);
         }
     }
 
     /// Follows the stored list, and strikes off machines that are gone.
-    pub(super) fn pump_maintenance(&mut self) {
+    pub(super) fn drive_maintenance(&mut self) {
         let now = self.now();
-        if self.mirror.drains.1 == 0 || !self.places() {
+        if self.cache.drains.1 == 0 || !self.places() {
             return;
         }
         self.cordon();
-        let moves = self.mirror.cluster.0.stage != Stage::Settled;
-        let off = self.mirror.cluster.0.written() < DRAINS.since;
-        let Some(leader) = &mut self.leader else {
+        let moves = self.cache.cluster.0.stage != Stage::Settled;
+        let off = self.cache.cluster.0.written() < DRAINS.since;
+        let Some(cluster) = &mut self.cluster else {
             return;
         };
-        leader.drains_pause = moves.then_some(Waits::Rollout);
+        cluster.drains_pause = moves.then_some(Waits::Rollout);
         if self.maintenance.storing || now < self.maintenance.retry {
             return;
         }
-        let mut drains = self.mirror.drains.0.clone();
+        let mut drains = self.cache.drains.0.clone();
         // Going back to a generation that knows no list leaves none behind.
         drains
             .machines
-            .retain(|machine, _| !off && !leader.is_gone(machine, now));
-        if drains != self.mirror.drains.0 {
+            .retain(|machine, _| !off && !cluster.is_gone(machine, now));
+        if drains != self.cache.drains.0 {
             let left = drains.machines.len();
             info!(left, "machines drained");
             self.store_drains(drains, None);
--- a/src/core/members/mod.rs
+++ b/src/core/membership/mod.rs
@@ -5,60 +5,60 @@
 //! by which way, and says what to make of it. It decides about service only. That no
 //! task runs twice rests on the claim, on tokens and on leases, whatever is said here.
 
-pub mod accrual;
 pub mod attention;
 pub mod nodes;
-pub mod sight;
+pub mod phi_accrual;
+pub mod reachability;
 
 use std::time::Duration;
 
 use nodes::Nodes;
-use sight::Sight;
+use reachability::FailureDetector;
 
 #[derive(Debug)]
-pub struct Members {
+pub struct Membership {
     pub nodes: Nodes,
-    pub sight: Sight,
+    pub detector: FailureDetector,
     /// This node gave the leadership away because it heard nobody, and when.
-    gave_up: Option<Duration>,
+    stepped_down_at: Option<Duration>,
     /// Since when it leads.
-    led_since: Duration,
+    leading_since: Duration,
 }
 
-impl Members {
+impl Membership {
     pub fn new(report: Duration, worker_lease: Duration) -> Self {
         Self {
             nodes: Nodes::new(worker_lease),
-            sight: Sight::new(report, worker_lease),
-            gave_up: None,
-            led_since: Duration::ZERO,
+            detector: FailureDetector::new(report, worker_lease),
+            stepped_down_at: None,
+            leading_since: Duration::ZERO,
         }
     }
 
     /// This node leads from now on: who reports to it changes.
-    pub fn leads_now(&mut self, now: Duration) {
-        self.sight.begin();
-        self.led_since = now;
-        self.gave_up = None;
+    pub fn begin_leading(&mut self, now: Duration) {
+        self.detector.reset();
+        self.leading_since = now;
+        self.stepped_down_at = None;
     }
 
-    pub fn led_for(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.led_since)
+    pub fn leading_for(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.leading_since)
     }
 
-    pub fn gives_up(&mut self, now: Duration) {
-        self.sight.begin();
-        self.gave_up = Some(now);
+    pub fn record_step_down(&mut self, now: Duration) {
+        self.detector.reset();
+        self.stepped_down_at = Some(now);
     }
 
     /// A worker came to this node by itself.
-    pub fn worker_came(&mut self) {
-        self.gave_up = None;
+    pub fn record_worker_arrival(&mut self) {
+        self.stepped_down_at = None;
     }
 
     /// A node that just gave up does not lead again before it hears workers, unless
     /// nobody else has for so long.
-    pub fn may_lead(&self, now: Duration, patience: Duration) -> bool {
-        self.gave_up.is_none_or(|at| now > at + patience)
+    pub fn may_campaign(&self, now: Duration, patience: Duration) -> bool {
+        self.stepped_down_at.is_none_or(|at| now > at + patience)
     }
 }
--- a/src/core/members/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -9,15 +9,15 @@
 use kiteyard_rollout::machine::Told;
 use serde::{Deserialize, Serialize};
 
-use super::accrual::{Accrual, Source};
+use super::phi_accrual::{PhiAccrual, Source};
 use crate::core::{
     machine::MachineId,
-    signs::{SIGNS_EVERY, Sign},
+    stored_heartbeat::{STORED_HEARTBEAT_EVERY, StoredHeartbeat},
 };
 
 /// What a node tells every other one, again and again.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct NodeHeartbeat {
     /// The claim of the leader it knows; 0: none.
     pub claim: u64,
     /// How long ago it heard from that leader.
@@ -32,7 +32,7 @@
     pub told: Option<Told>,
 }
 
-impl Pulse {
+impl NodeHeartbeat {
     pub fn machines(&self) -> u32 {
         self.hears.values().sum()
     }
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 struct Other {
     at: Duration,
-    pulse: Pulse,
+    heartbeat: NodeHeartbeat,
 }
 
 #[derive(Debug)]
@@ -53,12 +53,12 @@
     claimed: Option<(String, u64)>,
     /// Since when it is known to lead.
     leader_since: Duration,
-    /// The gaps between its pulses.
-    gaps: Accrual,
+    /// The gaps between its heartbeats.
+    gaps: PhiAccrual,
     /// Machines that it heard, as it told last.
     leader_hears: u32,
-    /// When its last sign of life in the state service was seen.
-    signed: Option<Duration>,
+    /// When its last heartbeat in the state service was seen.
+    stored_heartbeat_at: Option<Duration>,
     /// When the state service answered last, and since when without a failure.
     state: Duration,
     served_since: Option<Duration>,
@@ -71,8 +71,8 @@
 pub const EVERY: Duration = Duration::from_millis(700);
 /// What another node told stands for so long.
 const FRESH: Duration = Duration::from_millis(2200);
-/// A leader of which two pulses were missed is not heard, as long as too few of its
-/// pulses are known to say more, and whatever they are after half as long again.
+/// A leader of which two heartbeats were missed is not heard, as long as too few of its
+/// heartbeats are known to say more, and whatever they are after half as long again.
 const MISSED: Duration = Duration::from_millis(1700);
 const PHI: f64 = 8.0;
 /// A node that was answered within this time reaches the state service.
@@ -92,9 +92,9 @@
             leader: (0, Duration::ZERO),
             claimed: None,
             leader_since: Duration::ZERO,
-            gaps: Accrual::new(Source::One),
+            gaps: PhiAccrual::new(Source::Periodic),
             leader_hears: 0,
-            signed: None,
+            stored_heartbeat_at: None,
             state: Duration::ZERO,
             served_since: None,
             stranded: HashMap::new(),
@@ -112,14 +112,14 @@
         }
     }
 
-    pub fn state_silence(&self, now: Duration) -> Duration {
+    pub fn state_service_silence(&self, now: Duration) -> Duration {
         now.saturating_sub(self.state)
     }
 
     /// The state service answers this node, and has done so for a while.
-    pub fn served(&self, now: Duration) -> bool {
+    pub fn is_served(&self, now: Duration) -> bool {
         let settled = self.served_since.is_some_and(|at| now > at + SERVED);
-        settled && self.state_silence(now) <= REACHES
+        settled && self.state_service_silence(now) <= REACHES
     }
 
     /// The leader by the stored key, which may be this node itself.
@@ -128,9 +128,9 @@
             // A new leader is given the time to be heard.
             self.leader = (claim, now);
             self.leader_since = now;
-            self.gaps = Accrual::new(Source::One);
+            self.gaps = PhiAccrual::new(Source::Periodic);
             self.leader_hears = 0;
-            self.signed = None;
+            self.stored_heartbeat_at = None;
             self.stranded.clear();
         }
         if own {
@@ -148,10 +148,10 @@
     }
 
     /// A node that leads was heard by itself just now.
-    pub fn claims(&mut self, from: &str, pulse: &Pulse) {
-        let newer = |known: &(String, u64)| pulse.claim > known.1;
-        if pulse.heard.is_zero() && self.claimed.as_ref().is_none_or(newer) {
-            self.claimed = Some((from.to_owned(), pulse.claim));
+    pub fn record_claim(&mut self, from: &str, heartbeat: &NodeHeartbeat) {
+        let newer = |known: &(String, u64)| heartbeat.claim > known.1;
+        if heartbeat.heard.is_zero() && self.claimed.as_ref().is_none_or(newer) {
+            self.claimed = Some((from.to_owned(), heartbeat.claim));
         }
     }
 
@@ -161,13 +161,19 @@
         (*claimed > claim).then_some((node, *claimed))
     }
 
-    pub fn pulse(&mut self, from: String, pulse: Pulse, leads: bool, now: Duration) {
+    pub fn heartbeat(
+        &mut self,
+        from: String,
+        heartbeat: NodeHeartbeat,
+        leads: bool,
+        now: Duration,
+    ) {
         if leads {
-            self.leader = (pulse.claim, now);
-            self.gaps.heard(now);
-            self.leader_hears = pulse.machines();
+            self.leader = (heartbeat.claim, now);
+            self.gaps.record(now);
+            self.leader_hears = heartbeat.machines();
         }
-        self.others.insert(from, Other { at: now, pulse });
+        self.others.insert(from, Other { at: now, heartbeat });
     }
 
     /// The leader was heard here lately, or is too new to be missed.
@@ -177,56 +183,58 @@
     }
 
     /// The leader wrote that it is alive.
-    pub fn sign(&mut self, sign: Sign, now: Duration) {
-        if sign.claim == self.leader.0 {
-            self.signed = Some(now);
-            self.leader_hears = sign.hears;
+    pub fn stored_heartbeat(&mut self, stored_heartbeat: StoredHeartbeat, now: Duration) {
+        if stored_heartbeat.claim == self.leader.0 {
+            self.stored_heartbeat_at = Some(now);
+            self.leader_hears = stored_heartbeat.hears;
         }
     }
 
-    /// The leader's last sign is not older than two that were missed.
-    pub fn leader_writes(&self, claim: u64, now: Duration) -> bool {
-        let lately = |at: Duration| now < at + SIGNS_EVERY * 2 + MISSED / 2;
-        self.leader.0 == claim && self.signed.is_some_and(lately)
+    /// The leader's last stored heartbeat is not older than two that were missed.
+    pub fn leader_stores_heartbeats(&self, claim: u64, now: Duration) -> bool {
+        let lately = |at: Duration| now < at + STORED_HEARTBEAT_EVERY * 2 + MISSED / 2;
+        self.leader.0 == claim && self.stored_heartbeat_at.is_some_and(lately)
     }
 
     /// That node told lately that it hears the leader of this claim.
-    pub fn told_of_hearing(&self, node: &str, claim: u64, now: Duration) -> bool {
-        let heard = |p: &Pulse| p.claim == claim && p.heard < MISSED;
-        self.fresh(now).any(|(n, pulse)| n == node && heard(pulse))
+    pub fn peer_hears_leader(&self, node: &str, claim: u64, now: Duration) -> bool {
+        let heard = |p: &NodeHeartbeat| p.claim == claim && p.heard < MISSED;
+        self.fresh(now)
+            .any(|(n, heartbeat)| n == node && heard(heartbeat))
     }
 
-    fn fresh(&self, now: Duration) -> impl Iterator<Item = (&String, &Pulse)> {
+    fn fresh(&self, now: Duration) -> impl Iterator<Item = (&String, &NodeHeartbeat)> {
         let fresh = move |other: &&Other| now < other.at + FRESH;
         let others = self.others.iter();
         others
             .filter(move |(_, other)| fresh(other))
-            .map(|(node, other)| (node, &other.pulse))
+            .map(|(node, other)| (node, &other.heartbeat))
     }
 
     /// Another node that hears the leader, when this one does not.
-    pub fn hearer(&self, leader: &str, claim: u64, now: Duration) -> Option<String> {
+    pub fn peer_hearing_leader(&self, leader: &str, claim: u64, now: Duration) -> Option<String> {
         let heard = self.others.iter().find(|(node, other)| {
             *node != leader
-                && other.pulse.claim == claim
-                && now < other.at + MISSED - other.pulse.heard.min(MISSED)
+                && other.heartbeat.claim == claim
+                && now < other.at + MISSED - other.heartbeat.heard.min(MISSED)
         });
         heard.map(|(node, _)| node.clone())
     }
 
     /// Another node that is heard and is not the leader.
-    pub fn alive_beside(&self, leader: Option<&str>, now: Duration) -> Option<String> {
+    pub fn alive_peer_besides(&self, leader: Option<&str>, now: Duration) -> Option<String> {
         let mut alive = self.fresh(now).filter(|(node, _)| Some(&***node) != leader);
         alive.next().map(|(node, _)| node.clone())
     }
 
     /// Some other node that is heard is served by the state service.
-    pub fn other_served(&self, now: Duration) -> bool {
-        self.fresh(now).any(|(_, pulse)| pulse.state < REACHES)
+    pub fn is_any_peer_served(&self, now: Duration) -> bool {
+        self.fresh(now)
+            .any(|(_, heartbeat)| heartbeat.state < REACHES)
     }
 
     /// A node is heard, whatever it says.
-    pub fn here(&self, node: &str, now: Duration) -> bool {
+    pub fn is_alive(&self, node: &str, now: Duration) -> bool {
         self.fresh(now).any(|(other, _)| other == node)
     }
 
@@ -237,22 +245,28 @@
     }
 
     /// The served node that hears most machines, and how many.
-    pub fn best(&self, now: Duration) -> Option<(String, u32)> {
-        self.best_of(now, |_| true)
+    pub fn best_peer(&self, now: Duration) -> Option<(String, u32)> {
+        self.best_peer_of(now, |_| true)
     }
 
     /// The same among some of them.
-    pub fn best_of(&self, now: Duration, among: impl Fn(&String) -> bool) -> Option<(String, u32)> {
-        let served = self.fresh(now).filter(|(_, pulse)| pulse.state < REACHES);
+    pub fn best_peer_of(
+        &self,
+        now: Duration,
+        among: impl Fn(&String) -> bool,
+    ) -> Option<(String, u32)> {
+        let served = self
+            .fresh(now)
+            .filter(|(_, heartbeat)| heartbeat.state < REACHES);
         served
             .filter(|(node, _)| among(node))
-            .map(|(node, pulse)| (pulse.machines(), node))
+            .map(|(node, heartbeat)| (heartbeat.machines(), node))
             .max()
             .map(|(machines, node)| (node.clone(), machines))
     }
 
     /// A worker that knows the leader's token came here instead.
-    pub fn strands(&mut self, machine: &MachineId, now: Duration) {
+    pub fn record_stranded_worker(&mut self, machine: &MachineId, now: Duration) {
         if self.stranded.len() >= 64 {
             let keep = self.keep;
             self.stranded.retain(|_, at| now < *at + keep);
@@ -267,13 +281,13 @@
             return false;
         }
         // One that another node hears is reached by its relays.
-        let heard = |p: &Pulse| p.claim == claim && p.heard < silent;
+        let heard = |p: &NodeHeartbeat| p.claim == claim && p.heard < silent;
         let stranded = self.stranded.values().filter(|at| now < **at + silent);
         let stranded = stranded.count();
         let enough = (self.leader_hears / STRANDED_ONE_IN).max(1) as usize;
         // One that writes goes on, unless more of its workers left it than it hears.
-        let signed = self.signed.is_some_and(|at| now < at + silent);
-        let lives = signed && stranded <= self.leader_hears as usize;
-        stranded >= enough && !lives && !self.fresh(now).any(|(_, pulse)| heard(pulse))
+        let stored_heartbeat_at = self.stored_heartbeat_at.is_some_and(|at| now < at + silent);
+        let lives = stored_heartbeat_at && stranded <= self.leader_hears as usize;
+        stranded >= enough && !lives && !self.fresh(now).any(|(_, heartbeat)| heard(heartbeat))
     }
 }
--- a/src/core/members/accrual.rs
+++ b/src/core/membership/phi_accrual.rs
@@ -1,6 +1,6 @@
 //! How unlikely a silence is, by what was seen of the gaps before it.
 //!
-//! Times between two signs of life come from the settings, the network and the load,
+//! Times between two heartbeats come from the settings, the network and the load,
 //! and differ by a factor of ten between deployments. So nothing is fixed here: the
 //! gaps themselves are counted, and a silence is told as `phi`, the negative decimal
 //! logarithm of the chance that it is one more such gap.
@@ -19,17 +19,17 @@
 /// say little of the next.
 const DEVIATION_LEAST: f64 = 0.25;
 
-/// What makes the signs of life.
+/// What makes the heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Source {
     /// One that sends at regular times.
-    One,
+    Periodic,
     /// Many, independent of one another: gaps are as in a Poisson process.
-    Many,
+    Independent,
 }
 
 #[derive(Debug)]
-pub struct Accrual {
+pub struct PhiAccrual {
     source: Source,
     newer: Histogram<u32>,
     older: Histogram<u32>,
@@ -42,7 +42,7 @@
     counts
 }
 
-impl Accrual {
+impl PhiAccrual {
     pub fn new(source: Source) -> Self {
         Self {
             source,
@@ -52,7 +52,7 @@
         }
     }
 
-    pub fn heard(&mut self, now: Duration) {
+    pub fn record(&mut self, now: Duration) {
         if let Some(last) = self.last {
             let gap = now.saturating_sub(last);
             let steps = (gap.as_nanos() / STEP.as_nanos()) as u64;
@@ -94,12 +94,12 @@
         let mean = of(Histogram::mean).max(1.0);
         match self.source {
             // What is longer than nearly every gap counts from there on.
-            Source::Many => {
+            Source::Independent => {
                 let long = |h: &Histogram<u32>| h.value_at_quantile(0.999) as f64;
                 let usual = long(&self.newer).max(long(&self.older));
                 (silence - usual).max(0.0) / mean * std::f64::consts::LOG10_E
             }
-            Source::One => {
+            Source::Periodic => {
                 let deviation = of(Histogram::stdev).max(mean * DEVIATION_LEAST);
                 tail(silence - mean, deviation)
             }
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -2,7 +2,7 @@
 //! its share of the state service's changes, and behind everything else that it writes.
 //!
 //! Nothing is remembered of how far it is: what is left is what a listing still finds. So
-//! it goes on after a take-over as after a pause, and it is over when a listing that began
+//! it goes on after a failover as after a pause, and it is over when a listing that began
 //! after the new form was switched on finds nothing. Nobody writes the old form after that
 //! switch, since every such write depends on the generation's record.
 
@@ -12,16 +12,18 @@
 
 use super::{
     BACK_OFF, Node, Purpose,
-    finals::{self, Place, Range, Rewrite},
-    job::{FinalRecord, JobId},
-    store::{ENDS, Entry, FINALS, GENERATION, LEADER, StateReply, StateRequest, when},
+    job::{JobId, TerminalRecord},
+    store::{
+        Entry, GENERATION, LEADER, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, when,
+    },
+    terminal_states::{self, Place, Range, Rewrite},
 };
 use kiteyard_rollout::generation::Stage;
 
 /// Records of one range that are still in the old form.
 #[derive(Debug)]
 enum Work {
-    Pack(Range, VecDeque<(JobId, FinalRecord, u64)>),
+    Pack(Range, VecDeque<(JobId, TerminalRecord, u64)>),
     Unpack(Range),
 }
 
@@ -79,24 +81,24 @@
 
 /// What a request of the migration was.
 #[derive(Debug)]
-pub enum Asked {
+pub enum MigrationRequest {
     List,
     Read(Range),
-    Rewrite(Range, finals::Ends, u64),
+    Rewrite(Range, terminal_states::TerminalStates, u64),
 }
 
 impl Node {
     /// Does the next bit, after all else that the leader had to write.
-    pub(super) fn pump_migration(&mut self) {
+    pub(super) fn drive_migration(&mut self) {
         let now = self.now();
-        let (cluster, revision) = self.mirror.cluster;
+        let (cluster, revision) = self.cache.cluster;
         let Some(config) = self.config.options.rollout.clone() else {
             return;
         };
-        let Some(claim) = self.leader.as_ref().map(|leader| leader.claim) else {
+        let Some(claim) = self.cluster.as_ref().map(|cluster| cluster.claim) else {
             return;
         };
-        if cluster.stage != Stage::Migrating || self.mirror.orders.0.paused {
+        if cluster.stage != Stage::Migrating || self.cache.orders.0.paused {
             return;
         }
         let rate = self.config.writes * config.share;
@@ -110,7 +112,7 @@
                 ..Migration::default()
             };
         }
-        if finals::place(cluster.from) == finals::place(cluster.to) {
+        if terminal_states::place(cluster.from) == terminal_states::place(cluster.to) {
             migration.clean = true;
         }
         let passed = now.saturating_sub(migration.refilled).as_secs_f64();
@@ -121,13 +123,13 @@
         }
         let Some(work) = migration.queue.front() else {
             migration.busy = true;
-            let prefix = match finals::place(cluster.from) {
-                Place::Alone => FINALS,
-                Place::Packed => ENDS,
+            let prefix = match terminal_states::place(cluster.from) {
+                Place::Single => TERMINAL_STATES,
+                Place::Packed => TERMINAL_RANGES,
             };
             let after = migration.after.clone();
             self.call(
-                Purpose::Migrate((revision, claim), Asked::List),
+                Purpose::Migrate((revision, claim), MigrationRequest::List),
                 StateRequest::List {
                     prefix: prefix.into(),
                     after,
@@ -136,15 +138,18 @@
             return;
         };
         let range = work.range().clone();
-        // Whoever waits for a change comes first, and so do the ends of jobs.
-        if migration.allowance < 1.0 || !self.saves.spare() || !self.ranges.free(&range, now) {
+        // Whoever waits for a change comes first, and so do the terminal states of jobs.
+        if migration.allowance < 1.0
+            || !self.write_queue.has_spare_budget()
+            || !self.ranges.free(&range, now)
+        {
             return;
         }
         let Some(known) = self.ranges.get(&range) else {
             migration.busy = true;
             let key = range.key();
             self.call(
-                Purpose::Migrate((revision, claim), Asked::Read(range)),
+                Purpose::Migrate((revision, claim), MigrationRequest::Read(range)),
                 StateRequest::Get { key },
             );
             return;
@@ -153,13 +158,13 @@
             Some(Work::Pack(range, alone)) => {
                 let count = alone.len().min(most - 1);
                 let some: Vec<_> = alone.drain(..count).collect();
-                let rewrite = finals::pack(range, &some, known);
+                let rewrite = terminal_states::pack(range, &some, known);
                 if alone.is_empty() {
                     migration.queue.pop_front();
                 }
                 Some(rewrite)
             }
-            Some(Work::Unpack(range)) => finals::unpack(range, known, most),
+            Some(Work::Unpack(range)) => terminal_states::unpack(range, known, most),
             None => None,
         };
         let Some(rewrite) = rewrite.filter(|rewrite| rewrite.records > 0) else {
@@ -177,11 +182,11 @@
         conditions.push(when(GENERATION, revision));
         conditions.push(when(LEADER, claim));
         migration.allowance -= changes.len() as f64;
-        self.saves.charge(changes.len() as f64);
+        self.write_queue.charge(changes.len() as f64);
         self.ranges.take(&range);
-        let asked = Asked::Rewrite(range, ends, records as u64);
+        let step = MigrationRequest::Rewrite(range, ends, records as u64);
         self.call(
-            Purpose::Migrate((revision, claim), asked),
+            Purpose::Migrate((revision, claim), step),
             StateRequest::Txn {
                 conditions,
                 changes,
@@ -189,13 +194,18 @@
         );
     }
 
-    pub(super) fn migrated(&mut self, about: (u64, u64), asked: Asked, reply: StateReply) {
+    pub(super) fn migrated(
+        &mut self,
+        about: (u64, u64),
+        step: MigrationRequest,
+        reply: StateReply,
+    ) {
         let now = self.now();
-        if let Asked::Rewrite(range, ends, _) = &asked {
+        if let MigrationRequest::Rewrite(range, ends, _) = &step {
             match &reply {
                 StateReply::Committed { revision } => {
                     // Emptied, it was removed.
-                    let known = finals::Known {
+                    let known = terminal_states::KnownRange {
                         version: if ends.is_empty() { 0 } else { *revision },
                         ends: ends.clone(),
                     };
@@ -210,16 +220,16 @@
             return;
         }
         self.rollout.migration.busy = false;
-        match (asked, reply) {
-            (Asked::List, StateReply::Entries { entries, more, .. }) => {
+        match (step, reply) {
+            (MigrationRequest::List, StateReply::Entries { entries, more, .. }) => {
                 self.old_records(&entries, more);
             }
-            (Asked::Read(range), reply) => {
+            (MigrationRequest::Read(range), reply) => {
                 if self.learn_range(&range, &reply).is_none() {
                     self.rollout.migration.retry = now + BACK_OFF * 4;
                 }
             }
-            (Asked::Rewrite(range, ends, records), StateReply::Committed { .. }) => {
+            (MigrationRequest::Rewrite(range, ends, records), StateReply::Committed { .. }) => {
                 let migration = &mut self.rollout.migration;
                 migration.moved += records;
                 migration.rewritten += records;
@@ -244,9 +254,9 @@
         let migration = &mut self.rollout.migration;
         for entry in entries {
             let text = entry.value.get();
-            let alone = finals::alone_id(&entry.key);
+            let alone = terminal_states::single_id(&entry.key);
             let read = match alone {
-                Some(id) => finals::parse_alone(text).map(|record| {
+                Some(id) => terminal_states::parse_single(text).map(|record| {
                     let range = Range::of(&id).0;
                     let record = (id, record, entry.version);
                     match migration.queue.back_mut() {
@@ -258,7 +268,7 @@
                     1
                 }),
                 None => Range::of_key(&entry.key).and_then(|range| {
-                    let ends: finals::Ends = serde_json::from_str(text).ok()?;
+                    let ends: terminal_states::TerminalStates = serde_json::from_str(text).ok()?;
                     migration.queue.push_back(Work::Unpack(range));
                     Some(ends.len() as u64)
                 }),
@@ -282,7 +292,7 @@
             migration.retry = self.clock.now + BACK_OFF * 10;
         }
         if let Some(key) = unread {
-            self.cannot_read(&key);
+            self.report_unreadable(&key);
         }
     }
 }
