--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,45 +1,45 @@
 //! The service as a state machine: inputs go in, and what to send, write and
 //! answer comes out. Nothing here reads a clock or touches a socket.
 
-pub mod apart;
-pub mod book;
+pub mod active_job;
+pub mod admission;
+pub mod assignment_index;
+mod capacity_snapshot;
+pub mod cluster;
 pub mod commands;
 pub mod config;
+pub mod consolidation;
+pub mod deadline_ordering;
 pub mod drain;
-pub mod drains;
+pub mod election;
 pub mod failures;
-pub mod finals;
-pub mod fleet;
-pub mod flow;
-pub mod front;
-pub mod hints;
+pub mod handover;
+pub mod heartbeat;
+pub mod heartbeat_forwarding;
+pub mod image_locality;
 pub mod images;
 pub mod job;
-pub mod lead;
-pub mod leader;
+pub mod licences;
 pub mod machine;
 pub mod maintenance;
-pub mod members;
+pub mod membership;
 pub mod migrate;
-pub mod mirror;
-pub mod near;
-pub mod order;
-pub mod pulse;
+pub mod partitioned_zones;
+pub mod provisioning;
 pub mod queue;
-pub mod relay;
-mod rent;
+pub mod reconciliation;
 pub mod results;
 pub mod rollout;
-mod room;
-pub mod roster;
-pub mod saves;
-pub mod sched;
-pub mod seats;
-pub mod signs;
-pub mod silent;
-pub mod squaring;
+mod scale_out;
+pub mod scheduling;
+pub mod state_cache;
 pub mod store;
-mod watching;
+pub mod stored_heartbeat;
+pub mod terminal_states;
+pub mod unresponsive;
+pub mod user_requests;
+mod watch;
+pub mod write_queue;
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -49,18 +49,18 @@
 
 use serde::{Deserialize, Serialize};
 
+use cluster::{ClusterState, Direct};
 use config::Config;
-use fleet::{CloudReply, CloudRequest};
-use front::{Front, Question};
-use job::{FinalRecord, JobId, JobSpec, JobState};
-use lead::Lead;
-use leader::{Direct, Leader};
+use election::Election;
+use heartbeat_forwarding::{ForwardedHeartbeats, PeerMessage};
+use job::{JobId, JobSpec, JobState, TerminalRecord};
+use licences::LicenceView;
 use machine::{Command, DirectReply, WorkerReport};
-use members::{Members, sight::Way};
-use mirror::Mirror;
-use relay::{PeerMessage, Relays};
-use seats::LicenceView;
+use membership::{Membership, reachability::HeartbeatPath};
+use provisioning::{CloudReply, CloudRequest};
+use state_cache::StateCache;
 use store::{StateReply, StateRequest};
+use user_requests::{Question, UserRequests};
 
 /// Time as a step sees it.
 #[derive(Debug, Clone, Copy)]
@@ -227,7 +227,7 @@
     Renew {
         sent: Duration,
     },
-    /// Proves the claim and the copy after a renewal that was asked for at `renewed`.
+    /// Proves the claim and the cache after a renewal that was asked for at `renewed`.
     Verify {
         claim: u64,
         renewed: Duration,
@@ -236,12 +236,12 @@
     Claim {
         lease: u64,
         sent: Duration,
-        former: lead::Former,
+        prior: election::PreviousLeader,
     },
     Probe,
-    Sign,
-    Settle,
-    Vacate {
+    StoredHeartbeat,
+    StoreSettledClaim,
+    RemoveLeaderKey {
         claim: u64,
     },
     Accept {
@@ -253,30 +253,30 @@
     Cancel {
         request: RequestId,
         id: JobId,
-        ends: Option<(finals::Range, finals::Ends)>,
+        ends: Option<(terminal_states::Range, terminal_states::TerminalStates)>,
     },
-    ReadFinal(Box<front::FinalRead>),
+    ReadTerminalState(Box<user_requests::TerminalRead>),
     ReadRange {
         request: RequestId,
         id: JobId,
-        then: front::Pending,
+        then: user_requests::AfterRangeRead,
     },
     Announce,
     StoreGeneration,
     Order {
         request: RequestId,
     },
-    Migrate((u64, u64), migrate::Asked),
+    Migrate((u64, u64), migrate::MigrationRequest),
     StoreDrains {
         request: Option<RequestId>,
         drains: kiteyard_maintenance::drain::Drains,
     },
-    StoreApart {
+    StorePartitions {
         claim: u64,
-        record: apart::ApartRecord,
+        record: partitioned_zones::PartitionedZonesRecord,
     },
-    TakeOver(lead::Loading),
-    Save(saves::Save),
+    Failover(election::FailoverRead),
+    QueuedWrite(write_queue::QueuedWrite),
     StoreTypes,
     Cloud(CloudRequest),
     Direct(Direct),
@@ -288,7 +288,7 @@
 /// The least time between two rounds of what the leader does by itself.
 const ROUND: Duration = Duration::from_millis(20);
 /// Final states kept in memory, so that polls for them need no request.
-const FINALS_KEPT: usize = 4096;
+const TERMINAL_CACHE_MOST: usize = 4096;
 
 /// One controller node.
 pub struct Node {
@@ -297,46 +297,46 @@
     out: Vec<Output>,
     next_call: CallId,
     calls: HashMap<CallId, Purpose>,
-    mirror: Mirror,
+    cache: StateCache,
     loading: bool,
     retry_load: Duration,
     watching: bool,
     retry_watch: Duration,
-    front: Front,
-    finals: HashMap<JobId, FinalRecord>,
-    finals_order: VecDeque<JobId>,
-    lead: Lead,
-    leader: Option<Leader>,
+    user_requests: UserRequests,
+    terminal_cache: HashMap<JobId, TerminalRecord>,
+    terminal_cache_order: VecDeque<JobId>,
+    election: Election,
+    cluster: Option<ClusterState>,
     types_call: bool,
     retry_types: Duration,
-    saves: saves::Saves,
+    write_queue: write_queue::WriteQueue,
     rollout: rollout::Rollout,
-    apart: apart::Apart,
+    partitioned_zones: partitioned_zones::PartitionedZones,
     maintenance: maintenance::Maintenance,
-    /// Ends of jobs by range, where they are stored so.
-    ranges: finals::Ranges,
-    relays: Relays,
-    pulses: pulse::Pulses,
-    signs: signs::Signs,
-    members: Members,
+    /// Terminal states of jobs by range, where they are stored so.
+    ranges: terminal_states::TerminalRanges,
+    forwarded: ForwardedHeartbeats,
+    heartbeats: heartbeat::Heartbeats,
+    heartbeat_writer: stored_heartbeat::HeartbeatWriter,
+    membership: Membership,
     /// What the leader told for the next one.
-    hints: hints::Hints,
-    next_hints: Duration,
+    handover: handover::HandoverSnapshot,
+    next_handover: Duration,
 }
 
 impl Node {
     pub fn new(config: Config) -> Self {
         let config = Arc::new(config);
         Self {
-            saves: saves::Saves::new(&config),
+            write_queue: write_queue::WriteQueue::new(&config),
             rollout: rollout::Rollout::new(config.options.rollout.as_deref()),
-            apart: apart::Apart::default(),
+            partitioned_zones: partitioned_zones::PartitionedZones::default(),
             maintenance: maintenance::Maintenance::default(),
-            ranges: finals::Ranges::default(),
-            relays: Relays::new(config.options.incarnation),
-            pulses: pulse::Pulses::default(),
-            signs: signs::Signs::default(),
-            members: Members::new(config.report, config.worker_lease_bound),
+            ranges: terminal_states::TerminalRanges::default(),
+            forwarded: ForwardedHeartbeats::new(config.options.incarnation),
+            heartbeats: heartbeat::Heartbeats::default(),
+            heartbeat_writer: stored_heartbeat::HeartbeatWriter::default(),
+            membership: Membership::new(config.report, config.worker_lease_bound),
             config,
             clock: Clock {
                 now: Duration::ZERO,
@@ -345,18 +345,18 @@
             out: Vec::new(),
             next_call: 0,
             calls: HashMap::new(),
-            mirror: Mirror::default(),
+            cache: StateCache::default(),
             loading: false,
             retry_load: Duration::ZERO,
             watching: false,
             retry_watch: Duration::ZERO,
-            front: Front::default(),
-            finals: HashMap::new(),
-            finals_order: VecDeque::new(),
-            lead: Lead::default(),
-            leader: None,
-            hints: hints::Hints::default(),
-            next_hints: Duration::ZERO,
+            user_requests: UserRequests::default(),
+            terminal_cache: HashMap::new(),
+            terminal_cache_order: VecDeque::new(),
+            election: Election::default(),
+            cluster: None,
+            handover: handover::HandoverSnapshot::default(),
+            next_handover: Duration::ZERO,
             types_call: false,
             retry_types: Duration::ZERO,
         }
@@ -367,13 +367,13 @@
         self.clock = clock;
         match input {
             Input::Submit { request, spec } => self.submit(request, spec),
-            Input::Status { request, id } => self.ask(request, id, Question::Status),
-            Input::Withdraw { request, id } => self.ask(request, id, Question::Withdraw),
+            Input::Status { request, id } => self.queue_question(request, id, Question::Status),
+            Input::Withdraw { request, id } => self.queue_question(request, id, Question::Withdraw),
             Input::Ready { request } => {
-                let ready = self.mirror.loaded
-                    && self.mirror.types.is_some()
-                    && !self.left_alone()
-                    && self.fit_for_requests();
+                let ready = self.cache.loaded
+                    && self.cache.types.is_some()
+                    && !self.is_refused_alone()
+                    && self.accepts_requests();
                 self.answer(request, Answer::Ready(ready));
             }
             Input::Licences { request } => self.licences(request),
@@ -399,23 +399,23 @@
             Input::Peer { from, message } => self.peer_message(from, message),
             Input::Tick => {}
         }
-        self.pump();
+        self.drive();
         std::mem::take(&mut self.out)
     }
 
     /// It leads and has taken over.
     pub fn places(&self) -> bool {
-        self.leader.is_some() && self.leads()
+        self.cluster.is_some() && self.is_leader()
     }
 
     /// There are machines whose tasks it does not know yet.
     pub fn unresolved(&self) -> bool {
-        self.leader.as_ref().is_some_and(Leader::unresolved)
+        self.cluster.as_ref().is_some_and(ClusterState::unresolved)
     }
 
     /// Until then what a step has decided as the leader may go out.
-    pub fn acts_until(&self) -> Duration {
-        self.lead.acts_until()
+    pub fn may_act_until(&self) -> Duration {
+        self.election.may_act_until()
     }
 
     fn now(&self) -> Duration {
@@ -455,51 +455,51 @@
     }
 
     /// Whatever is due now.
-    fn pump(&mut self) {
-        self.pump_mirror();
-        self.pump_types();
-        self.pump_pulses();
-        self.pump_rollout();
-        self.pump_lead();
-        self.pump_signs();
-        self.pump_apart();
-        self.pump_maintenance();
-        self.pump_polls();
-        self.pump_relays();
-        self.pump_hints();
+    fn drive(&mut self) {
+        self.drive_watch();
+        self.drive_types();
+        self.drive_heartbeats();
+        self.drive_rollout();
+        self.drive_election();
+        self.drive_stored_heartbeat();
+        self.drive_partitions();
+        self.drive_maintenance();
+        self.drive_proofs();
+        self.drive_forwarding();
+        self.drive_handover();
         let now = self.now();
-        if !self.leads() {
+        if !self.is_leader() {
             return;
         }
         let proven = self.proven();
-        let Some(leader) = &mut self.leader else {
+        let Some(cluster) = &mut self.cluster else {
             return;
         };
-        leader.wall_ms = self.clock.wall_ms;
+        cluster.wall_ms = self.clock.wall_ms;
         // What follows looks at every machine, and reports come by the hundred a
         // second: it is done for all that came meanwhile.
-        if now < leader.next_round {
+        if now < cluster.next_round {
             // Writes do not wait for the round, or the larger the fleet the fewer
             // would go out.
-            if self.saves.woken {
-                self.pump_saves();
+            if self.write_queue.has_news {
+                self.drive_write_queue();
             }
             return;
         }
-        leader.next_round =
-            now + ROUND + self.config.round_per_machine * leader.machines.len() as u32;
-        self.pump_outlook();
-        let Some(leader) = &mut self.leader else {
+        cluster.next_round =
+            now + ROUND + self.config.round_per_machine * cluster.machines.len() as u32;
+        self.update_reachability();
+        let Some(cluster) = &mut self.cluster else {
             return;
         };
-        leader.proven = proven;
-        leader.tick(now);
-        let wants_proof = leader.wants_proof(now);
-        if leader.queue.dirty && now >= leader.next_pass {
-            leader.pass(now);
+        cluster.proven = proven;
+        cluster.tick(now);
+        let needs_proof = cluster.needs_proof(now);
+        if cluster.queue.dirty && now >= cluster.next_pass {
+            cluster.pass(now);
         }
-        let directs = leader.direct_commands(now);
-        let cloud = leader.cloud_work(now);
+        let directs = cluster.direct_commands(now);
+        let cloud = cluster.cloud_work(now);
         for direct in directs {
             self.next_call += 1;
             let call = self.next_call;
@@ -509,33 +509,33 @@
         if let Some(request) = cloud {
             self.call_cloud(request);
         }
-        if wants_proof {
-            self.hurry_proof();
+        if needs_proof {
+            self.expedite_proof();
         }
-        self.pump_saves();
+        self.drive_write_queue();
     }
 
     fn direct_reply(&mut self, direct: &Direct, reply: DirectReply) {
         let now = self.now();
         match &reply {
             DirectReply::Executed(report) | DirectReply::Refused(report) => {
-                self.machine_heard(&report.machine, &report.zone, Way::Answer);
+                self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Reply);
             }
-            DirectReply::Unclear => self.members.sight.unanswered(&direct.machine),
+            DirectReply::Unclear => self.membership.detector.record_unanswered(&direct.machine),
         }
-        if let Some(leader) = &mut self.leader
-            && direct.token >> 16 == leader.claim
+        if let Some(cluster) = &mut self.cluster
+            && direct.token >> 16 == cluster.claim
         {
-            leader.direct_reply(direct, reply, now);
+            cluster.direct_reply(direct, reply, now);
         }
     }
 
     /// Machine types are stored, so that a restart in a cloud outage can judge jobs.
-    fn pump_types(&mut self) {
+    fn drive_types(&mut self) {
         let now = self.now();
-        if self.mirror.loaded
-            && self.mirror.types.is_none()
-            && !self.mirror.unreadable.contains_key(store::TYPES)
+        if self.cache.loaded
+            && self.cache.types.is_none()
+            && !self.cache.unreadable.contains_key(store::TYPES)
             && !self.types_call
             && now >= self.retry_types
         {
@@ -549,7 +549,7 @@
         if let CloudRequest::Types = request {
             self.types_call = false;
             self.retry_types = now + Duration::from_secs(2);
-            if let (CloudReply::Types(types), None) = (&reply, &self.mirror.types) {
+            if let (CloudReply::Types(types), None) = (&reply, &self.cache.types) {
                 let changes = vec![store::put(store::TYPES, types)];
                 let conditions = vec![store::when(store::TYPES, 0)];
                 self.call(
@@ -561,8 +561,8 @@
                 );
             }
         }
-        if let Some(leader) = &mut self.leader
-            && let Some(next) = leader.cloud_reply(request, reply, now)
+        if let Some(cluster) = &mut self.cluster
+            && let Some(next) = cluster.cloud_reply(request, reply, now)
         {
             self.call_cloud(next);
         }
@@ -579,7 +579,7 @@
                 // again: with many small jobs that alone was more than the state
                 // service takes, and submissions were refused. Events gather, but for the
                 // leader: what it learns late starts late.
-                let pause = match (self.take_events(reply), self.leads()) {
+                let pause = match (self.take_events(reply), self.is_leader()) {
                     (false, _) => BACK_OFF,
                     (true, true) => Duration::ZERO,
                     (true, false) => self.config.watch_every,
@@ -597,15 +597,11 @@
                 renewed,
                 asked,
             } => self.verified(claim, renewed, asked, reply),
-            Purpose::Claim {
-                lease,
-                sent,
-                former,
-            } => self.claimed(lease, sent, former, reply),
+            Purpose::Claim { lease, sent, prior } => self.claimed(lease, sent, prior, reply),
             Purpose::Probe => self.probed(&reply),
-            Purpose::Sign => self.signed(),
-            Purpose::Settle => self.settled(),
-            Purpose::Vacate { claim } => self.vacated(claim, &reply),
+            Purpose::StoredHeartbeat => self.heartbeat_stored(),
+            Purpose::StoreSettledClaim => self.settled_claim_stored(),
+            Purpose::RemoveLeaderKey { claim } => self.leader_key_removed(claim, &reply),
             Purpose::Accept {
                 request,
                 spec,
@@ -613,7 +609,7 @@
                 tries,
             } => self.accepted(request, spec, accepted_ms, tries, reply),
             Purpose::Cancel { request, id, ends } => self.cancelled(request, id, ends, reply),
-            Purpose::ReadFinal(read) => self.final_read(*read, reply),
+            Purpose::ReadTerminalState(read) => self.terminal_state_read(*read, reply),
             Purpose::ReadRange { request, id, then } => {
                 self.range_read(request, id, then, &reply);
             }
@@ -624,52 +620,52 @@
             Purpose::StoreDrains { request, drains } => {
                 self.drains_stored(request, drains, &reply);
             }
-            Purpose::StoreApart { claim, record } => self.apart_stored(claim, record, &reply),
-            Purpose::TakeOver(loading) => self.take_over_reply(loading, reply),
-            Purpose::Save(save) => self.saved(save, reply),
+            Purpose::StorePartitions { claim, record } => self.zones_stored(claim, record, &reply),
+            Purpose::Failover(loading) => self.failover_reply(loading, reply),
+            Purpose::QueuedWrite(write) => self.write_answered(write, reply),
             Purpose::StoreTypes => {}
             Purpose::Cloud(_) | Purpose::Direct(_) => {}
         }
     }
 
-    fn keep_final(&mut self, id: JobId, record: FinalRecord) {
-        if self.finals.insert(id.clone(), record).is_none() {
-            self.finals_order.push_back(id);
-            if self.finals_order.len() > FINALS_KEPT
-                && let Some(oldest) = self.finals_order.pop_front()
+    fn cache_terminal_state(&mut self, id: JobId, record: TerminalRecord) {
+        if self.terminal_cache.insert(id.clone(), record).is_none() {
+            self.terminal_cache_order.push_back(id);
+            if self.terminal_cache_order.len() > TERMINAL_CACHE_MOST
+                && let Some(oldest) = self.terminal_cache_order.pop_front()
             {
-                self.finals.remove(&oldest);
+                self.terminal_cache.remove(&oldest);
             }
         }
     }
 
     /// What the leader answers to a report, whichever way it came; none where
     /// this node does not lead.
-    fn lead_report(&mut self, report: &WorkerReport) -> Option<Answer> {
+    fn answer_as_leader(&mut self, report: &WorkerReport) -> Option<Answer> {
         let answer = self.answer_report(report);
         if let Some(Answer::Commands { .. }) = answer {
-            self.zone_answered(&report.zone);
+            self.record_zone_answer(&report.zone);
         }
         answer
     }
 
     fn answer_report(&mut self, report: &WorkerReport) -> Option<Answer> {
         let now = self.now();
-        if !self.leads() {
+        if !self.is_leader() {
             return None;
         }
-        let Some(leader) = &mut self.leader else {
-            return self.keep_alive(report);
+        let Some(cluster) = &mut self.cluster else {
+            return self.keep_lease_alive(report);
         };
-        if report.token >> 16 > leader.claim {
+        if report.token >> 16 > cluster.claim {
             // Somebody with a later claim has commanded it.
-            self.drop_leader("a worker knows a higher token");
+            self.drop_leadership("a worker knows a higher token");
             return None;
         }
-        if leader.queue.dirty && now >= leader.next_pass {
-            leader.pass(now);
+        if cluster.queue.dirty && now >= cluster.next_pass {
+            cluster.pass(now);
         }
-        Some(match leader.report(report, now) {
+        Some(match cluster.report(report, now) {
             Some((token, commands)) => Answer::Commands { token, commands },
             None => Answer::Redirect(None),
         })
--- a/src/core/fleet.rs
+++ b/src/core/provisioning.rs
@@ -10,8 +10,8 @@
 use tracing::info;
 
 use super::{
+    cluster::ClusterState,
     job::{JobSpec, Kind},
-    leader::Leader,
     machine::{ListedMachine, ListedState, Machine, MachineId, MachineKind, MachineType, Standing},
 };
 
@@ -19,12 +19,12 @@
 pub enum CloudRequest {
     Types,
     List { after: String },
-    Rent(Rental),
+    Provision(ProvisioningRequest),
     Release { machines: Vec<MachineId> },
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rental {
+pub struct ProvisioningRequest {
     pub request: String,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
@@ -32,7 +32,7 @@
     pub count: u32,
 }
 
-impl Rental {
+impl ProvisioningRequest {
     pub(super) fn kind(&self) -> MachineKind {
         MachineKind {
             machine_type: self.machine_type.clone(),
@@ -49,7 +49,7 @@
         machines: Vec<ListedMachine>,
         more: bool,
     },
-    Rented(Vec<MachineId>),
+    Provisioned(Vec<MachineId>),
     NoCapacity,
     Released,
     /// Not executed: over the limit or in an outage.
@@ -61,17 +61,17 @@
 /// A rental that has no final answer yet.
 #[derive(Debug)]
 struct Open {
-    rental: Rental,
+    rental: ProvisioningRequest,
     in_flight: bool,
     next_try: Duration,
 }
 
 /// What the leader has going with the cloud.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Provisioning {
     /// Begins the name of every rental, so that no other leader uses it.
     prefix: String,
-    rented: u64,
+    request_count: u64,
     open: Vec<Open>,
     listing: Option<Vec<ListedMachine>>,
     /// When the last list that was read whole was asked for.
@@ -80,24 +80,24 @@
     next_list: Duration,
     next_types: Duration,
     next_plan: Duration,
-    pub(super) next_drain: Duration,
+    pub(super) next_consolidation: Duration,
     /// When a task waited last.
     pub(super) waited_at: Duration,
     next_call: Duration,
     releasing: BTreeSet<MachineId>,
     /// Kinds of machine that were refused, until when they are not asked for again.
     refused: HashMap<MachineKind, Duration>,
-    /// How many rentals may be without an answer.
+    /// How many scale-out requests may be without an answer.
     pace: Pace,
     /// Machines that were returned; the list may still show them for a while.
     returned: BTreeMap<MachineId, Duration>,
 }
 
-impl Fleet {
+impl Provisioning {
     pub fn new(prefix: String) -> Self {
         Self {
             prefix,
-            rented: 0,
+            request_count: 0,
             open: Vec::new(),
             listing: None,
             list_read: None,
@@ -105,7 +105,7 @@
             next_list: Duration::ZERO,
             next_types: Duration::ZERO,
             next_plan: Duration::ZERO,
-            next_drain: Duration::ZERO,
+            next_consolidation: Duration::ZERO,
             waited_at: Duration::ZERO,
             next_call: Duration::ZERO,
             releasing: BTreeSet::new(),
@@ -121,19 +121,19 @@
     }
 
     /// No more orders than the cloud answers.
-    pub(super) fn may_order(&self) -> bool {
+    pub(super) fn may_request(&self) -> bool {
         self.open.len() < self.pace.window()
     }
 
     /// Rentals without a final answer.
-    pub(super) fn ordered(&self) -> impl Iterator<Item = &Rental> {
+    pub(super) fn open_requests(&self) -> impl Iterator<Item = &ProvisioningRequest> {
         self.open.iter().map(|open| &open.rental)
     }
 
     /// Takes an order, and says the name that it gets.
-    pub(super) fn order(&mut self, mut rental: Rental) -> &str {
-        self.rented += 1;
-        rental.request = format!("{}-{}", self.prefix, self.rented);
+    pub(super) fn open_request(&mut self, mut rental: ProvisioningRequest) -> &str {
+        self.request_count += 1;
+        rental.request = format!("{}-{}", self.prefix, self.request_count);
         self.open.push(Open {
             rental,
             in_flight: false,
@@ -142,7 +142,7 @@
         self.open.last().map_or("", |open| &open.rental.request)
     }
 
-    pub(super) fn refuses(&self, kind: &MachineKind) -> bool {
+    pub(super) fn is_refused(&self, kind: &MachineKind) -> bool {
         self.refused.contains_key(kind)
     }
 
@@ -160,8 +160,12 @@
         left.map(|(kind, left)| (kind.clone(), left)).collect()
     }
 
-    /// What the former leader was refused is not asked for again at once.
-    pub(super) fn recall(&mut self, refused: Vec<(MachineKind, Duration)>, now: Duration) {
+    /// What the previous leader was refused is not asked for again at once.
+    pub(super) fn restore_refusals(
+        &mut self,
+        refused: Vec<(MachineKind, Duration)>,
+        now: Duration,
+    ) {
         for (kind, left) in refused {
             self.refused
                 .entry(kind)
@@ -170,73 +174,73 @@
     }
 
     /// The machine is being returned.
-    pub(super) fn returns(&self, id: &MachineId) -> bool {
+    pub(super) fn is_being_returned(&self, id: &MachineId) -> bool {
         self.releasing.contains(id)
     }
 }
 
-impl Leader {
+impl ClusterState {
     /// The next request to the cloud, if one is due. Calls are spaced evenly.
     pub fn cloud_work(&mut self, now: Duration) -> Option<CloudRequest> {
-        if now < self.fleet.next_call {
+        if now < self.provisioning.next_call {
             return None;
         }
         let request = self.next_cloud_request(now)?;
-        self.fleet.next_call = now + self.config.cloud_every;
+        self.provisioning.next_call = now + self.config.cloud_every;
         Some(request)
     }
 
     fn next_cloud_request(&mut self, now: Duration) -> Option<CloudRequest> {
-        if now >= self.fleet.next_plan {
-            self.fleet.next_plan = now + Duration::from_millis(500);
+        if now >= self.provisioning.next_plan {
+            self.provisioning.next_plan = now + Duration::from_millis(500);
             self.value_images();
             // One that hears nobody can't tell what is needed.
-            if !self.outlook.doubts {
-                self.plan_returns(now);
+            if !self.reachability.is_uncertain {
+                self.plan_scale_in(now);
                 self.plan_drains(now);
-                self.plan_drain(now);
-                self.plan_rentals(now);
+                self.plan_consolidation(now);
+                self.plan_scale_out(now);
             }
         }
-        let silent = self.plan_reclaims(now);
+        let silent = self.plan_unresponsive_returns(now);
         if !silent.is_empty() {
-            self.fleet.releasing.extend(silent.iter().cloned());
+            self.provisioning.releasing.extend(silent.iter().cloned());
             return Some(CloudRequest::Release { machines: silent });
         }
         if let Some(open) = self
-            .fleet
+            .provisioning
             .open
             .iter_mut()
             .find(|o| !o.in_flight && now >= o.next_try)
         {
             open.in_flight = true;
-            return Some(CloudRequest::Rent(open.rental.clone()));
+            return Some(CloudRequest::Provision(open.rental.clone()));
         }
         let leaving: Vec<MachineId> = self
             .machines
             .values()
             .filter(|m| m.standing == Standing::Leaving && m.tasks.is_empty() && !m.unresolved)
-            // Off the roster first: a next leader need not wait for it then.
-            .filter(|m| !m.entry.stored)
-            .filter(|m| !self.fleet.releasing.contains(&m.id))
+            // Off the assignment index first: a next leader need not wait for it then.
+            .filter(|m| !m.assignment.stored)
+            .filter(|m| !self.provisioning.releasing.contains(&m.id))
             .map(|m| m.id.clone())
             .take(100)
             .collect();
         if !leaving.is_empty() {
-            info!(machines = ?leaving, "return");
-            self.fleet.releasing.extend(leaving.iter().cloned());
+            info!(machines = ?leaving, "scale in");
+            self.provisioning.releasing.extend(leaving.iter().cloned());
             return Some(CloudRequest::Release { machines: leaving });
         }
-        if now >= self.fleet.next_list {
-            self.fleet.next_list = now + self.config.list_lag.max(Duration::from_secs(4));
-            self.fleet.listing = Some(Vec::new());
-            self.fleet.list_asked = now;
+        if now >= self.provisioning.next_list {
+            self.provisioning.next_list = now + self.config.list_lag.max(Duration::from_secs(4));
+            self.provisioning.listing = Some(Vec::new());
+            self.provisioning.list_asked = now;
             return Some(CloudRequest::List {
                 after: String::new(),
             });
         }
-        if now >= self.fleet.next_types {
-            self.fleet.next_types = now + Duration::from_secs(60);
+        if now >= self.provisioning.next_types {
+            self.provisioning.next_types = now + Duration::from_secs(60);
             return Some(CloudRequest::Types);
         }
         None
@@ -249,40 +253,40 @@
         now: Duration,
     ) -> Option<CloudRequest> {
         match (request, reply) {
-            (CloudRequest::Rent(rental), reply) => self.rent_reply(rental, reply, now),
+            (CloudRequest::Provision(rental), reply) => self.provision_reply(rental, reply, now),
             (CloudRequest::Release { machines }, reply) => {
                 for id in machines {
-                    self.fleet.releasing.remove(id);
+                    self.provisioning.releasing.remove(id);
                     if matches!(reply, CloudReply::Released) {
                         // All that was on it is gone by the time of the answer.
                         self.machine_gone(id, now);
-                        self.fleet.returned.insert(id.clone(), now);
+                        self.provisioning.returned.insert(id.clone(), now);
                     }
                 }
                 // The list may show them yet, and copies of what they sent may come: those
                 // that were returned last are kept, whatever their names.
-                while self.fleet.returned.len() > RETURNED_KEPT {
-                    let oldest = self.fleet.returned.iter().min_by_key(|(_, at)| **at);
+                while self.provisioning.returned.len() > RETURNED_KEPT {
+                    let oldest = self.provisioning.returned.iter().min_by_key(|(_, at)| **at);
                     let Some(oldest) = oldest.map(|(id, _)| id.clone()) else {
                         break;
                     };
-                    self.fleet.returned.remove(&oldest);
+                    self.provisioning.returned.remove(&oldest);
                 }
                 self.requeue();
             }
             (CloudRequest::List { .. }, CloudReply::Machines { machines, more }) => {
                 let last = machines.last().map(|m| m.id.to_string());
-                let Some(listing) = &mut self.fleet.listing else {
+                let Some(listing) = &mut self.provisioning.listing else {
                     return None;
                 };
                 listing.extend(machines);
                 if let (true, Some(after)) = (more, last) {
                     return Some(CloudRequest::List { after });
                 }
-                let listing = self.fleet.listing.take().unwrap_or_default();
-                self.fleet.list_read = Some(self.fleet.list_asked);
+                let listing = self.provisioning.listing.take().unwrap_or_default();
+                self.provisioning.list_read = Some(self.provisioning.list_asked);
                 self.compare_list(&listing, now);
-                self.squares_list(now);
+                self.reconcile_list(now);
             }
             (CloudRequest::Types, CloudReply::Types(types)) => self.types = Arc::new(types),
             _ => {}
@@ -290,31 +294,31 @@
         None
     }
 
-    fn rent_reply(&mut self, rental: &Rental, reply: CloudReply, now: Duration) {
+    fn provision_reply(&mut self, rental: &ProvisioningRequest, reply: CloudReply, now: Duration) {
         let kind = rental.kind();
-        self.fleet.pace.step(match reply {
-            CloudReply::Rented(_) => Outcome::Done,
+        self.provisioning.pace.step(match reply {
+            CloudReply::Provisioned(_) => Outcome::Done,
             CloudReply::NoCapacity => Outcome::Refused,
             _ => Outcome::Unclear,
         });
         match reply {
-            CloudReply::Rented(ids) => {
-                info!(request = %rental.request, got = ids.len(), asked = rental.count, "rented");
+            CloudReply::Provisioned(ids) => {
+                info!(request = %rental.request, got = ids.len(), asked = rental.count, "scaled out");
                 if (ids.len() as u32) < rental.count {
-                    self.fleet.refused.insert(kind, now + REFUSED_FOR);
+                    self.provisioning.refused.insert(kind, now + REFUSED_FOR);
                 }
                 for id in ids {
-                    self.meet(&id, &rental.machine_type, &rental.zone, rental.spot, now);
+                    self.ensure_machine(&id, &rental.machine_type, &rental.zone, rental.spot, now);
                 }
-                self.fleet.open.retain(|o| o.rental != *rental);
+                self.provisioning.open.retain(|o| o.rental != *rental);
             }
             CloudReply::NoCapacity => {
-                self.fleet.refused.insert(kind, now + REFUSED_FOR);
-                self.fleet.open.retain(|o| o.rental != *rental);
+                self.provisioning.refused.insert(kind, now + REFUSED_FOR);
+                self.provisioning.open.retain(|o| o.rental != *rental);
             }
             _ => {
                 // The same name again: it never rents twice.
-                for open in &mut self.fleet.open {
+                for open in &mut self.provisioning.open {
                     if open.rental == *rental {
                         open.in_flight = false;
                         open.next_try = now + Duration::from_secs(2);
@@ -327,7 +331,7 @@
     fn compare_list(&mut self, listing: &[ListedMachine], now: Duration) {
         for listed in listing {
             let lagging = self
-                .fleet
+                .provisioning
                 .returned
                 .get(&listed.id)
                 .is_some_and(|at| now < *at + self.config.list_lag * 3);
@@ -336,7 +340,7 @@
             }
             if !self.machines.contains_key(&listed.id) {
                 let age = listed.age;
-                let machine = self.meet(
+                let machine = self.ensure_machine(
                     &listed.id,
                     &listed.machine_type,
                     &listed.zone,
@@ -353,7 +357,7 @@
 
     /// Which machines are to go: those that never came up, failed, stay silent,
     /// fail many jobs, or have nothing to do.
-    fn plan_returns(&mut self, now: Duration) {
+    fn plan_scale_in(&mut self, now: Duration) {
         let unresolved = self.unresolved();
         let boot: HashMap<Arc<str>, f64> = self
             .types
@@ -374,7 +378,7 @@
                     leave.push((m.id.clone(), "never came up"));
                 }
                 Standing::Lost if now > silent + self.config.worker_lease_bound * 5 => {
-                    leave.push((m.id.clone(), "silent"));
+                    leave.push((m.id.clone(), "unresponsive"));
                 }
                 Standing::Up if m.failures.len() >= 2 => leave.push((m.id.clone(), "faulty")),
                 _ => {}
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -10,8 +10,8 @@
 
 use super::{
     Node,
+    cluster::{ClusterState, Job},
     job::{JobId, Priority},
-    leader::{Job, Leader},
     machine::MachineId,
 };
 
@@ -101,9 +101,9 @@
     unresolved: bool,
 }
 
-impl Leader {
-    /// How a pass sees the machine now. One that fell silent is not usable, long before its
-    /// lease is over, and neither is one of a zone that is cut off.
+impl ClusterState {
+    /// How a pass sees the machine now. One that stopped reporting is not usable, long before its
+    /// lease is over, and neither is one of a zone that is partitioned.
     pub(super) fn availability(&self, id: &MachineId, now: Duration) -> Option<Availability> {
         let machine = self.machines.get(id)?;
         Some(Availability {
@@ -117,8 +117,9 @@
     /// A job with waiting tasks that neither the heap nor the list holds: nothing would
     /// ever look at it again. There is none.
     pub fn lost_job(&self) -> Option<JobId> {
-        let leader = self.leader.as_ref()?;
-        let waits = |(id, job): &(&JobId, &Job)| job.waiting_count() > 0 && !leader.queue.holds(id);
-        leader.jobs.iter().find(waits).map(|(id, _)| id.clone())
+        let cluster = self.cluster.as_ref()?;
+        let waits =
+            |(id, job): &(&JobId, &Job)| job.waiting_count() > 0 && !cluster.queue.holds(id);
+        cluster.jobs.iter().find(waits).map(|(id, _)| id.clone())
     }
 }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -13,15 +13,15 @@
 
 use super::{
     Answer, BACK_OFF, Node, Purpose, RequestId,
-    apart::ZONES_APART,
-    drains::DRAINS,
-    finals::PACKED_FINALS,
+    drain::DRAINS,
     migrate::Migration,
+    partitioned_zones::PARTITIONED_ZONES_FEATURE,
     store::{GENERATION, LEADER, ORDERS, StateReply, StateRequest, node_key, put, when},
+    terminal_states::PACKED_TERMINAL_STATES,
 };
 
 /// All changes of the stored state that this build knows.
-pub const FEATURES: &[Feature] = &[PACKED_FINALS, ZONES_APART, DRAINS];
+pub const FEATURES: &[Feature] = &[PACKED_TERMINAL_STATES, PARTITIONED_ZONES_FEATURE, DRAINS];
 
 /// What operators ask of a node.
 #[derive(Debug, Clone, PartialEq)]
@@ -87,17 +87,17 @@
 impl Node {
     /// The stored forms are of a generation that this process can't read, or that it
     /// can't tell: it can prove nothing about jobs.
-    pub(super) fn estranged(&self) -> bool {
-        !self.mirror.cluster.0.suits(&self.config.ability)
-            || self.mirror.unreadable.contains_key(GENERATION)
+    pub(super) fn cannot_read_state(&self) -> bool {
+        !self.cache.cluster.0.suits(&self.config.ability)
+            || self.cache.unreadable.contains_key(GENERATION)
     }
 
     /// Why this node takes no requests and does not lead, if so.
-    pub(super) fn refuses(&self) -> Option<String> {
-        if let Some(key) = self.mirror.unreadable.keys().next() {
+    pub(super) fn refusal_reason(&self) -> Option<String> {
+        if let Some(key) = self.cache.unreadable.keys().next() {
             return Some(format!("{key} can't be read, a newer build is needed"));
         }
-        let cluster = &self.mirror.cluster.0;
+        let cluster = &self.cache.cluster.0;
         let needs = cluster.needs();
         let ability = &self.config.ability;
         (!cluster.suits(ability)).then(|| {
@@ -108,57 +108,59 @@
 
     /// Whether this node may claim the leadership, as far as stored forms go.
     pub(super) fn may_claim(&self) -> bool {
-        !self.rollout.retiring && self.now() >= self.rollout.blocked && self.refuses().is_none()
+        !self.rollout.retiring
+            && self.now() >= self.rollout.blocked
+            && self.refusal_reason().is_none()
     }
 
-    pub(super) fn fit_for_requests(&self) -> bool {
-        !self.rollout.retiring && self.refuses().is_none()
+    pub(super) fn accepts_requests(&self) -> bool {
+        !self.rollout.retiring && self.refusal_reason().is_none()
     }
 
     /// A record outside of what is watched can't be read.
-    pub(super) fn cannot_read(&mut self, key: &str) {
+    pub(super) fn report_unreadable(&mut self, key: &str) {
         if self.rollout.unread.as_deref() != Some(key) {
             error!(key, "a record can't be read, a newer build is needed");
             self.rollout.unread = Some(key.to_owned());
         }
     }
 
-    /// The take-over found a record that it can't read: what it says may be that a task
+    /// The failover found a record that it can't read: what it says may be that a task
     /// runs, so nobody starts anything here. Another node may be able to.
-    pub(super) fn stop_take_over(&mut self, key: &str) {
-        self.cannot_read(key);
-        self.give_way("a stored record can't be read");
+    pub(super) fn abort_failover(&mut self, key: &str) {
+        self.report_unreadable(key);
+        self.step_down("a stored record can't be read");
     }
 
-    /// Hands over, or where a former leader may still act, only leaves the place. For a
+    /// Hands over, or where a previous leader may still act, only leaves the place. For a
     /// leader's lease it does not take it again: workers go on coming here until they
     /// have found the next one.
-    fn give_way(&mut self, why: &str) {
+    fn step_down(&mut self, why: &str) {
         self.rollout.blocked = self.now() + self.config.leader_ttl;
-        let to = match self.former_stopped() {
+        let to = match self.has_previous_leader_stopped() {
             true => self.successor(),
             false => None,
         };
-        self.hand_over(to, why);
+        self.transfer_leadership(to, why);
     }
 
     /// The node that should lead next: one that is served and able to, and of those
     /// the one that hears most workers.
     fn successor(&self) -> Option<String> {
-        let (nodes, now) = (&self.members.nodes, self.now());
+        let (nodes, now) = (&self.membership.nodes, self.now());
         let able = |node: &String| {
-            let told = self.mirror.nodes.get(node);
+            let told = self.cache.nodes.get(node);
             let ability = told.and_then(|(ability, _)| ability.as_ref());
-            ability.is_none_or(|ability| self.mirror.cluster.0.suits(ability))
+            ability.is_none_or(|ability| self.cache.cluster.0.suits(ability))
         };
-        nodes.best_of(now, able).map(|(node, _)| node)
+        nodes.best_peer_of(now, able).map(|(node, _)| node)
     }
 
-    pub(super) fn pump_rollout(&mut self) {
-        if !self.mirror.loaded {
+    pub(super) fn drive_rollout(&mut self) {
+        if !self.cache.loaded {
             return;
         }
-        let refuses = self.refuses();
+        let refuses = self.refusal_reason();
         if refuses != self.rollout.refused {
             match &refuses {
                 Some(why) => error!(why, "refuses"),
@@ -167,18 +169,18 @@
             self.rollout.refused = refuses;
         }
         if self.rollout.refused.is_some() && self.claim().is_some() {
-            self.give_way("it can't read what is stored");
+            self.step_down("it can't read what is stored");
         }
         if self.rollout.machine.is_none() {
             return;
         }
         self.announce();
         let now = self.now();
-        if now < self.rollout.next || self.rollout.storing || !self.leads() {
+        if now < self.rollout.next || self.rollout.storing || !self.is_leader() {
             return;
         }
         self.rollout.next = now + LOOK_EVERY;
-        let Some(claim) = self.leader.as_ref().map(|leader| leader.claim) else {
+        let Some(claim) = self.cluster.as_ref().map(|cluster| cluster.claim) else {
             return;
         };
         let view = self.rollout_view();
@@ -219,9 +221,9 @@
     /// that a step which counted on the process before it fails.
     fn announce(&mut self) {
         let (now, node) = (self.now(), self.config.node.clone());
-        let stored = self.mirror.nodes.get(&node).map_or(0, |(_, at)| *at);
+        let stored = self.cache.nodes.get(&node).map_or(0, |(_, at)| *at);
         let rollout = &mut self.rollout;
-        if rollout.started > 0 && self.mirror.cursor >= rollout.started && stored != rollout.started
+        if rollout.started > 0 && self.cache.cursor >= rollout.started && stored != rollout.started
         {
             // A write of the process before came late.
             rollout.started = 0;
@@ -250,12 +252,12 @@
         }
     }
 
-    /// What a pulse tells of this process.
+    /// What a heartbeat tells of this process.
     pub(super) fn told(&self) -> Option<Told> {
         let started = self.rollout.started;
         (started > 0).then_some(Told {
             started,
-            knows: self.mirror.cluster.1,
+            knows: self.cache.cluster.1,
         })
     }
 
@@ -271,9 +273,10 @@
 
     /// No record is left of what a generation that is being left has stored.
     fn nothing_left(&self) -> bool {
-        let written = self.mirror.cluster.0.written();
-        let no_zones = written >= ZONES_APART.since || self.mirror.apart.0.zones.is_empty();
-        no_zones && (written >= DRAINS.since || self.mirror.drains.0.machines.is_empty())
+        let written = self.cache.cluster.0.written();
+        let no_zones = written >= PARTITIONED_ZONES_FEATURE.since
+            || self.cache.partitioned_zones.0.zones.is_empty();
+        no_zones && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
     }
 
     fn configured(&self) -> impl Iterator<Item = &String> {
@@ -282,15 +285,15 @@
 
     fn rollout_view(&self) -> View {
         let now = self.now();
-        let (cluster, revision) = self.mirror.cluster;
+        let (cluster, revision) = self.cache.cluster;
         let seen = |node: &String| {
-            let (ability, started) = match self.mirror.nodes.get(node) {
+            let (ability, started) = match self.cache.nodes.get(node) {
                 Some((ability, started)) => (ability.clone(), *started),
                 None => (None, 0),
             };
             let told = match *node == self.config.node {
                 true => self.told(),
-                false => self.members.nodes.told(node, now),
+                false => self.membership.nodes.told(node, now),
             };
             let seen = Seen {
                 ability,
@@ -302,7 +305,7 @@
         View {
             cluster,
             revision,
-            orders: self.mirror.orders.0.clone(),
+            orders: self.cache.orders.0.clone(),
             nodes: self.configured().map(seen).collect::<BTreeMap<_, _>>(),
             clean: self.rollout.migration.clean(revision) && self.nothing_left(),
         }
@@ -323,12 +326,12 @@
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
-            Ask::StepDown if !self.former_stopped() || self.successor().is_none() => {
+            Ask::StepDown if !self.has_previous_leader_stopped() || self.successor().is_none() => {
                 let retry = self.config.leader_term;
                 self.answer(request, Answer::Later { retry });
             }
             Ask::StepDown => {
-                self.give_way("an operator asked it to step down");
+                self.step_down("an operator asked it to step down");
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
@@ -339,8 +342,8 @@
     /// away first.
     pub(super) fn retire(&mut self) {
         self.rollout.retiring = true;
-        if self.claim().is_some() && self.former_stopped() {
-            self.give_way("it is about to end");
+        if self.claim().is_some() && self.has_previous_leader_stopped() {
+            self.step_down("it is about to end");
         }
     }
 
@@ -349,12 +352,12 @@
             self.answer(request, Answer::Impossible(why));
             return;
         }
-        if !self.mirror.loaded || self.refuses().is_some() {
+        if !self.cache.loaded || self.refusal_reason().is_some() {
             let retry = Duration::from_secs(1);
             self.answer(request, Answer::Later { retry });
             return;
         }
-        let (mut orders, revision) = self.mirror.orders.clone();
+        let (mut orders, revision) = self.cache.orders.clone();
         let config = self.config.options.rollout.as_ref();
         match (order, config) {
             // By hand, the newest has to be named.
@@ -381,7 +384,7 @@
                 let nodes: Vec<&str> = self.configured().map(String::as_str).collect();
                 Some(format!("no node {node}, there are: {}", nodes.join(", ")))
             }
-            Order::Forget(node) if self.here(node) => {
+            Order::Forget(node) if self.is_alive(node) => {
                 Some(format!("{node} is here: end it before it is forgotten"))
             }
             Order::Target(target) => {
@@ -389,7 +392,7 @@
                 if !(oldest..=newest).contains(target) {
                     return Some(format!("generation: must be {oldest} to {newest}"));
                 }
-                let cluster = self.mirror.cluster.0;
+                let cluster = self.cache.cluster.0;
                 let now = cluster.from.max(cluster.written());
                 let mut left = FEATURES
                     .iter()
@@ -401,8 +404,8 @@
         }
     }
 
-    fn here(&self, node: &str) -> bool {
-        node == self.config.node || self.members.nodes.here(node, self.now())
+    fn is_alive(&self, node: &str) -> bool {
+        node == self.config.node || self.membership.nodes.is_alive(node, self.now())
     }
 
     pub(super) fn order_stored(&mut self, request: RequestId, reply: &StateReply) {
@@ -419,7 +422,7 @@
     /// soak, or of the records found so far at the share that the file allows.
     fn rest_of_the_move(&self, soaked: Duration) -> Option<f64> {
         let config = self.config.options.rollout.as_ref()?;
-        match self.mirror.cluster.0.stage {
+        match self.cache.cluster.0.stage {
             Stage::Settled => None,
             Stage::Prepared | Stage::Soaking => {
                 Some(config.soak.saturating_sub(soaked).as_secs_f64())
@@ -434,17 +437,17 @@
 
     fn rollout_status(&self) -> Status {
         let now = self.now();
-        let cluster = self.mirror.cluster.0;
-        let orders = &self.mirror.orders.0;
-        let leader = self.mirror.leader.as_ref().map(|(record, _)| &record.node);
+        let cluster = self.cache.cluster.0;
+        let orders = &self.cache.orders.0;
+        let leader = self.cache.leader.as_ref().map(|(record, _)| &record.node);
         let nodes = self.configured().map(|node| {
-            let told = self.mirror.nodes.get(node);
+            let told = self.cache.nodes.get(node);
             let ability = told.and_then(|(ability, _)| ability.clone());
             NodeStatus {
                 node: node.clone(),
                 zone: self.config.zones.get(node).cloned().unwrap_or_default(),
                 leads: leader == Some(node),
-                here: self.here(node),
+                here: self.is_alive(node),
                 gone: orders.gone.contains(node),
                 least: ability.as_ref().map_or(OLDEST, |a| a.least),
                 most: ability.as_ref().map_or(OLDEST, |a| a.most),
@@ -454,10 +457,10 @@
         });
         let mut nodes: Vec<NodeStatus> = nodes.collect();
         nodes.sort_by(|a, b| a.node.cmp(&b.node));
-        let leads = self.leader.is_some() && self.leads();
+        let leads = self.cluster.is_some() && self.is_leader();
         let machine = self.rollout.machine.as_ref().filter(|_| leads);
         let millis = |time: Duration| time.as_millis() as u64;
-        let outlook = self.leader.as_ref().map(|leader| &leader.outlook);
+        let reachability = self.cluster.as_ref().map(|cluster| &cluster.reachability);
         Status {
             node: self.config.node.clone(),
             enabled: self.rollout.machine.is_some(),
@@ -474,10 +477,10 @@
             migrated: machine.map(|_| self.rollout.migration.moved()),
             left: machine.and_then(|_| self.rollout.migration.left()),
             estimate_s: machine.and_then(|m| self.rest_of_the_move(m.soaked(now))),
-            refuses: self.refuses(),
-            clear: outlook
+            refuses: self.refusal_reason(),
+            clear: reachability
                 .filter(|_| leads)
-                .map(|o| !o.doubts && !o.blind && o.apart.is_empty()),
+                .map(|o| !o.is_uncertain && !o.is_isolated && o.partitioned_zones.is_empty()),
         }
     }
 }
--- a/src/core/rent.rs
+++ b/src/core/scale_out.rs
@@ -1,23 +1,23 @@
 //! What is to be rented: for waiting work that neither running nor booting machines take.
 
-mod ahead;
 pub mod arrivals;
 mod plan;
+mod upcoming_capacity;
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use tracing::info;
 
-use ahead::Ahead;
-use plan::{RentalOrder, RentalPlan};
+use plan::{ScaleOutOrder, ScaleOutPlan};
+use upcoming_capacity::UpcomingCapacity;
 
 use super::{
-    fleet::Rental,
+    capacity_snapshot::jobs_on_unresolved,
+    cluster::{ClusterState, Job},
     job::{JobId, JobSpec, Kind, Resources},
-    leader::{Job, Leader},
     machine::{MachineKind, Standing},
-    room::listed_by_silent,
-    squaring::Order,
+    provisioning::ProvisioningRequest,
+    reconciliation::DeferredAction,
 };
 
 /// Waiting tasks of one job that need room that is not there.
@@ -26,47 +26,47 @@
     tasks: u32,
 }
 
-impl Leader {
+impl ClusterState {
     /// Rents for waiting work that neither running nor booting machines will take soon.
-    pub(super) fn plan_rentals(&mut self, now: Duration) {
-        self.fleet.forget_refusals(now);
+    pub(super) fn plan_scale_out(&mut self, now: Duration) {
+        self.provisioning.forget_refusals(now);
         if self.unlisted(now) {
             return;
         }
-        if !self.fleet.may_order() {
+        if !self.provisioning.may_request() {
             return;
         }
         for order in self.plan_orders(now) {
-            self.place_order(order);
+            self.submit_order(order);
         }
     }
 
     /// Hands an order to the cloud in calls of as many machines as one call may ask for.
-    fn place_order(&mut self, order: RentalOrder) {
-        let RentalOrder { kind, job, .. } = order;
+    fn submit_order(&mut self, order: ScaleOutOrder) {
+        let ScaleOutOrder { kind, job, .. } = order;
         let MachineKind { zone, spot, .. } = &kind;
         let mut wanted = order.count;
-        while wanted > 0 && self.fleet.may_order() {
+        while wanted > 0 && self.provisioning.may_request() {
             let count = wanted.min(CALL_MOST);
             wanted -= count;
-            let rental = Rental {
+            let rental = ProvisioningRequest {
                 request: String::new(),
                 machine_type: kind.machine_type.clone(),
                 zone: zone.clone(),
                 spot: *spot,
                 count,
             };
-            let request = self.fleet.order(rental);
-            info!(request, kind = %kind.machine_type, %zone, spot, count, %job, "rent");
+            let request = self.provisioning.open_request(rental);
+            info!(request, kind = %kind.machine_type, %zone, spot, count, %job, "scale out");
         }
     }
 
     /// Machines by kind for all that waits, in as few calls as the cloud takes: one call
     /// for each job kept a fleet that begins with nothing waiting for calls.
-    fn plan_orders(&mut self, now: Duration) -> Vec<RentalOrder> {
-        let mut plan = RentalPlan::default();
+    fn plan_orders(&mut self, now: Duration) -> Vec<ScaleOutOrder> {
+        let mut plan = ScaleOutPlan::default();
         // Gangs that have to stay in one zone may wait though there is room for a part.
-        let mut idle = Ahead::default();
+        let mut idle = UpcomingCapacity::default();
         for machine in self.machines.values() {
             plan.count_machines(&machine.zone, 1);
             if machine.standing == Standing::Booting {
@@ -75,7 +75,7 @@
                 idle.add(&machine.kind(), machine.size, 1);
             }
         }
-        for rental in self.fleet.ordered() {
+        for rental in self.provisioning.open_requests() {
             let size = self.size(&rental.machine_type);
             plan.coming.add(&rental.kind(), size, rental.count);
         }
@@ -87,7 +87,12 @@
     }
 
     /// Orders machines for the tasks that neither coming nor idle room takes.
-    fn plan_demand(&mut self, mut demand: Demand, plan: &mut RentalPlan, idle: &mut Ahead) {
+    fn plan_demand(
+        &mut self,
+        mut demand: Demand,
+        plan: &mut ScaleOutPlan,
+        idle: &mut UpcomingCapacity,
+    ) {
         let spec = demand.spec.clone();
         if !spec.one_zone {
             demand.tasks = plan.coming.fill(&spec, None, demand.tasks);
@@ -95,7 +100,7 @@
             let left = idle.fill(&spec, Some(&zone), demand.tasks);
             demand.tasks = plan.coming.fill(&spec, Some(&zone), left);
         }
-        if demand.tasks == 0 || self.room_may_come(&spec, Order::Rent) {
+        if demand.tasks == 0 || self.awaits_capacity(&spec, DeferredAction::Provision) {
             return;
         }
         while demand.tasks > 0 {
@@ -103,7 +108,7 @@
                 true => plan.coming.takes(&spec, Some(zone)) + idle.takes(&spec, Some(zone)),
                 false => 0,
             };
-            let Some((kind, count)) = self.choose_rental(&demand, room_in, plan) else {
+            let Some((kind, count)) = self.choose_machine_kind(&demand, room_in, plan) else {
                 break;
             };
             plan.order(&kind, self.size(&kind.machine_type), count, &spec);
@@ -118,7 +123,7 @@
 
     /// Asks for room for what usually comes until a machine has booted, where that is to
     /// start sooner than it could on a machine that is asked for then.
-    fn order_ahead(&self, now: Duration, plan: &mut RentalPlan) {
+    fn order_ahead(&self, now: Duration, plan: &mut ScaleOutPlan) {
         let expected = self.expected();
         if expected.is_empty() {
             return;
@@ -139,9 +144,9 @@
             while tasks > 0 {
                 let demand = Demand {
                     spec: spec.clone(),
-                    tasks: tasks.min(spec.need.times_in(&self.largest(&spec)) * RENT_MOST),
+                    tasks: tasks.min(spec.need.times_in(&self.largest(&spec)) * ZONE_BATCH_MOST),
                 };
-                let Some((kind, count)) = self.choose_rental(&demand, |_| 0, plan) else {
+                let Some((kind, count)) = self.choose_machine_kind(&demand, |_| 0, plan) else {
                     break;
                 };
                 plan.order(&kind, self.size(&kind.machine_type), count, &spec);
@@ -184,8 +189,8 @@
     /// Waiting tasks by job, the most important first. Of finite work only what
     /// the machines that are up will not have done by the time new ones are.
     fn demands(&self, now: Duration) -> Vec<Demand> {
-        let finite = self.finite_room();
-        let silent = listed_by_silent(&self.machines);
+        let finite = self.batch_capacity();
+        let silent = jobs_on_unresolved(&self.machines);
         let held = |id: &JobId, job: &Job| job.version < self.claim && silent.contains(id);
         let mut jobs: Vec<_> = self
             .jobs
@@ -209,7 +214,7 @@
                     // What is cleared while a new machine boots needs no machine.
                     let over = (ahead + work - self.patience(spec)).max(0.0);
                     ahead += work;
-                    let horizon = RENT_HORIZON.as_secs_f64().max(spec.estimate_s);
+                    let horizon = SCALE_OUT_HORIZON.as_secs_f64().max(spec.estimate_s);
                     let wanted = over / (share.max(1e-9) * horizon);
                     tasks = waiting.min(wanted.ceil() as u32);
                 }
@@ -239,7 +244,7 @@
         let aims = aims.filter(|o| o.kind == "wait" && *o.class == *spec.class);
         let tightest = aims.map(|o| o.within_s).fold(f64::INFINITY, f64::min);
         let left = tightest - self.boot_s(spec) - self.fetch_alone(spec);
-        left.clamp(0.0, RENT_HORIZON.as_secs_f64())
+        left.clamp(0.0, SCALE_OUT_HORIZON.as_secs_f64())
     }
 
     /// What teams with a limit may still run.
@@ -269,11 +274,11 @@
 
     /// The cheapest way to hold the tasks, where the cloud has not refused it: the kind of
     /// machine, and how many. `there` tells how many tasks a zone has room for already.
-    fn choose_rental(
+    fn choose_machine_kind(
         &self,
         demand: &Demand,
         there: impl Fn(&str) -> u32,
-        plan: &RentalPlan,
+        plan: &ScaleOutPlan,
     ) -> Option<(MachineKind, u32)> {
         let spec = &demand.spec;
         let mut best: Option<(f64, MachineKind, u32)> = None;
@@ -291,7 +296,7 @@
                         spot,
                     };
                     if !spec.allows_place(zone, spot)
-                        || self.fleet.refuses(&kind)
+                        || self.provisioning.is_refused(&kind)
                         || !self.reaches(zone)
                     {
                         continue;
@@ -299,7 +304,7 @@
                     // A gang is of use only whole.
                     let most = match spec.one_zone {
                         true => u32::MAX,
-                        false => RENT_MOST,
+                        false => ZONE_BATCH_MOST,
                     };
                     let count = tasks.div_ceil(slots).min(most);
                     let price = if spot { t.spot_price } else { t.price };
@@ -320,7 +325,12 @@
 }
 
 /// A zone where all of a job's tasks find room.
-fn whole_in(spec: &JobSpec, tasks: u32, ahead: &Ahead, idle: &Ahead) -> Option<Arc<str>> {
+fn whole_in(
+    spec: &JobSpec,
+    tasks: u32,
+    ahead: &UpcomingCapacity,
+    idle: &UpcomingCapacity,
+) -> Option<Arc<str>> {
     let zones = ahead.zones().chain(idle.zones());
     let whole = |zone: &&Arc<str>| {
         let zone = Some(&***zone);
@@ -331,8 +341,8 @@
 
 /// Machines of one zone that a job's tasks ask for at a time: more would put all of them
 /// there.
-const RENT_MOST: u32 = 16;
+const ZONE_BATCH_MOST: u32 = 16;
 /// Machines that one call may ask for, by the protocol.
 const CALL_MOST: u32 = 50;
 /// Waiting work that the machines do within this time needs no new ones.
-const RENT_HORIZON: Duration = Duration::from_secs(20);
+const SCALE_OUT_HORIZON: Duration = Duration::from_secs(20);
--- a/src/core/rent/arrivals.rs
+++ b/src/core/scale_out/arrivals.rs
@@ -68,7 +68,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{super::ahead::tests::spec, *};
+    use super::{super::upcoming_capacity::tests::spec, *};
 
     fn after(spans: &[u32]) -> u32 {
         let mut arrivals = Arrivals::default();
--- a/src/core/rent/plan.rs
+++ b/src/core/scale_out/plan.rs
@@ -1,15 +1,16 @@
-//! One plan of rentals: the room that is about to be there, and the machines asked for so far.
+//! One plan of scale-out requests: the room that is about to be there, and the machines asked for
+//! so far.
 
 use std::{collections::HashMap, sync::Arc};
 
-use super::ahead::Ahead;
+use super::upcoming_capacity::UpcomingCapacity;
 use crate::core::{
     job::{JobId, JobSpec, Resources},
     machine::MachineKind,
 };
 
 /// Machines of one kind to ask the cloud for.
-pub struct RentalOrder {
+pub struct ScaleOutOrder {
     pub kind: MachineKind,
     pub count: u32,
     /// The first job that needs one of them, for the log.
@@ -18,15 +19,15 @@
 
 /// What one pass over the waiting work asks for, and the room that counts as coming meanwhile.
 #[derive(Default)]
-pub struct RentalPlan {
+pub struct ScaleOutPlan {
     /// Room on machines that boot or are asked for.
-    pub coming: Ahead,
+    pub coming: UpcomingCapacity,
     /// Machines by zone, those that are asked for included.
     machines_in_zone: HashMap<Arc<str>, usize>,
-    orders: Vec<RentalOrder>,
+    orders: Vec<ScaleOutOrder>,
 }
 
-impl RentalPlan {
+impl ScaleOutPlan {
     /// Counts machines of a zone.
     pub fn count_machines(&mut self, zone: &Arc<str>, count: usize) {
         *self.machines_in_zone.entry(zone.clone()).or_insert(0) += count;
@@ -43,7 +44,7 @@
         self.count_machines(&kind.zone, count as usize);
         match self.orders.iter_mut().find(|order| order.kind == *kind) {
             Some(order) => order.count += count,
-            None => self.orders.push(RentalOrder {
+            None => self.orders.push(ScaleOutOrder {
                 kind: kind.clone(),
                 count,
                 job: job.id.clone(),
@@ -51,7 +52,7 @@
         }
     }
 
-    pub fn into_orders(self) -> Vec<RentalOrder> {
+    pub fn into_orders(self) -> Vec<ScaleOutOrder> {
         self.orders
     }
 }
--- a/src/core/rent/ahead.rs
+++ b/src/core/scale_out/upcoming_capacity.rs
@@ -1,5 +1,5 @@
 //! Rooms that are about to be there, those that are alike counted together: what a plan
-//! of rentals fills first, and adds to with each machine that it asks for.
+//! of scale-out requests fills first, and adds to with each machine that it asks for.
 
 use std::sync::Arc;
 
@@ -33,9 +33,9 @@
 }
 
 #[derive(Default)]
-pub struct Ahead(Vec<Alike>);
+pub struct UpcomingCapacity(Vec<Alike>);
 
-impl Ahead {
+impl UpcomingCapacity {
     pub fn add(&mut self, kind: &MachineKind, free: Resources, count: u32) {
         if count == 0 {
             return;
@@ -146,7 +146,7 @@
     fn rooms_counted_together_take_what_single_ones_take() {
         let mut rng = StdRng::seed_from_u64(11);
         for _ in 0..300 {
-            let (mut ahead, mut plain) = (Ahead::default(), Vec::new());
+            let (mut ahead, mut plain) = (UpcomingCapacity::default(), Vec::new());
             for _ in 0..rng.random_range(1..6) {
                 let zone = ["a", "b"][rng.random_range(0..2)];
                 let kind = kind(zone, rng.random_bool(0.5));
@@ -192,7 +192,7 @@
     fn small_jobs_share_a_room_and_leave_the_others_whole() {
         let kind = kind("a", false);
         let (small, whole) = (spec(5.0, 1.0, false), spec(57.0, 8.0, false));
-        let mut ahead = Ahead::default();
+        let mut ahead = UpcomingCapacity::default();
         let free = Resources {
             cpus: 64.0,
             gpus: 8.0,
--- a/src/core/sched.rs
+++ b/src/core/scheduling.rs
@@ -15,11 +15,11 @@
 use kiteyard_maintenance::ledger::Replicas;
 
 use super::{
+    capacity_snapshot::{MachineCapacity, Snapshot, Unplaceable, Usage, jobs_on_unresolved},
+    cluster::ClusterState,
     job::{JobId, JobSpec, Kind, Priority, Resources, TaskId},
-    leader::Leader,
     machine::{Machine, MachineId, Standing},
-    room::{Hopeless, Room, Usage, View, listed_by_silent},
-    squaring::Order,
+    reconciliation::DeferredAction,
 };
 
 /// The least time between two passes.
@@ -57,7 +57,7 @@
     }
 }
 
-impl Leader {
+impl ClusterState {
     pub fn usable(&self, machine: &Machine, now: Duration) -> bool {
         machine.standing == Standing::Up
             && machine.fenced
@@ -71,23 +71,25 @@
 
     /// Nothing is started that can't be delivered, and nobody stopped for it.
     pub(super) fn reaches(&self, zone: &str) -> bool {
-        !self.outlook.doubts && !self.outlook.apart.contains(zone) && !self.withheld.contains(zone)
+        !self.reachability.is_uncertain
+            && !self.reachability.partitioned_zones.contains(zone)
+            && !self.withheld.contains(zone)
     }
 
     /// Places what fits, makes room for what does not, and parks the rest.
     pub fn pass(&mut self, now: Duration) {
         self.queue.dirty = false;
         self.next_pass = now + PASS_EVERY;
-        let places = self.order();
+        let places = self.deadline_order();
         self.queue.rank(&places);
         self.count_seats(now);
         let mut view = self.view(now);
-        self.shut = self.held_up(now);
+        self.closed_priority = self.priority_to_close(now);
         // Arrays that were given what has their image, in their order.
-        let mut near: Vec<JobId> = Vec::new();
+        let mut with_image: Vec<JobId> = Vec::new();
         loop {
-            if !self.beside(near.first()) {
-                for id in std::mem::take(&mut near) {
+            if !self.shares_locality_round(with_image.first()) {
+                for id in std::mem::take(&mut with_image) {
                     self.place_job(&mut view, id, now);
                 }
             }
@@ -97,10 +99,10 @@
             } else if self
                 .jobs
                 .get(&id)
-                .is_some_and(|job| self.goes_near(job, now))
+                .is_some_and(|job| self.prefers_image_locality(job, now))
             {
-                self.place_near(&mut view, &id, now);
-                near.push(id);
+                self.place_with_image(&mut view, &id, now);
+                with_image.push(id);
             } else {
                 self.place_job(&mut view, id, now);
             }
@@ -108,7 +110,7 @@
     }
 
     /// Whether nothing is to be tried for the job in this pass.
-    fn waits(&mut self, view: &mut View, id: &JobId, now: Duration) -> bool {
+    fn waits(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -118,8 +120,10 @@
             return true;
         }
         let spec = &job.spec;
-        if (job.version < self.claim && view.silent.contains(id))
-            || self.shut.is_some_and(|shut| spec.priority <= shut)
+        if (job.version < self.claim && view.on_unresolved.contains(id))
+            || self
+                .closed_priority
+                .is_some_and(|closed_priority| spec.priority <= closed_priority)
             || view.rules_out(spec, !job.nominations.is_empty())
         {
             return true;
@@ -128,12 +132,15 @@
             return false;
         }
         // No room is looked at for what may have none. Its turn is counted all the same.
-        let (near, seats) = (self.goes_near(job, now), !spec.licences.is_empty());
+        let (with_image, seats) = (
+            self.prefers_image_locality(job, now),
+            !spec.licences.is_empty(),
+        );
         if seats {
             self.retry_by(now + SEATS_AGAIN);
         }
-        if near && let Some(job) = self.jobs.get_mut(id) {
-            job.passed_over.get_or_insert(now);
+        if with_image && let Some(job) = self.jobs.get_mut(id) {
+            job.locality_wait_since.get_or_insert(now);
         }
         // What was freed for it is not kept from others meanwhile.
         self.drop_spent(view, id, now);
@@ -141,7 +148,7 @@
     }
 
     /// Not the least that could start of the job is within what its team may use.
-    fn at_limit(&self, view: &View, spec: &JobSpec, now: Duration) -> bool {
+    fn at_limit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> bool {
         let least = match spec.kind {
             Kind::Gang => spec.tasks,
             _ => 1,
@@ -156,7 +163,7 @@
     }
 
     /// Places all of a job that has room anywhere, or makes room for it.
-    fn place_job(&mut self, view: &mut View, id: JobId, now: Duration) {
+    fn place_job(&mut self, view: &mut Snapshot, id: JobId, now: Duration) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.waiting_count() > 0) else {
             return;
         };
@@ -168,7 +175,7 @@
             self.queue.park(id);
             return;
         }
-        view.look_at(&spec, &self.machines);
+        view.select_job(&spec, &self.machines);
         let all = match spec.kind {
             Kind::Gang => self.place_gang(view, &id, &spec, now),
             _ => self.place_tasks(view, &id, &spec, now),
@@ -182,15 +189,15 @@
         }
     }
 
-    fn view(&self, now: Duration) -> View {
+    fn view(&self, now: Duration) -> Snapshot {
         let (usage, leaving) = self.usage();
-        let rooms: Vec<Room> = self
+        let rooms: Vec<MachineCapacity> = self
             .machines
             .values()
             .filter(|m| self.usable(m, now))
-            .map(Room::new)
+            .map(MachineCapacity::new)
             .collect();
-        let mut view = View::new(rooms, usage, leaving, listed_by_silent(&self.machines));
+        let mut view = Snapshot::new(rooms, usage, leaving, jobs_on_unresolved(&self.machines));
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
             view.hold(&job.spec, &job.nominations);
         }
@@ -201,17 +208,17 @@
     /// is placed changes the cost of its own room only, and makes that the better
     /// one for the next: the rooms need to be compared but once.
     ///
-    /// With `near`, only rooms that have its image, or are about to.
-    pub(super) fn fill_rooms(
+    /// With `with_image`, only rooms that have its image, or are about to.
+    pub(super) fn fill_machines(
         &mut self,
-        view: &mut View,
+        view: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
-        near: bool,
+        with_image: bool,
         now: Duration,
     ) {
         let failed_on = &self.jobs[id].failed_on;
-        let has_image = |room: &Room| {
+        let has_image = |room: &MachineCapacity| {
             let machine = &self.machines[&room.id];
             // One that failed tasks is the last resort, whatever its cache holds.
             let sound = machine.failures.is_empty() && !failed_on.contains(&room.id);
@@ -221,7 +228,7 @@
             .may_fit(spec)
             .filter(|room| {
                 let room = &view.rooms[*room];
-                !near || (spec.need.fits_in(&room.free) && has_image(room))
+                !with_image || (spec.need.fits_in(&room.free) && has_image(room))
             })
             .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
             .collect();
@@ -251,13 +258,13 @@
     /// Places an array's or a service's tasks.
     fn place_tasks(
         &mut self,
-        view: &mut View,
+        view: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
         if spec.kind == Kind::Array {
-            self.fill_rooms(view, id, spec, false, now);
+            self.fill_machines(view, id, spec, false, now);
         }
         while let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) {
             if self.over_limit(view, spec, 1, now) || self.jobs[id].tries_enough() {
@@ -282,7 +289,7 @@
 
     fn put(
         &mut self,
-        view: &mut View,
+        view: &mut Snapshot,
         room: usize,
         machine: &MachineId,
         task: TaskId,
@@ -300,12 +307,12 @@
         }
     }
 
-    fn refresh_held(&self, view: &mut View, id: &JobId) {
+    fn refresh_held(&self, view: &mut Snapshot, id: &JobId) {
         let job = &self.jobs[id];
         view.refresh_held(&job.spec, &job.nominations);
     }
 
-    fn over_limit(&self, view: &View, spec: &JobSpec, tasks: u32, now: Duration) -> bool {
+    fn over_limit(&self, view: &Snapshot, spec: &JobSpec, tasks: u32, now: Duration) -> bool {
         if self.seats_for(spec, now) < tasks {
             return true;
         }
@@ -319,7 +326,7 @@
     }
 
     /// Whether the job may have a task there, room aside.
-    fn allowed(&self, view: &View, room: &Room, spec: &JobSpec) -> bool {
+    fn allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
         spec.allows_type(&room.machine_type)
             && spec.allows_place(&room.zone, room.spot)
             && zone_allowed(&view.zones, &room.zone, spec)
@@ -327,7 +334,13 @@
 
     /// Both checks: with the nominated tasks of equal or higher priority taken
     /// as running, and again without them.
-    fn fits(&self, view: &View, room: &Room, spec: &JobSpec, free: &Resources) -> bool {
+    fn fits(
+        &self,
+        view: &Snapshot,
+        room: &MachineCapacity,
+        spec: &JobSpec,
+        free: &Resources,
+    ) -> bool {
         if !spec.need.fits_in(free) {
             return false;
         }
@@ -340,7 +353,7 @@
         spec.need.fits_in(&left) && self.allowed(view, room, spec)
     }
 
-    fn best_fit(&self, view: &View, spec: &JobSpec, now: Duration) -> Option<usize> {
+    fn best_fit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
         view.may_fit(spec)
             .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
             .min_by(|a, b| a.0.total_cmp(&b.0))
@@ -348,7 +361,7 @@
     }
 
     /// How good a room is for a task that fits there; the lowest is the best.
-    fn cost(&self, view: &View, index: usize, spec: &JobSpec, now: Duration) -> Option<f64> {
+    fn cost(&self, view: &Snapshot, index: usize, spec: &JobSpec, now: Duration) -> Option<f64> {
         let room = &view.rooms[index];
         if !self.fits(view, room, spec, &room.free) {
             return None;
@@ -410,13 +423,13 @@
     /// Preemption for the waiting tasks of a job that hold no nomination yet.
     fn make_room(
         &mut self,
-        view: &mut View,
+        view: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
         self.drop_spent(view, id, now);
-        if self.room_may_come(spec, Order::Preempt) {
+        if self.awaits_capacity(spec, DeferredAction::Preempt) {
             return false;
         }
         let waiting = self.jobs[id].waiting_count() as usize;
@@ -429,7 +442,7 @@
                 // Zones may rule out rooms for this job that others could take.
                 if nominated == 0 && !spec.one_zone && !spec.spread {
                     let spec = spec.clone();
-                    view.hopeless.push(Hopeless { spec });
+                    view.unplaceable.push(Unplaceable { spec });
                 }
                 break;
             };
@@ -440,7 +453,7 @@
 
     /// A task whose nominated machine still has victims stopping does not
     /// preempt again; one whose victims are gone, and which still did not fit, may.
-    fn drop_spent(&mut self, view: &mut View, id: &JobId, now: Duration) {
+    fn drop_spent(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
         let machines = &self.machines;
         let job = self.jobs.get_mut(id).expect("job at hand");
         let before = job.nominations.len();
@@ -456,7 +469,7 @@
         }
     }
 
-    fn best_plan(&self, view: &View, spec: &JobSpec) -> Option<Plan> {
+    fn best_plan(&self, view: &Snapshot, spec: &JobSpec) -> Option<Plan> {
         let reclaims = self.within_guarantee(view, spec);
         let mut best: Option<Plan> = None;
         for (index, room) in view.rooms.iter().enumerate() {
@@ -482,7 +495,7 @@
 
     /// Whatever the plan for this room is, it is worse than this one. Going through the
     /// tasks of each machine for each waiting service was most of a pass in a rush.
-    fn loses(&self, room: &Room, spec: &JobSpec, reclaims: bool, best: &Plan) -> bool {
+    fn loses(&self, room: &MachineCapacity, spec: &JobSpec, reclaims: bool, best: &Plan) -> bool {
         let least = room.least_highest(spec, reclaims);
         if best.breaches > 0 || least != best.highest {
             return best.breaches == 0 && least > best.highest;
@@ -502,7 +515,7 @@
     }
 
     /// Sets aside every task that may make room, then restores those that can stay.
-    fn plan(&self, view: &View, index: usize, spec: &JobSpec, reclaims: bool) -> Option<Plan> {
+    fn plan(&self, view: &Snapshot, index: usize, spec: &JobSpec, reclaims: bool) -> Option<Plan> {
         let room = &view.rooms[index];
         let machine = &self.machines[&room.id];
         let mut free = room.free;
@@ -581,7 +594,7 @@
 
     /// One more task of the job, beside all that its team runs or has room held
     /// for, is within the team's guarantee.
-    fn within_guarantee(&self, view: &View, spec: &JobSpec) -> bool {
+    fn within_guarantee(&self, view: &Snapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
         };
@@ -595,7 +608,13 @@
 
     /// Work that another team runs beyond its guarantee, what leaves it put
     /// aside. A higher priority is left alone: it would only preempt back.
-    fn may_reclaim(&self, view: &View, leaving: &Usage, spec: &JobSpec, victim: &JobSpec) -> bool {
+    fn may_reclaim(
+        &self,
+        view: &Snapshot,
+        leaving: &Usage,
+        spec: &JobSpec,
+        victim: &JobSpec,
+    ) -> bool {
         if victim.priority > spec.priority || victim.team == spec.team {
             return false;
         }
@@ -618,7 +637,14 @@
         self.ledger.breach(&victim.team, *standing, *count)
     }
 
-    fn nominate(&mut self, view: &mut View, id: &JobId, spec: &JobSpec, plan: Plan, now: Duration) {
+    fn nominate(
+        &mut self,
+        view: &mut Snapshot,
+        id: &JobId,
+        spec: &JobSpec,
+        plan: Plan,
+        now: Duration,
+    ) {
         let machine = view.rooms[plan.room].id.clone();
         info!(job = %id, machine = %machine, victims = plan.victims.len(), breaches = plan.breaches, "nominate");
         self.counts.nominations += 1;
@@ -642,7 +668,7 @@
     }
 
     /// A higher nomination that leaves no room clears the lower ones.
-    fn clear_lower(&mut self, view: &mut View, index: usize, spec: &JobSpec) {
+    fn clear_lower(&mut self, view: &mut Snapshot, index: usize, spec: &JobSpec) {
         let machine = self.machines[&view.rooms[index].id].clone();
         let mut lower: Vec<(Priority, JobId, Resources)> = Vec::new();
         let mut free = machine.free();
--- a/src/core/sched/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -2,19 +2,19 @@
 
 use std::{sync::Arc, time::Duration};
 
-use super::Leader;
+use super::ClusterState;
 use crate::core::{
+    capacity_snapshot::{MachineCapacity, Snapshot, by_zone},
+    cluster::Slot,
     job::{JobId, JobSpec, Resources, TaskId},
-    leader::Slot,
-    room::{Room, View, by_zone},
-    squaring::Order,
+    reconciliation::DeferredAction,
 };
 
-impl Leader {
+impl ClusterState {
     /// A gang starts whole, once nothing of its last attempt is left anywhere.
     pub(super) fn place_gang(
         &mut self,
-        view: &mut View,
+        view: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
@@ -55,7 +55,9 @@
             }
         }
         self.drop_spent(view, id, now);
-        if self.jobs[id].nominations.is_empty() && !self.room_may_come(spec, Order::Preempt) {
+        if self.jobs[id].nominations.is_empty()
+            && !self.awaits_capacity(spec, DeferredAction::Preempt)
+        {
             self.make_room_for_gang(view, id, spec, &tasks, now);
         }
         if self.jobs[id].nominations.is_empty() {
@@ -68,7 +70,7 @@
     /// the end of the pass: the next one looks again. Whatever is lower would be stopped
     /// again as soon as the rest is there, and until then it would keep the gang waiting;
     /// its equals may go first, but not for ever.
-    fn gather(&self, view: &mut View, id: &JobId, spec: &JobSpec, tasks: usize) {
+    fn gather(&self, view: &mut Snapshot, id: &JobId, spec: &JobSpec, tasks: usize) {
         let mut best: Vec<usize> = Vec::new();
         for zones in view.gang_zones(spec) {
             let there = view.may_fit(spec).filter(|index| {
@@ -97,7 +99,7 @@
     /// Rooms for every task of a gang, tried on the view and put back.
     fn fit_gang(
         &self,
-        view: &mut View,
+        view: &mut Snapshot,
         spec: &JobSpec,
         tasks: &[u32],
         zones: &[Arc<str>],
@@ -133,14 +135,14 @@
     /// Victims for a whole gang, or none at all.
     fn make_room_for_gang(
         &mut self,
-        view: &mut View,
+        view: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         tasks: &[u32],
         now: Duration,
     ) {
         let reclaims = self.within_guarantee(view, spec);
-        let most = |room: &Room| room.most_free(spec.priority, reclaims);
+        let most = |room: &MachineCapacity| room.most_free(spec.priority, reclaims);
         for zones in view.gang_zones(spec) {
             if !view.may_hold(spec, tasks.len(), &zones, most) {
                 continue;
--- a/src/core/sched/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -1,15 +1,15 @@
-//! What teams use: tasks that were seen or sent, and those that silent machines may hold.
+//! What teams use: tasks that were seen or sent, and those that unresponsive machines may hold.
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use super::Leader;
+use super::ClusterState;
 use crate::core::{
+    capacity_snapshot::Usage,
     job::{JobId, Resources},
     machine::Placement,
-    room::Usage,
 };
 
-impl Leader {
+impl ClusterState {
     /// What each team's tasks take, and the part of it that is stopping.
     pub(super) fn usage(&self) -> (Usage, Usage) {
         let (mut usage, mut leaving) = (Usage::default(), Usage::default());
@@ -40,12 +40,12 @@
         (usage, leaving)
     }
 
-    /// What silent machines may hold counts as running. A waiting task is on one of them at
+    /// What unresponsive machines may hold counts as running. A waiting task is on one of them at
     /// most: one that several machines list counts once.
     fn add_unresolved(&self, usage: &mut Usage) {
         let mut hidden: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.unresolved) {
-            let mut listed = machine.entry.jobs.iter();
+            let mut listed = machine.assignment.jobs.iter();
             // A job that was cancelled meanwhile may still run there, and whose it
             // was nobody knows any more: the whole machine counts for each team.
             if listed.any(|id| !self.jobs.contains_key(id)) {
@@ -55,7 +55,7 @@
                 continue;
             }
             for (id, job) in machine
-                .entry
+                .assignment
                 .jobs
                 .iter()
                 .filter_map(|id| self.jobs.get_key_value(id))
--- a/src/core/mirror.rs
+++ b/src/core/state_cache.rs
@@ -1,6 +1,6 @@
-//! A node's copy of the live keys, kept current by watching the state service.
+//! A node's cache of the live keys, kept current by watching the state service.
 //!
-//! A watch that does not wait proves the copy as new as the moment it was sent,
+//! A watch that does not wait proves the cache as new as the moment it was sent,
 //! so one such request serves every poll that came before it.
 
 use std::{collections::BTreeMap, sync::Arc};
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use super::{
-    apart::ApartRecord,
     job::{JobId, JobRecord},
     machine::MachineType,
-    signs::Sign,
+    partitioned_zones::PartitionedZonesRecord,
     store::{
-        APART, CLAIMS, DRAINS, Entry, Event, GENERATION, JOBS, LEADER, NODES, ORDERS, SETTLED,
-        SIGN, TYPES, job_key,
+        CLAIMS, DRAINS, Entry, Event, GENERATION, JOBS, LEADER, NODES, ORDERS, PARTITIONED,
+        SETTLED, STORED_HEARTBEAT, TYPES, job_key,
     },
+    stored_heartbeat::StoredHeartbeat,
 };
 
 /// Who leads, in the leader key.
@@ -36,9 +36,9 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct StateCache {
     pub loaded: bool,
-    /// Every change up to this revision is in the copy.
+    /// Every change up to this revision is in the cache.
     pub cursor: u64,
     pub leader: Option<(LeaderRecord, u64)>,
     /// Revision of the last claim, whoever made it.
@@ -53,8 +53,8 @@
     /// The generation of the stored forms, and the revision of its key; 0: there is none.
     pub cluster: (Cluster, u64),
     pub orders: (Orders, u64),
-    /// Zones that are cut off, and the revision; 0: there is no such key.
-    pub apart: (ApartRecord, u64),
+    /// Zones that are partitioned, and the revision; 0: there is no such key.
+    pub partitioned_zones: (PartitionedZonesRecord, u64),
     /// Machines that are to be emptied, and the revision; 0: there is no such key.
     pub drains: (Drains, u64),
     /// What nodes' processes said they are able to, and the revision; none where this one
@@ -67,18 +67,18 @@
 
 /// What a change means to the node.
 #[derive(Debug, PartialEq)]
-pub enum Noticed {
+pub enum StateChange {
     JobAdded(JobId),
     JobRemoved(JobId),
-    Leader,
+    LeaderKey,
     Types,
     Cluster,
-    Sign(Sign),
+    StoredHeartbeat(StoredHeartbeat),
 }
 
-impl Mirror {
+impl StateCache {
     /// Whether what is stored of this job can't be read.
-    pub fn obscure(&self, id: &JobId) -> bool {
+    pub fn is_unreadable(&self, id: &JobId) -> bool {
         !self.unreadable.is_empty() && self.unreadable.contains_key(&job_key(id))
     }
 
@@ -99,16 +99,16 @@
     }
 
     /// Takes in the events of a watch. Those seen already are passed over.
-    pub fn advance(&mut self, events: &[Event], revision: u64) -> Vec<Noticed> {
-        let mut noticed = Vec::new();
+    pub fn advance(&mut self, events: &[Event], revision: u64) -> Vec<StateChange> {
+        let mut changes = Vec::new();
         let cursor = self.cursor;
         for event in events.iter().filter(|e| e.revision > cursor) {
-            noticed.extend(self.apply(event));
+            changes.extend(self.apply(event));
         }
         self.cursor = self.cursor.max(revision);
         let cursor = self.cursor;
         self.ended.retain(|_, ended| *ended > cursor);
-        noticed
+        changes
     }
 
     /// What a key holds now; none where it is gone, or can't be read, which is kept in mind.
@@ -127,19 +127,19 @@
         }
     }
 
-    fn apply(&mut self, event: &Event) -> Option<Noticed> {
+    fn apply(&mut self, event: &Event) -> Option<StateChange> {
         let revision = event.revision;
         match event.key.as_str() {
             LEADER => {
                 self.leader = self.read(event).map(|record| (record, revision));
-                return Some(Noticed::Leader);
+                return Some(StateChange::LeaderKey);
             }
             CLAIMS => self.claims = if event.value.is_some() { revision } else { 0 },
             // One that can't be read leaves a claim unsettled, which is the careful side.
             SETTLED => self.settled = self.read(event).unwrap_or_default(),
             TYPES => {
                 self.types = self.read(event).map(Arc::new);
-                return Some(Noticed::Types);
+                return Some(StateChange::Types);
             }
             GENERATION => {
                 let there = event.value.is_some();
@@ -149,24 +149,26 @@
                 }
                 let revision = if there { revision } else { 0 };
                 self.cluster = (cluster.unwrap_or_default(), revision);
-                return Some(Noticed::Cluster);
+                return Some(StateChange::Cluster);
             }
             ORDERS => {
                 let revision = if event.value.is_some() { revision } else { 0 };
                 self.orders = (self.read(event).unwrap_or_default(), revision);
             }
-            APART => {
+            PARTITIONED => {
                 let revision = if event.value.is_some() { revision } else { 0 };
-                self.apart = (self.read(event).unwrap_or_default(), revision);
+                self.partitioned_zones = (self.read(event).unwrap_or_default(), revision);
             }
             DRAINS => {
                 let revision = if event.value.is_some() { revision } else { 0 };
                 self.drains = (self.read(event).unwrap_or_default(), revision);
             }
-            // It decides nothing that is stored: one that can't be read is just no sign.
-            SIGN => {
-                let sign = event.value.as_ref()?;
-                return serde_json::from_str(sign.get()).ok().map(Noticed::Sign);
+            // It decides nothing that is stored: one that can't be read is just no heartbeat.
+            STORED_HEARTBEAT => {
+                let stored_heartbeat = event.value.as_ref()?;
+                return serde_json::from_str(stored_heartbeat.get())
+                    .ok()
+                    .map(StateChange::StoredHeartbeat);
             }
             key => match key.strip_prefix(NODES) {
                 Some(node) => self.node_told(node.to_owned(), event),
@@ -188,19 +190,19 @@
         }
     }
 
-    fn apply_job(&mut self, event: &Event) -> Option<Noticed> {
+    fn apply_job(&mut self, event: &Event) -> Option<StateChange> {
         let id = JobId::parse(event.key.strip_prefix(JOBS)?)?;
         match self.read(event) {
             Some(record) => self
                 .add_job(id.clone(), record, event.revision)
-                .then_some(Noticed::JobAdded(id)),
+                .then_some(StateChange::JobAdded(id)),
             // What was known of it before may not be what it is now.
             None if event.value.is_some() => None,
             None => self
                 .jobs
                 .remove(&id)
                 .is_some()
-                .then_some(Noticed::JobRemoved(id)),
+                .then_some(StateChange::JobRemoved(id)),
         }
     }
 
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -21,25 +21,25 @@
 pub const ORDERS: &str = "live/orders";
 /// Machines that operators want emptied.
 pub const DRAINS: &str = "live/drains";
-/// Zones that are cut off, and since when nobody there was answered.
-pub const APART: &str = "live/apart";
-/// The leader's last sign of life, while some node may not hear it.
-pub const SIGN: &str = "live/sign";
+/// Zones that are partitioned, and since when nobody there was answered.
+pub const PARTITIONED: &str = "live/apart";
+/// The leader's last heartbeat, while some node may not hear it.
+pub const STORED_HEARTBEAT: &str = "live/sign";
 /// What each node's process is able to.
 pub const NODES: &str = "live/node/";
 pub const JOBS: &str = "live/job/";
-/// Ends of jobs, one a key, and packed by range.
-pub const FINALS: &str = "final/";
-pub const ENDS: &str = "ends/";
+/// Terminal states of jobs, one a key, and packed by range.
+pub const TERMINAL_STATES: &str = "final/";
+pub const TERMINAL_RANGES: &str = "ends/";
 pub const PROGRESS: &str = "progress/";
-pub const ROSTER: &str = "roster/";
+pub const ASSIGNMENTS: &str = "roster/";
 
 pub fn job_key(id: &JobId) -> String {
     format!("{JOBS}{id}")
 }
 
-pub fn final_key(id: &JobId) -> String {
-    format!("{FINALS}{id}")
+pub fn terminal_key(id: &JobId) -> String {
+    format!("{TERMINAL_STATES}{id}")
 }
 
 pub fn node_key(node: &str) -> String {
@@ -51,7 +51,7 @@
 }
 
 pub fn shard_key(shard: u32) -> String {
-    format!("{ROSTER}{shard}")
+    format!("{ASSIGNMENTS}{shard}")
 }
 
 #[derive(Debug, Clone, PartialEq)]
--- a/src/core/finals.rs
+++ b/src/core/terminal_states.rs
@@ -1,6 +1,6 @@
-//! Ends of jobs in the state service: where they are stored, and in which form.
+//! Terminal states of jobs in the state service: where they are stored, and in which form.
 //!
-//! Generation 1 keeps one key a job. From generation 2 on, one key keeps the ends of all
+//! Generation 1 keeps one key a job. From generation 2 on, one key keeps the terminal states of all
 //! jobs whose ids differ in the last two digits only. Either way an end is found with one
 //! read while nothing moves. While records are being rewritten it is in one of two places,
 //! never in both and never in none, and is looked for where it moves from first.
@@ -14,11 +14,11 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
 use super::{
-    job::{FinalRecord, JobId, JobState},
-    store::{Change, Condition, ENDS, FINALS, delete, final_key, put, when},
+    job::{JobId, JobState, TerminalRecord},
+    store::{Change, Condition, TERMINAL_RANGES, TERMINAL_STATES, delete, put, terminal_key, when},
 };
 
-pub const PACKED_FINALS: Feature = Feature {
+pub const PACKED_TERMINAL_STATES: Feature = Feature {
     name: "packed-finals",
     since: 2,
     way_back: true,
@@ -28,14 +28,14 @@
 /// Where the end of a job may be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place {
-    Alone,
+    Single,
     Packed,
 }
 
 pub fn place(generation: Generation) -> Place {
-    match generation >= PACKED_FINALS.since {
+    match generation >= PACKED_TERMINAL_STATES.since {
         true => Place::Packed,
-        false => Place::Alone,
+        false => Place::Single,
     }
 }
 
@@ -63,14 +63,14 @@
     }
 
     pub fn of_key(key: &str) -> Option<Self> {
-        let range = key.strip_prefix(ENDS)?;
+        let range = key.strip_prefix(TERMINAL_RANGES)?;
         // Any id in it would do.
         let id = JobId::parse(&format!("{range}00"))?;
         (Self::of(&id).0.0 == range).then(|| Self(range.to_owned()))
     }
 
     pub fn key(&self) -> String {
-        format!("{ENDS}{}", self.0)
+        format!("{TERMINAL_RANGES}{}", self.0)
     }
 
     pub fn id(&self, name: &str) -> Option<JobId> {
@@ -82,14 +82,14 @@
 /// `07c3,12d400` says that the job that ends in 07 was cancelled with 3 tasks done, and
 /// the one in 12 is done with 400.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ends(BTreeMap<String, FinalRecord>);
+pub struct TerminalStates(BTreeMap<String, TerminalRecord>);
 
-impl Ends {
-    pub fn get(&self, name: &str) -> Option<FinalRecord> {
+impl TerminalStates {
+    pub fn get(&self, name: &str) -> Option<TerminalRecord> {
         self.0.get(name).copied()
     }
 
-    pub fn insert(&mut self, name: &str, record: FinalRecord) {
+    pub fn insert(&mut self, name: &str, record: TerminalRecord) {
         self.0.insert(name.to_owned(), record);
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Takes some of them out.
-    pub fn split_off(&mut self, count: usize) -> Vec<(String, FinalRecord)> {
+    pub fn split_off(&mut self, count: usize) -> Vec<(String, TerminalRecord)> {
         let mut taken = Vec::new();
         while taken.len() < count
             && let Some(entry) = self.0.pop_first()
@@ -113,7 +113,7 @@
     }
 
     fn encode(&self) -> String {
-        let entry = |(name, record): (&String, &FinalRecord)| {
+        let entry = |(name, record): (&String, &TerminalRecord)| {
             let letter = match record.state {
                 JobState::Cancelled => 'c',
                 _ => 'd',
@@ -142,7 +142,7 @@
             let done = digits.parse().ok()?;
             if ends
                 .0
-                .insert(name.to_owned(), FinalRecord { state, done })
+                .insert(name.to_owned(), TerminalRecord { state, done })
                 .is_some()
             {
                 return None;
@@ -152,13 +152,13 @@
     }
 }
 
-impl Serialize for Ends {
+impl Serialize for TerminalStates {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&self.encode())
     }
 }
 
-impl<'de> Deserialize<'de> for Ends {
+impl<'de> Deserialize<'de> for TerminalStates {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
         Self::decode(&text).ok_or_else(|| de::Error::custom("not the ends of a range of jobs"))
@@ -166,41 +166,41 @@
 }
 
 /// The end of one job by itself, as stored.
-pub fn parse_alone(text: &str) -> Option<FinalRecord> {
-    let record: FinalRecord = serde_json::from_str(text).ok()?;
+pub fn parse_single(text: &str) -> Option<TerminalRecord> {
+    let record: TerminalRecord = serde_json::from_str(text).ok()?;
     let over = matches!(record.state, JobState::Done | JobState::Cancelled);
     over.then_some(record)
 }
 
 /// The id that a key of its own speaks of.
-pub fn alone_id(key: &str) -> Option<JobId> {
-    JobId::parse(key.strip_prefix(FINALS)?)
+pub fn single_id(key: &str) -> Option<JobId> {
+    JobId::parse(key.strip_prefix(TERMINAL_STATES)?)
 }
 
 /// A range as it was read or written last; version 0: there is none.
 #[derive(Debug, Clone, Default)]
-pub struct Known {
+pub struct KnownRange {
     pub version: u64,
-    pub ends: Ends,
+    pub ends: TerminalStates,
 }
 
 /// Ranges that this node has seen. What is written from here depends on the version, so
 /// one that has changed since costs a conflict and nothing else.
 #[derive(Debug, Default)]
-pub struct Ranges {
-    known: HashMap<Range, Known>,
+pub struct TerminalRanges {
+    known: HashMap<Range, KnownRange>,
     /// Ranges that the leader reads or writes now, and when each may be written again.
     busy: HashMap<Range, Option<Duration>>,
 }
 
 const KNOWN_MOST: usize = 256;
 
-impl Ranges {
-    pub fn get(&self, range: &Range) -> Option<&Known> {
+impl TerminalRanges {
+    pub fn get(&self, range: &Range) -> Option<&KnownRange> {
         self.known.get(range)
     }
 
-    pub fn learn(&mut self, range: Range, known: Known) {
+    pub fn learn(&mut self, range: Range, known: KnownRange) {
         let newer = self
             .known
             .get(&range)
@@ -246,11 +246,15 @@
 
 /// What proves that a job has no end, in each place where it could be; none where a
 /// range is not known, or where it has one.
-pub fn absent(cluster: &Cluster, id: &JobId, ranges: &Ranges) -> Option<Vec<Condition>> {
+pub fn absence_conditions(
+    cluster: &Cluster,
+    id: &JobId,
+    ranges: &TerminalRanges,
+) -> Option<Vec<Condition>> {
     let mut conditions = Vec::new();
     for place in places(cluster) {
         conditions.push(match place {
-            Place::Alone => when(final_key(id), 0),
+            Place::Single => when(terminal_key(id), 0),
             Place::Packed => {
                 let (range, name) = Range::of(id);
                 let known = ranges.get(&range)?;
@@ -264,20 +268,27 @@
     Some(conditions)
 }
 
-/// Stores the ends of jobs of one range in the form that is written now. The caller has
+/// Stores the terminal states of jobs of one range in the form that is written now. The caller has
 /// read the range where it is needed.
-pub struct Ending {
+pub struct TerminalWrite {
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
     /// The range as it will be.
-    pub ends: Option<(Range, Ends)>,
+    pub ends: Option<(Range, TerminalStates)>,
 }
 
-pub fn ending(cluster: &Cluster, jobs: &[(JobId, FinalRecord)], ranges: &Ranges) -> Option<Ending> {
+pub fn terminal_write(
+    cluster: &Cluster,
+    jobs: &[(JobId, TerminalRecord)],
+    ranges: &TerminalRanges,
+) -> Option<TerminalWrite> {
     match place(cluster.written()) {
-        Place::Alone => Some(Ending {
+        Place::Single => Some(TerminalWrite {
             conditions: Vec::new(),
-            changes: jobs.iter().map(|(id, r)| put(final_key(id), r)).collect(),
+            changes: jobs
+                .iter()
+                .map(|(id, r)| put(terminal_key(id), r))
+                .collect(),
             ends: None,
         }),
         Place::Packed => {
@@ -287,7 +298,7 @@
             for (id, record) in jobs {
                 ends.insert(Range::of(id).1, *record);
             }
-            Some(Ending {
+            Some(TerminalWrite {
                 conditions: vec![when(range.key(), known.version)],
                 changes: vec![put(range.key(), &ends)],
                 ends: Some((range, ends)),
@@ -301,19 +312,19 @@
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
     pub range: Range,
-    pub ends: Ends,
+    pub ends: TerminalStates,
     pub records: usize,
 }
 
 /// From keys of their own into the range. As many as a transaction has room for.
-pub fn pack(range: &Range, alone: &[(JobId, FinalRecord, u64)], known: &Known) -> Rewrite {
+pub fn pack(range: &Range, alone: &[(JobId, TerminalRecord, u64)], known: &KnownRange) -> Rewrite {
     let mut ends = known.ends.clone();
     let mut conditions = vec![when(range.key(), known.version)];
     let mut deletes = Vec::new();
     for (id, record, version) in alone {
         ends.insert(Range::of(id).1, *record);
-        conditions.push(when(final_key(id), *version));
-        deletes.push(delete(final_key(id)));
+        conditions.push(when(terminal_key(id), *version));
+        deletes.push(delete(terminal_key(id)));
     }
     let mut changes = vec![put(range.key(), &ends)];
     changes.extend(deletes);
@@ -327,7 +338,7 @@
 }
 
 /// Back from the range to keys of their own.
-pub fn unpack(range: &Range, known: &Known, most: usize) -> Option<Rewrite> {
+pub fn unpack(range: &Range, known: &KnownRange, most: usize) -> Option<Rewrite> {
     let mut ends = known.ends.clone();
     let taken = ends.split_off(most.saturating_sub(1).max(1));
     let mut conditions = vec![when(range.key(), known.version)];
@@ -337,7 +348,7 @@
     }];
     let records = taken.len();
     for (name, record) in taken {
-        let key = final_key(&range.id(&name)?);
+        let key = terminal_key(&range.id(&name)?);
         conditions.push(when(&key, 0));
         changes.push(put(key, &record));
     }
--- a/src/core/front.rs
+++ b/src/core/user_requests.rs
@@ -5,10 +5,10 @@
 
 use super::{
     Answer, Node, Purpose, RequestId,
-    finals::{self, Known, Place, Range},
-    job::{FinalRecord, JobId, JobRecord, JobSpec, JobState, Kind, Resources},
+    job::{JobId, JobRecord, JobSpec, JobState, Kind, Resources, TerminalRecord},
     machine::MachineType,
-    store::{GENERATION, StateReply, StateRequest, delete, final_key, job_key, put, when},
+    store::{GENERATION, StateReply, StateRequest, delete, job_key, put, terminal_key, when},
+    terminal_states::{self, KnownRange, Place, Range},
 };
 
 /// What is to be answered about a job once its state is known for sure.
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug)]
-struct Asked {
+struct PendingQuestion {
     request: RequestId,
     id: JobId,
     question: Question,
@@ -31,7 +31,7 @@
 
 /// The end of a job that is looked for.
 #[derive(Debug)]
-pub struct FinalRead {
+pub struct TerminalRead {
     id: JobId,
     request: RequestId,
     question: Question,
@@ -42,18 +42,18 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Front {
+pub struct UserRequests {
     /// Not covered by a proof yet.
-    asked: Vec<Asked>,
+    unproven: Vec<PendingQuestion>,
     /// Covered by the proof under way.
-    proving: Vec<Asked>,
+    proving: Vec<PendingQuestion>,
     in_flight: bool,
     next_sync: Duration,
 }
 
 /// A write that needs to know the end of no job in a range.
 #[derive(Debug, Clone)]
-pub enum Pending {
+pub enum AfterRangeRead {
     Accept(Arc<JobSpec>, u8),
     Cancel,
 }
@@ -64,18 +64,18 @@
 
 impl Node {
     pub(super) fn submit(&mut self, request: RequestId, spec: Arc<JobSpec>) {
-        let able = self.mirror.loaded && !self.estranged();
-        let Some(types) = self.mirror.types.clone().filter(|_| able) else {
+        let able = self.cache.loaded && !self.cannot_read_state();
+        let Some(types) = self.cache.types.clone().filter(|_| able) else {
             self.answer(request, Answer::Later { retry: RETRY });
             return;
         };
         let id = spec.id.clone();
-        if self.mirror.jobs.contains_key(&id) || self.finals.contains_key(&id) {
-            self.ask(request, id, Question::Repeat(spec, TRIES));
+        if self.cache.jobs.contains_key(&id) || self.terminal_cache.contains_key(&id) {
+            self.queue_question(request, id, Question::Repeat(spec, TRIES));
             return;
         }
-        if let Some(reason) = self.never_runs(&spec, &types) {
-            self.ask(request, id, Question::Reject(reason));
+        if let Some(reason) = self.reason_it_never_runs(&spec, &types) {
+            self.queue_question(request, id, Question::Reject(reason));
             return;
         }
         self.accept(request, spec, 0);
@@ -85,13 +85,13 @@
     /// generation that this node knows, or the write fails.
     fn accept(&mut self, request: RequestId, spec: Arc<JobSpec>, tries: u8) {
         let id = spec.id.clone();
-        let (cluster, generation) = self.mirror.cluster;
-        let Some(absent) = finals::absent(&cluster, &id, &self.ranges) else {
+        let (cluster, generation) = self.cache.cluster;
+        let Some(absence) = terminal_states::absence_conditions(&cluster, &id, &self.ranges) else {
             let range = Range::of(&id).0;
             match self.ranges.get(&range).is_some() {
                 // It has an end.
-                true => self.ask(request, id, Question::Repeat(spec, TRIES)),
-                false => self.read_range(request, id, Pending::Accept(spec, tries)),
+                true => self.queue_question(request, id, Question::Repeat(spec, TRIES)),
+                false => self.read_range(request, id, AfterRangeRead::Accept(spec, tries)),
             }
             return;
         };
@@ -101,7 +101,7 @@
             accepted_ms,
         };
         let mut conditions = vec![when(job_key(&id), 0), when(GENERATION, generation)];
-        conditions.extend(absent);
+        conditions.extend(absence);
         self.call(
             Purpose::Accept {
                 request,
@@ -116,7 +116,7 @@
         );
     }
 
-    fn read_range(&mut self, request: RequestId, id: JobId, then: Pending) {
+    fn read_range(&mut self, request: RequestId, id: JobId, then: AfterRangeRead) {
         let key = Range::of(&id).0.key();
         let purpose = Purpose::ReadRange { request, id, then };
         self.call(purpose, StateRequest::Get { key });
@@ -126,7 +126,7 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        then: Pending,
+        then: AfterRangeRead,
         reply: &StateReply,
     ) {
         if self.learn_range(&Range::of(&id).0, reply).is_none() {
@@ -134,22 +134,22 @@
             return;
         }
         match then {
-            Pending::Accept(spec, tries) => self.accept(request, spec, tries),
-            Pending::Cancel => self.cancel(request, id),
+            AfterRangeRead::Accept(spec, tries) => self.accept(request, spec, tries),
+            AfterRangeRead::Cancel => self.cancel(request, id),
         }
     }
 
     /// What a range holds, as read just now; none where that is not known.
-    pub(super) fn learn_range(&mut self, range: &Range, reply: &StateReply) -> Option<Known> {
+    pub(super) fn learn_range(&mut self, range: &Range, reply: &StateReply) -> Option<KnownRange> {
         let known = match reply {
-            StateReply::Missing => Known::default(),
+            StateReply::Missing => KnownRange::default(),
             StateReply::Entry(entry) => match serde_json::from_str(entry.value.get()) {
-                Ok(ends) => Known {
+                Ok(ends) => KnownRange {
                     version: entry.version,
                     ends,
                 },
                 Err(_) => {
-                    self.cannot_read(&entry.key);
+                    self.report_unreadable(&entry.key);
                     return None;
                 }
             },
@@ -161,7 +161,7 @@
     }
 
     /// Why a job can never run, if it can't.
-    fn never_runs(&self, spec: &JobSpec, types: &[MachineType]) -> Option<String> {
+    fn reason_it_never_runs(&self, spec: &JobSpec, types: &[MachineType]) -> Option<String> {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return Some("unknown team".into());
         };
@@ -208,7 +208,7 @@
         match reply {
             StateReply::Committed { revision } => {
                 let record = JobRecord { spec, accepted_ms };
-                if self.mirror.committed_job(&id, record, revision) {
+                if self.cache.committed_job(&id, record, revision) {
                     self.job_added(&id);
                 }
                 self.answer(request, Answer::Accepted(id));
@@ -216,7 +216,7 @@
             // The job is known, or the range or the generation has changed.
             StateReply::Conflict => {
                 self.ranges.forget(&Range::of(&id).0);
-                self.ask(request, id, Question::Repeat(spec, tries + 1));
+                self.queue_question(request, id, Question::Repeat(spec, tries + 1));
             }
             StateReply::Refused { retry, .. } => {
                 let retry = retry.unwrap_or(RETRY);
@@ -226,16 +226,16 @@
         }
     }
 
-    pub(super) fn ask(&mut self, request: RequestId, id: JobId, question: Question) {
-        if let Some(record) = self.finals.get(&id).copied() {
-            self.answer_final(request, &id, &question, record);
-        } else if !self.mirror.loaded
-            || self.estranged()
-            || self.front.asked.len() >= self.config.requests_most
+    pub(super) fn queue_question(&mut self, request: RequestId, id: JobId, question: Question) {
+        if let Some(record) = self.terminal_cache.get(&id).copied() {
+            self.answer_terminal_state(request, &id, &question, record);
+        } else if !self.cache.loaded
+            || self.cannot_read_state()
+            || self.user_requests.unproven.len() >= self.config.requests_most
         {
             self.answer(request, Answer::Later { retry: RETRY });
         } else {
-            self.front.asked.push(Asked {
+            self.user_requests.unproven.push(PendingQuestion {
                 request,
                 id,
                 question,
@@ -243,56 +243,59 @@
         }
     }
 
-    pub(super) fn pump_polls(&mut self) {
+    pub(super) fn drive_proofs(&mut self) {
         let now = self.now();
-        if self.front.asked.is_empty() || self.front.in_flight || now < self.front.next_sync {
+        if self.user_requests.unproven.is_empty()
+            || self.user_requests.in_flight
+            || now < self.user_requests.next_sync
+        {
             return;
         }
-        if !self.mirror.loaded {
-            self.front.proving = std::mem::take(&mut self.front.asked);
+        if !self.cache.loaded {
+            self.user_requests.proving = std::mem::take(&mut self.user_requests.unproven);
             self.synced(false);
             return;
         }
-        self.front.in_flight = true;
-        self.front.next_sync = now + self.config.sync_every;
-        self.front.proving = std::mem::take(&mut self.front.asked);
+        self.user_requests.in_flight = true;
+        self.user_requests.next_sync = now + self.config.sync_every;
+        self.user_requests.proving = std::mem::take(&mut self.user_requests.unproven);
         let watch = self.watch(Duration::ZERO);
         self.call(Purpose::Sync, watch);
     }
 
     pub(super) fn synced(&mut self, proven: bool) {
-        self.front.in_flight = false;
-        for asked in std::mem::take(&mut self.front.proving) {
+        self.user_requests.in_flight = false;
+        for pending in std::mem::take(&mut self.user_requests.proving) {
             if proven {
-                self.resolve(asked);
+                self.resolve(pending);
             } else {
-                self.answer(asked.request, Answer::Later { retry: RETRY });
+                self.answer(pending.request, Answer::Later { retry: RETRY });
             }
         }
     }
 
-    /// The copy is newer than the question.
-    fn resolve(&mut self, asked: Asked) {
-        let Asked {
+    /// The cache is newer than the question.
+    fn resolve(&mut self, pending: PendingQuestion) {
+        let PendingQuestion {
             request,
             id,
             question,
-        } = asked;
-        if self.estranged() || self.mirror.obscure(&id) {
+        } = pending;
+        if self.cannot_read_state() || self.cache.is_unreadable(&id) {
             // What is stored of it says something that this process can't know.
             self.answer(request, Answer::Later { retry: RETRY });
             return;
         }
-        let Some(_) = self.mirror.jobs.get(&id) else {
-            if let Some(record) = self.finals.get(&id).copied() {
-                self.answer_final(request, &id, &question, record);
+        let Some(_) = self.cache.jobs.get(&id) else {
+            if let Some(record) = self.terminal_cache.get(&id).copied() {
+                self.answer_terminal_state(request, &id, &question, record);
                 return;
             }
             // Neither active nor known to be over: its end, if it had one, was
             // stored with its removal from the active ones.
-            let (cluster, generation) = self.mirror.cluster;
-            let places = finals::places(&cluster);
-            self.read_final(FinalRead {
+            let (cluster, generation) = self.cache.cluster;
+            let places = terminal_states::places(&cluster);
+            self.read_terminal_state(TerminalRead {
                 id,
                 request,
                 question,
@@ -317,31 +320,32 @@
 
     /// Stores a job's end as cancelled, in the form that is written now.
     fn cancel(&mut self, request: RequestId, id: JobId) {
-        let Some(job) = self.mirror.jobs.get(&id) else {
+        let Some(job) = self.cache.jobs.get(&id) else {
             // It ended while its range was read.
-            self.ask(request, id, Question::Withdraw);
+            self.queue_question(request, id, Question::Withdraw);
             return;
         };
         let job = when(job_key(&id), job.version);
-        let (cluster, generation) = self.mirror.cluster;
-        let record = FinalRecord {
+        let (cluster, generation) = self.cache.cluster;
+        let record = TerminalRecord {
             state: JobState::Cancelled,
             done: self.counts(&id).0,
         };
         let ended = [(id.clone(), record)];
-        let Some(ending) = finals::ending(&cluster, &ended, &self.ranges) else {
-            self.read_range(request, id, Pending::Cancel);
+        let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges)
+        else {
+            self.read_range(request, id, AfterRangeRead::Cancel);
             return;
         };
         let mut conditions = vec![job, when(GENERATION, generation)];
-        conditions.extend(ending.conditions);
+        conditions.extend(terminal_write.conditions);
         let mut changes = vec![delete(job_key(&id))];
-        changes.extend(ending.changes);
+        changes.extend(terminal_write.changes);
         self.call(
             Purpose::Cancel {
                 request,
                 id,
-                ends: ending.ends,
+                ends: terminal_write.ends,
             },
             StateRequest::Txn {
                 conditions,
@@ -351,9 +355,9 @@
     }
 
     fn counts(&self, id: &JobId) -> (u32, u32) {
-        match &self.leader {
-            Some(leader) => leader.job_counts(id).unwrap_or((0, 0)),
-            None => self.relays.counts(id),
+        match &self.cluster {
+            Some(cluster) => cluster.job_counts(id).unwrap_or((0, 0)),
+            None => self.forwarded.counts(id),
         }
     }
 
@@ -361,26 +365,26 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        ends: Option<(Range, finals::Ends)>,
+        ends: Option<(Range, terminal_states::TerminalStates)>,
         reply: StateReply,
     ) {
         let now = self.now();
         self.range_written(&id, ends, &reply);
         match reply {
             StateReply::Committed { revision } => {
-                let record = FinalRecord {
+                let record = TerminalRecord {
                     state: JobState::Cancelled,
                     done: 0,
                 };
-                self.keep_final(id.clone(), record);
-                self.mirror.committed_end(&id, revision);
-                if let Some(leader) = &mut self.leader {
-                    leader.remove_job(&id, now);
+                self.cache_terminal_state(id.clone(), record);
+                self.cache.committed_end(&id, revision);
+                if let Some(cluster) = &mut self.cluster {
+                    cluster.remove_job(&id, now);
                 }
                 self.answer(request, Answer::Known(id, JobState::Cancelled));
             }
             // Done or cancelled meanwhile: asked again.
-            StateReply::Conflict => self.ask(request, id, Question::Withdraw),
+            StateReply::Conflict => self.queue_question(request, id, Question::Withdraw),
             _ => self.answer(request, Answer::Later { retry: RETRY }),
         }
     }
@@ -389,13 +393,13 @@
     pub(super) fn range_written(
         &mut self,
         id: &JobId,
-        ends: Option<(Range, finals::Ends)>,
+        ends: Option<(Range, terminal_states::TerminalStates)>,
         reply: &StateReply,
     ) {
         match (reply, ends) {
             (StateReply::Committed { revision }, Some((range, ends))) => {
                 let version = *revision;
-                self.ranges.learn(range, Known { version, ends });
+                self.ranges.learn(range, KnownRange { version, ends });
             }
             (StateReply::Committed { .. }, None) => {}
             _ => self.ranges.forget(&Range::of(id).0),
@@ -403,10 +407,10 @@
     }
 
     /// Looks for the end of a job at the first of the places that are left.
-    fn read_final(&mut self, read: FinalRead) {
+    fn read_terminal_state(&mut self, read: TerminalRead) {
         let request = match read.places.first() {
-            Some(Place::Alone) => StateRequest::Get {
-                key: final_key(&read.id),
+            Some(Place::Single) => StateRequest::Get {
+                key: terminal_key(&read.id),
             },
             Some(Place::Packed) => StateRequest::Get {
                 key: Range::of(&read.id).0.key(),
@@ -417,17 +421,17 @@
                 changes: Vec::new(),
             },
         };
-        self.call(Purpose::ReadFinal(Box::new(read)), request);
+        self.call(Purpose::ReadTerminalState(Box::new(read)), request);
     }
 
-    pub(super) fn final_read(&mut self, mut read: FinalRead, reply: StateReply) {
+    pub(super) fn terminal_state_read(&mut self, mut read: TerminalRead, reply: StateReply) {
         let found = match (read.places.first(), &reply) {
-            (Some(Place::Alone), StateReply::Missing) => None,
-            (Some(Place::Alone), StateReply::Entry(entry)) => {
-                match finals::parse_alone(entry.value.get()) {
+            (Some(Place::Single), StateReply::Missing) => None,
+            (Some(Place::Single), StateReply::Entry(entry)) => {
+                match terminal_states::parse_single(entry.value.get()) {
                     Some(record) => Some(record),
                     None => {
-                        self.cannot_read(&entry.key);
+                        self.report_unreadable(&entry.key);
                         self.answer(read.request, Answer::Later { retry: RETRY });
                         return;
                     }
@@ -444,7 +448,7 @@
                 }
             }
             (None, StateReply::Committed { .. }) => {
-                self.nowhere(read);
+                self.answer_unknown_job(read);
                 return;
             }
             _ => {
@@ -453,20 +457,20 @@
             }
         };
         if let Some(record) = found {
-            self.keep_final(read.id.clone(), record);
-            self.answer_final(read.request, &read.id, &read.question, record);
+            self.cache_terminal_state(read.id.clone(), record);
+            self.answer_terminal_state(read.request, &read.id, &read.question, record);
             return;
         }
         read.places.remove(0);
         match read.places.is_empty() && read.generation == 0 {
             // The record of the generation is stored long before anything moves.
-            true => self.nowhere(read),
-            false => self.read_final(read),
+            true => self.answer_unknown_job(read),
+            false => self.read_terminal_state(read),
         }
     }
 
     /// A job of which nothing is stored.
-    fn nowhere(&mut self, read: FinalRead) {
+    fn answer_unknown_job(&mut self, read: TerminalRead) {
         let request = read.request;
         match read.question {
             Question::Status | Question::Withdraw => self.answer(request, Answer::NotFound),
@@ -476,12 +480,12 @@
         }
     }
 
-    fn answer_final(
+    fn answer_terminal_state(
         &mut self,
         request: RequestId,
         id: &JobId,
         question: &Question,
-        record: FinalRecord,
+        record: TerminalRecord,
     ) {
         let answer = match question {
             Question::Status => Answer::Status(id.clone(), record.state, record.done, 0),
--- a/src/core/watching.rs
+++ b/src/core/watch.rs
@@ -5,18 +5,18 @@
 use super::{
     BACK_OFF, Node, Purpose, WATCH_WAIT,
     job::JobId,
-    mirror::{Mirror, Noticed},
     results::Results,
+    state_cache::{StateCache, StateChange},
     store::{LIVE, StateReply, StateRequest},
 };
 
 impl Node {
-    pub(super) fn pump_mirror(&mut self) {
+    pub(super) fn drive_watch(&mut self) {
         let now = self.now();
-        if !self.mirror.loaded {
+        if !self.cache.loaded {
             if !self.loading && now >= self.retry_load {
                 self.loading = true;
-                self.mirror = Mirror::default();
+                self.cache = StateCache::default();
                 self.call(
                     Purpose::Load { after: false },
                     StateRequest::List {
@@ -32,11 +32,11 @@
         }
     }
 
-    /// Asks for what is not in the copy yet. One that does not wait proves the copy.
+    /// Asks for what is not in the cache yet. One that does not wait proves the cache.
     pub(super) fn watch(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
             prefix: LIVE.into(),
-            after: self.mirror.cursor,
+            after: self.cache.cursor,
             wait,
         }
     }
@@ -55,10 +55,10 @@
         // Pages are read one after another; the watch from the first page's
         // revision on brings whatever changed meanwhile.
         if !after {
-            self.mirror.cursor = revision;
+            self.cache.cursor = revision;
         }
         let last = entries.last().map(|e| e.key.clone());
-        self.mirror.load(entries);
+        self.cache.load(entries);
         if let (true, Some(last)) = (more, last) {
             self.call(
                 Purpose::Load { after: true },
@@ -69,62 +69,65 @@
             );
         } else {
             self.loading = false;
-            self.mirror.loaded = true;
-            self.leader_seen();
+            self.cache.loaded = true;
+            self.observe_leader();
         }
     }
 
-    /// Takes in the events of a watch; says whether the copy is proven.
+    /// Takes in the events of a watch; says whether the cache is proven.
     ///
     /// While everything is read again there is no copy that events could continue: what is
     /// set before the first page and deleted before it as well would stay for ever, and an
     /// empty copy is no proof that a job is unknown.
     pub(super) fn take_events(&mut self, reply: StateReply) -> bool {
-        if !self.mirror.loaded {
+        if !self.cache.loaded {
             return false;
         }
         match reply {
             StateReply::Events { events, revision } => {
-                for noticed in self.mirror.advance(&events, revision) {
-                    self.notice(noticed);
+                for change in self.cache.advance(&events, revision) {
+                    self.apply_change(change);
                 }
                 true
             }
             StateReply::TooOld => {
                 // Too much was missed: everything is read again.
-                self.mirror.loaded = false;
-                self.drop_leader("fell behind the state service");
+                self.cache.loaded = false;
+                self.drop_leadership("fell behind the state service");
                 false
             }
             _ => false,
         }
     }
 
-    fn notice(&mut self, noticed: Noticed) {
+    fn apply_change(&mut self, change: StateChange) {
         let now = self.now();
-        match noticed {
-            Noticed::JobAdded(id) => self.job_added(&id),
-            Noticed::JobRemoved(id) => {
-                self.saves.charge(2.0);
-                if let Some(leader) = &mut self.leader {
-                    leader.remove_job(&id, now);
+        match change {
+            StateChange::JobAdded(id) => self.job_added(&id),
+            StateChange::JobRemoved(id) => {
+                self.write_queue.charge(2.0);
+                if let Some(cluster) = &mut self.cluster {
+                    cluster.remove_job(&id, now);
                 }
             }
-            Noticed::Leader => self.leader_changed(),
-            Noticed::Cluster => {}
-            Noticed::Sign(sign) => self.members.nodes.sign(sign, now),
-            Noticed::Types => {
-                if let (Some(leader), Some(types)) = (&mut self.leader, &self.mirror.types) {
-                    leader.types = types.clone();
+            StateChange::LeaderKey => self.leader_changed(),
+            StateChange::Cluster => {}
+            StateChange::StoredHeartbeat(stored_heartbeat) => self
+                .membership
+                .nodes
+                .stored_heartbeat(stored_heartbeat, now),
+            StateChange::Types => {
+                if let (Some(cluster), Some(types)) = (&mut self.cluster, &self.cache.types) {
+                    cluster.types = types.clone();
                 }
             }
         }
     }
 
     pub(super) fn job_added(&mut self, id: &JobId) {
-        self.saves.charge(1.0);
-        if let (Some(leader), Some(job)) = (&mut self.leader, self.mirror.jobs.get(id)) {
-            leader.add_job(id, job, Results::default());
+        self.write_queue.charge(1.0);
+        if let (Some(cluster), Some(job)) = (&mut self.cluster, self.cache.jobs.get(id)) {
+            cluster.add_job(id, job, Results::default());
         }
     }
 }
--- a/src/core/saves.rs
+++ b/src/core/write_queue.rs
@@ -1,4 +1,4 @@
-//! What the leader writes: the roster, results, and ends of jobs. Every write
+//! What the leader writes: the assignment index, results, and terminal states of jobs. Every write
 //! depends on its claim, so one that is applied late changes nothing.
 
 use std::time::Duration;
@@ -7,24 +7,24 @@
 
 use super::{
     BACK_OFF, Node, Purpose,
+    assignment_index::ShardWrite,
+    cluster::{ClusterState, Job},
     config::Config,
-    finals::{self, Ends, Place, Range},
-    job::{FinalRecord, JobId, JobState, TaskSet},
-    leader::{Job, Leader},
-    roster::Listing,
+    job::{JobId, JobState, TaskSet, TerminalRecord},
     store::{
         Change, GENERATION, LEADER, StateReply, StateRequest, delete, job_key, progress_key, put,
         shard_key, when,
     },
+    terminal_states::{self, Place, Range, TerminalStates},
 };
 
 #[derive(Debug)]
-pub enum Save {
-    Roster {
+pub enum QueuedWrite {
+    AssignmentIndex {
         claim: u64,
-        listings: Vec<Listing>,
+        listings: Vec<ShardWrite>,
     },
-    /// Reads a shard of the roster again whose write was not answered.
+    /// Reads a shard of the assignment index again whose write was not answered.
     Reread {
         claim: u64,
         shard: u32,
@@ -43,9 +43,9 @@
     },
     Finish {
         claim: u64,
-        ended: Vec<(JobId, FinalRecord)>,
+        ended: Vec<(JobId, TerminalRecord)>,
         /// Their range as it will be, where they are stored so.
-        ends: Option<(Range, Ends)>,
+        ends: Option<(Range, TerminalStates)>,
         keys: Vec<String>,
     },
     /// Reads a range of ends that is to be written.
@@ -61,14 +61,14 @@
 
 /// How many writes are out, and what the budget allows.
 #[derive(Debug)]
-pub struct Saves {
+pub struct WriteQueue {
     rate: f64,
     allowance: f64,
     refilled: Duration,
     in_flight: u32,
     retry: Duration,
     /// A write was answered: what waited for it goes out at once.
-    pub(super) woken: bool,
+    pub(super) has_news: bool,
 }
 
 const IN_FLIGHT: u32 = 6;
@@ -80,11 +80,11 @@
 const RANGE_RESTS: Duration = Duration::from_secs(1);
 
 /// A write, and what it depends on and changes.
-type Write = (Save, Vec<super::store::Condition>, Vec<Change>);
+type PreparedWrite = (QueuedWrite, Vec<super::store::Condition>, Vec<Change>);
 
-impl Leader {
+impl ClusterState {
     /// Stores the results of the job whose oldest one came first, if that was before.
-    fn progress_save(&mut self, before: Duration, most: usize) -> Option<Write> {
+    fn next_progress_write(&mut self, before: Duration, most: usize) -> Option<PreparedWrite> {
         let claim = self.claim;
         let waits = |job: &Job| !job.saving && !job.complete() && job.saved.unsure().is_none();
         let (id, job) = self
@@ -104,13 +104,13 @@
             conditions.push(when(&key, job.saved.version(*chunk)));
             changes.push(put(key, &set.encode_chunk(*chunk)));
         }
-        let save = Save::Progress {
+        let write = QueuedWrite::Progress {
             claim,
             id: id.clone(),
             set,
             chunks,
         };
-        Some((save, conditions, changes))
+        Some((write, conditions, changes))
     }
 
     /// What came of a write of results.
@@ -158,7 +158,7 @@
     }
 }
 
-impl Saves {
+impl WriteQueue {
     pub fn new(config: &Config) -> Self {
         Self {
             rate: config.writes,
@@ -166,7 +166,7 @@
             refilled: Duration::ZERO,
             in_flight: 0,
             retry: Duration::ZERO,
-            woken: false,
+            has_news: false,
         }
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// There is room beside what has to be written.
-    pub fn spare(&self) -> bool {
+    pub fn has_spare_budget(&self) -> bool {
         self.allowance > self.rate / 4.0
     }
 
@@ -194,18 +194,18 @@
 
 impl Node {
     /// What has to be written goes out, and then old records are rewritten.
-    pub(super) fn pump_saves(&mut self) {
-        self.pump_writes();
-        self.pump_migration();
+    pub(super) fn drive_write_queue(&mut self) {
+        self.send_writes();
+        self.drive_migration();
     }
 
-    fn pump_writes(&mut self) {
+    fn send_writes(&mut self) {
         let now = self.now();
-        self.saves.refill(now);
-        self.saves.woken = false;
-        while self.saves.in_flight < IN_FLIGHT && now >= self.saves.retry {
+        self.write_queue.refill(now);
+        self.write_queue.has_news = false;
+        while self.write_queue.in_flight < IN_FLIGHT && now >= self.write_queue.retry {
             // One change has to be affordable; a larger transaction borrows.
-            if self.saves.allowance < 1.0 {
+            if self.write_queue.allowance < 1.0 {
                 return;
             }
             let Some(claim) = self.claim() else { return };
@@ -215,14 +215,14 @@
             {
                 continue;
             }
-            let Some((save, mut conditions, changes)) = self.next_save(now) else {
+            let Some((write, mut conditions, changes)) = self.next_write(now) else {
                 return;
             };
             conditions.push(when(LEADER, claim));
-            self.saves.allowance -= changes.len() as f64;
-            self.saves.in_flight += 1;
+            self.write_queue.allowance -= changes.len() as f64;
+            self.write_queue.in_flight += 1;
             self.call(
-                Purpose::Save(save),
+                Purpose::QueuedWrite(write),
                 StateRequest::Txn {
                     conditions,
                     changes,
@@ -231,24 +231,27 @@
         }
     }
 
-    /// Reads one shard of the roster again whose write was not answered.
+    /// Reads one shard of the assignment index again whose write was not answered.
     fn reread_shard(&mut self, claim: u64) -> bool {
-        let unsure = self.leader.as_mut().and_then(|l| l.roster.unsure());
+        let unsure = self
+            .cluster
+            .as_mut()
+            .and_then(|l| l.assignment_index.unsure());
         let Some(shard) = unsure else { return false };
         let key = shard_key(shard);
-        self.saves.in_flight += 1;
-        let save = Purpose::Save(Save::Reread { claim, shard });
-        self.call(save, StateRequest::Get { key });
+        self.write_queue.in_flight += 1;
+        let write = Purpose::QueuedWrite(QueuedWrite::Reread { claim, shard });
+        self.call(write, StateRequest::Get { key });
         true
     }
 
     /// Reads results again whose write was not answered. An end of the job stores what
     /// matters and takes them away, so it does not wait for that.
     fn reread_progress(&mut self, claim: u64) -> bool {
-        let Some(leader) = self.leader.as_mut() else {
+        let Some(cluster) = self.cluster.as_mut() else {
             return false;
         };
-        let open = leader
+        let open = cluster
             .jobs
             .iter_mut()
             .filter(|(_, job)| !job.saving && !job.complete());
@@ -259,17 +262,17 @@
         job.saving = true;
         let id = id.clone();
         let key = progress_key(&id, chunk);
-        self.saves.in_flight += 1;
-        let save = Purpose::Save(Save::RereadProgress { claim, id, chunk });
-        self.call(save, StateRequest::Get { key });
+        self.write_queue.in_flight += 1;
+        let write = Purpose::QueuedWrite(QueuedWrite::RereadProgress { claim, id, chunk });
+        self.call(write, StateRequest::Get { key });
         true
     }
 
     /// The job whose end is to be stored next, of those whose range may be written.
     fn complete_job(&self, now: Duration) -> Option<&JobId> {
-        let packed = self.packs();
-        let leader = self.leader.as_ref()?;
-        let complete = leader.jobs.iter().filter(|(id, job)| {
+        let packed = self.packs_terminal_states();
+        let cluster = self.cluster.as_ref()?;
+        let complete = cluster.jobs.iter().filter(|(id, job)| {
             job.complete() && !job.saving && (!packed || self.ranges.free(&Range::of(id).0, now))
         });
         complete
@@ -277,14 +280,14 @@
             .map(|(id, _)| id)
     }
 
-    /// Ends of jobs are stored by range.
-    fn packs(&self) -> bool {
-        finals::place(self.mirror.cluster.0.written()) == Place::Packed
+    /// Terminal states of jobs are stored by range.
+    fn packs_terminal_states(&self) -> bool {
+        terminal_states::place(self.cache.cluster.0.written()) == Place::Packed
     }
 
     /// Reads the range where the next end of a job goes, if it is not known.
     fn read_range_to_write(&mut self, now: Duration, claim: u64) -> bool {
-        if !self.packs() {
+        if !self.packs_terminal_states() {
             return false;
         }
         let Some(range) = self.complete_job(now).map(|id| Range::of(id).0) else {
@@ -295,28 +298,28 @@
         }
         let key = range.key();
         self.ranges.take(&range);
-        self.saves.in_flight += 1;
-        let save = Purpose::Save(Save::ReadRange { claim, range });
-        self.call(save, StateRequest::Get { key });
+        self.write_queue.in_flight += 1;
+        let write = Purpose::QueuedWrite(QueuedWrite::ReadRange { claim, range });
+        self.call(write, StateRequest::Get { key });
         true
     }
 
     /// Stores the end of a job that is complete, and with it those of others in the same
     /// range, which cost one change less each.
-    fn finish_save(&mut self, now: Duration, claim: u64) -> Option<Write> {
+    fn next_finish_write(&mut self, now: Duration, claim: u64) -> Option<PreparedWrite> {
         let most = self.config.txn_ops;
-        let (cluster, generation) = self.mirror.cluster;
+        let (cluster, generation) = self.cache.cluster;
         let first = self.complete_job(now)?.clone();
         let mut ids = vec![first.clone()];
-        if self.packs() {
+        if self.packs_terminal_states() {
             let range = Range::of(&first).0;
-            let jobs = &self.leader.as_ref()?.jobs;
+            let jobs = &self.cluster.as_ref()?.jobs;
             let also = jobs.iter().filter(|(id, job)| {
                 job.complete() && !job.saving && **id != first && Range::of(id).0 == range
             });
             ids.extend(also.map(|(id, _)| id.clone()).take(most.saturating_sub(2)));
         }
-        let leader = self.leader.as_mut()?;
+        let leader = self.cluster.as_mut()?;
         let (mut ended, mut conditions) = (Vec::new(), vec![when(GENERATION, generation)]);
         let (mut changes, mut keys) = (Vec::new(), Vec::new());
         for id in ids {
@@ -325,78 +328,86 @@
             changes.push(delete(job_key(&id)));
             let chunks = job.saved.chunks().into_iter();
             keys.extend(chunks.map(|chunk| progress_key(&id, chunk)));
-            let record = FinalRecord {
+            let record = TerminalRecord {
                 state: JobState::Done,
                 done: job.done_count,
             };
             ended.push((id, record));
         }
-        let ending = finals::ending(&cluster, &ended, &self.ranges)?;
-        conditions.extend(ending.conditions);
-        changes.extend(ending.changes);
+        let terminal_write = terminal_states::terminal_write(&cluster, &ended, &self.ranges)?;
+        conditions.extend(terminal_write.conditions);
+        changes.extend(terminal_write.changes);
         // What does not fit into this transaction goes with a later one.
         let rest = keys.split_off(keys.len().min(most.saturating_sub(changes.len())));
         changes.extend(keys.into_iter().map(delete));
         for (id, _) in &ended {
             leader.jobs.get_mut(id)?.saving = true;
         }
-        if let Some((range, _)) = &ending.ends {
+        if let Some((range, _)) = &terminal_write.ends {
             self.ranges.take(range);
         }
-        let save = Save::Finish {
+        let write = QueuedWrite::Finish {
             claim,
             ended,
-            ends: ending.ends,
+            ends: terminal_write.ends,
             keys: rest,
         };
-        Some((save, conditions, changes))
+        Some((write, conditions, changes))
     }
 
-    fn next_save(&mut self, now: Duration) -> Option<Write> {
+    fn next_write(&mut self, now: Duration) -> Option<PreparedWrite> {
         let most = self.config.txn_ops;
-        let claim = self.leader.as_ref()?.claim;
+        let claim = self.cluster.as_ref()?.claim;
 
-        if let Some(write) = self.finish_save(now, claim) {
+        if let Some(write) = self.next_finish_write(now, claim) {
             return Some(write);
         }
 
-        let leader = self.leader.as_mut()?;
+        let cluster = self.cluster.as_mut()?;
         // Starts wait for their job to be listed with their machine.
-        if let Some((listings, conditions, changes)) = leader.roster_write(true, most) {
-            return Some((Save::Roster { claim, listings }, conditions, changes));
+        if let Some((listings, conditions, changes)) = cluster.assignment_index_write(true, most) {
+            return Some((
+                QueuedWrite::AssignmentIndex { claim, listings },
+                conditions,
+                changes,
+            ));
         }
 
-        if let Some(save) = leader.progress_save(now.saturating_sub(GATHER), most) {
-            return Some(save);
+        if let Some(write) = cluster.next_progress_write(now.saturating_sub(GATHER), most) {
+            return Some(write);
         }
 
-        if let Some((listings, conditions, changes)) = leader.roster_write(false, most) {
-            return Some((Save::Roster { claim, listings }, conditions, changes));
+        if let Some((listings, conditions, changes)) = cluster.assignment_index_write(false, most) {
+            return Some((
+                QueuedWrite::AssignmentIndex { claim, listings },
+                conditions,
+                changes,
+            ));
         }
         // Removing what is left over waits until there is plenty of room.
-        if !leader.garbage.is_empty() && self.saves.allowance > self.saves.rate / 2.0 {
-            let count = leader.garbage.len().min(most / 4);
-            let keys: Vec<String> = leader.garbage.drain(..count).collect();
+        if !cluster.garbage.is_empty() && self.write_queue.allowance > self.write_queue.rate / 2.0 {
+            let count = cluster.garbage.len().min(most / 4);
+            let keys: Vec<String> = cluster.garbage.drain(..count).collect();
             let changes = keys.iter().cloned().map(delete).collect();
-            return Some((Save::Collect { claim, keys }, Vec::new(), changes));
+            return Some((QueuedWrite::Collect { claim, keys }, Vec::new(), changes));
         }
         None
     }
 
-    pub(super) fn saved(&mut self, save: Save, reply: StateReply) {
+    pub(super) fn write_answered(&mut self, write: QueuedWrite, reply: StateReply) {
         let now = self.now();
         let (committed, revision) = match &reply {
             StateReply::Committed { revision } => (true, *revision),
             _ => (false, 0),
         };
         if matches!(reply, StateReply::Refused { .. } | StateReply::Unclear) {
-            self.saves.retry = now + BACK_OFF;
+            self.write_queue.retry = now + BACK_OFF;
         }
-        match &save {
-            Save::Finish { ended, ends, .. } => {
+        match &write {
+            QueuedWrite::Finish { ended, ends, .. } => {
                 for (id, record) in ended.iter().filter(|_| committed) {
-                    self.keep_final(id.clone(), *record);
-                    self.mirror.committed_end(id, revision);
+                    self.cache_terminal_state(id.clone(), *record);
+                    self.cache.committed_end(id, revision);
                 }
                 if let Some((range, _)) = ends {
                     let rest = if committed { RANGE_RESTS } else { BACK_OFF };
@@ -404,63 +415,65 @@
                 }
                 self.range_written(&ended[0].0, ends.clone(), &reply);
             }
-            Save::ReadRange { range, .. } => {
+            QueuedWrite::ReadRange { range, .. } => {
                 let read = self.learn_range(range, &reply).is_some();
                 let rest = if read { Duration::ZERO } else { BACK_OFF };
                 self.ranges.release(range, now + rest, now);
             }
             _ => {}
         }
-        let claim = match &save {
-            Save::Roster { claim, .. }
-            | Save::Reread { claim, .. }
-            | Save::Progress { claim, .. }
-            | Save::RereadProgress { claim, .. }
-            | Save::Finish { claim, .. }
-            | Save::ReadRange { claim, .. }
-            | Save::Collect { claim, .. } => *claim,
+        let claim = match &write {
+            QueuedWrite::AssignmentIndex { claim, .. }
+            | QueuedWrite::Reread { claim, .. }
+            | QueuedWrite::Progress { claim, .. }
+            | QueuedWrite::RereadProgress { claim, .. }
+            | QueuedWrite::Finish { claim, .. }
+            | QueuedWrite::ReadRange { claim, .. }
+            | QueuedWrite::Collect { claim, .. } => *claim,
         };
-        let Some(leader) = self.leader.as_mut().filter(|l| l.claim == claim) else {
+        let Some(cluster) = self.cluster.as_mut().filter(|l| l.claim == claim) else {
             return;
         };
-        self.saves.in_flight = self.saves.in_flight.saturating_sub(1);
-        self.saves.woken = true;
-        match save {
-            Save::Roster { listings, .. } => leader.roster_written(listings, &reply),
-            Save::Reread { shard, .. } => {
+        self.write_queue.in_flight = self.write_queue.in_flight.saturating_sub(1);
+        self.write_queue.has_news = true;
+        match write {
+            QueuedWrite::AssignmentIndex { listings, .. } => {
+                cluster.assignment_index_written(listings, &reply)
+            }
+            QueuedWrite::Reread { shard, .. } => {
                 let version = match &reply {
                     StateReply::Entry(entry) => Some(entry.version),
                     StateReply::Missing => Some(0),
                     _ => None,
                 };
-                leader.roster.reread(shard, version);
+                cluster.assignment_index.reread(shard, version);
             }
-            Save::Progress {
+            QueuedWrite::Progress {
                 id, set, chunks, ..
-            } => leader.progress_saved(&id, &set, &chunks, &reply, now),
-            Save::RereadProgress { id, chunk, .. } => {
-                if !leader.progress_reread(&id, chunk, &reply) {
-                    self.saves.retry = now + BACK_OFF;
+            } => cluster.progress_saved(&id, &set, &chunks, &reply, now),
+            QueuedWrite::RereadProgress { id, chunk, .. } => {
+                if !cluster.progress_reread(&id, chunk, &reply) {
+                    self.write_queue.retry = now + BACK_OFF;
                 }
             }
-            Save::Finish { ended, keys, .. } => {
+            QueuedWrite::Finish { ended, keys, .. } => {
                 for (id, _) in &ended {
-                    if let Some(job) = leader.jobs.get_mut(id) {
+                    if let Some(job) = cluster.jobs.get_mut(id) {
                         job.saving = false;
                     }
                     if committed {
                         info!(job = %id, "job done");
-                        leader.remove_job(id, now);
+                        cluster.remove_job(id, now);
                     }
                 }
                 if committed {
-                    leader.garbage.extend(keys);
+                    cluster.garbage.extend(keys);
                 }
             }
-            Save::ReadRange { .. } => {}
-            Save::Collect { keys, .. } => {
+            QueuedWrite::ReadRange { .. } => {}
+            QueuedWrite::Collect { keys, .. } => {
                 if !committed {
-                    leader.garbage.extend(keys);
+                    cluster.garbage.extend(keys);
                 }
             }
         }
--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -14,9 +14,9 @@
 use crate::{
     core::{
         CallId, Input,
-        fleet::{CloudReply, CloudRequest},
-        leader::Direct,
+        cluster::Direct,
         machine::DirectReply,
+        provisioning::{CloudReply, CloudRequest},
         store::{StateReply, StateRequest},
     },
     settings::Settings,
@@ -78,7 +78,7 @@
         let (method, path, body) = match &request {
             CloudRequest::Types => (Method::GET, "/flavors".to_owned(), None),
             CloudRequest::List { after } => (Method::GET, wire::cloud::list_path(after), None),
-            CloudRequest::Rent(rental) => (
+            CloudRequest::Provision(rental) => (
                 Method::POST,
                 "/hosts".to_owned(),
                 Some(wire::cloud::rental(rental)),
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -120,7 +120,7 @@
             wall_ms: wall.as_millis() as u64,
         };
         let outputs = self.node.borrow_mut().step(clock, input);
-        let until = self.node.borrow().acts_until();
+        let until = self.node.borrow().may_act_until();
         for output in outputs {
             // Time is looked at again: the process may have stood still meanwhile.
             let late = clock.now < until && self.started.elapsed() >= until;
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -13,7 +13,7 @@
 use tracing::info;
 
 use crate::{
-    core::{Input, relay::PeerMessage},
+    core::{Input, heartbeat_forwarding::PeerMessage},
     settings::Settings,
     wire::peer::Line,
 };
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{
-    fleet::{CloudReply, CloudRequest, Rental},
     job::Resources,
     machine::{ListedMachine, ListedState, MachineType},
+    provisioning::{CloudReply, CloudRequest, ProvisioningRequest},
 };
 
 #[derive(Debug, Deserialize)]
@@ -68,7 +68,7 @@
     how_many: u32,
 }
 
-pub fn rental(rental: &Rental) -> String {
+pub fn rental(rental: &ProvisioningRequest) -> String {
     let message = RentalMessage {
         charter: &rental.request,
         frame: &rental.machine_type,
@@ -143,14 +143,14 @@
 pub fn decode(request: &CloudRequest, status: u16, body: &[u8]) -> CloudReply {
     let reply = match (status, request) {
         (429, _) => Some(CloudReply::Refused),
-        (503, CloudRequest::Rent(_)) if is_no_capacity(body) => Some(CloudReply::NoCapacity),
+        (503, CloudRequest::Provision(_)) if is_no_capacity(body) => Some(CloudReply::NoCapacity),
         (503, _) => Some(CloudReply::Refused),
-        (400, CloudRequest::Rent(_)) => Some(CloudReply::NoCapacity),
+        (400, CloudRequest::Provision(_)) => Some(CloudReply::NoCapacity),
         (200, CloudRequest::Types) => parse_types(body).map(CloudReply::Types),
         (200, CloudRequest::List { .. }) => {
             parse_list(body).map(|(machines, more)| CloudReply::Machines { machines, more })
         }
-        (200, CloudRequest::Rent(_)) => parse_names(body).map(CloudReply::Rented),
+        (200, CloudRequest::Provision(_)) => parse_names(body).map(CloudReply::Provisioned),
         (200, CloudRequest::Release { .. }) => Some(CloudReply::Released),
         _ => None,
     };
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::relay::PeerMessage;
+use crate::core::heartbeat_forwarding::PeerMessage;
 
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Line {
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -4,7 +4,7 @@
 
 use crate::core::{
     job::{JobId, TaskId},
-    machine::{Command, DirectReply, ReportedTask, TaskPhase, Why, WorkerReport},
+    machine::{Command, DirectReply, ExitReason, ReportedTask, TaskPhase, WorkerReport},
 };
 
 #[derive(Debug, Deserialize, Serialize)]
@@ -59,14 +59,14 @@
             "running" => TaskPhase::Running,
             "saving" => TaskPhase::Saving,
             "exited" => TaskPhase::Exited(match entry.downcause.unwrap_or_default() {
-                "done" => Why::Done,
-                "halted" => Why::Stopped { saved: entry.kept },
-                "peers" => Why::Peers,
-                "incomplete" => Why::Incomplete,
-                "no_room" => Why::NoRoom,
-                "in_use" => Why::Busy,
-                "no_such" => Why::Unknown,
-                _ => Why::Error,
+                "done" => ExitReason::Done,
+                "halted" => ExitReason::Stopped { saved: entry.kept },
+                "peers" => ExitReason::Peers,
+                "incomplete" => ExitReason::Incomplete,
+                "no_room" => ExitReason::NoRoom,
+                "in_use" => ExitReason::Busy,
+                "no_such" => ExitReason::Unknown,
+                _ => ExitReason::Error,
             }),
             _ => return Err("attitude: unknown".into()),
         };
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -8,16 +8,16 @@
 use kiteyard::{
     core::{
         Answer, CallId, Clock, Input, Node, Output,
+        cluster::Direct,
         config::{Config, Options},
-        fleet::CloudReply,
+        heartbeat_forwarding::PeerMessage,
         job::JobId,
-        leader::Direct,
         machine::{DirectReply, WorkerReport},
-        members::nodes::Pulse,
-        mirror::LeaderRecord,
-        relay::PeerMessage,
-        signs::Sign,
-        store::{Entry, Event, LEADER, SIGN, StateReply, StateRequest},
+        membership::nodes::NodeHeartbeat,
+        provisioning::CloudReply,
+        state_cache::LeaderRecord,
+        store::{Entry, Event, LEADER, STORED_HEARTBEAT, StateReply, StateRequest},
+        stored_heartbeat::StoredHeartbeat,
     },
     wire,
 };
@@ -244,12 +244,12 @@
 
 /// The number under which a node relays the report of a worker that comes back to it.
 fn relays(node: &mut Node, machine: &str) -> u64 {
-    let pulse = Pulse {
+    let heartbeat = NodeHeartbeat {
         claim: 9,
-        ..Pulse::default()
+        ..NodeHeartbeat::default()
     };
     let from = "n1".to_owned();
-    let message = PeerMessage::Pulse(pulse);
+    let message = PeerMessage::Heartbeat(heartbeat);
     step(node, 3, Input::Peer { from, message });
     let report = || report_of(machine, 0);
     let at = |request| Input::Report {
@@ -297,11 +297,13 @@
         request,
         report: report_of("vm-1", 9 << 16),
     };
-    let sign = Sign { claim: 9, hears: 5 };
+    let stored_heartbeat = StoredHeartbeat { claim: 9, hears: 5 };
     let reply = StateReply::Events {
         events: vec![Event {
-            key: SIGN.into(),
-            value: Some(serde_json::value::to_raw_value(&sign).expect("a sign")),
+            key: STORED_HEARTBEAT.into(),
+            value: Some(
+                serde_json::value::to_raw_value(&stored_heartbeat).expect("a stored heartbeat"),
+            ),
             revision: 12,
         }],
         revision: 12,
@@ -316,11 +318,11 @@
     assert_eq!(answered(&step(&mut node, 8_600, at(2))), Some((2, next)));
     // Another node hears it, and can relay: between two zones that can't reach each other,
     // workers that were sent to the leader itself lost their leases.
-    let pulse = Pulse {
+    let heartbeat = NodeHeartbeat {
         claim: 9,
-        ..Pulse::default()
+        ..NodeHeartbeat::default()
     };
-    let (from, message) = ("n2".to_owned(), PeerMessage::Pulse(pulse));
+    let (from, message) = ("n2".to_owned(), PeerMessage::Heartbeat(heartbeat));
     step(&mut node, 8_700, Input::Peer { from, message });
     let relayer = Answer::Redirect(Some("n2".into()));
     assert_eq!(answered(&step(&mut node, 8_800, at(4))), Some((4, relayer)));
@@ -334,8 +336,8 @@
 fn a_worker_without_a_leader_waits_until_there_is_one() {
     let (mut node, watch) = loaded(led_by_n1());
     let report = report_of("vm-1", 9 << 16);
-    let alive = PeerMessage::Pulse(Pulse::default());
-    let pulse = |message| Input::Peer {
+    let alive = PeerMessage::Heartbeat(NodeHeartbeat::default());
+    let heartbeat = |message| Input::Peer {
         from: "n2".into(),
         message,
     };
@@ -345,7 +347,7 @@
     };
     // The time is up: it is sent to a node that is alive, not to its next one.
     assert_eq!(answered(&step(&mut node, 3_000, at(1))), None);
-    assert_eq!(answered(&step(&mut node, 6_000, pulse(alive))), None);
+    assert_eq!(answered(&step(&mut node, 6_000, heartbeat(alive))), None);
     let outputs = step(&mut node, 6_500, Input::Tick);
     let to = |node: &str| Some(Answer::Redirect(Some(node.into())));
     assert_eq!(answered(&outputs), to("n2").map(|answer| (1, answer)));
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -8,12 +8,14 @@
     core::{
         Answer, CallId, Clock, Input, Node, Output, RequestId,
         config::{Config, Options},
+        heartbeat_forwarding::PeerMessage,
         machine::{ReportedTask, TaskPhase, WorkerReport},
         maintenance::Ask,
-        members::nodes::Pulse,
-        mirror::LeaderRecord,
-        relay::PeerMessage,
-        store::{APART, Change, Entry, Event, GENERATION, LEADER, StateReply, StateRequest, TYPES},
+        membership::nodes::NodeHeartbeat,
+        state_cache::LeaderRecord,
+        store::{
+            Change, Entry, Event, GENERATION, LEADER, PARTITIONED, StateReply, StateRequest, TYPES,
+        },
     },
     settings::Settings,
 };
@@ -120,11 +122,11 @@
 }
 
 fn hears_leader(node: &mut Node, ms: u64) {
-    let pulse = Pulse {
+    let heartbeat = NodeHeartbeat {
         claim: CLAIM,
-        ..Pulse::default()
+        ..NodeHeartbeat::default()
     };
-    let (from, message) = ("n1".to_owned(), PeerMessage::Pulse(pulse));
+    let (from, message) = ("n1".to_owned(), PeerMessage::Heartbeat(heartbeat));
     step(node, ms, Input::Peer { from, message });
 }
 
@@ -296,8 +298,7 @@
             }
             StateRequest::Get { .. } => StateReply::Missing,
             StateRequest::Txn { changes, .. } => {
-                let is_apart =
-                    |change: &Change| matches!(change, Change::Put { key, .. } if key == APART);
+                let is_apart = |change: &Change| matches!(change, Change::Put { key, .. } if key == PARTITIONED);
                 if changes.iter().any(is_apart) {
                     self.apart = Some(call);
                     return None;
@@ -336,7 +337,7 @@
 #[test]
 fn every_report_of_a_zone_that_was_apart_waits_until_it_is_taken_in() {
     for (machines, sockets) in FLEETS {
-        let apart = entry(APART, r#"{"zones":{"a":0}}"#);
+        let apart = entry(PARTITIONED, r#"{"zones":{"a":0}}"#);
         let mut leading = LeadingNode::new(&settings(sockets), vec![apart]);
         let mut outputs = Vec::new();
         for machine in 0..machines {
@@ -460,7 +461,7 @@
             let outputs = leading.run(Input::Tick);
             outputs.into_iter().find_map(|output| match output {
                 Output::Peer {
-                    message: PeerMessage::Hints(hints),
+                    message: PeerMessage::Handover(hints),
                     ..
                 } => serde_json::to_value(&hints).ok(),
                 _ => None,
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -10,7 +10,7 @@
         Answer, CallId, Clock, Input, Node, Output,
         config::{Config, Options},
         job::{JobId, JobRecord},
-        mirror::Mirror,
+        state_cache::StateCache,
         store::{Entry, Event, StateReply, StateRequest, job_key},
     },
     wire::user::parse_submission,
@@ -286,7 +286,7 @@
         value,
         revision,
     };
-    let mut copy = Mirror::default();
+    let mut copy = StateCache::default();
     copy.advance(&[], 10);
     copy.committed_end(&id(), 13);
     assert_eq!(copy.advance(&[change(Some(entry(12).value), 12)], 12), []);
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -8,12 +8,12 @@
 
 use kiteyard::{
     core::{
+        assignment_index::ShardRecord,
+        cluster::{ClusterState, Slot, StoredClusterState},
         config::{Config, Options},
         job::{JobId, JobRecord, JobSpec, Kind, Priority, Resources, TaskId, TaskSet},
-        leader::{Found, Leader, Slot},
-        machine::{Command, MachineType, ReportedTask, TaskPhase, Why, WorkerReport},
-        mirror::LiveJob,
-        roster::ShardRecord,
+        machine::{Command, ExitReason, MachineType, ReportedTask, TaskPhase, WorkerReport},
+        state_cache::LiveJob,
     },
     settings::Settings,
 };
@@ -33,7 +33,7 @@
 
 /// A leader with machines whose workers say what the test wants them to.
 pub struct Cluster {
-    pub leader: Leader,
+    pub cluster: ClusterState,
     pub now: Duration,
     pub seq: u64,
     pub running: BTreeMap<String, Vec<ReportedTask>>,
@@ -47,7 +47,7 @@
 
     pub fn after_a_take_over(
         cpus: f64,
-        roster: Vec<(u32, ShardRecord, u64)>,
+        assignment_index: Vec<(u32, ShardRecord, u64)>,
         resolve_by: Duration,
     ) -> Self {
         let settings = Settings::parse(SETTINGS).expect("good settings");
@@ -62,16 +62,16 @@
             boot_s: 30.0,
             zones: vec![Arc::from("a"), Arc::from("b")],
         }];
-        let found = Found {
+        let found = StoredClusterState {
             jobs: &BTreeMap::new(),
             progress: BTreeMap::new(),
-            roster,
+            assignment_index,
             resolve_by,
-            zones_over: BTreeMap::new(),
+            zone_lease_ends: BTreeMap::new(),
         };
         let now = Duration::from_secs(100);
         Self {
-            leader: Leader::new(Arc::new(config), 5, Arc::new(types), found, now),
+            cluster: ClusterState::new(Arc::new(config), 5, Arc::new(types), found, now),
             now,
             seq: 0,
             running: BTreeMap::new(),
@@ -89,8 +89,8 @@
     }
 
     pub fn report_in_session(&mut self, name: &str, session: u64) -> Vec<Command> {
-        let report = self.report_under(name, session, self.leader.token);
-        let (_, commands) = self.leader.report(&report, self.now).expect("in time");
+        let report = self.report_under(name, session, self.cluster.token);
+        let (_, commands) = self.cluster.report(&report, self.now).expect("in time");
         commands
     }
 
@@ -114,7 +114,7 @@
 
     /// Starts what was decided, as the workers would.
     pub fn starts(&mut self) {
-        let machines = self.leader.machines.values_mut();
+        let machines = self.cluster.machines.values_mut();
         for machine in machines {
             for (task, attempt) in machine.tasks.keys() {
                 let running = self.running.get_mut(&*machine.id).expect("a machine");
@@ -139,7 +139,7 @@
             version: 10 + self.seq,
         };
         self.seq += 1;
-        self.leader.add_job(&id, &live, TaskSet::default());
+        self.cluster.add_job(&id, &live, TaskSet::default());
         id
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// A task that runs there ends.
-    pub fn ends(&mut self, name: &str, job: &JobId, why: Why) {
+    pub fn ends(&mut self, name: &str, job: &JobId, why: ExitReason) {
         let tasks = self.running.get_mut(name).expect("a machine");
         for task in tasks.iter_mut().filter(|t| t.task.job == *job) {
             task.phase = TaskPhase::Exited(why);
@@ -171,11 +171,11 @@
     }
 
     pub fn pass(&mut self) {
-        self.leader.pass(self.now);
+        self.cluster.pass(self.now);
     }
 
     pub fn on(&self, job: &JobId) -> Vec<String> {
-        let slots = &self.leader.jobs[job].slots;
+        let slots = &self.cluster.jobs[job].slots;
         let on = |slot: &Slot| match slot {
             Slot::On(machine) => Some(machine.to_string()),
             _ => None,
@@ -184,12 +184,12 @@
     }
 
     pub fn nominated(&self, job: &JobId) -> Vec<String> {
-        let names = self.leader.jobs[job].nominations.iter();
+        let names = self.cluster.jobs[job].nominations.iter();
         names.map(|m| m.to_string()).collect()
     }
 
     pub fn victims(&self, name: &str) -> BTreeSet<TaskId> {
-        self.leader.machines[name]
+        self.cluster.machines[name]
             .tasks
             .iter()
             .filter(|(_, p)| p.stopping())
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -2,7 +2,7 @@
 //! random clusters, and the examples of the paper.
 
 mod cluster;
-mod fleet;
+mod provisioning;
 mod requeue;
 mod starting;
 
@@ -13,11 +13,11 @@
 };
 
 use kiteyard::core::{
-    fleet::{CloudReply, CloudRequest},
+    assignment_index::{AssignmentIndex, ShardRecord},
     job::{JobId, JobRecord, JobSpec, Kind, Priority, TaskId, TaskSet},
-    machine::{Command, ReportedTask, Standing, TaskPhase, Why, WorkerReport},
-    mirror::LiveJob,
-    roster::{Roster, ShardRecord},
+    machine::{Command, ExitReason, ReportedTask, Standing, TaskPhase, WorkerReport},
+    provisioning::{CloudReply, CloudRequest},
+    state_cache::LiveJob,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
@@ -202,11 +202,11 @@
     assert_eq!(c.nominated(&high), ["vm-1"]);
     assert_eq!(c.victims("vm-1").len(), 2);
     // One victim is gone: there is room for the low one, but it is held.
-    c.ends("vm-1", &b, Why::Stopped { saved: false });
+    c.ends("vm-1", &b, ExitReason::Stopped { saved: false });
     c.pass();
     assert_eq!((c.on(&high), c.on(&low)), (vec![], vec![]));
     assert_eq!(c.nominated(&high), ["vm-1"]);
-    c.ends("vm-1", &a, Why::Stopped { saved: false });
+    c.ends("vm-1", &a, ExitReason::Stopped { saved: false });
     c.pass();
     assert_eq!(c.on(&high), ["vm-1"]);
     assert!(c.on(&low).is_empty());
@@ -225,7 +225,7 @@
     let high = c.job(spec(3, Kind::Array, Priority::High, 1, 10.0));
     c.pass();
     assert_eq!(c.nominated(&high), ["vm-1"]);
-    c.ends("vm-2", &other, Why::Done);
+    c.ends("vm-2", &other, ExitReason::Done);
     c.pass();
     assert_eq!(c.on(&high), ["vm-2"]);
     assert!(c.nominated(&high).is_empty());
@@ -245,7 +245,7 @@
     c.pass();
     assert_eq!(c.nominated(&high), ["vm-1"]);
     assert!(c.nominated(&middle).is_empty());
-    c.ends("vm-1", &victim, Why::Stopped { saved: false });
+    c.ends("vm-1", &victim, ExitReason::Stopped { saved: false });
     c.pass();
     assert_eq!((c.on(&high), c.on(&middle)), (vec!["vm-1".into()], vec![]));
 }
@@ -262,7 +262,7 @@
     c.pass();
     assert_eq!(c.on(&gang).len(), 3);
     for name in ["vm-1", "vm-2", "vm-3"] {
-        let (task, attempt) = c.leader.machines[name]
+        let (task, attempt) = c.cluster.machines[name]
             .tasks
             .keys()
             .next()
@@ -312,7 +312,7 @@
     c.machine("vm-1");
     let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
     c.runs("vm-1", &job, 0);
-    c.running.get_mut("vm-1").expect("a machine")[0].phase = TaskPhase::Exited(Why::Error);
+    c.running.get_mut("vm-1").expect("a machine")[0].phase = TaskPhase::Exited(ExitReason::Error);
     c.report("vm-1");
     c.machine("vm-2");
     c.pass();
@@ -321,7 +321,7 @@
     c.report_in_session("vm-1", 2);
     c.pass();
     assert_eq!(c.on(&job), ["vm-2"]);
-    let starts: usize = c.leader.machines.values().map(|m| m.tasks.len()).sum();
+    let starts: usize = c.cluster.machines.values().map(|m| m.tasks.len()).sum();
     assert_eq!(starts, 1);
 }
 
@@ -333,10 +333,10 @@
     let job = c.job(spec(1, Kind::Array, Priority::Normal, 2, 2.0));
     c.runs("vm-1", &job, 0);
     let tasks = c.running.get_mut("vm-1").expect("a machine");
-    tasks[0].phase = TaskPhase::Exited(Why::Error);
+    tasks[0].phase = TaskPhase::Exited(ExitReason::Error);
     tasks.push(tasks[0].clone());
     c.report("vm-1");
-    let job = &c.leader.jobs[&job];
+    let job = &c.cluster.jobs[&job];
     assert_eq!((job.placed, job.running, job.failures), (0, 0, 1));
 }
 
@@ -347,7 +347,7 @@
     c.machine("vm-1");
     let job = c.job(spec(1, Kind::Array, Priority::Normal, 2, 2.0));
     c.runs("vm-1", &job, 0);
-    c.running.get_mut("vm-1").expect("a machine")[0].phase = TaskPhase::Exited(Why::Done);
+    c.running.get_mut("vm-1").expect("a machine")[0].phase = TaskPhase::Exited(ExitReason::Done);
     assert!(
         !c.report("vm-1")
             .iter()
@@ -355,7 +355,7 @@
     );
     let mut first = TaskSet::default();
     first.insert(0);
-    let held = c.leader.jobs.get_mut(&job).expect("the job");
+    let held = c.cluster.jobs.get_mut(&job).expect("the job");
     held.saved.written(&first, &[0], 1);
     assert!(
         c.report("vm-1")
@@ -374,23 +374,23 @@
     let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
     assert!(
-        c.leader.direct_commands(c.now).is_empty(),
+        c.cluster.direct_commands(c.now).is_empty(),
         "its job is not listed yet"
     );
-    let machine = c.leader.machines.get_mut("vm-1").expect("a machine");
-    machine.entry.jobs.insert(job.clone());
+    let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
+    machine.assignment.jobs.insert(job.clone());
     let direct = c
-        .leader
+        .cluster
         .direct_commands(c.now)
         .pop()
         .expect("a start to send");
     assert_eq!(direct.commands.len(), 1);
-    c.leader.direct_reply(&direct, DirectReply::Unclear, c.now);
+    c.cluster.direct_reply(&direct, DirectReply::Unclear, c.now);
     c.report("vm-1");
     c.report("vm-1");
     assert_eq!(c.on(&job), ["vm-1"], "it may still be executed");
     // The worker has seen the raised token, and has no such task.
-    let raised = c.leader.machines["vm-1"].token;
+    let raised = c.cluster.machines["vm-1"].token;
     assert!(raised > direct.token);
     c.seq += 1;
     let report = WorkerReport {
@@ -405,18 +405,18 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    c.leader.report(&report, c.now);
+    c.cluster.report(&report, c.now);
     assert!(c.on(&job).is_empty());
 }
 
-/// Tasks of a job that was cancelled during a take-over still use up their team's
+/// Tasks of a job that was cancelled during a failover still use up their team's
 /// limit while their machine is silent, though nobody knows any more whose they are.
 #[test]
 fn a_cancelled_job_on_a_silent_machine_counts_against_the_limit() {
     let shard = serde_json::json!({
         "kinds": [["m", "a", false]], "jobs": ["run-000001"], "machines": [["vm-1", 0, [0]]]
     });
-    let shard = serde_json::from_value(shard).expect("a shard of the roster");
+    let shard = serde_json::from_value(shard).expect("a shard of the assignment index");
     let resolve_by = Duration::from_secs(105);
     let mut c = Cluster::after_a_take_over(600.0, vec![(0, shard, 3)], resolve_by);
     c.machine("vm-2");
@@ -427,27 +427,27 @@
         "red may hold 600 of its 1000 on vm-1"
     );
     c.now = resolve_by + Duration::from_millis(1);
-    c.leader.tick(c.now);
+    c.cluster.tick(c.now);
     c.pass();
     assert!(
         c.on(&job).is_empty(),
         "another leader may have answered vm-1"
     );
-    c.leader.proven = c.now;
-    c.leader.tick(c.now);
+    c.cluster.proven = c.now;
+    c.cluster.tick(c.now);
     c.report("vm-2");
     c.pass();
     assert_eq!(c.on(&job), ["vm-2"]);
 }
 
-/// A shard of the roster names many machines in one value, and never more than a
+/// A shard of the assignment index names many machines in one value, and never more than a
 /// value may hold: what finds no room is not started until there is some.
 #[test]
 fn a_full_shard_delays_starts_and_drops_nothing_that_is_listed() {
     use kiteyard::core::store::{Change, StateReply};
     let most = 2048;
     let mut c = Cluster::new(400.0);
-    c.leader.roster = Roster::new(most);
+    c.cluster.assignment_index = AssignmentIndex::new(most);
     for i in 0..4 {
         c.machine(&format!("vm-{i}"));
     }
@@ -455,7 +455,7 @@
     for number in 0..300 {
         c.job(spec(number, Kind::Array, Priority::Normal, 1, 0.5));
         c.pass();
-        let Some((listings, _, changes)) = c.leader.roster_write(true, 16) else {
+        let Some((listings, _, changes)) = c.cluster.assignment_index_write(true, 16) else {
             continue;
         };
         for change in &changes {
@@ -468,12 +468,12 @@
             listed.extend(now);
         }
         revision += 1;
-        c.leader
-            .roster_written(listings, &StateReply::Committed { revision });
-        let certain = c.leader.machines.values().flat_map(|m| &m.entry.jobs);
+        c.cluster
+            .assignment_index_written(listings, &StateReply::Committed { revision });
+        let certain = c.cluster.machines.values().flat_map(|m| &m.assignment.jobs);
         assert_eq!(certain.cloned().collect::<BTreeSet<_>>(), listed);
     }
-    let placed: usize = c.leader.machines.values().map(|m| m.tasks.len()).sum();
+    let placed: usize = c.cluster.machines.values().map(|m| m.tasks.len()).sum();
     assert_eq!(placed, 300);
     assert!((60..300).contains(&listed.len()), "{}", listed.len());
 }
@@ -486,7 +486,7 @@
     let shard = serde_json::json!({
         "kinds": [["m", "a", false]], "jobs": ["run-000001"], "machines": [["vm-1", 0, [0]]]
     });
-    let shard = serde_json::from_value(shard).expect("a shard of the roster");
+    let shard = serde_json::from_value(shard).expect("a shard of the assignment index");
     let resolve_by = Duration::from_secs(140);
     let mut c = Cluster::after_a_take_over(4.0, vec![(0, shard, 3)], resolve_by);
     let job = spec(1, Kind::Array, Priority::Normal, 1, 4.0);
@@ -497,15 +497,15 @@
         },
         version: 2,
     };
-    c.leader.add_job(&job.id, &live, TaskSet::default());
+    c.cluster.add_job(&job.id, &live, TaskSet::default());
     c.running.insert("vm-1".into(), Vec::new());
     let late = c.report_under("vm-1", 1, 3 << 16);
-    c.leader.report(&late, c.now);
+    c.cluster.report(&late, c.now);
     let starts_by = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
-        c.leader.proven = c.now;
+        c.cluster.proven = c.now;
         c.machine("vm-2");
-        c.leader.tick(c.now);
+        c.cluster.tick(c.now);
         c.pass();
         c.on(&job.id).len()
     };
@@ -539,18 +539,18 @@
     assert_eq!(c.nominated(&high), ["vm-2"]);
 }
 
-/// A machine that is only cut off goes on working, and then many fall silent at once.
+/// A machine that is only partitioned goes on working, and then many stop reporting at once.
 /// Those that hang are silent beside others of their zone that are heard.
 #[test]
 fn silent_machines_are_given_up_only_while_their_zone_is_heard() {
     use kiteyard::core::{
-        fleet::CloudRequest,
         machine::DirectReply,
-        members::sight::{Sight, Way},
+        membership::reachability::{FailureDetector, HeartbeatPath},
+        provisioning::CloudRequest,
     };
     let given_up = |silent: usize| {
         let mut c = Cluster::new(4.0);
-        let mut sight = Sight::new(Duration::from_secs(1), Duration::from_secs(10));
+        let mut detector = FailureDetector::new(Duration::from_secs(1), Duration::from_secs(10));
         let names: Vec<String> = (0..20).map(|i| format!("vm-{i:02}")).collect();
         for (number, name) in names.iter().enumerate() {
             c.machine(name);
@@ -563,24 +563,28 @@
         // Less than a worker's lease.
         for tick in 1..80 {
             c.now = start + Duration::from_millis(100 * tick);
-            sight.tick(c.now);
+            detector.tick(c.now);
             let at = c.now;
             for (number, name) in names.iter().enumerate() {
                 let speaks = tick < 20 || number >= silent;
                 if speaks && tick as usize % 10 == number % 10 {
-                    sight.heard(&Arc::from(name.as_str()), &zone, Way::Report);
+                    detector.record_heartbeat(
+                        &Arc::from(name.as_str()),
+                        &zone,
+                        HeartbeatPath::Report,
+                    );
                     c.report(name);
                 }
             }
             c.now = at;
-            c.leader.proven = c.now;
-            c.leader.outlook = sight.outlook();
-            c.leader.tick(c.now);
-            for direct in c.leader.direct_commands(c.now) {
-                sight.unanswered(&direct.machine);
-                c.leader.direct_reply(&direct, DirectReply::Unclear, c.now);
+            c.cluster.proven = c.now;
+            c.cluster.reachability = detector.reachability();
+            c.cluster.tick(c.now);
+            for direct in c.cluster.direct_commands(c.now) {
+                detector.record_unanswered(&direct.machine);
+                c.cluster.direct_reply(&direct, DirectReply::Unclear, c.now);
             }
-            if let Some(CloudRequest::Release { machines }) = c.leader.cloud_work(c.now) {
+            if let Some(CloudRequest::Release { machines }) = c.cluster.cloud_work(c.now) {
                 released.extend(machines);
             }
         }
@@ -594,7 +598,7 @@
 }
 
 /// A task that a new leader finds running has run for nobody knows how long. Counted
-/// from the take-over, its run time would make every estimate look too long.
+/// from the failover, its run time would make every estimate look too long.
 #[test]
 fn a_task_found_running_says_nothing_of_run_times() {
     let seen = |found_running: bool| {
@@ -609,8 +613,8 @@
             c.report("vm-1");
         }
         c.now += Duration::from_secs(1);
-        c.ends("vm-1", &job, Why::Done);
-        c.leader.seen.get("work").copied()
+        c.ends("vm-1", &job, ExitReason::Done);
+        c.cluster.runtime_corrections.get("work").copied()
     };
     assert_eq!(seen(true), None);
     assert!(seen(false).is_some_and(|factor| factor < 0.0));
@@ -637,7 +641,7 @@
             c.report("vm-1");
             c.report("vm-2");
             c.now = at;
-            c.leader.cloud_work(c.now);
+            c.cluster.cloud_work(c.now);
             most = most.max(c.victims("vm-1").len());
             assert!(c.victims("vm-2").is_empty(), "second {second}");
         }
@@ -674,15 +678,15 @@
         let ids: Vec<JobId> = jobs.iter().map(|spec| c.job(spec.clone())).collect();
         c.pass();
         for (job, id) in jobs.iter().zip(&ids) {
-            if c.leader.jobs[id].waiting_count() == 0 {
+            if c.cluster.jobs[id].waiting_count() == 0 {
                 continue;
             }
             waited += 1;
-            for machine in c.leader.machines.values() {
+            for machine in c.cluster.machines.values() {
                 let fits = job.need.fits_in(&machine.free())
                     && job.allows_place(&machine.zone, machine.spot);
                 let held = c
-                    .leader
+                    .cluster
                     .jobs
                     .values()
                     .any(|j| j.nominations.contains(&machine.id));
@@ -718,8 +722,8 @@
 fn images_that_the_former_leader_told_of_decide_between_rooms() {
     let mut c = Cluster::new(4.0);
     let told = r#"{"images": ["one", "two"], "machines": {"vm-1": [1], "vm-3": [0]}}"#;
-    c.leader
-        .recall(serde_json::from_str(told).expect("caches"), c.now);
+    c.cluster
+        .apply_handover(serde_json::from_str(told).expect("caches"), c.now);
     for name in ["vm-1", "vm-2", "vm-3"] {
         c.machine(name);
     }
@@ -733,7 +737,7 @@
     assert_eq!(c.on(&first), ["vm-3"]);
     // Another service may need the image that the first machine has.
     c.job(service(2, "two", 0));
-    c.leader.value_images();
+    c.cluster.value_images();
     let array = c.job(spec(3, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
     assert_eq!(c.on(&array), ["vm-2"]);
@@ -749,18 +753,18 @@
     let broken = c.job(spec(1, Kind::Array, Priority::High, 6, 2.0));
     for (name, index) in names.iter().zip(0..) {
         c.runs(name, &broken, index);
-        c.ends(name, &broken, Why::Error);
+        c.ends(name, &broken, ExitReason::Error);
     }
-    assert!(c.leader.jobs[&broken].faulty());
-    let marked = c.leader.machines.values().any(|m| !m.failures.is_empty());
+    assert!(c.cluster.jobs[&broken].faulty());
+    let marked = c.cluster.machines.values().any(|m| !m.failures.is_empty());
     assert!(!marked, "machines are blamed");
     c.pass();
     assert!(c.on(&broken).is_empty());
     c.now += Duration::from_secs(3);
     names.iter().for_each(|name| drop(c.report(name)));
     // Nothing else brings it back to the heap.
-    c.leader.tick(c.now);
-    assert!(c.leader.queue.dirty);
+    c.cluster.tick(c.now);
+    assert!(c.cluster.queue.dirty);
     c.pass();
     assert_eq!(c.on(&broken).len(), 1);
     // It makes nobody leave: what runs elsewhere fills the machines.
@@ -772,8 +776,8 @@
     let name = c.on(&broken)[0].clone();
     c.running.insert(name.clone(), Vec::new());
     c.starts();
-    c.ends(&name, &broken, Why::Done);
-    assert!(!c.leader.jobs[&broken].faulty());
+    c.ends(&name, &broken, ExitReason::Done);
+    assert!(!c.cluster.jobs[&broken].faulty());
 }
 
 /// What waits for its team's limit needs no machine: it would stand idle and be paid.
@@ -785,17 +789,17 @@
     let mut rented = 0;
     for _ in 0..200 {
         c.now += Duration::from_millis(500);
-        let Some(request) = c.leader.cloud_work(c.now) else {
+        let Some(request) = c.cluster.cloud_work(c.now) else {
             continue;
         };
-        let CloudRequest::Rent(rental) = &request else {
+        let CloudRequest::Provision(rental) = &request else {
             continue;
         };
         let names = rented..rented + rental.count;
         rented += rental.count;
         let machines = names.map(|n| Arc::from(format!("vm-{n:06}"))).collect();
-        c.leader
-            .cloud_reply(&request, CloudReply::Rented(machines), c.now);
+        c.cluster
+            .cloud_reply(&request, CloudReply::Provisioned(machines), c.now);
         if rented > 600 {
             break;
         }
@@ -815,9 +819,9 @@
     c.runs("vm-4", &service, 3);
     for (name, index) in names.iter().zip(0..3) {
         c.runs(name, &service, index);
-        c.ends(name, &service, Why::Error);
+        c.ends(name, &service, ExitReason::Error);
     }
-    assert!(!c.leader.jobs[&service].faulty());
+    assert!(!c.cluster.jobs[&service].faulty());
     c.pass();
     assert_eq!(c.on(&service).len(), 4);
 }
@@ -828,32 +832,35 @@
 fn every_shard_of_the_roster_has_its_turn() {
     use kiteyard::core::store::StateReply;
     let mut c = Cluster::new(8.0);
-    c.leader.roster = Roster::new(1024);
+    c.cluster.assignment_index = AssignmentIndex::new(1024);
     let names: Vec<String> = (0..40).map(|i| format!("vm-{i:02}")).collect();
     names.iter().for_each(|name| c.machine(name));
     c.job(spec(0, Kind::Array, Priority::Normal, 80, 4.0));
     c.pass();
     // Work that comes to whatever is listed, faster than two shards a write can list it.
     for number in 1..4 {
-        let (listings, _, _) = c.leader.roster_write(true, 16).expect("work to list");
+        let (listings, _, _) = c
+            .cluster
+            .assignment_index_write(true, 16)
+            .expect("work to list");
         let revision = 10 + number as u64;
         let reply = StateReply::Committed { revision };
-        c.leader.roster_written(listings, &reply);
+        c.cluster.assignment_index_written(listings, &reply);
         let job = c.job(spec(number, Kind::Array, Priority::Normal, 40, 8.0));
-        let machines = c.leader.machines.values();
+        let machines = c.cluster.machines.values();
         let listed = machines.filter(|m| !m.unlisted()).map(|m| m.id.clone());
         for (index, id) in listed.collect::<Vec<_>>().iter().enumerate() {
             let task = TaskId {
                 job: job.clone(),
                 index: index as u32,
             };
-            let attempt = c.leader.next_attempt();
-            c.leader.place(id, task, attempt, c.now);
+            let attempt = c.cluster.next_attempt();
+            c.cluster.place(id, task, attempt, c.now);
         }
     }
     let first = spec(0, Kind::Array, Priority::Normal, 80, 4.0).id;
-    let mut machines = c.leader.machines.values();
-    assert!(machines.all(|m| m.entry.jobs.contains(&first)));
+    let mut machines = c.cluster.machines.values();
+    assert!(machines.all(|m| m.assignment.jobs.contains(&first)));
 }
 
 /// More is let in only as fast as work starts: while the state service lists nothing,
@@ -866,27 +873,38 @@
     names.iter().for_each(|name| c.machine(name));
     c.job(spec(0, Kind::Array, Priority::Normal, 8, 1.0));
     c.pass();
-    assert_eq!(c.leader.holding().unlisted, 8);
+    assert_eq!(c.cluster.pending_placements().unlisted, 8);
     c.now += Duration::from_secs(3);
     names.iter().for_each(|name| {
         c.report(name);
     });
     c.job(spec(1, Kind::Array, Priority::Normal, 8, 1.0));
     c.pass();
-    assert_eq!(c.leader.holding().unlisted, 8, "no more is let in");
+    assert_eq!(
+        c.cluster.pending_placements().unlisted,
+        8,
+        "no more is let in"
+    );
     // A higher priority does not wait for what is below it.
     c.job(spec(2, Kind::Service, Priority::High, 1, 1.0));
     c.pass();
-    assert_eq!(c.leader.holding().unlisted, 9);
-    let (listings, _, _) = c.leader.roster_write(true, 16).expect("work to list");
-    c.leader
-        .roster_written(listings, &StateReply::Committed { revision: 20 });
+    assert_eq!(c.cluster.pending_placements().unlisted, 9);
+    let (listings, _, _) = c
+        .cluster
+        .assignment_index_write(true, 16)
+        .expect("work to list");
+    c.cluster
+        .assignment_index_written(listings, &StateReply::Committed { revision: 20 });
     names.iter().for_each(|name| {
         c.report(name);
     });
     c.now += Duration::from_millis(100);
     c.pass();
-    assert_eq!(c.leader.holding().unlisted, 8, "the rest follows");
+    assert_eq!(
+        c.cluster.pending_placements().unlisted,
+        8,
+        "the rest follows"
+    );
 }
 
 /// In a rush the next array in the order took every room that fell free, and fetched its
@@ -903,7 +921,7 @@
     }
     let cached = [("vm-1", "b"), ("vm-2", "a")];
     for (name, image) in cached {
-        let machine = c.leader.machines.get_mut(name).expect("known");
+        let machine = c.cluster.machines.get_mut(name).expect("known");
         machine.images.insert(Arc::from(image), Duration::ZERO);
     }
     let first = c.job(image(1, "a"));
@@ -925,15 +943,15 @@
     let fifth = c.job(image(5, "b"));
     c.pass();
     c.now += Duration::from_secs(2);
-    c.ends("vm-1", &second, Why::Done);
-    c.leader.requeue();
+    c.ends("vm-1", &second, ExitReason::Done);
+    c.cluster.requeue();
     c.pass();
     assert_eq!(c.on(&fourth), ["vm-1"]);
     assert_eq!(c.on(&fifth), Vec::<String>::new());
 }
 
-/// A worker that is called may have begun a new session since the former leader was gone:
-/// its lease lasts from then, not from the former leader's end. Found in the simulated
+/// A worker that is called may have begun a new session since the previous leader was gone:
+/// its lease lasts from then, not from the previous leader's end. Found in the simulated
 /// world as `ran_twice`: a start sent straight into such a session was taken for lost with
 /// the former one.
 #[test]
@@ -945,19 +963,25 @@
     let resolve_by = Duration::from_secs(105);
     let mut c = Cluster::after_a_take_over(4.0, vec![(0, shard, 1)], resolve_by);
     let told = r#"{"images":[],"machines":{},"workers":{"vm-1":["127.0.0.1:9",2]}}"#;
-    c.leader
-        .recall(serde_json::from_str(told).expect("hints"), c.now);
-    let direct = c.leader.direct_commands(c.now).pop().expect("it is called");
+    c.cluster.apply_handover(
+        serde_json::from_str(told).expect("a handover snapshot"),
+        c.now,
+    );
+    let direct = c
+        .cluster
+        .direct_commands(c.now)
+        .pop()
+        .expect("it is called");
     c.running.insert("vm-1".into(), Vec::new());
-    let report = c.report_under("vm-1", 2, c.leader.token);
+    let report = c.report_under("vm-1", 2, c.cluster.token);
     c.now = Duration::from_secs(104);
-    c.leader
+    c.cluster
         .direct_reply(&direct, DirectReply::Executed(report), c.now);
     let standing = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
-        c.leader.proven = c.now;
-        c.leader.tick(c.now);
-        c.leader.machines["vm-1"].standing
+        c.cluster.proven = c.now;
+        c.cluster.tick(c.now);
+        c.cluster.machines["vm-1"].standing
     };
     assert_eq!(standing(&mut c, 106), Standing::Up);
     assert_eq!(standing(&mut c, 113), Standing::Up);
@@ -975,28 +999,28 @@
     c.machine("vm-1");
     let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
-    let machine = c.leader.machines.get_mut("vm-1").expect("a machine");
-    machine.entry.jobs.insert(job.clone());
+    let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
+    machine.assignment.jobs.insert(job.clone());
     let starts = c.report("vm-1");
     assert!(matches!(starts[..], [Command::Start { .. }]));
     // Before that answer arrives, the same start is sent straight to the worker, and the
     // task ends.
     c.starts();
-    c.leader.remove_job(&job, c.now);
-    let machine = c.leader.machines.get_mut("vm-1").expect("a machine");
+    c.cluster.remove_job(&job, c.now);
+    let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.token += 1;
     let tasks = c.running.get_mut("vm-1").expect("a machine");
-    tasks[0].phase = TaskPhase::Exited(Why::Stopped { saved: false });
-    let direct = kiteyard::core::leader::Direct {
+    tasks[0].phase = TaskPhase::Exited(ExitReason::Stopped { saved: false });
+    let direct = kiteyard::core::cluster::Direct {
         machine: Arc::from("vm-1"),
         addr: "127.0.0.1:9".parse().expect("an address"),
-        token: c.leader.token,
+        token: c.cluster.token,
         session: 1,
         commands: Vec::new(),
     };
-    let report = c.report_under("vm-1", 1, c.leader.token);
+    let report = c.report_under("vm-1", 1, c.cluster.token);
     let executed = DirectReply::Executed(report);
-    c.leader.direct_reply(&direct, executed, c.now);
+    c.cluster.direct_reply(&direct, executed, c.now);
     let forgets = |commands: &[Command]| {
         let mut commands = commands.iter();
         commands.any(|command| matches!(command, Command::Forget { .. }))
@@ -1005,13 +1029,13 @@
     let other = c.job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
     c.now += Duration::from_secs(1);
     c.pass();
-    let machine = c.leader.machines.get_mut("vm-1").expect("a machine");
-    machine.entry.jobs.insert(other);
-    let straight = c.leader.direct_commands(c.now);
+    let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
+    machine.assignment.jobs.insert(other);
+    let straight = c.cluster.direct_commands(c.now);
     assert_eq!(straight.len(), 1);
     assert!(!straight.iter().any(|direct| forgets(&direct.commands)));
     // The next report shows that the worker has that answer, or never will.
-    let machine = c.leader.machines.get_mut("vm-1").expect("a machine");
+    let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.direct = false;
     assert!(forgets(&c.report("vm-1")));
 }
--- a/tests/scheduling/fleet.rs
+++ b/tests/scheduling/provisioning.rs
@@ -4,10 +4,10 @@
 use std::{sync::Arc, time::Duration};
 
 use kiteyard::core::{
-    fleet::{CloudReply, CloudRequest},
     job::{Kind, Priority, Resources},
     machine::{ListedMachine, ListedState},
-    members::sight::Outlook,
+    membership::reachability::Reachability,
+    provisioning::{CloudReply, CloudRequest},
 };
 
 use crate::cluster::{Cluster, amount, spec};
@@ -37,7 +37,7 @@
     let mut c = Cluster::new(4.0);
     c.machine("vm-1");
     let gang = c.job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
-    c.leader.wall_ms = 61_000;
+    c.cluster.wall_ms = 61_000;
     let equal = c.job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
     c.pass();
     assert!(c.on(&equal).is_empty());
@@ -66,11 +66,11 @@
     let mut released = Vec::new();
     for _ in 0..seconds * 4 {
         c.now += Duration::from_millis(250);
-        c.leader.proven = c.now;
-        c.leader.tick(c.now);
-        match c.leader.cloud_work(c.now) {
+        c.cluster.proven = c.now;
+        c.cluster.tick(c.now);
+        match c.cluster.cloud_work(c.now) {
             Some(list @ CloudRequest::List { .. }) => {
-                c.leader.cloud_reply(&list, listed(names), c.now);
+                c.cluster.cloud_reply(&list, listed(names), c.now);
             }
             Some(CloudRequest::Release { machines }) => {
                 released.extend(machines.iter().map(|m| m.to_string()));
@@ -87,7 +87,7 @@
 #[test]
 fn a_silent_machine_that_the_list_shows_no_more_is_proven_gone() {
     let mut c = Cluster::new(4.0);
-    c.leader.outlook = Outlook::default();
+    c.cluster.reachability = Reachability::default();
     c.machine("vm-1");
     let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
     c.runs("vm-1", &job, 0);
@@ -115,12 +115,12 @@
         let release = CloudRequest::Release {
             machines: machines.collect(),
         };
-        c.leader.cloud_reply(&release, CloudReply::Released, c.now);
+        c.cluster.cloud_reply(&release, CloudReply::Released, c.now);
     }
     c.running.insert("vm-000007".into(), Vec::new());
-    let copy = c.report_under("vm-000007", 1, c.leader.token);
-    assert!(c.leader.report(&copy, c.now).is_none());
-    assert!(!c.leader.machines.contains_key("vm-000007"));
+    let copy = c.report_under("vm-000007", 1, c.cluster.token);
+    assert!(c.cluster.report(&copy, c.now).is_none());
+    assert!(!c.cluster.machines.contains_key("vm-000007"));
 }
 
 /// Where GPUs bind, CPUs that are left say nothing of how full a machine is.
@@ -153,23 +153,23 @@
     for some in names.chunks(100) {
         let machines = some.iter().map(|name| Arc::from(name.as_str())).collect();
         let request = CloudRequest::Release { machines };
-        c.leader.cloud_reply(&request, CloudReply::Released, c.now);
+        c.cluster.cloud_reply(&request, CloudReply::Released, c.now);
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     // What is due now is a list.
     let lists = (0..40).any(|_| {
         c.now += Duration::from_millis(250);
-        c.leader.proven = c.now;
-        c.leader.tick(c.now);
-        let Some(request) = c.leader.cloud_work(c.now) else {
+        c.cluster.proven = c.now;
+        c.cluster.tick(c.now);
+        let Some(request) = c.cluster.cloud_work(c.now) else {
             return false;
         };
         let lists = matches!(request, CloudRequest::List { .. });
         if lists {
-            c.leader.cloud_reply(&request, listed(&names), c.now);
+            c.cluster.cloud_reply(&request, listed(&names), c.now);
         }
         lists
     });
     assert!(lists, "a list is asked for");
-    assert_eq!(c.leader.machines.len(), 0);
+    assert_eq!(c.cluster.machines.len(), 0);
 }
