--- a/tests/scheduling/requeue.rs
+++ b/tests/scheduling/requeue.rs
@@ -3,18 +3,18 @@
 use std::{sync::Arc, time::Duration};
 
 use kiteyard::core::{
+    assignment_index::ShardRecord,
     job::{JobRecord, JobSpec, Kind, Priority, TaskSet},
-    machine::Why,
-    mirror::LiveJob,
-    roster::ShardRecord,
+    machine::ExitReason,
+    state_cache::LiveJob,
     store::StateReply,
 };
 
 use crate::cluster::{Cluster, spec};
 
 fn looks(c: &mut Cluster) {
-    c.leader.tick(c.now);
-    if c.leader.queue.dirty {
+    c.cluster.tick(c.now);
+    if c.cluster.queue.dirty {
         c.pass();
     }
 }
@@ -41,9 +41,12 @@
     c.machine("vm-2");
     c.job(spec(0, Kind::Service, Priority::Normal, 1, 8.0));
     looks(&mut c);
-    let (listings, _, _) = c.leader.roster_write(true, 16).expect("work to list");
+    let (listings, _, _) = c
+        .cluster
+        .assignment_index_write(true, 16)
+        .expect("work to list");
     let listed = StateReply::Committed { revision: 20 };
-    c.leader.roster_written(listings, &listed);
+    c.cluster.assignment_index_written(listings, &listed);
     c.now += Duration::from_millis(1_100);
     let late = c.job(spec(1, Kind::Service, Priority::Normal, 1, 8.0));
     looks(&mut c);
@@ -79,13 +82,13 @@
     let urgent = c.job(spec(4, Kind::Array, Priority::Production, 1, 200.0));
     looks(&mut c);
     assert_eq!(c.on(&urgent), ["vm-2"]);
-    c.ends("vm-1", &victim, Why::Stopped { saved: false });
+    c.ends("vm-1", &victim, ExitReason::Stopped { saved: false });
     looks(&mut c);
     assert!(c.on(&high).is_empty(), "at its limit");
     assert_eq!(c.on(&victim), ["vm-1"]);
 }
 
-/// A task that waits is on one silent machine at most, whichever list its job.
+/// A task that waits is on one unresponsive machine at most, whichever list its job.
 #[test]
 fn a_task_that_several_silent_machines_list_counts_once_against_the_limit() {
     let shard = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],
@@ -98,7 +101,7 @@
         accepted_ms: 0,
     };
     let live = LiveJob { record, version: 2 };
-    c.leader.add_job(&listed.id, &live, TaskSet::default());
+    c.cluster.add_job(&listed.id, &live, TaskSet::default());
     c.machine("vm-4");
     let fits = c.job(spec(2, Kind::Array, Priority::Normal, 1, 500.0));
     let beyond = c.job(spec(3, Kind::Array, Priority::Low, 1, 250.0));
--- a/tests/scheduling/starting.rs
+++ b/tests/scheduling/starting.rs
@@ -3,11 +3,11 @@
 use std::{sync::Arc, time::Duration};
 
 use kiteyard::core::{
-    fleet::{CloudReply, CloudRequest},
+    assignment_index::ShardRecord,
     job::{JobId, JobRecord, JobSpec},
     job::{Kind, Priority, TaskSet},
-    mirror::LiveJob,
-    roster::ShardRecord,
+    provisioning::{CloudReply, CloudRequest},
+    state_cache::LiveJob,
 };
 
 use crate::cluster::{Cluster, spec};
@@ -26,13 +26,13 @@
             accepted_ms: at as u64,
         };
         let live = LiveJob { record, version: 2 };
-        c.leader.add_job(&job.id, &live, TaskSet::default());
+        c.cluster.add_job(&job.id, &live, TaskSet::default());
     }
     c
 }
 
 fn looks(c: &mut Cluster) {
-    c.leader.tick(c.now);
+    c.cluster.tick(c.now);
     c.pass();
 }
 
@@ -78,24 +78,24 @@
 
 #[test]
 fn nothing_is_rented_before_the_list_was_read_and_the_machines_heard() {
-    // One more than the silent machine may take.
+    // One more than the unresponsive machine may take.
     let wanted = spec(2, Kind::Service, Priority::High, 2, 4.0);
     // As high, so that nobody makes room for the other.
     let low = spec(1, Kind::Array, Priority::High, 1, 4.0);
     let mut c = began(&[&low, &wanted]);
-    let list = c.leader.cloud_work(c.now).expect("a request");
+    let list = c.cluster.cloud_work(c.now).expect("a request");
     assert!(matches!(list, CloudRequest::List { .. }), "{list:?}");
     let none = CloudReply::Machines {
         machines: Vec::new(),
         more: false,
     };
-    c.leader.cloud_reply(&list, none, c.now);
+    c.cluster.cloud_reply(&list, none, c.now);
     let next = |c: &mut Cluster, ms: u64| {
         c.now += Duration::from_millis(ms);
         looks(c);
-        c.leader.cloud_work(c.now)
+        c.cluster.cloud_work(c.now)
     };
-    let rents = |request: Option<CloudRequest>| matches!(request, Some(CloudRequest::Rent(_)));
+    let rents = |request: Option<CloudRequest>| matches!(request, Some(CloudRequest::Provision(_)));
     // The stored machines may have room.
     assert!(!rents(next(&mut c, 600)));
     // One is heard, and the other not.
@@ -111,15 +111,17 @@
     let mut c = Cluster::new(4.0);
     let told = r#"{"images":[],"machines":{},"refused":[[["m","a",false],{"secs":9,"nanos":0}],
         [["m","b",false],{"secs":9,"nanos":0}]]}"#;
-    c.leader
-        .recall(serde_json::from_str(told).expect("hints"), c.now);
+    c.cluster.apply_handover(
+        serde_json::from_str(told).expect("a handover snapshot"),
+        c.now,
+    );
     c.job(wanted);
     let rents = |c: &mut Cluster, from: u64, to: u64| {
         (from..to).any(|second| {
             c.now = Duration::from_secs(100 + second);
             looks(c);
-            let request = c.leader.cloud_work(c.now);
-            matches!(request, Some(CloudRequest::Rent(_)))
+            let request = c.cluster.cloud_work(c.now);
+            matches!(request, Some(CloudRequest::Provision(_)))
         })
     };
     assert!(!rents(&mut c, 3, 9));
--- a/tests/structure.rs
+++ b/tests/structure.rs
@@ -12,10 +12,10 @@
 
 /// Files that were too long when this was written, and may only become shorter.
 const LONG_FILES: [(&str, usize); 4] = [
-    ("leader.rs", 805),
-    ("sched.rs", 724),
+    ("cluster.rs", 805),
+    ("scheduling.rs", 724),
     ("mod.rs", 677),
-    ("lead.rs", 623),
+    ("election.rs", 623),
 ];
 
 /// No other file of the core may be longer than this.
--- a/tests/unreadable.rs
+++ b/tests/unreadable.rs
@@ -9,8 +9,8 @@
     config::{Config, Options},
     job::JobId,
     store::{
-        APART, Change, DRAINS, Entry, Event, GENERATION, LEADER, ORDERS, PROGRESS, ROSTER, SETTLED,
-        StateReply, StateRequest, TYPES,
+        ASSIGNMENTS, Change, DRAINS, Entry, Event, GENERATION, LEADER, ORDERS, PARTITIONED,
+        PROGRESS, SETTLED, StateReply, StateRequest, TYPES,
     },
 };
 use serde_json::value::RawValue;
@@ -162,7 +162,7 @@
         LEADER,
         GENERATION,
         ORDERS,
-        APART,
+        PARTITIONED,
         DRAINS,
         SETTLED,
         TYPES,
@@ -216,12 +216,12 @@
 /// A shard taken for no machines let tasks start that ran there.
 #[test]
 fn a_take_over_stops_at_a_record_that_cannot_be_read() {
-    let roster = format!("{ROSTER}0");
+    let assignment_index = format!("{ASSIGNMENTS}0");
     let progress = format!("{PROGRESS}run-000001/0");
     let beyond = r#"{"kinds":[["m","a",false]],"jobs":[],"machines":[["vm-1",0,[0]]]}"#;
     let cases = [
-        (&roster, NEWER),
-        (&roster, beyond),
+        (&assignment_index, NEWER),
+        (&assignment_index, beyond),
         (&progress, NEWER),
         (&progress, r#""ff,zz""#),
     ];
--- a/tests/world/absences.rs
+++ b/tests/world/absences.rs
@@ -180,7 +180,8 @@
     }
 }
 
-/// The one that returns alone has the roster to tell it what a silent machine may hold.
+/// The one that returns alone has the assignment index to tell it what an unresponsive machine may
+/// hold.
 #[test]
 fn a_roster_that_names_no_jobs_is_caught_after_handing_over_and_back() {
     let mut troubles = HANDED_BACK.to_vec();
--- a/tests/world/between.rs
+++ b/tests/world/between.rs
@@ -3,7 +3,9 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use kiteyard::core::{Input, fleet::CloudRequest, machine::WorkerReport, store::StateRequest};
+use kiteyard::core::{
+    Input, machine::WorkerReport, provisioning::CloudRequest, store::StateRequest,
+};
 use rand::RngExt;
 
 use crate::sim::{Event, NODES, Sabotage, World, ms};
--- a/tests/world/cases.rs
+++ b/tests/world/cases.rs
@@ -24,9 +24,9 @@
     StateSlow,
     /// All nodes are restarted, one after the other.
     Roll,
-    /// A zone is cut off from everything, its node from the state service as well.
+    /// A zone is partitioned from everything, its node from the state service as well.
     ZoneCut,
-    /// The leader's zone is cut off from everything.
+    /// The leader's zone is partitioned from everything.
     LeaderZoneCut,
     /// A fifth of the machines hang and go on within their lease.
     Hang,
--- a/tests/world/gap.rs
+++ b/tests/world/gap.rs
@@ -34,7 +34,7 @@
     holds(Case::Gap);
 }
 
-/// A take-over that kept leases alive without stopping what is cancelled carried it on for
+/// A failover that kept leases alive without stopping what is cancelled carried it on for
 /// another term and another lease.
 #[test]
 fn cancelled_tasks_are_gone_in_time_where_a_gap_meets_a_claim() {
--- a/tests/world/liveness.rs
+++ b/tests/world/liveness.rs
@@ -238,7 +238,7 @@
     world
 }
 
-/// Both teams at their limits, machines that are cut off, hang or hear nothing, cancelled
+/// Both teams at their limits, machines that are partitioned, hang or hear nothing, cancelled
 /// services, and a leader that ends meanwhile.
 #[test]
 fn teams_at_their_limits_keep_them_through_a_change_of_the_leader() {
--- a/tests/world/new_machines.rs
+++ b/tests/world/new_machines.rs
@@ -100,7 +100,7 @@
     assert!(met >= seeds(6).end, "{met} met");
 }
 
-/// What a silent new machine may hold is known to the next leader by the roster alone.
+/// What a silent new machine may hold is known to the next leader by the assignment index alone.
 #[test]
 fn a_roster_that_names_no_jobs_is_caught_on_new_machines() {
     let broken = |seed| world(seed, Sabotage::RosterWithoutJobs).observer.broken();
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kiteyard::core::store::{ENDS, FINALS};
+use kiteyard::core::store::{TERMINAL_RANGES, TERMINAL_STATES};
 use kiteyard_rollout::generation::{Cluster, Order, Stage};
 
 use crate::{
@@ -38,7 +38,7 @@
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
     assert!(world.observer.finished > 6, "{what}: finished too little");
     assert_eq!(world.cluster(), end, "{what}: {:?}", world.roll.seen);
-    let (alone, packed) = (world.keys(FINALS), world.keys(ENDS));
+    let (alone, packed) = (world.keys(TERMINAL_STATES), world.keys(TERMINAL_RANGES));
     match end.from {
         1 => assert_eq!((packed, alone > 6), (0, true), "{what}"),
         _ => assert_eq!((alone, packed > 0), (0, true), "{what}"),
@@ -129,7 +129,7 @@
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
     assert!(world.observer.finished > 6, "{what}: finished too little");
     let back = troubles.iter().any(|(case, _)| *case == Case::GoBack);
-    let (end, alone) = (world.cluster(), world.keys(FINALS));
+    let (end, alone) = (world.cluster(), world.keys(TERMINAL_STATES));
     match back {
         true => assert!(end.to == 1, "{what}: {end:?}"),
         false => assert_eq!((end, alone), (Cluster::settled(to), 0), "{what}"),
@@ -288,7 +288,7 @@
     world
 }
 
-/// A leader that ends while a zone is cut off tells its successor since when.
+/// A leader that ends while a zone is partitioned tells its successor since when.
 #[test]
 fn a_successor_inside_a_cut_does_not_wait_a_whole_lease_again() {
     let waits = |seed, generation| {
@@ -343,7 +343,7 @@
     caught(Sabotage::AnswersApart, &["ran_twice"], |seed| {
         let world = zoned(seed, 3, Sabotage::AnswersApart);
         let world = world.with(30 * S, Case::BlindToZone, ms(4000));
-        // The zone is answered again, and then cut off from the next leader too.
+        // The zone is answered again, and then partitioned from the next leader too.
         let world = world.with(37 * S, Case::ZoneCut, Duration::from_secs(20));
         world.with(37 * S + 200, Case::LeaderEnds, Duration::ZERO)
     });
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -5,12 +5,15 @@
 
 use kiteyard::core::{
     Answer, Input, Output,
+    heartbeat_forwarding::PeerMessage,
     machine::Command,
     maintenance,
-    relay::PeerMessage,
     rollout::Ask,
     rollout::FEATURES,
-    store::{APART, Change, DRAINS, ENDS, GENERATION, JOBS, ROSTER, StateReply, StateRequest},
+    store::{
+        ASSIGNMENTS, Change, DRAINS, GENERATION, JOBS, PARTITIONED, StateReply, StateRequest,
+        TERMINAL_RANGES,
+    },
 };
 use kiteyard_rollout::{
     config::Config,
@@ -44,7 +47,7 @@
     pub crash_at: Option<(u64, bool)>,
     pub writes: u64,
     crashing: bool,
-    /// A node that can't read every second shard of the roster.
+    /// A node that can't read every second shard of the assignment index.
     pub garbled: Option<usize>,
     /// A build from before generations: it neither knows nor says anything of them.
     pub before: [bool; NODES],
@@ -99,7 +102,7 @@
     };
     changes.iter().any(|change| match change {
         Change::Put { key, .. } | Change::Delete { key } => {
-            key.starts_with(ENDS) || key == GENERATION || key == APART
+            key.starts_with(TERMINAL_RANGES) || key == GENERATION || key == PARTITIONED
         }
     })
 }
@@ -347,7 +350,9 @@
             return false;
         };
         let removes = |change: &Change| match change {
-            Change::Put { key, value, .. } => key == APART && value.get() == r#"{"zones":{}}"#,
+            Change::Put { key, value, .. } => {
+                key == PARTITIONED && value.get() == r#"{"zones":{}}"#
+            }
             Change::Delete { .. } => false,
         };
         self.sabotage == Sabotage::AnswersApart && changes.iter().any(removes)
@@ -374,7 +379,9 @@
         };
         if self.roll.garbled == Some(node) {
             let second = |key: &str| {
-                let shard = key.strip_prefix(ROSTER).and_then(|s| s.parse::<u32>().ok());
+                let shard = key
+                    .strip_prefix(ASSIGNMENTS)
+                    .and_then(|s| s.parse::<u32>().ok());
                 shard.is_some_and(|shard| shard % 2 == 1)
             };
             if self.sabotage == Sabotage::UnreadableMeansAbsent {
@@ -388,12 +395,12 @@
     }
 
     pub fn tampered_line(&mut self, node: usize, mut message: PeerMessage) -> PeerMessage {
-        let PeerMessage::Pulse(pulse) = &mut message else {
+        let PeerMessage::Heartbeat(heartbeat) = &mut message else {
             return message;
         };
         if !self.roll.before[node] {
-            if node == 2 && pulse.told.is_some() {
-                self.roll.last_told = pulse.told;
+            if node == 2 && heartbeat.told.is_some() {
+                self.roll.last_told = heartbeat.told;
             }
             return message;
         }
@@ -405,7 +412,7 @@
         };
         let forged = self.sabotage == Sabotage::SoakGoesOn;
         let told = self.roll.last_told.filter(|_| forged);
-        pulse.told = told.map(|told| Told { knows, ..told });
+        heartbeat.told = told.map(|told| Told { knows, ..told });
         message
     }
 }
--- a/tests/world/sim/cloud.rs
+++ b/tests/world/sim/cloud.rs
@@ -1,11 +1,11 @@
-//! The cloud: types, the list of machines, rentals and returns.
+//! The cloud: types, the list of machines, scale-out requests and returns.
 
 use std::{sync::Arc, time::Duration};
 
 use kiteyard::core::{
-    fleet::{CloudReply, CloudRequest},
     job::Resources,
     machine::{ListedMachine, ListedState, MachineType},
+    provisioning::{CloudReply, CloudRequest},
 };
 
 use super::{CPUS, Event, World, ZONES, ms};
@@ -51,9 +51,9 @@
                     more: false,
                 }
             }
-            CloudRequest::Rent(rental) => {
+            CloudRequest::Provision(rental) => {
                 if let Some(names) = self.rentals.get(&rental.request) {
-                    return CloudReply::Rented(names.clone());
+                    return CloudReply::Provisioned(names.clone());
                 }
                 let zone = ZONES
                     .iter()
@@ -70,7 +70,7 @@
                     return CloudReply::NoCapacity;
                 }
                 self.rentals.insert(rental.request, names.clone());
-                CloudReply::Rented(names)
+                CloudReply::Provisioned(names)
             }
             CloudRequest::Release { machines } => {
                 for id in machines {
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -20,9 +20,9 @@
 use kiteyard::core::{
     Answer, CallId, Clock, Input, Node, Output, RequestId,
     config::{Config, Options},
-    fleet::{CloudReply, CloudRequest},
     job::{JobId, JobState, TaskId},
     machine::DirectReply,
+    provisioning::{CloudReply, CloudRequest},
     rollout::Ask,
     store::{StateReply, StateRequest},
 };
--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -10,10 +10,10 @@
 
 use kiteyard::core::{
     Answer, Input, Output,
+    heartbeat_forwarding::PeerMessage,
     job::{JobId, JobRecord, JobSpec, JobState, Kind, TaskId},
     machine::Command,
-    relay::PeerMessage,
-    store::{self, Change, FINALS, JOBS, LEADER, StateReply, StateRequest},
+    store::{self, Change, JOBS, LEADER, StateReply, StateRequest, TERMINAL_STATES},
 };
 use rand::RngExt;
 
@@ -346,10 +346,10 @@
         else {
             return;
         };
-        let ends = changes
-            .iter()
-            .any(|change| matches!(change, Change::Put { key, .. } if key.starts_with(FINALS)));
-        let about = |key: &str| key.starts_with(JOBS) || key.starts_with(FINALS);
+        let ends = changes.iter().any(
+            |change| matches!(change, Change::Put { key, .. } if key.starts_with(TERMINAL_STATES)),
+        );
+        let about = |key: &str| key.starts_with(JOBS) || key.starts_with(TERMINAL_STATES);
         match self.sabotage {
             Sabotage::AcceptsWhateverIsStored => {
                 conditions.retain(|c| c.version > 0 || !about(&c.key));
--- a/tests/world/sim/sabotage.rs
+++ b/tests/world/sim/sabotage.rs
@@ -49,7 +49,7 @@
     SparesHung,
     /// A node that does not lead answers reports as if it did.
     FollowersRenew,
-    /// A next leader sees no jobs in the roster.
+    /// A next leader sees no jobs in the assignment index.
     RosterWithoutJobs,
     /// The leader's term grows with a renewal and the claim, whatever its copy holds.
     RenewalAlone,
--- a/tests/world/sim/scale.rs
+++ b/tests/world/sim/scale.rs
@@ -31,7 +31,7 @@
     pub seats: u32,
 }
 
-/// Small values, so that the roster has many shards.
+/// Small values, so that the assignment index has many shards.
 pub const SMALL: Scale = Scale {
     length: Duration::from_secs(150),
     lease: Duration::from_secs(5),
--- a/tests/world/sim/state_service.rs
+++ b/tests/world/sim/state_service.rs
@@ -2,7 +2,7 @@
 
 use kiteyard::core::{
     CallId, Input,
-    store::{CLAIMS, Change, PROGRESS, ROSTER, StateReply, StateRequest},
+    store::{ASSIGNMENTS, CLAIMS, Change, PROGRESS, StateReply, StateRequest},
 };
 use rand::RngExt;
 
@@ -85,7 +85,7 @@
 
     pub fn wake_watches(&mut self) {
         for (node, epoch, call, request, until) in std::mem::take(&mut self.watches) {
-            // What is open when a node is cut off tells it no more either.
+            // What is open when a node is partitioned tells it no more either.
             if self.now >= until || self.unreached[node] > self.now {
                 continue;
             }
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The jobs of machines are left out of the roster's shards.
+    /// The jobs of machines are left out of the assignment index's shards.
     fn tamper_roster(&self, reply: &mut StateReply) {
         let StateReply::Entries { entries, .. } = reply else {
             return;
@@ -135,9 +135,12 @@
         if self.sabotage != Sabotage::RosterWithoutJobs {
             return;
         }
-        for entry in entries.iter_mut().filter(|e| e.key.starts_with(ROSTER)) {
+        for entry in entries
+            .iter_mut()
+            .filter(|e| e.key.starts_with(ASSIGNMENTS))
+        {
             let mut shard: serde_json::Value =
-                serde_json::from_str(entry.value.get()).expect("a shard of the roster");
+                serde_json::from_str(entry.value.get()).expect("a shard of the assignment index");
             let machines = shard["machines"].as_array_mut().expect("its machines");
             for machine in machines {
                 machine[2] = serde_json::json!([]);
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -4,10 +4,10 @@
 
 use kiteyard::core::{
     Answer, CallId, Input, Output, RequestId,
+    assignment_index::ShardRecord,
+    cluster::Direct,
     job::{JobId, Kind, TaskId},
-    leader::Direct,
-    machine::{Command, DirectReply, ReportedTask, TaskPhase, Why, WorkerReport},
-    roster::ShardRecord,
+    machine::{Command, DirectReply, ExitReason, ReportedTask, TaskPhase, WorkerReport},
     store::{Entry, StateReply, StateRequest},
 };
 use rand::RngExt;
@@ -15,7 +15,7 @@
 use super::{Asker, CPUS, Event, NODES, Sabotage, World, ZONES, ms};
 use crate::observer::Running;
 
-/// When machines without tasks fall silent, for `Sabotage::HidesRoom`.
+/// When machines without tasks stop reporting, for `Sabotage::HidesRoom`.
 const HIDES_AFTER: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
@@ -165,7 +165,7 @@
                     };
                     self.observer.started(now, &key.0, running);
                     if self.results.contains(&key.0) {
-                        Some((TaskPhase::Exited(Why::Done), now))
+                        Some((TaskPhase::Exited(ExitReason::Done), now))
                     } else if spec.kind == Kind::Gang {
                         Some((TaskPhase::Waiting, now + self.scale.gang_wait))
                     } else {
@@ -178,22 +178,24 @@
                 }
                 TaskPhase::Waiting if now >= until => {
                     // Running ones of its gang make it run too.
-                    Some((TaskPhase::Exited(Why::Incomplete), now))
+                    Some((TaskPhase::Exited(ExitReason::Incomplete), now))
                 }
-                TaskPhase::Running if faulty => Some((TaskPhase::Exited(Why::Error), now)),
+                TaskPhase::Running if faulty => Some((TaskPhase::Exited(ExitReason::Error), now)),
                 TaskPhase::Running if spec.kind == Kind::Gang && !whole() && now < until => {
-                    Some((TaskPhase::Exited(Why::Peers), now))
+                    Some((TaskPhase::Exited(ExitReason::Peers), now))
+                }
+                TaskPhase::Running if now >= until => {
+                    Some((TaskPhase::Exited(ExitReason::Done), now))
                 }
-                TaskPhase::Running if now >= until => Some((TaskPhase::Exited(Why::Done), now)),
                 TaskPhase::Saving if now >= until => {
-                    Some((TaskPhase::Exited(Why::Stopped { saved: true }), now))
+                    Some((TaskPhase::Exited(ExitReason::Stopped { saved: true }), now))
                 }
                 _ => None,
             };
             let Some((phase, until)) = next else { continue };
             changed = true;
             if phase.exited() {
-                let done = phase == TaskPhase::Exited(Why::Done);
+                let done = phase == TaskPhase::Exited(ExitReason::Done);
                 if done {
                     // The tasks of a gang complete together.
                     let all = if spec.kind == Kind::Gang {
@@ -290,7 +292,7 @@
                     task: task.clone(),
                     attempt: *attempt,
                     phase: match t.phase {
-                        TaskPhase::Running if believe => TaskPhase::Exited(Why::Done),
+                        TaskPhase::Running if believe => TaskPhase::Exited(ExitReason::Done),
                         phase => phase,
                     },
                 })
@@ -445,9 +447,9 @@
                         continue;
                     }
                     let phase = if worker.tasks.keys().any(|(t, _)| t == task) {
-                        TaskPhase::Exited(Why::Busy)
+                        TaskPhase::Exited(ExitReason::Busy)
                     } else if used + spec.need.cpus > CPUS + 1e-6 {
-                        TaskPhase::Exited(Why::NoRoom)
+                        TaskPhase::Exited(ExitReason::NoRoom)
                     } else {
                         TaskPhase::Fetching
                     };
@@ -479,7 +481,7 @@
                             continue;
                         }
                         TaskPhase::Saving if !grace.is_zero() => continue,
-                        _ => t.phase = TaskPhase::Exited(Why::Stopped { saved: false }),
+                        _ => t.phase = TaskPhase::Exited(ExitReason::Stopped { saved: false }),
                     }
                     if had_image {
                         self.observer.gone(task, name, false);
@@ -497,7 +499,7 @@
         self.hurry(name);
     }
 
-    /// A next leader trusts the roster on which jobs a silent machine may hold.
+    /// A next leader trusts the assignment index on which jobs an unresponsive machine may hold.
     fn check_listed(&mut self, name: &str, task: &TaskId) {
         let request = StateRequest::List {
             prefix: "roster/".into(),
@@ -510,7 +512,7 @@
         let holds = |entry: &&Entry| entry.value.get().contains(name);
         let listed = entries.iter().filter(holds).any(|entry| {
             let record: ShardRecord =
-                serde_json::from_str(entry.value.get()).expect("a shard of the roster");
+                serde_json::from_str(entry.value.get()).expect("a shard of the assignment index");
             let mut machines = record.machines();
             machines.any(|m| &*m.id == name && m.jobs.contains(&task.job))
         });
