--- /dev/null
+++ b/crates/job-graph/src/graph.rs
@@ -0,0 +1,247 @@
+//! The graph: its state, its inputs and its queries.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use crate::job::{ActiveJob, NeededJob};
+use crate::message::{End, Input, JobFacts, Outcome, Output, Urgency};
+use crate::status::Status;
+
+/// The dependency graph of the active jobs.
+///
+/// What it holds grows with the active jobs and the needs that they name, not with the jobs that
+/// have ended.
+#[derive(Debug, Clone)]
+pub struct JobGraph<Id> {
+    pub(crate) active: BTreeMap<Id, ActiveJob<Id>>,
+    /// The jobs that active jobs name.
+    pub(crate) needed: BTreeMap<Id, NeededJob<Id>>,
+    /// Those of `needed` that are not active and have no known end.
+    unknown_ends: BTreeSet<Id>,
+}
+
+impl<Id> Default for JobGraph<Id> {
+    fn default() -> Self {
+        JobGraph {
+            active: BTreeMap::new(),
+            needed: BTreeMap::new(),
+            unknown_ends: BTreeSet::new(),
+        }
+    }
+}
+
+impl<Id: Clone + Ord> JobGraph<Id> {
+    /// A graph without jobs.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Takes an input and returns what follows from it. The outputs of one step are of different
+    /// jobs or of different kinds; their order has no meaning.
+    pub fn step(&mut self, input: Input<Id>) -> Vec<Output<Id>> {
+        let mut outputs = Vec::new();
+        match input {
+            Input::Added { id, facts } => self.add(id, facts, &mut outputs),
+            Input::Removed { id } => self.remove(&id, &mut outputs),
+            Input::Ended { id, end } => self.end(&id, end, &mut outputs),
+            Input::Expected { id, expected } => self.expect(id, expected, &mut outputs),
+        }
+        outputs
+    }
+
+    /// Where a job stands.
+    pub fn status(&self, id: &Id) -> Status<Id> {
+        let Some(job) = self.active.get(id) else {
+            return Status::NotActive;
+        };
+        if job.cancelled {
+            return Status::Cancelled;
+        }
+        if job.not_done == 0 {
+            let since_ms = self.ready_since_ms(job);
+            return Status::Ready { since_ms };
+        }
+        let ends = self.unknown_ends_before(id);
+        if !ends.is_empty() {
+            return Status::Unknown { ends };
+        }
+        let needs = job.needs.iter();
+        let on = needs.filter(|need| !self.is_done(need)).cloned().collect();
+        Status::Waiting { on }
+    }
+
+    /// The inactive jobs that active ones need and whose ends are not known.
+    pub fn unknown_ends(&self) -> impl Iterator<Item = &Id> {
+        self.unknown_ends.iter()
+    }
+
+    /// Whether an active job names this one.
+    pub fn has_dependents(&self, id: &Id) -> bool {
+        self.needed.contains_key(id)
+    }
+
+    /// The urgency of an active job.
+    pub fn urgency(&self, id: &Id) -> Option<Urgency> {
+        self.active.get(id)?.urgency
+    }
+
+    /// Forgets everything, as when all is read again.
+    pub fn reset(&mut self) {
+        *self = Self::default();
+    }
+
+    /// The active jobs that name this one.
+    pub(crate) fn dependents(&self, id: &Id) -> impl Iterator<Item = &Id> {
+        self.needed
+            .get(id)
+            .into_iter()
+            .flat_map(|needed| &needed.dependents)
+    }
+
+    fn add(&mut self, id: Id, facts: JobFacts<Id>, outputs: &mut Vec<Output<Id>>) {
+        if self.active.contains_key(&id) || self.known_end(&id).is_some() {
+            return;
+        }
+        self.insert(&id, ActiveJob::new(facts), outputs);
+        self.place(&id);
+        let mut changed = Vec::new();
+        if self.has_cancelled_need(&id) {
+            changed = self.cancel(vec![id.clone()], outputs);
+        }
+        outputs.extend(self.ready_output(&id));
+        changed.push(id);
+        self.update_urgencies(&changed, outputs);
+    }
+
+    /// Enters an active job with its needs.
+    fn insert(&mut self, id: &Id, mut job: ActiveJob<Id>, outputs: &mut Vec<Output<Id>>) {
+        self.unknown_ends.remove(id);
+        for need in &job.needs {
+            let needed = self.needed.entry(need.clone()).or_default();
+            needed.dependents.insert(id.clone());
+            if !needed.ended_as(Outcome::Done) {
+                job.not_done += 1;
+            }
+            let unknown = needed.end.is_none() && need != id && !self.active.contains_key(need);
+            if unknown && self.unknown_ends.insert(need.clone()) {
+                outputs.push(Output::Lookup { id: need.clone() });
+            }
+        }
+        self.active.insert(id.clone(), job);
+    }
+
+    fn remove(&mut self, id: &Id, outputs: &mut Vec<Output<Id>>) {
+        let Some(changed) = self.take_out(id) else {
+            return;
+        };
+        if self.needed.contains_key(id) {
+            self.unknown_ends.insert(id.clone());
+            outputs.push(Output::Lookup { id: id.clone() });
+        }
+        self.update_urgencies(&changed, outputs);
+    }
+
+    /// Takes a job out of the active ones, with its needs; returns these.
+    fn take_out(&mut self, id: &Id) -> Option<Vec<Id>> {
+        let job = self.active.remove(id)?;
+        for need in &job.needs {
+            let Some(needed) = self.needed.get_mut(need) else {
+                continue;
+            };
+            needed.dependents.remove(id);
+            if let Some(offer) = job.offer {
+                needed.offers.withdraw(offer);
+            }
+            if needed.dependents.is_empty() {
+                self.needed.remove(need);
+                self.unknown_ends.remove(need);
+            }
+        }
+        Some(job.needs.into_iter().collect())
+    }
+
+    fn end(&mut self, id: &Id, end: End, outputs: &mut Vec<Output<Id>>) {
+        let mut changed = self.take_out(id).unwrap_or_default();
+        if self.store_end(id, end) {
+            let dependents = self.dependents(id).cloned().collect::<Vec<_>>();
+            match end.outcome {
+                Outcome::Done => self.count_done(&dependents, outputs),
+                Outcome::Cancelled => changed.extend(self.cancel(dependents, outputs)),
+            }
+        }
+        self.update_urgencies(&changed, outputs);
+    }
+
+    /// Keeps the end of a job that is needed; whether it is a new one.
+    fn store_end(&mut self, id: &Id, end: End) -> bool {
+        let Some(needed) = self.needed.get_mut(id) else {
+            return false;
+        };
+        if needed.end.is_some() {
+            return false;
+        }
+        needed.end = Some(end);
+        self.unknown_ends.remove(id);
+        true
+    }
+
+    /// One more of the jobs that these need is done.
+    fn count_done(&mut self, dependents: &[Id], outputs: &mut Vec<Output<Id>>) {
+        for dependent in dependents {
+            if let Some(job) = self.active.get_mut(dependent) {
+                job.not_done -= 1;
+            }
+            outputs.extend(self.ready_output(dependent));
+        }
+    }
+
+    /// What to tell of a job that needs others, if it may start.
+    fn ready_output(&self, id: &Id) -> Option<Output<Id>> {
+        let job = self.active.get(id)?;
+        let ready = !job.needs.is_empty() && job.not_done == 0 && !job.cancelled;
+        ready.then(|| Output::Ready {
+            id: id.clone(),
+            since_ms: self.ready_since_ms(job),
+        })
+    }
+
+    fn expect(&mut self, id: Id, expected: Duration, outputs: &mut Vec<Output<Id>>) {
+        if let Some(job) = self.active.get_mut(&id) {
+            job.expected = expected;
+            self.update_urgencies(&[id], outputs);
+        }
+    }
+
+    fn known_end(&self, id: &Id) -> Option<End> {
+        self.needed.get(id)?.end
+    }
+
+    fn is_done(&self, id: &Id) -> bool {
+        self.known_end(id)
+            .is_some_and(|end| end.outcome == Outcome::Done)
+    }
+
+    fn ready_since_ms(&self, job: &ActiveJob<Id>) -> u64 {
+        let ends = job.needs.iter().filter_map(|need| self.known_end(need));
+        ends.filter_map(|end| end.at_ms)
+            .fold(job.accepted_ms, u64::max)
+    }
+
+    /// The unknown ends that a job needs directly or through active jobs.
+    fn unknown_ends_before(&self, id: &Id) -> Vec<Id> {
+        if self.unknown_ends.is_empty() {
+            return Vec::new();
+        }
+        let mut ends = BTreeSet::new();
+        let mut seen = BTreeSet::from([id]);
+        let mut pending = vec![id];
+        while let Some(id) = pending.pop() {
+            if self.unknown_ends.contains(id) {
+                ends.insert(id.clone());
+            }
+            let needs = self.active.get(id).into_iter().flat_map(|job| &job.needs);
+            pending.extend(needs.filter(|need| seen.insert(need)));
+        }
+        ends.into_iter().collect()
+    }
+}
--- /dev/null
+++ b/crates/job-graph/src/offer.rs
@@ -0,0 +1,83 @@
+//! What dependents add to the urgency of a job that they need.
+
+use std::collections::BTreeMap;
+
+use crate::message::Urgency;
+
+/// What one dependent adds to the urgency of each job that it needs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct Offer {
+    pub(crate) priority: u8,
+    pub(crate) latest_finish_ms: Option<u64>,
+}
+
+/// The offers of all dependents of a job, counted, so that one of thousands can change without
+/// looking at the others.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct Offers {
+    priorities: Counts<u8>,
+    latest_finishes_ms: Counts<u64>,
+}
+
+impl Offers {
+    pub(crate) fn add(&mut self, offer: Offer) {
+        self.priorities.add(offer.priority);
+        if let Some(latest_finish_ms) = offer.latest_finish_ms {
+            self.latest_finishes_ms.add(latest_finish_ms);
+        }
+    }
+
+    pub(crate) fn withdraw(&mut self, offer: Offer) {
+        self.priorities.remove(offer.priority);
+        if let Some(latest_finish_ms) = offer.latest_finish_ms {
+            self.latest_finishes_ms.remove(latest_finish_ms);
+        }
+    }
+
+    /// The urgency of a job that has this one of its own.
+    pub(crate) fn raise(&self, own: Urgency) -> Urgency {
+        let offered_finish_ms = self.latest_finishes_ms.first();
+        Urgency {
+            priority: self.priorities.last().unwrap_or(0).max(own.priority),
+            latest_finish_ms: own
+                .latest_finish_ms
+                .into_iter()
+                .chain(offered_finish_ms)
+                .min(),
+        }
+    }
+}
+
+/// A multiset.
+#[derive(Debug, Clone)]
+struct Counts<Value>(BTreeMap<Value, usize>);
+
+impl<Value> Default for Counts<Value> {
+    fn default() -> Self {
+        Counts(BTreeMap::new())
+    }
+}
+
+impl<Value: Copy + Ord> Counts<Value> {
+    fn add(&mut self, value: Value) {
+        *self.0.entry(value).or_default() += 1;
+    }
+
+    fn remove(&mut self, value: Value) {
+        let Some(count) = self.0.get_mut(&value) else {
+            return;
+        };
+        *count -= 1;
+        if *count == 0 {
+            self.0.remove(&value);
+        }
+    }
+
+    fn first(&self) -> Option<Value> {
+        self.0.first_key_value().map(|(value, _)| *value)
+    }
+
+    fn last(&self) -> Option<Value> {
+        self.0.last_key_value().map(|(value, _)| *value)
+    }
+}
--- /dev/null
+++ b/crates/job-graph/src/urgency.rs
@@ -0,0 +1,92 @@
+//! How the urgency of a job follows from its own and from those of the jobs that wait for it.
+//!
+//! A change goes from a job to the jobs that it needs, as far as it makes a difference. Jobs
+//! are taken from the highest level downwards, so that each is worked out once in a step.
+
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+
+use crate::graph::JobGraph;
+use crate::job::ActiveJob;
+use crate::message::{Output, Urgency};
+use crate::offer::Offer;
+
+impl<Id: Clone + Ord> JobGraph<Id> {
+    /// Works out the urgency and the offer of these active jobs again, and of the jobs that they
+    /// need as far as something changes.
+    pub(crate) fn update_urgencies(&mut self, changed: &[Id], outputs: &mut Vec<Output<Id>>) {
+        let mut queue = BTreeSet::new();
+        self.enqueue(&mut queue, changed);
+        while let Some((_, id)) = queue.pop_first() {
+            outputs.extend(self.update_urgency(&id));
+            let needs = self.update_offer(&id);
+            self.enqueue(&mut queue, &needs);
+        }
+    }
+
+    fn enqueue(&self, queue: &mut BTreeSet<(Reverse<i64>, Id)>, ids: &[Id]) {
+        for id in ids {
+            if let Some(job) = self.active.get(id) {
+                queue.insert((Reverse(job.level), id.clone()));
+            }
+        }
+    }
+
+    /// Works out the urgency of a job, and what there is to tell about it.
+    fn update_urgency(&mut self, id: &Id) -> Option<Output<Id>> {
+        let job = self.active.get_mut(id)?;
+        let needed = self.needed.get(id);
+        let urgency = needed.map_or(job.own_urgency, |needed| {
+            needed.offers.raise(job.own_urgency)
+        });
+        let before = job.urgency.replace(urgency);
+        let tell = match before {
+            Some(before) => before != urgency,
+            None => needed.is_some() || !job.needs.is_empty(),
+        };
+        tell.then(|| Output::Urgency {
+            id: id.clone(),
+            urgency,
+        })
+    }
+
+    /// Replaces the offer of a job to the jobs that it needs; returns these if it has changed.
+    fn update_offer(&mut self, id: &Id) -> Vec<Id> {
+        let Some(job) = self.active.get_mut(id) else {
+            return Vec::new();
+        };
+        let offer = offer_of(job);
+        let before = std::mem::replace(&mut job.offer, offer);
+        if before == offer {
+            return Vec::new();
+        }
+        for need in &job.needs {
+            let Some(needed) = self.needed.get_mut(need) else {
+                continue;
+            };
+            if let Some(before) = before {
+                needed.offers.withdraw(before);
+            }
+            if let Some(offer) = offer {
+                needed.offers.add(offer);
+            }
+        }
+        job.needs.iter().cloned().collect()
+    }
+}
+
+/// A job that will not run makes no other one urgent.
+fn offer_of<Id>(job: &ActiveJob<Id>) -> Option<Offer> {
+    if job.cancelled || job.closes_cycle {
+        return None;
+    }
+    let Urgency {
+        priority,
+        latest_finish_ms,
+    } = job.urgency?;
+    let expected_ms = u64::try_from(job.expected.as_millis()).unwrap_or(u64::MAX);
+    Some(Offer {
+        priority,
+        latest_finish_ms: latest_finish_ms.map(|finish_ms| finish_ms.saturating_sub(expected_ms)),
+    })
+}
--- /dev/null
+++ b/crates/job-graph/tests/model.rs
@@ -0,0 +1,114 @@
+//! The graph against a plain model, over random inputs.
+
+mod plain;
+
+use std::time::Duration;
+
+use kiteyard_job_graph::{End, Input, JobFacts, JobGraph, Outcome, Output};
+use plain::{Id, Plain, sorted};
+use proptest::prelude::*;
+
+const JOBS: Id = 9;
+
+fn expected() -> impl Strategy<Value = Duration> {
+    (0..40u64).prop_map(Duration::from_millis)
+}
+
+fn facts(needs: Vec<Id>) -> impl Strategy<Value = JobFacts<Id>> {
+    let deadline = prop::option::of(0..200u64);
+    (0..4u8, 0..100u64, deadline, expected()).prop_map(
+        move |(priority, accepted_ms, deadline_ms, expected)| JobFacts {
+            needs: needs.clone(),
+            priority,
+            accepted_ms,
+            deadline_ms,
+            expected,
+        },
+    )
+}
+
+/// A job that needs some of those below `limit(id)`.
+fn added(limit: fn(Id) -> Id) -> impl Strategy<Value = Input<Id>> {
+    let with_needs = move |id: Id| {
+        let need = any::<prop::sample::Index>();
+        let needs = prop::collection::vec(need, 0..4).prop_map(move |picks| {
+            let limit = usize::from(limit(id));
+            let picks = picks.iter().filter(|_| limit > 0);
+            picks.map(|pick| pick.index(limit) as Id).collect()
+        });
+        needs
+            .prop_flat_map(facts)
+            .prop_map(move |facts| Input::Added { id, facts })
+    };
+    (0..JOBS).prop_flat_map(with_needs)
+}
+
+fn input(limit: fn(Id) -> Id) -> impl Strategy<Value = Input<Id>> {
+    let outcome = prop_oneof![4 => Just(Outcome::Done), 1 => Just(Outcome::Cancelled)];
+    let end = (outcome, prop::option::of(0..200u64));
+    let end = end.prop_map(|(outcome, at_ms)| End { outcome, at_ms });
+    prop_oneof![
+        8 => added(limit),
+        1 => (0..JOBS).prop_map(|id| Input::Removed { id }),
+        3 => (0..JOBS, end).prop_map(|(id, end)| Input::Ended { id, end }),
+        1 => (0..JOBS, expected()).prop_map(|(id, expected)| Input::Expected { id, expected }),
+    ]
+}
+
+fn assert_same_state(graph: &JobGraph<Id>, plain: &Plain) {
+    let unknown_ends = graph.unknown_ends().copied();
+    assert!(unknown_ends.eq(plain.unknown_ends()));
+    let named = plain.named();
+    for id in 0..JOBS {
+        assert_eq!(graph.status(&id), plain.status(id), "status of {id}");
+        assert_eq!(graph.has_dependents(&id), named.contains(&id));
+    }
+}
+
+fn assert_same_urgencies(graph: &JobGraph<Id>, plain: &Plain) {
+    for id in 0..JOBS {
+        assert_eq!(graph.urgency(&id), plain.urgency(id), "urgency of {id}");
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 1500,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(49),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+
+    /// Jobs need lower ids, and themselves at times; they come in any order.
+    #[test]
+    fn the_graph_agrees_with_the_plain_model(
+        inputs in prop::collection::vec(input(|id| id + u8::from(id % 4 == 3)), 1..60)
+    ) {
+        let mut graph = JobGraph::new();
+        let mut plain = Plain::default();
+        for input in inputs {
+            let expected = plain.step(&input);
+            prop_assert_eq!(sorted(graph.step(input.clone())), expected, "after {:?}", input);
+            assert_same_state(&graph, &plain);
+            assert_same_urgencies(&graph, &plain);
+        }
+    }
+
+    /// With cycles the model has no urgencies; all else still agrees, and no step is endless.
+    #[test]
+    fn cycles_are_harmless(inputs in prop::collection::vec(input(|_| JOBS), 1..60)) {
+        let mut graph = JobGraph::new();
+        let mut plain = Plain::default();
+        for input in inputs {
+            let told = graph.step(input.clone());
+            plain.step_without_urgencies(&input);
+            assert_same_state(&graph, &plain);
+            let urgencies = told.iter().filter(|told| matches!(told, Output::Urgency { .. }));
+            prop_assert!(urgencies.count() <= plain.active.len());
+        }
+        for id in 0..JOBS {
+            graph.step(Input::Removed { id });
+        }
+        prop_assert_eq!(graph.unknown_ends().count(), 0);
+    }
+}
--- /dev/null
+++ b/crates/job-graph/tests/plain/mod.rs
@@ -0,0 +1,179 @@
+//! A plain model: after each input it works everything out again by definition.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use kiteyard_job_graph::{End, Input, JobFacts, Outcome, Output, Status, Urgency};
+
+pub type Id = u8;
+
+#[derive(Debug, Clone, Default)]
+pub struct Plain {
+    pub active: BTreeMap<Id, JobFacts<Id>>,
+    ends: BTreeMap<Id, End>,
+    cancelled: BTreeSet<Id>,
+}
+
+impl Plain {
+    /// Takes an input, and returns what has changed; in the order of [`sorted`].
+    pub fn step(&mut self, input: &Input<Id>) -> Vec<Output<Id>> {
+        let before = self.clone();
+        self.step_without_urgencies(input);
+        self.changes_since(&before)
+    }
+
+    /// Takes an input, which may close a cycle.
+    pub fn step_without_urgencies(&mut self, input: &Input<Id>) {
+        match input.clone() {
+            Input::Added { id, facts } => {
+                if !self.ends.contains_key(&id) {
+                    self.active.entry(id).or_insert(facts);
+                }
+            }
+            Input::Removed { id } => {
+                self.active.remove(&id);
+            }
+            Input::Ended { id, end } => {
+                self.active.remove(&id);
+                self.ends.entry(id).or_insert(end);
+            }
+            Input::Expected { id, expected } => {
+                if let Some(facts) = self.active.get_mut(&id) {
+                    facts.expected = expected;
+                }
+            }
+        }
+        let named = self.named();
+        self.ends.retain(|id, _| named.contains(id));
+        self.derive_cancelled();
+    }
+
+    pub fn named(&self) -> BTreeSet<Id> {
+        let needs = self.active.values().flat_map(|facts| &facts.needs);
+        needs.copied().collect()
+    }
+
+    pub fn unknown_ends(&self) -> BTreeSet<Id> {
+        let mut unknown = self.named();
+        unknown.retain(|id| !self.active.contains_key(id) && !self.ends.contains_key(id));
+        unknown
+    }
+
+    pub fn status(&self, id: Id) -> Status<Id> {
+        let Some(facts) = self.active.get(&id) else {
+            return Status::NotActive;
+        };
+        let ended = |need: &Id| self.ends.get(need).map(|end| end.outcome);
+        let done = |need: &&Id| ended(need) == Some(Outcome::Done);
+        let unknown_ends = self.unknown_ends();
+        let unknown = &self.before(id) & &unknown_ends;
+        let unknown = unknown.into_iter().collect::<Vec<_>>();
+        if self.cancelled.contains(&id) {
+            Status::Cancelled
+        } else if facts.needs.iter().all(|need| done(&need)) {
+            let ends = facts.needs.iter().filter_map(|need| self.ends[need].at_ms);
+            let since_ms = ends.chain([facts.accepted_ms]).max().expect("one at least");
+            Status::Ready { since_ms }
+        } else if !unknown.is_empty() {
+            Status::Unknown { ends: unknown }
+        } else {
+            let needs = facts.needs.iter().collect::<BTreeSet<_>>();
+            let on = needs.into_iter().filter(|need| !done(need));
+            Status::Waiting {
+                on: on.copied().collect(),
+            }
+        }
+    }
+
+    /// Only for a graph without cycles, but for jobs that name themselves.
+    pub fn urgency(&self, id: Id) -> Option<Urgency> {
+        let own = self.active.get(&id)?;
+        let mut urgency = Urgency {
+            priority: own.priority,
+            latest_finish_ms: own.deadline_ms,
+        };
+        for (dependent, facts) in &self.active {
+            let names_itself = facts.needs.contains(dependent);
+            if !facts.needs.contains(&id) || self.cancelled.contains(dependent) || names_itself {
+                continue;
+            }
+            let theirs = self.urgency(*dependent)?;
+            let expected_ms = u64::try_from(facts.expected.as_millis()).unwrap_or(u64::MAX);
+            let worked_back = theirs
+                .latest_finish_ms
+                .map(|finish_ms| finish_ms.saturating_sub(expected_ms));
+            urgency.priority = urgency.priority.max(theirs.priority);
+            let finishes_ms = urgency.latest_finish_ms.into_iter().chain(worked_back);
+            urgency.latest_finish_ms = finishes_ms.min();
+        }
+        Some(urgency)
+    }
+
+    /// Every job needed by this one, directly or through active jobs.
+    fn before(&self, id: Id) -> BTreeSet<Id> {
+        let mut found = BTreeSet::from([id]);
+        loop {
+            let known = found.iter().filter_map(|id| self.active.get(id));
+            let needs = known.flat_map(|facts| &facts.needs).copied();
+            let more = needs.collect::<BTreeSet<_>>();
+            if more.is_subset(&found) {
+                return found;
+            }
+            found.extend(more);
+        }
+    }
+
+    /// Once cancelled a job stays so while it is active.
+    fn derive_cancelled(&mut self) {
+        self.cancelled.retain(|id| self.active.contains_key(id));
+        loop {
+            let is_cancelled = |need: &Id| {
+                let end = self.ends.get(need);
+                self.cancelled.contains(need)
+                    || end.is_some_and(|end| end.outcome == Outcome::Cancelled)
+            };
+            let jobs = self.active.iter();
+            let found = jobs.filter(|(_, facts)| facts.needs.iter().any(is_cancelled));
+            let found = found.map(|(id, _)| *id).collect::<BTreeSet<_>>();
+            if found.is_subset(&self.cancelled) {
+                return;
+            }
+            self.cancelled.extend(found);
+        }
+    }
+
+    fn changes_since(&self, before: &Plain) -> Vec<Output<Id>> {
+        let mut changes = Vec::new();
+        let lookups = &self.unknown_ends() - &before.unknown_ends();
+        changes.extend(lookups.into_iter().map(|id| Output::Lookup { id }));
+        let named = self.named();
+        for (&id, facts) in &self.active {
+            let was_ready = matches!(before.status(id), Status::Ready { .. });
+            match self.status(id) {
+                Status::Ready { since_ms } if !was_ready && !facts.needs.is_empty() => {
+                    changes.push(Output::Ready { id, since_ms });
+                }
+                Status::Cancelled if !before.cancelled.contains(&id) => {
+                    changes.push(Output::Cancelled { id });
+                }
+                _ => {}
+            }
+        }
+        for (&id, facts) in &self.active {
+            let urgency = self.urgency(id).expect("an active job");
+            let tell = match before.urgency(id) {
+                Some(before) => before != urgency,
+                None => !facts.needs.is_empty() || named.contains(&id),
+            };
+            if tell {
+                changes.push(Output::Urgency { id, urgency });
+            }
+        }
+        sorted(changes)
+    }
+}
+
+/// The order of the outputs of a step has no meaning.
+pub fn sorted(mut outputs: Vec<Output<Id>>) -> Vec<Output<Id>> {
+    outputs.sort_by_key(|output| format!("{output:?}"));
+    outputs
+}
--- a/src/core/active_job.rs
+++ b/src/core/active_job.rs
@@ -23,6 +23,15 @@
     pub spec: Arc<JobSpec>,
     pub version: u64,
     pub accepted_ms: u64,
+    /// When the last job that it needs was done, or when it was accepted if that was later.
+    /// All times but the deadline count from then.
+    pub ready_ms: u64,
+    /// Jobs that it needs are not known to be done: none of its tasks may start.
+    pub blocked: bool,
+    /// When it has to be done for the jobs that need it to be in time.
+    pub latest_finish_ms: Option<u64>,
+    /// It was said that its pipeline will probably be late.
+    pub(super) at_risk: bool,
     pub slots: Vec<Slot>,
     /// Waiting tasks, the next one last. May name tasks that wait no longer.
     pub waiting: Vec<u32>,
@@ -68,6 +77,10 @@
         Self {
             version: live.version,
             accepted_ms: live.record.accepted_ms,
+            ready_ms: live.record.accepted_ms,
+            blocked: !live.record.spec.needs.is_empty(),
+            latest_finish_ms: None,
+            at_risk: false,
             done_count: spec.tasks - waiting.len() as u32,
             slots,
             waiting,
@@ -90,7 +103,16 @@
         }
     }
 
+    /// Tasks that may start and are nowhere. While the job waits for others there are none.
     pub fn waiting_count(&self) -> u32 {
+        match self.blocked {
+            true => 0,
+            false => self.unplaced_count(),
+        }
+    }
+
+    /// Tasks that are neither done nor known to be on a machine.
+    pub fn unplaced_count(&self) -> u32 {
         self.spec.tasks - self.done_count - self.placed
     }
 
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -10,7 +10,7 @@
 
 use super::{
     cluster::{ClusterState, Job},
-    job::{JobId, Kind, Resources},
+    job::{JobId, JobSpec, Kind, Resources},
     machine::Standing,
 };
 
@@ -46,7 +46,7 @@
                 None => first.push((id, job)),
             }
         }
-        first.sort_by_key(|(id, job)| (job.accepted_ms, job.version, (*id).clone()));
+        first.sort_by_key(|(id, job)| (job.ready_ms, job.version, (*id).clone()));
         let mut order: Vec<JobId> = first.into_iter().map(|(id, _)| id.clone()).collect();
         let mut ahead = 0.0;
         for round in 0..2 {
@@ -93,23 +93,22 @@
         if spec.kind != Kind::Array {
             return None;
         }
-        let age = self.wall_ms.saturating_sub(job.accepted_ms) as f64 / 1000.0;
-        let mut dues: Vec<f64> = match spec.deadline_s {
-            Some(deadline) => vec![deadline],
-            None => self
-                .config
-                .objectives
-                .iter()
-                .filter(|o| o.kind == "finished" && *o.class == *spec.class)
-                .map(|o| o.within_s)
-                .collect(),
+        let (mut dues, since_ms) = match spec.deadline_s {
+            Some(deadline) => (vec![deadline], job.accepted_ms),
+            None => (self.objectives_to_finish(spec), job.ready_ms),
         };
+        let age = self.wall_ms.saturating_sub(since_ms) as f64 / 1000.0;
         dues.sort_by(f64::total_cmp);
         if dues.last().is_some_and(|due| age > due * STARVED) {
             return None;
         }
         let run = self.estimated_run_time(job);
         dues.iter_mut().for_each(|due| *due -= age);
+        if let Some(latest_ms) = job.latest_finish_ms {
+            dues.push((latest_ms as f64 - self.wall_ms as f64) / 1000.0);
+            dues.sort_by(f64::total_cmp);
+            dues.dedup();
+        }
         dues.retain(|due| *due >= run);
         Some(Entry {
             id: id.clone(),
@@ -121,6 +120,13 @@
         })
     }
 
+    /// The times within which jobs of the class are expected to finish, in seconds.
+    fn objectives_to_finish(&self, spec: &JobSpec) -> Vec<f64> {
+        let objectives = self.config.objectives.iter();
+        let own = objectives.filter(|o| o.kind == "finished" && *o.class == *spec.class);
+        own.map(|o| o.within_s).collect()
+    }
+
     /// The owner's estimate, corrected by what was seen of the class.
     pub fn estimated_run_time(&self, job: &Job) -> f64 {
         let correction = self
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -248,6 +248,10 @@
     /// Seats that each task takes, by licence.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub licences: BTreeMap<String, u32>,
+    /// Jobs that have to be done before any task of this one starts. Left out where there
+    /// are none, so that such a record reads as it did before there were dependencies.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub needs: Vec<JobId>,
 }
 
 impl JobSpec {
@@ -286,6 +290,21 @@
 pub struct TerminalRecord {
     pub state: JobState,
     pub done: u32,
+    /// When it ended, in milliseconds of the time of day. Stored only where an active job
+    /// waited for this one: its times count from then, under any later leader.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub ended_ms: Option<u64>,
+}
+
+impl TerminalRecord {
+    /// The record of a cancelled job.
+    pub fn cancelled(done: u32) -> Self {
+        Self {
+            state: JobState::Cancelled,
+            done,
+            ended_ms: None,
+        }
+    }
 }
 
 /// The tasks of a job that are done, as a set of numbers kept in chunks of the
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -105,7 +105,7 @@
                     continue;
                 };
                 let hidden = job
-                    .waiting_count()
+                    .unplaced_count()
                     .min(job.spec.need.times_in(&machine.size));
                 for (licence, seats) in times(&job.spec.licences, hidden) {
                     *maybe.entry(licence).or_insert(0) += seats;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -10,6 +10,7 @@
 pub mod config;
 pub mod consolidation;
 pub mod deadline_ordering;
+pub mod dependencies;
 pub mod drain;
 pub mod election;
 pub mod failures;
@@ -73,6 +74,8 @@
 
 /// Names a request that waits for its answer.
 pub type RequestId = u64;
+/// The node's own requests have this name: nobody waits for their answers.
+pub const INTERNAL: RequestId = RequestId::MAX;
 /// Names a call to another service.
 pub type CallId = u64;
 
@@ -195,6 +198,8 @@
     /// Known already: its state now.
     Known(JobId, JobState),
     Status(JobId, JobState, u32, u32),
+    /// It is pending until these jobs are done.
+    Waiting(JobId, Vec<JobId>),
     NotFound,
     /// It can never run.
     Impossible(String),
@@ -256,6 +261,8 @@
         ends: Option<(terminal_states::Range, terminal_states::TerminalStates)>,
     },
     ReadTerminalState(Box<user_requests::TerminalRead>),
+    /// Reads whether a job that a submission names is active.
+    ReadNeed(Box<user_requests::NeedsCheck>),
     ReadRange {
         request: RequestId,
         id: JobId,
@@ -313,6 +320,7 @@
     rollout: rollout::Rollout,
     partitioned_zones: partitioned_zones::PartitionedZones,
     maintenance: maintenance::Maintenance,
+    dependencies: dependencies::Dependencies,
     /// Terminal states of jobs by range, where they are stored so.
     ranges: terminal_states::TerminalRanges,
     forwarded: ForwardedHeartbeats,
@@ -332,6 +340,7 @@
             rollout: rollout::Rollout::new(config.options.rollout.as_deref()),
             partitioned_zones: partitioned_zones::PartitionedZones::default(),
             maintenance: maintenance::Maintenance::default(),
+            dependencies: dependencies::Dependencies::default(),
             ranges: terminal_states::TerminalRanges::default(),
             forwarded: ForwardedHeartbeats::new(config.options.incarnation),
             heartbeats: heartbeat::Heartbeats::default(),
@@ -423,6 +432,9 @@
     }
 
     fn answer(&mut self, request: RequestId, answer: Answer) {
+        if request == INTERNAL {
+            return;
+        }
         self.out.push(Output::Answer { request, answer });
     }
 
@@ -464,6 +476,7 @@
         self.drive_stored_heartbeat();
         self.drive_partitions();
         self.drive_maintenance();
+        self.drive_dependencies();
         self.drive_proofs();
         self.drive_forwarding();
         self.drive_handover();
@@ -610,6 +623,7 @@
             } => self.accepted(request, spec, accepted_ms, tries, reply),
             Purpose::Cancel { request, id, ends } => self.cancelled(request, id, ends, reply),
             Purpose::ReadTerminalState(read) => self.terminal_state_read(*read, reply),
+            Purpose::ReadNeed(check) => self.need_read(*check, &reply),
             Purpose::ReadRange { request, id, then } => {
                 self.range_read(request, id, then, &reply);
             }
@@ -629,6 +643,7 @@
     }
 
     fn cache_terminal_state(&mut self, id: JobId, record: TerminalRecord) {
+        self.end_in_graph(&id, record);
         if self.terminal_cache.insert(id.clone(), record).is_none() {
             self.terminal_cache_order.push_back(id);
             if self.terminal_cache_order.len() > TERMINAL_CACHE_MOST
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -31,23 +31,21 @@
     pub fn push(&mut self, id: &JobId, job: &Job) {
         self.parked.remove(id);
         if job.waiting_count() > 0 && self.queued.insert(id.clone()) {
-            let order = (job.accepted_ms, job.version);
+            let order = (job.ready_ms, job.version);
             self.heap
                 .push((job.spec.priority, Reverse(order), Reverse(id.clone())));
         }
     }
 
-    /// Orders the heap anew: among equal priorities by the given places.
-    pub fn rank(&mut self, places: &HashMap<JobId, usize>) {
-        let heap = std::mem::take(&mut self.heap);
-        self.heap = heap
-            .into_iter()
-            .filter(|(_, _, Reverse(id))| self.queued.contains(id))
-            .map(|(priority, _, Reverse(id))| {
-                let place = places.get(&id).map_or(u64::MAX, |place| *place as u64);
-                (priority, Reverse((place, 0)), Reverse(id))
-            })
-            .collect();
+    /// Orders the heap anew: by the priorities that the jobs have now, and among equal ones
+    /// by the given places.
+    pub fn rank(&mut self, places: &HashMap<JobId, usize>, jobs: &BTreeMap<JobId, Job>) {
+        let ranked = |id: &JobId| {
+            let priority = jobs.get(id)?.spec.priority;
+            let place = places.get(id).map_or(u64::MAX, |place| *place as u64);
+            Some((priority, Reverse((place, 0)), Reverse(id.clone())))
+        };
+        self.heap = self.queued.iter().filter_map(ranked).collect();
     }
 
     /// The job that `pop` gives next.
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -199,7 +199,7 @@
             .map(|(_, j)| j)
             .filter(|j| j.waiting_count() as usize > j.nominations.len())
             .collect();
-        jobs.sort_by_key(|j| (std::cmp::Reverse(j.spec.priority), j.accepted_ms, j.version));
+        jobs.sort_by_key(|j| (std::cmp::Reverse(j.spec.priority), j.ready_ms, j.version));
         let mut ahead = 0.0;
         let mut left = self.limits_left();
         let mut demands = Vec::new();
--- a/src/core/scale_out/upcoming_capacity.rs
+++ b/src/core/scale_out/upcoming_capacity.rs
@@ -130,6 +130,7 @@
             save_s: 0.0,
             deadline_s: None,
             licences: BTreeMap::new(),
+            needs: Vec::new(),
         }
     }
 
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -81,7 +81,7 @@
         self.queue.dirty = false;
         self.next_pass = now + PASS_EVERY;
         let places = self.deadline_order();
-        self.queue.rank(&places);
+        self.queue.rank(&places, &self.jobs);
         self.count_seats(now);
         let mut view = self.view(now);
         self.closed_priority = self.priority_to_close(now);
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -82,7 +82,7 @@
                 best = there;
             }
         }
-        let waited = Duration::from_millis(self.wall_ms.saturating_sub(self.jobs[id].accepted_ms));
+        let waited = Duration::from_millis(self.wall_ms.saturating_sub(self.jobs[id].ready_ms));
         let against = match waited > self.config.options.gather_after {
             true => Some(spec.priority),
             false => spec.priority.below(),
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -66,7 +66,7 @@
         }
         for (id, most) in hidden {
             let job = &self.jobs[id];
-            let tasks = job.waiting_count().min(most);
+            let tasks = job.unplaced_count().min(most);
             let sum = Resources::default().plus_times(&job.spec.need, f64::from(tasks));
             usage.add(&job.spec.team, &sum);
         }
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -80,10 +80,16 @@
 
 /// The ends of the jobs of one range. Stored as text, an entry a job, in order:
 /// `07c3,12d400` says that the job that ends in 07 was cancelled with 3 tasks done, and
-/// the one in 12 is done with 400.
+/// the one in 12 is done with 400. `12d400t1733130000000` says as well when that one ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TerminalStates(BTreeMap<String, TerminalRecord>);
 
+/// Stands between a number of tasks and the time of a job's end.
+const TIME_MARK: char = 't';
+/// A range whose text would be longer leaves out the times, which only order jobs: the ends
+/// of a hundred jobs must fit into the smallest value that a state service takes.
+const WITH_TIMES_MOST: usize = 1500;
+
 impl TerminalStates {
     pub fn get(&self, name: &str) -> Option<TerminalRecord> {
         self.0.get(name).copied()
@@ -113,12 +119,22 @@
     }
 
     fn encode(&self) -> String {
+        let text = self.encode_entries(true);
+        match text.len() <= WITH_TIMES_MOST {
+            true => text,
+            false => self.encode_entries(false),
+        }
+    }
+
+    fn encode_entries(&self, with_times: bool) -> String {
         let entry = |(name, record): (&String, &TerminalRecord)| {
             let letter = match record.state {
                 JobState::Cancelled => 'c',
                 _ => 'd',
             };
-            format!("{name}{letter}{}", record.done)
+            let time = record.ended_ms.filter(|_| with_times);
+            let time = time.map_or(String::new(), |ms| format!("{TIME_MARK}{ms}"));
+            format!("{name}{letter}{}{time}", record.done)
         };
         self.0.iter().map(entry).collect::<Vec<_>>().join(",")
     }
@@ -134,17 +150,22 @@
                 'd' => JobState::Done,
                 _ => return None,
             };
-            let digits = &rest[1..];
-            let plain = digits.bytes().all(|b| b.is_ascii_digit());
-            if !(1..=DIGITS).contains(&name.len()) || !plain {
+            if !(1..=DIGITS).contains(&name.len()) {
                 return None;
             }
-            let done = digits.parse().ok()?;
-            if ends
-                .0
-                .insert(name.to_owned(), TerminalRecord { state, done })
-                .is_some()
-            {
+            let (done, time) = match rest[1..].split_once(TIME_MARK) {
+                Some((done, time)) => (done, Some(time)),
+                None => (&rest[1..], None),
+            };
+            let record = TerminalRecord {
+                state,
+                done: parse_digits(done)?,
+                ended_ms: match time {
+                    Some(time) => Some(parse_digits(time)?),
+                    None => None,
+                },
+            };
+            if ends.0.insert(name.to_owned(), record).is_some() {
                 return None;
             }
         }
@@ -152,6 +173,12 @@
     }
 }
 
+/// A number in plain digits: no heartbeat, nothing else.
+fn parse_digits<T: std::str::FromStr>(text: &str) -> Option<T> {
+    let plain = text.bytes().all(|b| b.is_ascii_digit());
+    text.parse().ok().filter(|_| plain)
+}
+
 impl Serialize for TerminalStates {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&self.encode())
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -1,7 +1,10 @@
 //! Users' requests. Any node answers them: jobs live in the state service, and
 //! an answer is given only from a copy proven as new as the question.
 
-use std::{sync::Arc, time::Duration};
+use std::{collections::BTreeSet, sync::Arc, time::Duration};
+
+use kiteyard_job_graph::Status;
+use kiteyard_rollout::generation::Cluster;
 
 use super::{
     Answer, Node, Purpose, RequestId,
@@ -20,10 +23,24 @@
     /// A submission that can never run, unless the job was accepted before.
     Reject(String),
     Withdraw,
+    /// A submission names this job.
+    Named(Box<NeedsCheck>),
+    /// Somebody asks about a job that needs this one.
+    NeededBy(Box<PendingQuestion>),
 }
 
-#[derive(Debug)]
-struct PendingQuestion {
+/// A submission of which it is not known yet whether all jobs that it names were accepted.
+#[derive(Debug, Clone)]
+pub struct NeedsCheck {
+    request: RequestId,
+    spec: Arc<JobSpec>,
+    /// Those that are still to be looked for, the next one last.
+    unchecked: Vec<JobId>,
+}
+
+/// A question about a job, and who asks.
+#[derive(Debug, Clone)]
+pub struct PendingQuestion {
     request: RequestId,
     id: JobId,
     question: Question,
@@ -41,6 +58,24 @@
     generation: u64,
 }
 
+impl TerminalRead {
+    /// Begins with the first place where the end may be in this generation.
+    pub(super) fn new(
+        request: RequestId,
+        id: JobId,
+        question: Question,
+        (cluster, generation): &(Cluster, u64),
+    ) -> Self {
+        Self {
+            id,
+            request,
+            question,
+            places: terminal_states::places(cluster),
+            generation: *generation,
+        }
+    }
+}
+
 #[derive(Debug, Default)]
 pub struct UserRequests {
     /// Not covered by a proof yet.
@@ -78,7 +113,77 @@
             self.queue_question(request, id, Question::Reject(reason));
             return;
         }
-        self.accept(request, spec, 0);
+        self.check_needs(NeedsCheck {
+            request,
+            unchecked: spec.needs.clone(),
+            spec,
+        });
+    }
+
+    /// Looks for each job that a submission names, and stores the submission once all are
+    /// known to have been accepted. One that is cancelled meanwhile does no harm: the new job
+    /// is cancelled with it, whichever is stored first.
+    fn check_needs(&mut self, mut check: NeedsCheck) {
+        while let Some(need) = check.unchecked.last() {
+            if let Some(job) = self.cache.jobs.get(need) {
+                if job.record.spec.kind == Kind::Service {
+                    self.refuse_need(check, "is a service");
+                    return;
+                }
+            } else if self.cache.is_unreadable(need) {
+                self.answer(check.request, Answer::Later { retry: RETRY });
+                return;
+            } else if !self.terminal_cache.contains_key(need) {
+                let key = job_key(need);
+                self.call(
+                    Purpose::ReadNeed(Box::new(check)),
+                    StateRequest::Get { key },
+                );
+                return;
+            }
+            check.unchecked.pop();
+        }
+        self.accept(check.request, check.spec, 0);
+    }
+
+    /// Answers that the job can never run, unless it was accepted before.
+    fn refuse_need(&mut self, check: NeedsCheck, why: &str) {
+        let Some(need) = check.unchecked.last() else {
+            return;
+        };
+        let reason = format!("waits_on: {need} {why}");
+        let id = check.spec.id.clone();
+        self.queue_question(check.request, id, Question::Reject(reason));
+    }
+
+    /// Whether a job that a submission names is active, as read just now.
+    pub(super) fn need_read(&mut self, mut check: NeedsCheck, reply: &StateReply) {
+        let Some(need) = check.unchecked.last().cloned() else {
+            return;
+        };
+        match reply {
+            StateReply::Entry(entry) => {
+                match serde_json::from_str::<JobRecord>(entry.value.get()) {
+                    Ok(record) if record.spec.kind == Kind::Service => {
+                        self.refuse_need(check, "is a service");
+                    }
+                    Ok(_) => {
+                        check.unchecked.pop();
+                        self.check_needs(check);
+                    }
+                    Err(_) => {
+                        self.report_unreadable(&entry.key);
+                        self.answer(check.request, Answer::Later { retry: RETRY });
+                    }
+                }
+            }
+            // Not active now: if it was accepted before, its end was stored by now.
+            StateReply::Missing => {
+                let request = check.request;
+                self.look_for_end(request, need, Question::Named(Box::new(check)));
+            }
+            _ => self.answer(check.request, Answer::Later { retry: RETRY }),
+        }
     }
 
     /// Stores a job on condition that nothing is stored of it, in any form: of the
@@ -293,33 +398,57 @@
             }
             // Neither active nor known to be over: its end, if it had one, was
             // stored with its removal from the active ones.
-            let (cluster, generation) = self.cache.cluster;
-            let places = terminal_states::places(&cluster);
-            self.read_terminal_state(TerminalRead {
-                id,
-                request,
-                question,
-                places,
-                generation,
-            });
+            self.look_for_end(request, id, question);
             return;
         };
+        let waits_on = match self.dependencies.status(&id) {
+            Status::Cancelled => {
+                self.answer_terminal_state(request, &id, &question, TerminalRecord::cancelled(0));
+                return;
+            }
+            // Whether it is cancelled depends on an end that is not known here yet.
+            Status::Unknown { mut ends } if !matches!(question, Question::Withdraw) => {
+                if let Some(end) = ends.pop() {
+                    let pending = PendingQuestion {
+                        request,
+                        id,
+                        question,
+                    };
+                    self.look_for_end(request, end, Question::NeededBy(Box::new(pending)));
+                }
+                return;
+            }
+            Status::Waiting { on } => on,
+            _ => Vec::new(),
+        };
         let (done, running) = self.counts(&id);
         let state = match running {
             0 => JobState::Pending,
             _ => JobState::Running,
         };
         match question {
-            Question::Status => self.answer(request, Answer::Status(id, state, done, running)),
-            Question::Repeat(..) | Question::Reject(_) => {
-                self.answer(request, Answer::Known(id, state));
+            Question::Status if !waits_on.is_empty() => {
+                self.answer(request, Answer::Waiting(id, waits_on));
             }
+            Question::Status => self.answer(request, Answer::Status(id, state, done, running)),
             Question::Withdraw => self.cancel(request, id),
+            Question::Repeat(spec, _) if !self.names_the_same(&id, &spec) => {
+                let reason = "waits_on: not the jobs that were named when it was accepted";
+                self.answer(request, Answer::Impossible(reason.into()));
+            }
+            _ => self.answer(request, Answer::Known(id, state)),
         }
     }
 
+    /// A repeated submission names the same jobs as the accepted one, in any order.
+    fn names_the_same(&self, id: &JobId, spec: &JobSpec) -> bool {
+        let named = |spec: &JobSpec| spec.needs.iter().cloned().collect::<BTreeSet<JobId>>();
+        let accepted = self.cache.jobs.get(id);
+        accepted.is_none_or(|job| named(&job.record.spec) == named(spec))
+    }
+
     /// Stores a job's end as cancelled, in the form that is written now.
-    fn cancel(&mut self, request: RequestId, id: JobId) {
+    pub(super) fn cancel(&mut self, request: RequestId, id: JobId) {
         let Some(job) = self.cache.jobs.get(&id) else {
             // It ended while its range was read.
             self.queue_question(request, id, Question::Withdraw);
@@ -327,10 +456,7 @@
         };
         let job = when(job_key(&id), job.version);
         let (cluster, generation) = self.cache.cluster;
-        let record = TerminalRecord {
-            state: JobState::Cancelled,
-            done: self.counts(&id).0,
-        };
+        let record = TerminalRecord::cancelled(self.counts(&id).0);
         let ended = [(id.clone(), record)];
         let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges)
         else {
@@ -372,11 +498,7 @@
         self.range_written(&id, ends, &reply);
         match reply {
             StateReply::Committed { revision } => {
-                let record = TerminalRecord {
-                    state: JobState::Cancelled,
-                    done: 0,
-                };
-                self.cache_terminal_state(id.clone(), record);
+                self.cache_terminal_state(id.clone(), TerminalRecord::cancelled(0));
                 self.cache.committed_end(&id, revision);
                 if let Some(cluster) = &mut self.cluster {
                     cluster.remove_job(&id, now);
@@ -407,7 +529,7 @@
     }
 
     /// Looks for the end of a job at the first of the places that are left.
-    fn read_terminal_state(&mut self, read: TerminalRead) {
+    pub(super) fn read_terminal_state(&mut self, read: TerminalRead) {
         let request = match read.places.first() {
             Some(Place::Single) => StateRequest::Get {
                 key: terminal_key(&read.id),
@@ -458,7 +580,11 @@
         };
         if let Some(record) = found {
             self.cache_terminal_state(read.id.clone(), record);
-            self.answer_terminal_state(read.request, &read.id, &read.question, record);
+            match read.question {
+                Question::Named(check) => self.check_needs(*check),
+                Question::NeededBy(pending) => self.resolve(*pending),
+                question => self.answer_terminal_state(read.request, &read.id, &question, record),
+            }
             return;
         }
         read.places.remove(0);
@@ -476,7 +602,10 @@
             Question::Status | Question::Withdraw => self.answer(request, Answer::NotFound),
             Question::Reject(reason) => self.answer(request, Answer::Impossible(reason)),
             Question::Repeat(spec, tries) if tries < TRIES => self.accept(request, spec, tries),
-            Question::Repeat(..) => self.answer(request, Answer::Later { retry: RETRY }),
+            Question::Repeat(..) | Question::NeededBy(_) => {
+                self.answer(request, Answer::Later { retry: RETRY });
+            }
+            Question::Named(check) => self.refuse_need(*check, "was never accepted"),
         }
     }
 
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -70,6 +70,7 @@
         } else {
             self.loading = false;
             self.cache.loaded = true;
+            self.build_graph();
             self.observe_leader();
         }
     }
@@ -106,6 +107,7 @@
             StateChange::JobAdded(id) => self.job_added(&id),
             StateChange::JobRemoved(id) => {
                 self.write_queue.charge(2.0);
+                self.remove_from_graph(&id);
                 if let Some(cluster) = &mut self.cluster {
                     cluster.remove_job(&id, now);
                 }
@@ -129,5 +131,7 @@
         if let (Some(cluster), Some(job)) = (&mut self.cluster, self.cache.jobs.get(id)) {
             cluster.add_job(id, job, Results::default());
         }
+        self.add_to_graph(id);
+        self.tell_leader_of_job(id);
     }
 }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -328,9 +328,11 @@
             changes.push(delete(job_key(&id)));
             let chunks = job.saved.chunks().into_iter();
             keys.extend(chunks.map(|chunk| progress_key(&id, chunk)));
+            let needed = self.dependencies.has_dependents(&id);
             let record = TerminalRecord {
                 state: JobState::Done,
                 done: job.done_count,
+                ended_ms: needed.then_some(self.clock.wall_ms),
             };
             ended.push((id, record));
         }
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -310,6 +310,9 @@
             StatusCode::OK,
             wire::user::job_answer(&id, state, Some((done, running))),
         ),
+        Answer::Waiting(id, waits_on) => {
+            text(StatusCode::OK, wire::user::waiting_answer(&id, &waits_on))
+        }
         Answer::NotFound => text(
             StatusCode::NOT_FOUND,
             wire::user::error_answer("no such job"),
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,6 +1,10 @@
 //! What users send and receive.
 
-use std::{collections::BTreeMap, sync::Arc, time::Duration};
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    sync::Arc,
+    time::Duration,
+};
 
 use serde::{Deserialize, Serialize};
 
@@ -40,6 +44,8 @@
     landby_s: Option<f64>,
     #[serde(default)]
     licences: Option<serde_json::Value>,
+    #[serde(default)]
+    waits_on: Option<Vec<String>>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -75,6 +81,23 @@
     Ok(licences)
 }
 
+/// The jobs that a job waits for: each named once, and none of them itself.
+fn parse_needs(id: &JobId, names: Vec<String>) -> Result<Vec<JobId>, String> {
+    let mut needs = Vec::new();
+    let mut seen = BTreeSet::new();
+    for (index, name) in names.iter().enumerate() {
+        let need = JobId::parse(name).ok_or(format!("waits_on[{index}]: not a job id"))?;
+        if need == *id {
+            return Err(format!("waits_on[{index}]: names the job itself"));
+        }
+        if !seen.insert(need.clone()) {
+            return Err(format!("waits_on[{index}]: names {need} again"));
+        }
+        needs.push(need);
+    }
+    Ok(needs)
+}
+
 /// Reads a submission's fields; an error names the field that it is about.
 fn read_submission(body: &[u8]) -> Result<Submission, String> {
     // Serde would take a list of the values, in the order of the fields, as well.
@@ -113,6 +136,7 @@
         Some(value) if licensed && !value.is_null() => parse_licences(value)?,
         _ => BTreeMap::new(),
     };
+    let needs = parse_needs(&id, s.waits_on.unwrap_or_default())?;
     let names = [("flight", &s.flight), ("crew", &s.crew), ("sail", &s.sail)];
     for (field, text) in names {
         if text.is_empty() || text.len() > 200 {
@@ -152,6 +176,7 @@
         save_s: s.reel_s,
         deadline_s: s.landby_s,
         licences,
+        needs,
     })
 }
 
@@ -163,6 +188,8 @@
     done: Option<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
     running: Option<u32>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    waits_on: Option<Vec<&'a str>>,
 }
 
 fn attitude(state: JobState) -> &'static str {
@@ -181,6 +208,19 @@
         attitude: attitude(state),
         done: counts.map(|c| c.0),
         running: counts.map(|c| c.1),
+        waits_on: None,
+    };
+    serde_json::to_string(&answer).unwrap_or_default()
+}
+
+/// The body that tells a user which jobs a job still waits for.
+pub fn waiting_answer(id: &JobId, waits_on: &[JobId]) -> String {
+    let answer = JobAnswer {
+        uid: id.as_str(),
+        attitude: attitude(JobState::Pending),
+        done: Some(0),
+        running: Some(0),
+        waits_on: Some(waits_on.iter().map(JobId::as_str).collect()),
     };
     serde_json::to_string(&answer).unwrap_or_default()
 }
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -227,5 +227,6 @@
         save_s: 0.0,
         deadline_s: None,
         licences: BTreeMap::new(),
+        needs: Vec::new(),
     }
 }
--- a/tests/world/sim/users.rs
+++ b/tests/world/sim/users.rs
@@ -72,6 +72,7 @@
             save_s: 1.0,
             deadline_s: None,
             licences: BTreeMap::new(),
+            needs: Vec::new(),
         };
         let spec = JobSpec {
             spread: spec.zone.is_none() && !spec.one_zone && rng.random_bool(0.2),
