--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -551,7 +551,7 @@
             (Some(Place::Single), StateReply::Missing) => None,
             (Some(Place::Single), StateReply::Entry(entry)) => {
                 match terminal_states::parse_single(entry.value.get()) {
-                    Some(record) => Some(record),
+                    Some(record) => Some((record, entry.version)),
                     None => {
                         self.report_unreadable(&entry.key);
                         self.answer(read.request, Answer::Later { retry: RETRY });
@@ -562,7 +562,7 @@
             (Some(Place::Packed), reply) => {
                 let (range, name) = Range::of(&read.id);
                 match self.learn_range(&range, reply) {
-                    Some(known) => known.ends.get(name),
+                    Some(known) => known.ends.get(name).map(|record| (record, known.version)),
                     None => {
                         self.answer(read.request, Answer::Later { retry: RETRY });
                         return;
@@ -578,8 +578,8 @@
                 return;
             }
         };
-        if let Some(record) = found {
-            self.cache_terminal_state(read.id.clone(), record);
+        if let Some((record, revision)) = found {
+            self.end_read(&read.id, record, revision);
             match read.question {
                 Question::Named(check) => self.check_needs(*check),
                 Question::NeededBy(pending) => self.resolve(*pending),
@@ -595,6 +595,17 @@
         }
     }
 
+    /// The stored end of a job was read, in a record of this revision. The job may still be
+    /// active in the cache, or become so by an older change: the end counts from now on.
+    fn end_read(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
+        let now = self.now();
+        self.cache_terminal_state(id.clone(), record);
+        self.cache.committed_end(id, revision);
+        if let Some(cluster) = &mut self.cluster {
+            cluster.remove_job(id, now);
+        }
+    }
+
     /// A job of which nothing is stored.
     fn answer_unknown_job(&mut self, read: TerminalRead) {
         let request = read.request;
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -214,6 +214,290 @@
     }
 }
 
+/// The jobs that a submission names, and what a node says of a job that needs others.
+mod needs {
+    use kiteyard::core::job::JobState;
+
+    use super::*;
+
+    const TYPES: &str = r#"[{"name":"m","size":{"cpus":8.0,"gpus":0.0,"memory_gb":64.0},"cache_gb":5.0,"fetch_gb_per_s":1.0,"price":1.0,"spot_price":0.4,"boot_s":30.0,"zones":["a"]}]"#;
+
+    fn id_of(number: u32) -> JobId {
+        JobId::parse(&format!("run-{number:06}")).expect("an id")
+    }
+
+    fn submission_of(number: u32, needs: &[u32]) -> Value {
+        let mut job = submission();
+        job["uid"] = json!(id_of(number).as_str());
+        let needs = needs.iter().map(|need| id_of(*need).as_str().to_owned());
+        job["waits_on"] = json!(needs.collect::<Vec<_>>());
+        job
+    }
+
+    fn entry_of(job: &Value, version: u64) -> Entry {
+        let spec = parse_submission(job.to_string().as_bytes(), false).expect("a submission");
+        let key = job_key(&spec.id);
+        let record = JobRecord {
+            spec: Arc::new(spec),
+            accepted_ms: version,
+        };
+        Entry {
+            key,
+            value: serde_json::value::to_raw_value(&record).expect("a record"),
+            version,
+        }
+    }
+
+    fn service(number: u32) -> Value {
+        let mut job = submission_of(number, &[]);
+        job["shape"] = json!("standing");
+        job
+    }
+
+    fn text_entry(key: &str, text: &str, version: u64) -> Entry {
+        Entry {
+            key: key.into(),
+            value: serde_json::value::RawValue::from_string(text.into()).expect("JSON"),
+            version,
+        }
+    }
+
+    fn end(number: u32, state: &str, version: u64) -> StateReply {
+        let text = json!({"state": state, "done": 1}).to_string();
+        StateReply::Entry(text_entry(
+            &format!("final/{}", id_of(number)),
+            &text,
+            version,
+        ))
+    }
+
+    /// What a node sends once it is asked to accept a job.
+    fn is_txn(request: &StateRequest) -> bool {
+        matches!(request, StateRequest::Txn { changes, .. } if !changes.is_empty())
+    }
+
+    fn is_job_read(request: &StateRequest) -> bool {
+        matches!(request, StateRequest::Get { key } if key.starts_with("live/job/"))
+    }
+
+    fn is_end_read(request: &StateRequest) -> bool {
+        matches!(request, StateRequest::Get { key } if key.starts_with("final/"))
+    }
+
+    impl Asked {
+        /// A node whose copy holds these active jobs.
+        fn with_jobs(jobs: &[Value]) -> Self {
+            let mut asked = Self::new();
+            asked.step(Input::Tick);
+            let numbered = jobs.iter().zip(2..);
+            let mut entries: Vec<Entry> = numbered.map(|(job, at)| entry_of(job, at)).collect();
+            entries.push(text_entry("live/types", TYPES, 1));
+            asked.loads(entries, 10);
+            asked
+        }
+
+        fn submit(&mut self, request: u64, job: &Value) {
+            let spec = parse_submission(job.to_string().as_bytes(), false).expect("a submission");
+            let spec = Arc::new(spec);
+            self.step(Input::Submit { request, spec });
+        }
+
+        fn status_of(&mut self, request: u64, number: u32) {
+            let id = id_of(number);
+            self.step(Input::Status { request, id });
+        }
+
+        /// The copy is proven: nothing has happened.
+        fn prove(&mut self) {
+            let proof = self.sent(is_proof);
+            self.reply(proof, none_new(10));
+        }
+
+        /// A refusal waits for the proof that the job itself was not accepted before.
+        fn is_impossible(&mut self, to: u64, about: &str) {
+            assert_eq!(self.answer(to), None);
+            self.prove();
+            let read = self.sent(is_end_read);
+            self.reply(read, StateReply::Missing);
+            match self.answer(to) {
+                Some(Answer::Impossible(reason)) => {
+                    assert!(
+                        reason.contains("waits_on") && reason.contains(about),
+                        "{reason}"
+                    );
+                }
+                other => panic!("{other:?}"),
+            }
+        }
+
+        fn ended(&mut self, number: u32, revision: u64) {
+            let watch = self.sent(is_watch);
+            let event = Event {
+                key: job_key(&id_of(number)),
+                value: None,
+                revision,
+            };
+            let events = vec![event];
+            self.reply(watch, StateReply::Events { events, revision });
+        }
+    }
+
+    #[test]
+    fn a_malformed_list_is_refused_and_named() {
+        let lists = [
+            json!("run-000002"),
+            json!(5),
+            json!(true),
+            json!({"run-000002": 1}),
+            json!([2]),
+            json!([null]),
+            json!([["run-000002"]]),
+            json!(["job 2"]),
+            json!([""]),
+            json!(["run-000002", "run-"]),
+            json!(["run-000001"]),
+            json!(["run-000002", "run-000003", "run-000002"]),
+        ];
+        for list in lists {
+            let mut job = submission();
+            job["waits_on"] = list.clone();
+            let message = refused(&job);
+            assert!(message.contains("waits_on"), "{list}: {message}");
+        }
+        for list in [Value::Null, json!([])] {
+            let mut job = submission();
+            job["waits_on"] = list;
+            let spec = parse_submission(job.to_string().as_bytes(), true).expect("a submission");
+            assert!(spec.needs.is_empty());
+        }
+    }
+
+    #[test]
+    fn a_job_that_names_a_service_is_refused() {
+        let mut asked = Asked::with_jobs(&[service(2)]);
+        asked.submit(1, &submission_of(1, &[2]));
+        asked.is_impossible(1, "run-000002");
+        // One that this node's cache does not hold yet.
+        let mut asked = Asked::with_jobs(&[]);
+        asked.submit(1, &submission_of(1, &[2]));
+        let read = asked.sent(is_job_read);
+        asked.reply(read, StateReply::Entry(entry_of(&service(2), 12)));
+        asked.is_impossible(1, "run-000002");
+    }
+
+    #[test]
+    fn a_job_that_names_one_that_was_never_accepted_is_refused() {
+        let mut asked = Asked::with_jobs(&[submission_of(3, &[])]);
+        asked.submit(1, &submission_of(1, &[2, 3]));
+        let read = asked.sent(is_job_read);
+        asked.reply(read, StateReply::Missing);
+        let read = asked.sent(is_end_read);
+        asked.reply(read, StateReply::Missing);
+        asked.is_impossible(1, "run-000002");
+    }
+
+    #[test]
+    fn no_answer_about_a_named_job_is_no_proof_that_it_was_never_accepted() {
+        for active_is_known in [false, true] {
+            let mut asked = Asked::with_jobs(&[]);
+            asked.submit(1, &submission_of(1, &[2]));
+            let mut read = asked.sent(is_job_read);
+            if active_is_known {
+                asked.reply(read, StateReply::Missing);
+                read = asked.sent(is_end_read);
+            }
+            asked.reply(read, StateReply::Unclear);
+            let answer = asked.answer(1).expect("an answer");
+            assert!(matches!(answer, Answer::Later { .. }), "{answer:?}");
+        }
+    }
+
+    #[test]
+    fn a_job_that_names_one_that_is_over_is_accepted() {
+        for state in ["done", "cancelled"] {
+            let mut asked = Asked::with_jobs(&[]);
+            asked.submit(1, &submission_of(1, &[2]));
+            let read = asked.sent(is_job_read);
+            asked.reply(read, StateReply::Missing);
+            let read = asked.sent(is_end_read);
+            asked.reply(read, end(2, state, 9));
+            let accept = asked.sent(is_txn);
+            asked.reply(accept, StateReply::Committed { revision: 11 });
+            assert_eq!(asked.answer(1), Some(Answer::Accepted(id_of(1))), "{state}");
+        }
+    }
+
+    #[test]
+    fn a_repeated_submission_names_the_same_jobs_in_any_order() {
+        let jobs = [
+            submission_of(2, &[]),
+            submission_of(3, &[]),
+            submission_of(1, &[2, 3]),
+        ];
+        let mut asked = Asked::with_jobs(&jobs);
+        asked.submit(1, &submission_of(1, &[3, 2]));
+        asked.prove();
+        let known = Answer::Known(id_of(1), JobState::Pending);
+        assert_eq!(asked.answer(1), Some(known));
+        for (request, other) in [(2, &[2][..]), (3, &[2, 3, 4]), (4, &[])] {
+            asked.submit(request, &submission_of(1, other));
+            asked.prove();
+            let answer = asked.answer(request).expect("an answer");
+            let named = matches!(&answer, Answer::Impossible(why) if why.contains("waits_on"));
+            assert!(named, "{other:?}: {answer:?}");
+        }
+    }
+
+    #[test]
+    fn a_job_is_pending_and_names_what_it_waits_for() {
+        let jobs = [
+            submission_of(2, &[]),
+            submission_of(3, &[]),
+            submission_of(1, &[2, 3]),
+        ];
+        let mut asked = Asked::with_jobs(&jobs);
+        asked.status_of(1, 1);
+        asked.prove();
+        let waits = Answer::Waiting(id_of(1), vec![id_of(2), id_of(3)]);
+        assert_eq!(asked.answer(1), Some(waits));
+        // Its absence alone says nothing of the one that is no longer active.
+        asked.ended(2, 11);
+        asked.status_of(2, 1);
+        let proof = asked.sent(is_proof);
+        asked.reply(proof, none_new(11));
+        assert_eq!(asked.answer(2), None);
+        let read = asked.sent(is_end_read);
+        asked.reply(read, end(2, "done", 11));
+        let waits = Answer::Waiting(id_of(1), vec![id_of(3)]);
+        assert_eq!(asked.answer(2), Some(waits));
+    }
+
+    /// Derived from the stored end of the one that was cancelled, through others as well.
+    #[test]
+    fn a_job_is_cancelled_with_one_that_it_needs() {
+        let jobs = [
+            submission_of(2, &[]),
+            submission_of(3, &[2]),
+            submission_of(1, &[3]),
+        ];
+        let mut asked = Asked::with_jobs(&jobs);
+        asked.ended(2, 11);
+        asked.status_of(1, 1);
+        let proof = asked.sent(is_proof);
+        asked.reply(proof, none_new(11));
+        let read = asked.sent(is_end_read);
+        asked.reply(read, end(2, "cancelled", 11));
+        let cancelled = Answer::Status(id_of(1), JobState::Cancelled, 0, 0);
+        assert_eq!(asked.answer(1), Some(cancelled));
+        let id = id_of(3);
+        asked.step(Input::Withdraw { request: 2, id });
+        let proof = asked.sent(is_proof);
+        asked.reply(proof, none_new(11));
+        let known = Answer::Known(id_of(3), JobState::Cancelled);
+        assert_eq!(asked.answer(2), Some(known));
+    }
+}
+
 fn is_proof(request: &StateRequest) -> bool {
     matches!(request, StateRequest::Watch { wait, .. } if wait.is_zero())
 }
--- a/tests/world/liveness.rs
+++ b/tests/world/liveness.rs
@@ -85,6 +85,9 @@
         if !job.accepted || job.over || job.faulty || called_off {
             return false;
         }
+        if !self.observer.may_start(&job.spec) {
+            return false;
+        }
         let there = self.places(&job.spec).len();
         let done = (0..job.spec.tasks).filter(|index| self.has_result(&job.spec, *index));
         there + done.count() < job.spec.tasks as usize
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -17,6 +17,7 @@
 mod new_machines;
 mod observer;
 mod old_reports;
+mod pipelines;
 mod rolling;
 mod rollout;
 mod scarcity;
--- a/tests/world/meetings.rs
+++ b/tests/world/meetings.rs
@@ -175,6 +175,7 @@
             return;
         };
         self.look_at_progress(changes);
+        self.look_at_ends(changes);
         self.absences_meet_claim(changes);
         self.old_reports_meet_claim(changes, *revision);
         if changes.iter().any(claims)
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -3,6 +3,7 @@
 mod cloud;
 mod config;
 mod network;
+mod pipelines;
 mod random_troubles;
 mod requests;
 mod sabotage;
@@ -36,12 +37,14 @@
 };
 
 pub use network::Cut;
+pub use pipelines::CancelledStage;
 pub use sabotage::Sabotage;
 pub use scale::{LARGE, LICENSED, LONG, MEDIUM, SMALL, Scale};
 pub use users::Job;
 pub use workers::{ToWorker, Worker};
 
 use config::settings;
+use pipelines::Pipelines;
 pub use requests::Met;
 use requests::Requests;
 use users::Asking;
@@ -73,6 +76,10 @@
     Ask(usize, usize, Asking),
     /// Users send jobs that can't run.
     Odd,
+    /// A job of a pipeline is submitted, if that may be done.
+    Stage(usize),
+    /// A submission that names a job that nobody submitted.
+    UnknownNeed(usize),
     Trouble,
     Restart(usize),
     /// A line between nodes, for whatever process is there by then.
@@ -101,6 +108,8 @@
     User(usize, Asking, Option<JobState>),
     /// About a job that can't run, and why it can't.
     Odd(usize, JobId),
+    /// About a submission that names a job that nobody submitted.
+    UnknownNeed(usize),
 }
 
 pub struct World {
@@ -154,6 +163,7 @@
     pub absences: Absences,
     pub scarcity: Scarcity,
     pub requests: Requests,
+    pub pipelines: Pipelines,
 }
 
 impl World {
@@ -206,6 +216,7 @@
             absences: Absences::default(),
             scarcity: Scarcity::default(),
             requests: Requests::default(),
+            pipelines: Pipelines::default(),
             observer: Observer::new(scale.cancel, "red", scale.team_limit, scale.seats),
         };
         if scale.second_limit > 0.0 {
@@ -464,6 +475,8 @@
             Event::UserAt(i, node) => self.user(i, node),
             Event::Ask(i, node, asking) => self.ask(i, node, asking),
             Event::Odd => self.send_odd(),
+            Event::Stage(number) => self.stage(number),
+            Event::UnknownNeed(number) => self.send_unknown_need(number),
             Event::Trouble => self.trouble(),
             Event::Restart(node) => self.restart(node),
             Event::Crash(node) => self.crash(node),
--- /dev/null
+++ b/tests/world/sim/pipelines.rs
@@ -0,0 +1,453 @@
+//! Pipelines: jobs that need others, submitted one after another, some of them cancelled at a
+//! chosen stage; and submissions that name a job that nobody submitted.
+
+use std::{
+    collections::{BTreeMap, HashSet},
+    sync::Arc,
+    time::Duration,
+};
+
+use kiteyard::core::{
+    Answer, Input,
+    job::{JobId, JobSpec, JobState, Kind, TerminalRecord},
+    store::{Change, GENERATION, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, put},
+    terminal_states::{Ends, Range, parse_single},
+};
+use kiteyard_rollout::generation::{Cluster, Stage};
+use rand::RngExt;
+
+use super::{Asker, Event, NODES, Sabotage, World, ms, users::Asking};
+
+/// How soon after those that it needs a job is submitted.
+const LOOKS_EVERY: Duration = ms(50);
+/// Submissions that name an unknown job are repeated after this time.
+const UNKNOWN_AGAIN: Duration = ms(1_500);
+/// By then the leader knows of a job that was accepted: no message takes longer.
+const LEADER_KNOWS: Duration = Duration::from_secs(6);
+/// Tasks of one job at most.
+const TASKS_MOST: u32 = 4;
+
+/// Which job of a pipeline its user cancels.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum CancelledStage {
+    First,
+    Middle,
+    Last,
+    /// The first, at the moment at which the next one is submitted.
+    DuringSubmission,
+}
+
+const PLANS: [Option<CancelledStage>; 6] = [
+    None,
+    Some(CancelledStage::First),
+    Some(CancelledStage::Middle),
+    None,
+    Some(CancelledStage::Last),
+    Some(CancelledStage::DuringSubmission),
+];
+
+/// The jobs of a pipeline in the order of submission, each with those that it needs.
+const SHAPES: [&[&[usize]]; 4] = [
+    // A chain, a diamond with a tail, a fan in both directions, a chain with shortcuts.
+    &[&[], &[0], &[1], &[2]],
+    &[&[], &[0], &[0], &[1, 2], &[3]],
+    &[&[], &[0], &[0], &[0], &[1, 2, 3]],
+    &[&[], &[0], &[0, 1], &[0, 2]],
+];
+
+struct Pipeline {
+    /// Their numbers in the world, in the order of submission.
+    jobs: Vec<usize>,
+    cancelled: Option<(CancelledStage, usize)>,
+}
+
+/// A job that names one that nobody submitted.
+struct UnknownNeed {
+    spec: Arc<JobSpec>,
+    refused: bool,
+}
+
+/// How often each meeting came about.
+#[derive(Debug, Default)]
+pub struct PipelinesMet {
+    /// Jobs that were submitted when all that they need were over.
+    pub late: u64,
+    /// Leaders that began while accepted jobs waited for others.
+    pub claims_while_waiting: u64,
+    /// Answers that named what a job waits for.
+    pub waiting_answers: u64,
+    /// Submissions that were refused as they name an unknown job.
+    pub unknown_refused: u64,
+    /// Terminal states of jobs that others waited for, stored with their time.
+    pub timed_ends: u64,
+}
+
+#[derive(Default)]
+pub struct Pipelines {
+    all: Vec<Pipeline>,
+    /// Jobs that wait to be submitted; true: only when those that they need are over.
+    unsent: BTreeMap<usize, bool>,
+    accepted: BTreeMap<usize, Duration>,
+    unknown: Vec<UnknownNeed>,
+    /// Jobs whose stored end was seen.
+    ended: HashSet<JobId>,
+    /// Jobs that others waited for and whose end was stored without its time.
+    pub untimed: Vec<JobId>,
+    pub met: PipelinesMet,
+}
+
+impl World {
+    /// The terminal states of jobs are stored by ranges of ids from the start.
+    pub fn packs_ends(mut self) -> Self {
+        let cluster = Cluster {
+            from: 2,
+            to: 2,
+            stage: Stage::Settled,
+        };
+        let request = StateRequest::Txn {
+            conditions: Vec::new(),
+            changes: vec![put(GENERATION, &cluster)],
+        };
+        self.state.call(self.now, &request);
+        self
+    }
+
+    /// So many pipelines, which begin within the first 25 s, and plain jobs that some of
+    /// them name as well.
+    pub fn pipelines(mut self, count: usize) -> Self {
+        let plain: Vec<usize> = (0..2).map(|_| self.add_stage(Vec::new(), false)).collect();
+        for number in 0..count {
+            let shape = SHAPES[number % SHAPES.len()];
+            // Each shape meets each plan.
+            let plan = PLANS[(number + number / PLANS.len()) % PLANS.len()];
+            let mut jobs = Vec::new();
+            for (stage, needs) in shape.iter().enumerate() {
+                let mut needs: Vec<usize> = needs.iter().map(|need| jobs[*need]).collect();
+                if stage == 1 && number % 4 == 3 {
+                    needs.push(plain[number % plain.len()]);
+                }
+                let last = stage + 1 == shape.len();
+                jobs.push(self.add_stage(needs, last && number % 3 == 0));
+            }
+            let cancelled = plan.map(|stage| match stage {
+                CancelledStage::First | CancelledStage::DuringSubmission => (stage, jobs[0]),
+                CancelledStage::Middle => (stage, jobs[jobs.len() / 2]),
+                CancelledStage::Last => (stage, jobs[jobs.len() - 1]),
+            });
+            self.pipelines.all.push(Pipeline { jobs, cancelled });
+        }
+        self
+    }
+
+    /// A job that is submitted as soon as those that it needs are accepted, or late.
+    fn add_stage(&mut self, needs: Vec<usize>, late: bool) -> usize {
+        let number = self.jobs.len();
+        let mut job = self.make_job(number);
+        let begins = match needs.is_empty() {
+            true => ms(self.rng.random_range(1_000..25_000)),
+            false => Duration::ZERO,
+        };
+        let spec = &mut job.spec;
+        if spec.kind == Kind::Service {
+            spec.kind = Kind::Array;
+        }
+        spec.tasks = spec.tasks.min(TASKS_MOST);
+        // Any machine will do, so that none waits long for room.
+        spec.zone = None;
+        spec.one_zone = false;
+        spec.spread = false;
+        spec.need.cpus = spec.need.cpus.min(2.0);
+        spec.needs = needs
+            .iter()
+            .map(|i| self.jobs[*i].spec.id.clone())
+            .collect();
+        job.faulty = false;
+        job.withdraw_at = None;
+        self.observer.knows(&job.spec);
+        self.jobs.push(job);
+        self.pipelines.unsent.insert(number, late);
+        self.push(begins, Event::Stage(number));
+        number
+    }
+
+    fn needs_of(&self, number: usize) -> Vec<usize> {
+        let needs = self.jobs[number].spec.needs.iter();
+        needs.map(|id| self.number_of(id)).collect()
+    }
+
+    fn number_of(&self, id: &JobId) -> usize {
+        id.as_str()[4..].parse().expect("a number")
+    }
+
+    /// Submits a job of a pipeline once that may be done, at any node.
+    pub(super) fn stage(&mut self, number: usize) {
+        let late = self.pipelines.unsent[&number];
+        let needs = self.needs_of(number);
+        let sent = |i: &usize| self.jobs[*i].accepted && (!late || self.jobs[*i].over);
+        if !needs.iter().all(sent) {
+            self.push(self.now + LOOKS_EVERY, Event::Stage(number));
+            return;
+        }
+        self.pipelines.unsent.remove(&number);
+        self.pipelines.met.late += u64::from(late);
+        self.push(self.now, Event::User(number));
+        self.plan_cancellations(number, &needs);
+    }
+
+    /// What is cancelled on account of this submission: the job itself some time later, or
+    /// one that it needs at once.
+    fn plan_cancellations(&mut self, number: usize, needs: &[usize]) {
+        let plans = self.pipelines.all.iter().filter_map(|p| p.cancelled);
+        for (stage, cancelled) in plans.collect::<Vec<_>>() {
+            if stage == CancelledStage::DuringSubmission && needs.contains(&cancelled) {
+                let node = self.rng.random_range(0..NODES);
+                let at = self.now + ms(self.rng.random_range(0..30));
+                self.jobs[cancelled].withdraw_at = Some(self.now);
+                self.push(at, Event::Ask(cancelled, node, Asking::Withdraw));
+            } else if stage != CancelledStage::DuringSubmission && cancelled == number {
+                let after = ms(self.rng.random_range(200..4_000));
+                self.jobs[number].withdraw_at = Some(self.now + after);
+            }
+        }
+    }
+
+    /// A user was told a state of a job.
+    pub(super) fn stage_told(&mut self, number: usize) {
+        let now = self.now;
+        self.pipelines.accepted.entry(number).or_insert(now);
+    }
+
+    /// A job of a pipeline, which some node refused.
+    pub(super) fn is_stage(&self, number: usize) -> bool {
+        let pipelines = self.pipelines.all.iter();
+        pipelines.flat_map(|p| &p.jobs).any(|job| *job == number)
+    }
+
+    pub(super) fn told_waiting(&mut self, number: usize, on: &[JobId]) {
+        self.pipelines.met.waiting_answers += 1;
+        let spec = &self.jobs[number].spec;
+        if on.is_empty() || !on.iter().all(|id| spec.needs.contains(id)) {
+            let what = format!("{} waits for {on:?}", spec.id);
+            self.observer.breaks(self.now, "waits_on", what);
+        }
+    }
+
+    /// A node has claimed the leadership.
+    pub(super) fn pipelines_meet_claim(&mut self) {
+        let waits = |number: &usize| {
+            let job = &self.jobs[*number];
+            let needs = self.needs_of(*number);
+            !job.over && needs.iter().any(|need| !self.jobs[*need].over)
+        };
+        let waiting = self.pipelines.accepted.keys().any(waits);
+        self.pipelines.met.claims_while_waiting += u64::from(waiting);
+    }
+
+    /// The jobs of pipelines that nobody was told the end of.
+    pub fn unfinished_stages(&self) -> Vec<(JobId, Option<JobState>)> {
+        let all = self.pipelines.all.iter().flat_map(|p| &p.jobs);
+        let left = all.filter(|number| !self.jobs[**number].over);
+        let told = left.map(|number| {
+            let id = &self.jobs[*number].spec.id;
+            (id.clone(), self.observer.state(id))
+        });
+        told.collect()
+    }
+
+    /// How many pipelines were cancelled at a stage, as planned.
+    pub fn cancelled_at(&self, stage: CancelledStage) -> usize {
+        let is_cancelled = |number: usize| {
+            let id = &self.jobs[number].spec.id;
+            self.observer.state(id) == Some(JobState::Cancelled)
+        };
+        let planned = self.pipelines.all.iter().filter_map(|p| p.cancelled);
+        let met = planned.filter(|(at, number)| *at == stage && is_cancelled(*number));
+        met.count()
+    }
+
+    /// How many pipelines were told as done to the last job.
+    pub fn pipelines_done(&self) -> usize {
+        let done = |number: &usize| {
+            let id = &self.jobs[*number].spec.id;
+            self.observer.state(id) == Some(JobState::Done)
+        };
+        let pipelines = self.pipelines.all.iter();
+        pipelines.filter(|p| p.jobs.iter().all(done)).count()
+    }
+
+    /// So many submissions that name a job that nobody submitted, some beside known ones.
+    pub fn unknown_needs(mut self, count: usize) -> Self {
+        for i in 0..count {
+            let id = JobId::parse(&format!("run-{}", 800_000 + i)).expect("an id");
+            // Some differ only in the last digits from those that are known.
+            let missing = match i % 2 {
+                0 => format!("run-{}", 810_000 + i),
+                _ => format!("run-{:06}", 90 + i),
+            };
+            let missing = JobId::parse(&missing).expect("an id");
+            let mut spec = JobSpec {
+                id: id.clone(),
+                ..self.make_job(0).spec
+            };
+            spec.kind = Kind::Array;
+            spec.zone = None;
+            spec.needs = match (i % 3, self.pipelines.all.first()) {
+                (0, Some(known)) => vec![self.jobs[known.jobs[0]].spec.id.clone(), missing],
+                _ => vec![missing],
+            };
+            self.requests.forbid(id);
+            let spec = Arc::new(spec);
+            let refused = false;
+            self.pipelines.unknown.push(UnknownNeed { spec, refused });
+            let at = ms(self.rng.random_range(26_000..60_000));
+            self.push(at, Event::UnknownNeed(i));
+        }
+        self
+    }
+
+    /// Sends one of these, at any node, until it is refused.
+    pub(super) fn send_unknown_need(&mut self, number: usize) {
+        if self.pipelines.unknown[number].refused {
+            return;
+        }
+        self.push(self.now + UNKNOWN_AGAIN, Event::UnknownNeed(number));
+        let node = self.rng.random_range(0..NODES);
+        if self.nodes[node].is_none() {
+            return;
+        }
+        let spec = self.pipelines.unknown[number].spec.clone();
+        self.next_request += 1;
+        let (request, epoch) = (self.next_request, self.epochs[node]);
+        self.asked
+            .insert((node, epoch, request), Asker::UnknownNeed(number));
+        let at = self.now + self.delay();
+        let input = Input::Submit { request, spec };
+        self.push(at, Event::ToNode(node, epoch, input));
+    }
+
+    pub(super) fn unknown_need_answered(&mut self, number: usize, answer: &Answer) {
+        let unknown = &mut self.pipelines.unknown[number];
+        match answer {
+            Answer::Impossible(_) => {
+                self.pipelines.met.unknown_refused += u64::from(!unknown.refused);
+                unknown.refused = true;
+            }
+            Answer::Later { .. } => {}
+            other => {
+                let what = format!("{}: {other:?}", unknown.spec.id);
+                self.observer.breaks(self.now, "invented", what);
+            }
+        }
+    }
+
+    /// Ends that are stored for the first time: one that active jobs waited for has its time.
+    pub(crate) fn look_at_ends(&mut self, changes: &[Change]) {
+        for change in changes {
+            let Change::Put { key, value, .. } = change else {
+                continue;
+            };
+            let is_end = key.starts_with(TERMINAL_STATES) || key.starts_with(TERMINAL_RANGES);
+            for number in 0..self.jobs.len() * usize::from(is_end) {
+                let id = self.jobs[number].spec.id.clone();
+                if let Some(record) = stored_end(&id, key, value.get())
+                    && self.pipelines.ended.insert(id)
+                {
+                    self.look_at_end(number, record);
+                }
+            }
+        }
+    }
+
+    fn look_at_end(&mut self, number: usize, record: TerminalRecord) {
+        let (id, now) = (&self.jobs[number].spec.id, self.now);
+        let mut accepted = self.pipelines.accepted.iter();
+        let waited_for = accepted.any(|(dependent, at)| {
+            let spec = &self.jobs[*dependent].spec;
+            let active = !self.pipelines.ended.contains(&spec.id);
+            active && spec.needs.contains(id) && *at + LEADER_KNOWS < now
+        });
+        if record.state != JobState::Done || !waited_for {
+            return;
+        }
+        match record.ended_ms {
+            Some(_) => self.pipelines.met.timed_ends += 1,
+            None => self.pipelines.untimed.push(id.clone()),
+        }
+    }
+
+    /// Ends that are read, in one unsafe variant: all of them say that the job is done, those
+    /// that are not there as well.
+    pub(super) fn tampered_end(&self, request: &StateRequest, reply: &mut StateReply) {
+        let StateRequest::Get { key } = request else {
+            return;
+        };
+        if self.sabotage != Sabotage::EndsReadAsDone {
+            return;
+        }
+        match reply {
+            StateReply::Entry(entry)
+                if key.starts_with(TERMINAL_STATES) || key.starts_with(TERMINAL_RANGES) =>
+            {
+                let text = entry.value.get().replace("cancelled", "done");
+                let text = match key.starts_with(TERMINAL_RANGES) {
+                    true => text.replace('c', "d"),
+                    false => text,
+                };
+                entry.value = serde_json::value::RawValue::from_string(text).expect("JSON");
+            }
+            StateReply::Missing if key.starts_with(TERMINAL_STATES) => {
+                let record = TerminalRecord {
+                    state: JobState::Done,
+                    done: 1,
+                    ended_ms: None,
+                };
+                *reply = StateReply::Entry(kiteyard::core::store::Entry {
+                    key: key.clone(),
+                    value: serde_json::value::to_raw_value(&record).expect("a record"),
+                    version: 1,
+                });
+            }
+            _ => {}
+        }
+    }
+
+    /// An answer about a job that is cancelled with one that it needs says, in one unsafe
+    /// variant, that it still waits.
+    pub(super) fn underived(&self, id: &JobId) -> bool {
+        self.sabotage == Sabotage::IgnoresCancelledNeeds && self.observer.cancelled_with_needs(id)
+    }
+}
+
+/// The end of this job, if it is what is stored under this key.
+fn stored_end(id: &JobId, key: &str, text: &str) -> Option<TerminalRecord> {
+    if key.strip_prefix(TERMINAL_STATES) == Some(id.as_str()) {
+        return parse_single(text);
+    }
+    let (range, name) = Range::of(id);
+    if range.key() != key {
+        return None;
+    }
+    let ends: Ends = serde_json::from_str(text).expect("the ends of a range");
+    ends.get(name)
+}
+
+/// The times of ends are left out of what is stored, in one unsafe variant.
+pub(super) fn without_end_times(changes: &mut [Change]) {
+    for change in changes {
+        let Change::Put { key, value, .. } = change else {
+            continue;
+        };
+        let text = if key.starts_with(TERMINAL_STATES) {
+            let mut record: TerminalRecord = serde_json::from_str(value.get()).expect("an end");
+            record.ended_ms = None;
+            serde_json::to_string(&record).expect("an end")
+        } else if key.starts_with(TERMINAL_RANGES) {
+            let text: String = serde_json::from_str(value.get()).expect("ends");
+            let entries = text.split(',').map(|e| e.split('t').next().unwrap_or(e));
+            serde_json::Value::from(entries.collect::<Vec<_>>().join(",")).to_string()
+        } else {
+            continue;
+        };
+        *value = serde_json::value::RawValue::from_string(text).expect("JSON");
+    }
+}
--- a/tests/world/sim/sabotage.rs
+++ b/tests/world/sim/sabotage.rs
@@ -59,4 +59,10 @@
     EndsWhateverIsStored,
     /// A leader that is told of a job's end takes it for a new job.
     EndsLookNew,
+    /// A stored end is read as done, also where it says cancelled or there is none.
+    EndsReadAsDone,
+    /// Answers about a job don't say that one that it needs is cancelled.
+    IgnoresCancelledNeeds,
+    /// Ends are stored without the time from which those that wait for them count.
+    ForgetsEndTimes,
 }
--- a/tests/world/sim/state_service.rs
+++ b/tests/world/sim/state_service.rs
@@ -6,7 +6,7 @@
 };
 use rand::RngExt;
 
-use super::{Event, Sabotage, World, ms};
+use super::{Event, Sabotage, World, ms, pipelines::without_end_times};
 
 impl World {
     pub(super) fn at_state(
@@ -61,6 +61,10 @@
                 }),
                 _ => self.state.call(now, &request),
             };
+            let reply = reply.map(|mut reply| {
+                self.tampered_end(&request, &mut reply);
+                reply
+            });
             self.look_at_commit(&request, reply.as_ref());
             self.note_claim(node, &request, reply.as_ref());
             if self.state.revision() != before {
@@ -156,6 +160,11 @@
         {
             changes.retain(|c| !matches!(c, Change::Put { key, .. } if key.starts_with("final/")));
         }
+        if let (Sabotage::ForgetsEndTimes, StateRequest::Txn { changes, .. }) =
+            (self.sabotage, &mut request)
+        {
+            without_end_times(changes);
+        }
         let dropped = match self.sabotage {
             Sabotage::ResultsByKeyAlone => PROGRESS,
             Sabotage::ClaimsByKeyAlone => CLAIMS,
--- a/tests/world/sim/users.rs
+++ b/tests/world/sim/users.rs
@@ -192,6 +192,7 @@
                 }
             }
             Asker::Odd(reason, id) => self.odd_answered(node, reason, &id, &answer),
+            Asker::UnknownNeed(number) => self.unknown_need_answered(number, &answer),
             Asker::User(i, asking, before) => {
                 self.meetings.unanswered.remove(&i);
                 let spec = self.jobs[i].spec.clone();
@@ -203,13 +204,21 @@
                         JobState::Pending
                     }
                     Answer::Known(_, state) | Answer::Status(_, state, _, _) => *state,
+                    Answer::Waiting(_, on) => {
+                        self.told_waiting(i, on);
+                        JobState::Pending
+                    }
                     Answer::NotFound => {
                         if asking != Asking::Stranger {
                             self.observer.not_found(now, &spec.id, before.is_some());
                         }
                         return;
                     }
-                    Answer::Impossible(_) => {
+                    Answer::Impossible(reason) => {
+                        if self.is_stage(i) {
+                            let what = format!("{}: {reason}", spec.id);
+                            self.observer.breaks(now, "refused", what);
+                        }
                         self.observer.rejected(now, &spec.id);
                         // A job that can never run is asked for no more.
                         self.jobs[i].over = true;
@@ -224,7 +233,12 @@
                 self.jobs[i].accepted = true;
                 self.jobs[i].over |= matches!(state, JobState::Done | JobState::Cancelled);
                 self.observer.told(now, &spec, state, before);
+                let accepted = matches!(answer, Answer::Accepted(_));
+                if !accepted && matches!(state, JobState::Pending | JobState::Running) {
+                    self.observer.told_active(now, &spec.id, state);
+                }
                 self.observer.answered(now, &spec.id);
+                self.stage_told(i);
                 self.look_closely(i, state);
             }
         }
