--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -5,80 +5,51 @@
 //! speaks for many machines: changes are what the state service counts, and a
 //! large array lands on every machine within moments.
 
+mod answers;
+mod record;
+
 use std::{
-    collections::{BTreeMap, BTreeSet, HashMap},
-    sync::Arc,
+    collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
 
-use serde::{Deserialize, Serialize};
+use tracing::info;
 
 use super::{
-    cluster::ClusterState,
     job::JobId,
+    cluster::ClusterState,
     machine::{Machine, MachineId, Standing},
-    store::{Change, Condition, StateReply, delete, put, shard_key, when},
+    store::{Change, Condition, StateReply, delete, encoded_len, put, shard_key, when},
 };
 
-/// What one key of the assignment index holds. Types, zones and jobs are named once, and
-/// machines refer to them by number.
-#[derive(Debug, Clone, Default, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ShardRecord {
-    kinds: Vec<Kind>,
-    jobs: Vec<JobId>,
-    machines: Vec<(MachineId, usize, Vec<usize>)>,
-}
-
-/// Machine type, zone, and whether it is a spot machine.
-type Kind = (Arc<str>, Arc<str>, bool);
-
-/// A machine in the assignment index.
-#[derive(Debug, Clone, PartialEq)]
-pub struct AssignedMachine {
-    pub id: MachineId,
-    pub machine_type: Arc<str>,
-    pub zone: Arc<str>,
-    pub spot: bool,
-    pub jobs: BTreeSet<JobId>,
-}
-
-impl ShardRecord {
-    /// A shard as stored, unless anything in it can't be understood: a machine that is
-    /// passed over would be one where nothing can run.
-    pub fn parse(text: &str) -> Option<Self> {
-        let record: Self = serde_json::from_str(text).ok()?;
-        let known = |(_, kind, jobs): &(MachineId, usize, Vec<usize>)| {
-            *kind < record.kinds.len() && jobs.iter().all(|job| *job < record.jobs.len())
-        };
-        record.machines.iter().all(known).then_some(record)
-    }
-
-    pub fn machines(&self) -> impl Iterator<Item = AssignedMachine> + '_ {
-        self.machines.iter().filter_map(|(id, kind, jobs)| {
-            let (machine_type, zone, spot) = self.kinds.get(*kind)?.clone();
-            let jobs = jobs.iter().filter_map(|job| self.jobs.get(*job).cloned());
-            Some(AssignedMachine {
-                id: id.clone(),
-                machine_type,
-                zone,
-                spot,
-                jobs: jobs.collect(),
-            })
-        })
-    }
-}
+use record::{Builder, digest};
+pub use record::{AssignedMachine, ShardRecord};
 
 /// What is known of a machine's place in the stored assignment index.
 #[derive(Debug, Clone, Default)]
 pub struct AssignmentEntry {
+    /// The shard that is to list it from now on.
     shard: Option<u32>,
+    /// The shard that `jobs` was read from or written to: until a machine has moved, another
+    /// one than its own.
+    listed_in: Option<u32>,
+    /// A write of its own shard that names it was not refused for certain.
+    tried: bool,
     /// Jobs that are listed for certain.
     pub jobs: BTreeSet<JobId>,
+    /// Jobs that only other shards listed at the failover.
+    prior: BTreeSet<JobId>,
     /// Something may be listed.
     pub stored: bool,
 }
 
+impl AssignmentEntry {
+    /// Jobs that any shard lists, which may run there while nothing else is known.
+    pub fn may_list(&self) -> impl Iterator<Item = &JobId> {
+        self.jobs.iter().chain(&self.prior)
+    }
+}
+
 #[derive(Debug, Default)]
 struct Shard {
     /// Revision of the key; 0: there is none.
@@ -92,8 +63,15 @@
     taken: usize,
     /// A machine that is gone is still listed.
     stale: bool,
+    /// The stored value is larger than the service takes now: it stays as it is until all its
+    /// machines are listed elsewhere.
+    oversized: bool,
+    /// Something found no room at the last look.
+    crowded: bool,
     /// The number of its last write.
     last_write: u64,
+    /// Digest of the stored value, where this leader wrote it.
+    stored: Option<u64>,
 }
 
 #[derive(Debug)]
@@ -103,28 +81,45 @@
     write_count: u64,
     /// Bytes that a value may have.
     value_most: usize,
+    /// The last write that lists starts was rejected.
+    rejected: bool,
 }
 
 /// A write of one shard, and what it lists.
 #[derive(Debug)]
 pub struct ShardWrite {
     shard: u32,
-    machines: Vec<(MachineId, BTreeSet<JobId>)>,
+    machines: Vec<Listed>,
     empty: bool,
+    /// Of the value that is written.
+    digest: u64,
+    /// It deletes an oversized shard whose machines are listed elsewhere.
+    strikes: bool,
+    /// Something found no room in it.
+    crowded: bool,
+}
+
+/// A machine in a write of its shard.
+#[derive(Debug)]
+struct Listed {
+    machine: MachineId,
+    jobs: BTreeSet<JobId>,
+    /// A write before this one may have named it in the same shard.
+    tried: bool,
 }
 
-/// A record under way, and the bytes that it takes at most.
-struct Builder {
-    record: ShardRecord,
-    kinds: HashMap<Kind, usize>,
-    jobs: HashMap<JobId, usize>,
-    places: HashMap<MachineId, usize>,
-    bytes: usize,
+impl Listed {
+    fn nothing(machine: &Machine) -> Self {
+        Self {
+            machine: machine.id.clone(),
+            jobs: BTreeSet::new(),
+            tried: machine.entry.tried,
+        }
+    }
 }
 
-/// Digits, quotes, brackets and commas around a number or a name.
-const NUMBER: usize = 7;
-const NAME: usize = 4;
+/// Numbers that new shards take first.
+const SMALL_NUMBERS: u32 = 1000;
 /// What a machine is expected to take, alone and for each of its CPUs.
 const SHARE: usize = 32;
 const SHARE_PER_CPU: f64 = 8.0;
@@ -133,78 +128,29 @@
     SHARE + (machine.size.cpus.max(0.0) * SHARE_PER_CPU) as usize
 }
 
-impl Builder {
-    fn new() -> Self {
-        Self {
-            record: ShardRecord::default(),
-            kinds: HashMap::new(),
-            jobs: HashMap::new(),
-            places: HashMap::new(),
-            bytes: 64,
-        }
-    }
-
-    /// Lists a job with a machine, unless that would make the value larger than
-    /// `most`.
-    fn list(&mut self, machine: &Machine, job: &JobId, most: usize) -> bool {
-        let kind = (
-            machine.machine_type.clone(),
-            machine.zone.clone(),
-            machine.spot,
-        );
-        let mut bytes = NUMBER;
-        if !self.jobs.contains_key(job) {
-            bytes += job.as_str().len() + NAME;
-        }
-        if !self.kinds.contains_key(&kind) {
-            bytes += kind.0.len() + kind.1.len() + 3 * NAME;
-        }
-        if !self.places.contains_key(&machine.id) {
-            bytes += machine.id.len() + NAME + 2 * NUMBER;
-        }
-        if self.bytes + bytes > most {
-            return false;
-        }
-        self.bytes += bytes;
-        let record = &mut self.record;
-        let kind = *self.kinds.entry(kind).or_insert_with_key(|kind| {
-            record.kinds.push(kind.clone());
-            record.kinds.len() - 1
-        });
-        let job = *self.jobs.entry(job.clone()).or_insert_with_key(|job| {
-            record.jobs.push(job.clone());
-            record.jobs.len() - 1
-        });
-        let id = &machine.id;
-        let place = *self.places.entry(id.clone()).or_insert_with(|| {
-            record.machines.push((id.clone(), kind, Vec::new()));
-            record.machines.len() - 1
-        });
-        record.machines[place].2.push(job);
-        true
-    }
-}
-
 impl AssignmentIndex {
     pub fn new(value_most: usize) -> Self {
         Self {
             shards: BTreeMap::new(),
             write_count: 0,
             value_most,
+            rejected: false,
         }
     }
 
+    /// Values may be no larger from now on.
+    pub fn limit_values(&mut self, value_most: usize) {
+        self.value_most = self.value_most.min(value_most);
+    }
+
     /// The machine does not exist any more.
     pub fn remove_machine(&mut self, machine: &Machine) {
-        if let Some(shard) = machine
-            .assignment
-            .shard
-            .and_then(|s| self.shards.get_mut(&s))
-        {
+        if let Some(shard) = machine.assignment.shard.and_then(|s| self.shards.get_mut(&s)) {
             if shard.members.remove(&machine.id) {
                 shard.taken = shard.taken.saturating_sub(share(machine));
             }
             shard.stale |= machine.assignment.stored;
+            shard.crowded = false;
         }
     }
 
@@ -226,21 +172,55 @@
             // A write that is applied late fails once the next one is in.
             shard.unsure = false;
             shard.version = version;
+            shard.oversized &= version != 0;
         }
     }
 
+    /// An oversized shard lists the machine, and its own one does not yet.
+    fn moves(&self, entry: &AssignmentEntry) -> bool {
+        let listed_in = entry.listed_in.and_then(|id| self.shards.get(&id));
+        listed_in.is_some_and(|shard| shard.oversized)
+    }
+
+    /// The key of the oversized shard that is read last, if there is any.
+    fn last_oversized(&self) -> Option<String> {
+        let oversized = self.shards.iter().filter(|(_, shard)| shard.oversized);
+        oversized.map(|(id, _)| id.to_string()).max()
+    }
+
+    /// A number that no shard has, and whose key comes after `last` in the order of keys.
+    fn new_number(&self, last: Option<&str>) -> u32 {
+        let after = |id: &u32| last.is_none_or(|last| *id.to_string() > *last);
+        let free = |id: &u32| !self.shards.contains_key(id) && after(id);
+        // Any number that begins with the digits of the last one comes after it.
+        let longer = (1..u32::MAX.ilog10()).filter_map(|digits| {
+            let first: u32 = last?.parse().ok()?;
+            let scale = 10_u32.checked_pow(digits)?;
+            let end = first.checked_add(1)?.checked_mul(scale)?;
+            Some(first * scale..end)
+        });
+        let small = 0..SMALL_NUMBERS;
+        let mut numbers = small.chain(longer.flatten());
+        numbers.find(free).unwrap_or(u32::MAX)
+    }
+
     /// The shard for one more machine: the emptiest that has room left.
     fn shard_for(&mut self, machine: &Machine) -> u32 {
         let room = self.value_most / 4 * 3;
+        // A version that does not know of oversized shards believes the shard that it reads
+        // last, so that has to be the one that is written.
+        let last = self.last_oversized();
+        let after = |id: u32| last.as_ref().is_none_or(|last| id.to_string() > *last);
         let chosen = self
             .shards
             .iter()
+            .filter(|(id, shard)| !shard.oversized && !shard.crowded && after(**id))
             .map(|(id, shard)| (shard.taken, *id))
             .filter(|(taken, _)| taken + share(machine) <= room)
             .min();
         let id = match chosen {
             Some((_, id)) => id,
-            None => (0..).find(|id| !self.shards.contains_key(id)).unwrap_or(0),
+            None => self.new_number(last.as_deref()),
         };
         self.shards.entry(id).or_default().join(machine);
         id
@@ -253,6 +233,12 @@
             self.taken += share(machine);
         }
     }
+
+    fn leave(&mut self, machine: &MachineId, share: usize) {
+        if self.members.remove(machine) {
+            self.taken = self.taken.saturating_sub(share);
+        }
+    }
 }
 
 impl ClusterState {
@@ -260,6 +246,7 @@
     pub fn load_shard(&mut self, id: u32, record: &ShardRecord, version: u64, now: Duration) {
         let mut shard = Shard {
             version,
+            oversized: encoded_len(record) > self.assignment_index.value_most,
             ..Shard::default()
         };
         for found in record.machines() {
@@ -271,13 +258,27 @@
                 jobs,
             } = found;
             let machine = self.ensure_machine(&name, &machine_type, &zone, spot, now);
-            shard.join(machine);
             machine.unresolved = true;
+            // A leader ended before it had struck the machine off another shard. The one that
+            // is read last was written last; what the others list may run there, too.
+            let earlier = std::mem::take(&mut machine.entry);
+            let prior: BTreeSet<JobId> = earlier.may_list().cloned().collect();
             machine.assignment = AssignmentEntry {
-                shard: Some(id),
+                shard: (!shard.oversized).then_some(id),
+                listed_in: Some(id),
+                tried: false,
+                prior: prior.difference(&jobs).cloned().collect(),
                 jobs,
                 stored: true,
             };
+            if !shard.oversized {
+                shard.join(machine);
+            }
+            let share = share(machine);
+            let other = earlier.shard.filter(|other| *other != id);
+            if let Some(other) = other.and_then(|other| self.assignment_index.shards.get_mut(&other)) {
+                other.leave(&name, share);
+            }
         }
         self.assignment_index.shards.insert(id, shard);
     }
@@ -292,13 +293,29 @@
         let due = self.due_shards(urgent);
         let (mut listings, mut conditions, mut changes) = (Vec::new(), Vec::new(), Vec::new());
         // Two values of full size leave room in one transaction for the rest.
-        for id in due.into_iter().take(changes_most.min(2)) {
+        let most = changes_most.min(2);
+        for id in due {
+            if listings.len() == most {
+                break;
+            }
             let (listing, record) = self.list_shard(id);
-            let shard = self.assignment_index.shards.get_mut(&id)?;
-            shard.stale = false;
+            let too_large = encoded_len(&record) > self.assignment_index.value_most;
             self.assignment_index.write_count += 1;
+            let shard = self.assignment_index.shards.get_mut(&id)?;
             shard.last_write = self.assignment_index.write_count;
+            shard.crowded = listing.crowded;
+            if too_large {
+                self.outgrown(id);
+                continue;
+            }
+            if !shard.stale && !listing.strikes && shard.stored == Some(listing.digest) {
+                self.leave_crowded(&listing);
+                continue;
+            }
+            shard.stale = false;
             if listing.empty && shard.version == 0 {
+                shard.oversized = false;
+                self.nothing_listed(&listing);
                 continue;
             }
             shard.writing = true;
@@ -308,19 +325,105 @@
                 true => delete(key),
                 false => put(key, &record),
             });
-            for (machine, jobs) in &listing.machines {
-                if let Some(machine) = self.machines.get_mut(machine) {
-                    // Until the answer only what is listed before and after counts:
-                    // a start for a job that this write drops must not go out.
-                    machine.assignment.jobs.retain(|id| jobs.contains(id));
-                    machine.assignment.stored |= !jobs.is_empty();
-                }
-            }
+            self.listing_sent(&listing);
             listings.push(listing);
         }
         (!listings.is_empty()).then_some((listings, conditions, changes))
     }
 
+    /// A write is under way. Until its answer only what is listed before and after counts: a
+    /// start for a job that this write drops must not go out.
+    fn listing_sent(&mut self, listing: &ShardWrite) {
+        for listed in &listing.machines {
+            let Some(machine) = self.machines.get_mut(&listed.machine) else {
+                continue;
+            };
+            let entry = &mut machine.entry;
+            if !listing.strikes && listed.jobs.is_empty() && self.assignment_index.moves(entry) {
+                // It found no room, and what lists it now stays.
+                continue;
+            }
+            entry.jobs.retain(|id| listed.jobs.contains(id));
+            entry.stored |= !listed.jobs.is_empty();
+            entry.tried |= !listed.jobs.is_empty();
+        }
+    }
+
+    /// Nothing is stored of a shard that lists nothing.
+    fn nothing_listed(&mut self, listing: &ShardWrite) {
+        for listed in &listing.machines {
+            let Some(machine) = self.machines.get_mut(&listed.machine) else {
+                continue;
+            };
+            if !self.assignment_index.moves(&machine.entry) {
+                machine.assignment.stored = false;
+            }
+        }
+    }
+
+    /// What a shard has to list is more than a value may hold: its machines go to new ones.
+    fn outgrown(&mut self, id: u32) {
+        let Some(shard) = self.assignment_index.shards.get_mut(&id) else {
+            return;
+        };
+        info!(shard = id, machines = shard.members.len(), "shard split");
+        shard.oversized = true;
+        shard.taken = 0;
+        for name in std::mem::take(&mut shard.members) {
+            let machine = self.machines.get_mut(&name);
+            if let Some(machine) = machine.filter(|m| m.assignment.shard == Some(id)) {
+                machine.assignment.shard = None;
+                machine.entry.tried = false;
+            }
+        }
+    }
+
+    /// Machines that found no room in a shard that others fill look for another one.
+    fn leave_crowded(&mut self, listing: &ShardWrite) {
+        if !listing.crowded || listing.empty {
+            return;
+        }
+        for listed in listing.machines.iter().filter(|l| l.jobs.is_empty()) {
+            let Some(machine) = self.machines.get_mut(&listed.machine) else {
+                continue;
+            };
+            let own = machine.entry.listed_in == Some(listing.shard);
+            if own || machine.entry.tried || machine.assignment.shard != Some(listing.shard) {
+                continue;
+            }
+            machine.assignment.shard = None;
+            let share = share(machine);
+            if let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) {
+                shard.leave(&listed.machine, share);
+                shard.crowded = true;
+            }
+        }
+    }
+
+    /// An oversized shard is deleted once no machine may hold what only it lists.
+    fn struck_shards(&self) -> Vec<u32> {
+        let oversized = self.assignment_index.shards.iter().filter(|(_, s)| s.oversized);
+        let mut struck: BTreeSet<u32> = oversized.map(|(id, _)| *id).collect();
+        if struck.is_empty() {
+            return Vec::new();
+        }
+        for machine in self.machines.values() {
+            if let Some(id) = machine.entry.listed_in
+                && struck.contains(&id)
+                && !Self::may_hold(machine).is_empty()
+            {
+                struck.remove(&id);
+            }
+        }
+        struck.into_iter().collect()
+    }
+
+    /// Starts wait because the state service rejects what would list them: more machines
+    /// would be of no use.
+    pub(super) fn starts_rejected(&self) -> bool {
+        self.assignment_index.rejected && self.machines.values().any(Machine::unlisted)
+    }
+
     /// Shards that have to be written, the one whose last write is longest ago first.
     ///
     /// In the order of their numbers, the first ones were due again before the last
@@ -335,10 +438,12 @@
                 true => m.standing == Standing::Up && m.fenced && m.unlisted(),
                 // They get no more tasks, and a next leader need not wait for them.
                 false => {
-                    matches!(m.standing, Standing::Leaving | Standing::Lost)
+                    let moves = self.assignment_index.moves(&m.entry);
+                    let leaves = matches!(m.standing, Standing::Leaving | Standing::Lost)
                         && m.assignment.stored
                         && m.tasks.is_empty()
-                        && !m.unresolved
+                        && !m.unresolved;
+                    (leaves && !moves) || (moves && self.may_move(m))
                 }
             })
             .map(|m| m.id.clone())
@@ -356,6 +461,8 @@
         if !urgent {
             let stale = self.assignment_index.shards.iter().filter(|(_, s)| s.stale);
             due.extend(stale.map(|(id, _)| *id));
+            due.retain(|id| !self.assignment_index.shards[id].oversized);
+            due.extend(self.struck_shards());
         }
         let shards = &self.assignment_index.shards;
         due.retain(|id| shards.get(id).is_some_and(|s| !s.writing && !s.unsure));
@@ -364,8 +471,35 @@
         due
     }
 
+    /// Something may run there, and there may be room in a shard to list it.
+    fn may_move(&self, machine: &Machine) -> bool {
+        let own = machine
+            .assignment
+            .shard
+            .and_then(|id| self.assignment_index.shards.get(&id));
+        !own.is_some_and(|shard| shard.crowded) && !Self::may_hold(machine).is_empty()
+    }
+
+    /// The deletion of an oversized shard: it lists nothing any more.
+    fn strike_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
+        let machines = self.machines.values();
+        let listed = machines.filter(|m| m.entry.listed_in == Some(id));
+        let listing = ShardWrite {
+            shard: id,
+            machines: listed.map(Listed::nothing).collect(),
+            empty: true,
+            digest: 0,
+            strikes: true,
+            crowded: false,
+        };
+        (listing, ShardRecord::default())
+    }
+
     /// What a shard is to say now.
     fn list_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
+        if self.assignment_index.shards[&id].oversized {
+            return self.strike_shard(id);
+        }
         let mut builder = Builder::new();
         let members: Vec<&Machine> = self.assignment_index.shards[&id]
             .members
@@ -373,31 +507,49 @@
             .filter_map(|name| self.machines.get(name))
             .filter(|m| m.assignment.shard == Some(id))
             .collect();
-        let mut machines: Vec<(MachineId, BTreeSet<JobId>)> = Vec::new();
+        let mut machines: Vec<Listed> = members.iter().map(|m| Listed::nothing(m)).collect();
         let mut new: Vec<(usize, JobId)> = Vec::new();
-        for machine in &members {
-            let mut jobs = BTreeSet::new();
-            for job in Self::may_hold(machine) {
+        let mut moving: Vec<(usize, BTreeSet<JobId>)> = Vec::new();
+        for (place, machine) in members.iter().enumerate() {
+            let listed = |job: &JobId| machine.assignment.jobs.contains(job);
+            let (kept, added): (BTreeSet<JobId>, BTreeSet<JobId>) =
+                Self::may_hold(machine).into_iter().partition(listed);
+            if self.assignment_index.moves(&machine.entry) {
+                moving.push((place, kept));
+            } else {
                 // What is listed already may run there: it stays, come what may.
-                if machine.assignment.jobs.contains(&job) {
-                    builder.list(machine, &job, usize::MAX);
-                    jobs.insert(job);
-                } else {
-                    new.push((machines.len(), job));
+                for job in &kept {
+                    builder.list(machine, job, usize::MAX);
                 }
+                machines[place].jobs = kept;
+            }
+            new.extend(added.into_iter().map(|job| (place, job)));
+        }
+        // All that may run on a machine is listed at once, or it stays where it is.
+        let most = self.assignment_index.value_most;
+        let mut stays = BTreeSet::new();
+        for (place, jobs) in moving {
+            match builder.list_all(members[place], &jobs, most) {
+                true => machines[place].jobs = jobs,
+                false => drop(stays.insert(place)),
             }
-            machines.push((machine.id.clone(), jobs));
         }
         // One that finds no room any more waits until others are struck off.
+        let mut crowded = !stays.is_empty();
         for (place, job) in new {
-            if builder.list(members[place], &job, self.assignment_index.value_most) {
-                machines[place].1.insert(job);
+            if !stays.contains(&place) && builder.list(members[place], &job, most) {
+                machines[place].jobs.insert(job);
+            } else {
+                crowded = true;
             }
         }
         let listing = ShardWrite {
             shard: id,
             machines,
-            empty: builder.record.machines.is_empty(),
+            empty: builder.record.is_empty(),
+            digest: digest(&builder.record),
+            strikes: false,
+            crowded,
         };
         (listing, builder.record)
     }
@@ -408,46 +560,8 @@
         let mut jobs: BTreeSet<JobId> = machine.tasks.keys().map(|(t, _)| t.job.clone()).collect();
         if machine.unresolved {
             // Its tasks are not known yet; the previous leader's list stands.
-            jobs.extend(machine.assignment.jobs.iter().cloned());
+            jobs.extend(machine.entry.may_list().cloned());
         }
         jobs
     }
-
-    pub fn assignment_index_written(&mut self, listings: Vec<ShardWrite>, reply: &StateReply) {
-        if self.closed_priority.is_some() && matches!(reply, StateReply::Committed { .. }) {
-            // Nothing else may happen that brings the parked back to the heap.
-            self.requeue();
-        }
-        for listing in listings {
-            let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) else {
-                continue;
-            };
-            shard.writing = false;
-            let revision = match reply {
-                StateReply::Committed { revision } => *revision,
-                // It changed nothing and never will.
-                StateReply::Refused { .. } => {
-                    shard.stale = true;
-                    continue;
-                }
-                // It may have been executed, or may be later.
-                _ => {
-                    shard.unsure = true;
-                    shard.stale = true;
-                    continue;
-                }
-            };
-            shard.version = if listing.empty { 0 } else { revision };
-            for (id, jobs) in listing.machines {
-                match self.machines.get_mut(&id) {
-                    // One that came back after it was gone is no member any more.
-                    Some(machine) if machine.assignment.shard == Some(listing.shard) => {
-                        machine.assignment.stored = !jobs.is_empty();
-                        machine.assignment.jobs = jobs;
-                    }
-                    _ => shard.stale |= !jobs.is_empty(),
-                }
-            }
-        }
-    }
 }
--- /dev/null
+++ b/src/core/calls.rs
@@ -0,0 +1,79 @@
+//! Calls to other services, and what waits for their answers.
+
+use std::time::Duration;
+
+use super::{
+    CallId, Node, Output, Purpose, STATE_TIMEOUT,
+    provisioning::CloudRequest,
+    limits::WriteSize,
+    store::{StateReply, StateRequest},
+};
+
+/// A call that waits for its answer.
+#[derive(Debug)]
+pub(super) struct Call {
+    pub(super) purpose: Purpose,
+    /// How large it is, where it changes what is stored.
+    pub(super) write: Option<WriteSize>,
+}
+
+impl From<Purpose> for Call {
+    fn from(purpose: Purpose) -> Self {
+        let write = None;
+        Self { purpose, write }
+    }
+}
+
+impl Node {
+    pub(super) fn call(&mut self, purpose: Purpose, request: StateRequest) {
+        let timeout = match &request {
+            StateRequest::Watch { wait, .. } => *wait + STATE_TIMEOUT,
+            _ => STATE_TIMEOUT,
+        };
+        self.call_within(timeout, purpose, request);
+    }
+
+    pub(super) fn call_within(
+        &mut self,
+        timeout: Duration,
+        purpose: Purpose,
+        request: StateRequest,
+    ) {
+        self.next_call += 1;
+        let write = WriteSize::of(&request);
+        self.calls.insert(self.next_call, Call { purpose, write });
+        self.out.push(Output::State {
+            call: self.next_call,
+            request,
+            timeout,
+        });
+    }
+
+    pub(super) fn call_cloud(&mut self, request: CloudRequest) {
+        self.next_call += 1;
+        self.calls
+            .insert(self.next_call, Purpose::Cloud(request.clone()).into());
+        self.out.push(Output::Cloud {
+            call: self.next_call,
+            request,
+        });
+    }
+
+    /// Why a call was made whose answer has come.
+    pub(super) fn purpose_of(&mut self, call: CallId) -> Option<Purpose> {
+        self.calls.remove(&call).map(|call| call.purpose)
+    }
+
+    /// What an answer to a write teaches of the limits, before anything follows from it.
+    pub(super) fn write_answered(&mut self, write: Option<&WriteSize>, reply: &StateReply) {
+        let now = self.now();
+        match (write, reply) {
+            (Some(size), StateReply::Rejected) => {
+                let lowered = self.limits.rejected(size, now);
+                self.write_queue.rejected(lowered);
+            }
+            (Some(_), StateReply::Refused { limited: true, .. }) => self.write_queue.limited(now),
+            _ => {}
+        }
+    }
+}
--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -10,23 +10,23 @@
 
 pub use super::active_job::{Job, Slot};
 use super::{
-    admission::StartRate,
-    assignment_index::{AssignmentIndex, ShardRecord},
     config::Config,
     drain::Progress,
+    provisioning::Provisioning,
+    admission::StartRate,
     handover::HandoverSnapshot,
     job::{JobId, Kind, TaskId},
     machine::{
-        Command, ExitReason, Machine, MachineId, MachineType, Phase, Placement, Standing, Stop,
-        TaskPhase, WorkerReport,
+        Command, Machine, MachineId, MachineType, Phase, Placement, Standing, Stop, TaskPhase, ExitReason,
+        WorkerReport,
     },
     membership::reachability::Reachability,
-    provisioning::Provisioning,
+    state_cache::LiveJob,
     queue::Queue,
-    reconciliation::Reconciler,
-    results::Results,
     scale_out::arrivals::Arrivals,
-    state_cache::LiveJob,
+    results::Results,
+    assignment_index::{AssignmentIndex, ShardRecord},
+    reconciliation::Reconciler,
     store::progress_key,
 };
 use kiteyard_maintenance::{
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -14,6 +14,8 @@
 /// one in so many, and so do the followers' watches.
 const PROOF_SHARE: f64 = 6.0;
 const WATCH_SHARE: f64 = 5.0;
+/// Of the changes that the state service takes, the leader plans with so many.
+const WRITE_SHARE: f64 = 0.9;
 /// A round looks at every machine. It takes the same part of the processor however
 /// many there are: for each this time of a whole core, and a larger share of one
 /// allows for more rounds.
@@ -94,8 +96,11 @@
     pub watch_every: Duration,
     /// Changes a second for everything, users' submissions first.
     pub writes: f64,
+    /// The same once the state service's limits have fallen, where that is to come.
+    pub writes_next: Option<f64>,
+    /// Changes in a transaction, now and once the limits have fallen.
     pub txn_ops: usize,
-    /// Bytes that a stored value may have.
+    /// Bytes that a stored value may have, now and once the limits have fallen.
     pub value_most: usize,
     pub cloud_every: Duration,
     pub list_lag: Duration,
@@ -122,6 +127,7 @@
         let params = &settings.params;
         let workers = &params.workers;
         let nodes = settings.nodes();
+        let next_writes = params.state.next.as_ref().and_then(|next| next.write_rps);
         let leader_ttl = workers.left_to_cancel().min(TTL_MOST);
         Self {
             node: settings.node.clone(),
@@ -151,9 +157,10 @@
             renew_every: (leader_ttl / 8).min(Duration::from_millis(1500)),
             sync_every: seconds(PROOF_SHARE * nodes as f64 / params.state.rps),
             watch_every: seconds(WATCH_SHARE * nodes as f64 / params.state.rps),
-            writes: params.state.write_rps * 0.9,
-            txn_ops: params.state.txn_ops,
-            value_most: (params.state.value_kb * 1024.0) as usize,
+            writes: params.state.write_rps * WRITE_SHARE,
+            writes_next: next_writes.map(|rate| rate * WRITE_SHARE),
+            txn_ops: params.state.lowest_txn_ops(),
+            value_most: (params.state.lowest_value_kb() * 1024.0) as usize,
             // Nearly all calls are the leader's; the rest is for lists of types.
             cloud_every: seconds(1.25 / params.cloud.rps),
             wall_error: seconds(params.time_bound_ms / 1000.0),
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -9,9 +9,9 @@
 use tracing::{debug, info};
 
 use super::{
-    cluster::{ClusterState, Job},
     job::{JobId, Kind, TaskId},
-    machine::{ExitReason, MachineId, Phase, Placement, Stop, TaskPhase},
+    cluster::{Job, ClusterState},
+    machine::{MachineId, Phase, Placement, Stop, TaskPhase, ExitReason},
 };
 
 /// A job that failed on so many machines, and nowhere else was done, is at fault.
--- a/src/core/images.rs
+++ b/src/core/images.rs
@@ -4,8 +4,8 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use super::{
-    cluster::ClusterState,
     job::{JobSpec, Kind},
+    cluster::ClusterState,
     machine::{Machine, MachineId, MachineType},
 };
 
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -161,7 +161,7 @@
 
     /// The whole list is one value of the state service.
     fn too_long(&self, drains: &Drains) -> Option<String> {
-        let most = self.config.value_most.min(TRANSACTION_BYTES);
+        let most = self.limits.value_bytes.min(TRANSACTION_BYTES);
         let bytes = serde_json::to_vec(drains).map_or(usize::MAX, |text| text.len());
         let machines = drains.machines.len();
         (bytes > most).then(|| {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,46 +1,48 @@
 //! The service as a state machine: inputs go in, and what to send, write and
 //! answer comes out. Nothing here reads a clock or touches a socket.
 
+pub mod partitioned_zones;
 pub mod active_job;
-pub mod admission;
-pub mod assignment_index;
-mod capacity_snapshot;
-pub mod cluster;
+mod calls;
 pub mod commands;
 pub mod config;
-pub mod consolidation;
-pub mod deadline_ordering;
 pub mod dependencies;
+pub mod consolidation;
 pub mod drain;
-pub mod election;
 pub mod failures;
+pub mod terminal_states;
+pub mod provisioning;
+pub mod admission;
+pub mod user_requests;
 pub mod handover;
-pub mod heartbeat;
-pub mod heartbeat_forwarding;
-pub mod image_locality;
 pub mod images;
 pub mod job;
-pub mod licences;
+pub mod election;
+pub mod cluster;
+pub mod limits;
 pub mod machine;
 pub mod maintenance;
 pub mod membership;
 pub mod migrate;
-pub mod partitioned_zones;
-pub mod provisioning;
+pub mod state_cache;
+pub mod image_locality;
+pub mod deadline_ordering;
+pub mod heartbeat;
 pub mod queue;
-pub mod reconciliation;
+pub mod heartbeat_forwarding;
+mod scale_out;
 pub mod results;
 pub mod rollout;
-mod scale_out;
+mod capacity_snapshot;
+pub mod assignment_index;
+pub mod write_queue;
 pub mod scheduling;
-pub mod state_cache;
-pub mod store;
+pub mod licences;
 pub mod stored_heartbeat;
-pub mod terminal_states;
 pub mod unresponsive;
-pub mod user_requests;
+pub mod reconciliation;
+pub mod store;
 mod watch;
-pub mod write_queue;
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -49,19 +51,21 @@
 };
 
 use serde::{Deserialize, Serialize};
+use tracing::warn;
 
-use cluster::{ClusterState, Direct};
+use calls::Call;
 use config::Config;
+use provisioning::{CloudReply, CloudRequest};
+use user_requests::{UserRequests, Question};
+use job::{TerminalRecord, JobId, JobSpec, JobState};
 use election::Election;
-use heartbeat_forwarding::{ForwardedHeartbeats, PeerMessage};
-use job::{JobId, JobSpec, JobState, TerminalRecord};
-use licences::LicenceView;
-use machine::{Command, DirectReply, WorkerReport};
+use cluster::{Direct, ClusterState};
+use machine::{Command, DirectReply, MachineType, WorkerReport};
 use membership::{Membership, reachability::HeartbeatPath};
-use provisioning::{CloudReply, CloudRequest};
 use state_cache::StateCache;
+use heartbeat_forwarding::{PeerMessage, ForwardedHeartbeats};
+use licences::LicenceView;
 use store::{StateReply, StateRequest};
-use user_requests::{Question, UserRequests};
 
 /// Time as a step sees it.
 #[derive(Debug, Clone, Copy)]
@@ -303,7 +307,8 @@
     clock: Clock,
     out: Vec<Output>,
     next_call: CallId,
-    calls: HashMap<CallId, Purpose>,
+    calls: HashMap<CallId, Call>,
+    limits: limits::WriteLimits,
     cache: StateCache,
     loading: bool,
     retry_load: Duration,
@@ -337,6 +342,7 @@
         let config = Arc::new(config);
         Self {
             write_queue: write_queue::WriteQueue::new(&config),
+            limits: limits::WriteLimits::new(&config),
             rollout: rollout::Rollout::new(config.options.rollout.as_deref()),
             partitioned_zones: partitioned_zones::PartitionedZones::default(),
             maintenance: maintenance::Maintenance::default(),
@@ -391,17 +397,18 @@
             Input::Retire => self.retire(),
             Input::Report { request, report } => self.report(request, report),
             Input::State { call, reply } => {
-                if let Some(purpose) = self.calls.remove(&call) {
-                    self.state_reply(purpose, reply);
+                if let Some(call) = self.calls.remove(&call) {
+                    self.write_answered(call.write.as_ref(), &reply);
+                    self.state_reply(call.purpose, reply);
                 }
             }
             Input::Cloud { call, reply } => {
-                if let Some(Purpose::Cloud(request)) = self.calls.remove(&call) {
+                if let Some(Purpose::Cloud(request)) = self.purpose_of(call) {
                     self.cloud_reply(&request, reply);
                 }
             }
             Input::Direct { call, reply } => {
-                if let Some(Purpose::Direct(direct)) = self.calls.remove(&call) {
+                if let Some(Purpose::Direct(direct)) = self.purpose_of(call) {
                     self.direct_reply(&direct, reply);
                 }
             }
@@ -438,34 +445,6 @@
         self.out.push(Output::Answer { request, answer });
     }
 
-    fn call(&mut self, purpose: Purpose, request: StateRequest) {
-        let timeout = match &request {
-            StateRequest::Watch { wait, .. } => *wait + STATE_TIMEOUT,
-            _ => STATE_TIMEOUT,
-        };
-        self.call_within(timeout, purpose, request);
-    }
-
-    fn call_within(&mut self, timeout: Duration, purpose: Purpose, request: StateRequest) {
-        self.next_call += 1;
-        self.calls.insert(self.next_call, purpose);
-        self.out.push(Output::State {
-            call: self.next_call,
-            request,
-            timeout,
-        });
-    }
-
-    fn call_cloud(&mut self, request: CloudRequest) {
-        self.next_call += 1;
-        self.calls
-            .insert(self.next_call, Purpose::Cloud(request.clone()));
-        self.out.push(Output::Cloud {
-            call: self.next_call,
-            request,
-        });
-    }
-
     /// Whatever is due now.
     fn drive(&mut self) {
         self.drive_watch();
@@ -516,7 +495,8 @@
         for direct in directs {
             self.next_call += 1;
             let call = self.next_call;
-            self.calls.insert(call, Purpose::Direct(direct.clone()));
+            self.calls
+                .insert(call, Purpose::Direct(direct.clone()).into());
             self.out.push(Output::Direct { call, direct });
         }
         if let Some(request) = cloud {
@@ -557,21 +537,28 @@
         }
     }
 
+    /// Stores the machine types; where they are too large for that, this process keeps them.
+    fn store_types(&mut self, types: &[MachineType]) {
+        let (bytes, most) = (store::encoded_len(&types), self.limits.value_bytes);
+        if bytes > most {
+            warn!(bytes, most, "machine types are not stored: too large");
+            self.cache.types = Some(Arc::new(types.to_vec()));
+            return;
+        }
+        let request = StateRequest::Txn {
+            conditions: vec![store::when(store::TYPES, 0)],
+            changes: vec![store::put(store::TYPES, &types)],
+        };
+        self.call(Purpose::StoreTypes, request);
+    }
+
     fn cloud_reply(&mut self, request: &CloudRequest, reply: CloudReply) {
         let now = self.now();
         if let CloudRequest::Types = request {
             self.types_call = false;
             self.retry_types = now + Duration::from_secs(2);
             if let (CloudReply::Types(types), None) = (&reply, &self.cache.types) {
-                let changes = vec![store::put(store::TYPES, types)];
-                let conditions = vec![store::when(store::TYPES, 0)];
-                self.call(
-                    Purpose::StoreTypes,
-                    StateRequest::Txn {
-                        conditions,
-                        changes,
-                    },
-                );
+                self.store_types(types);
             }
         }
         if let Some(cluster) = &mut self.cluster
@@ -610,7 +597,11 @@
                 renewed,
                 asked,
             } => self.verified(claim, renewed, asked, reply),
-            Purpose::Claim { lease, sent, prior } => self.claimed(lease, sent, prior, reply),
+            Purpose::Claim {
+                lease,
+                sent,
+                prior,
+            } => self.claimed(lease, sent, prior, reply),
             Purpose::Probe => self.probed(&reply),
             Purpose::StoredHeartbeat => self.heartbeat_stored(),
             Purpose::StoreSettledClaim => self.settled_claim_stored(),
--- /dev/null
+++ b/src/core/roster/answers.rs
@@ -0,0 +1,101 @@
+//! What becomes of the assignment index's writes: what is listed for certain after each answer.
+
+use tracing::info;
+
+use super::{ClusterState, ShardWrite, StateReply};
+
+impl ClusterState {
+    pub fn assignment_index_written(&mut self, listings: Vec<ShardWrite>, reply: &StateReply) {
+        if self.closed_priority.is_some() && matches!(reply, StateReply::Committed { .. }) {
+            // Nothing else may happen that brings the parked back to the heap.
+            self.requeue();
+        }
+        let lists = listings.iter().any(|listing| !listing.empty);
+        match reply {
+            StateReply::Rejected if lists => self.pause_rentals(true),
+            StateReply::Committed { .. } => self.pause_rentals(false),
+            _ => {}
+        }
+        for listing in listings {
+            let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) else {
+                continue;
+            };
+            shard.writing = false;
+            match reply {
+                StateReply::Committed { revision } => {
+                    shard.version = if listing.empty { 0 } else { *revision };
+                    shard.stored = Some(listing.digest);
+                    self.listing_stored(listing);
+                }
+                // It changed nothing and never will.
+                StateReply::Refused { .. } | StateReply::Rejected => {
+                    shard.stale = true;
+                    self.listing_refused(&listing);
+                }
+                // It may have been executed, or may be later.
+                _ => {
+                    shard.unsure = true;
+                    shard.stored = None;
+                    shard.stale = true;
+                }
+            }
+        }
+    }
+
+    fn pause_rentals(&mut self, rejected: bool) {
+        if std::mem::replace(&mut self.assignment_index.rejected, rejected) != rejected {
+            info!(paused = rejected, "rentals for starts that can't be stored");
+        }
+    }
+
+    fn listing_refused(&mut self, listing: &ShardWrite) {
+        for listed in &listing.machines {
+            if let Some(machine) = self.machines.get_mut(&listed.machine)
+                && machine.assignment.shard == Some(listing.shard)
+            {
+                machine.entry.tried = listed.tried;
+            }
+        }
+    }
+
+    fn listing_stored(&mut self, listing: ShardWrite) {
+        if listing.strikes {
+            self.shard_struck(&listing);
+            return;
+        }
+        for listed in &listing.machines {
+            let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) else {
+                return;
+            };
+            match self.machines.get_mut(&listed.machine) {
+                // One that came back after it was gone is no member any more.
+                Some(machine) if machine.assignment.shard == Some(listing.shard) => {
+                    let entry = &mut machine.entry;
+                    entry.tried = false;
+                    if listed.jobs.is_empty() && self.assignment_index.moves(entry) {
+                        continue;
+                    }
+                    entry.stored = !listed.jobs.is_empty();
+                    entry.listed_in = entry.stored.then_some(listing.shard);
+                    entry.jobs = listed.jobs.clone();
+                }
+                _ => shard.stale |= !listed.jobs.is_empty(),
+            }
+        }
+        self.leave_crowded(&listing);
+    }
+
+    /// An oversized shard is deleted.
+    fn shard_struck(&mut self, listing: &ShardWrite) {
+        if let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) {
+            (shard.oversized, shard.stale) = (false, false);
+        }
+        for listed in &listing.machines {
+            let machine = self.machines.get_mut(&listed.machine);
+            if let Some(machine) = machine.filter(|m| m.entry.listed_in == Some(listing.shard)) {
+                machine.entry.listed_in = None;
+                machine.assignment.stored = machine.entry.tried;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/core/roster/record.rs
@@ -0,0 +1,156 @@
+//! What one shard of the assignment index says, as stored, and how it is put together.
+
+use std::{
+    collections::{BTreeSet, HashMap},
+    hash::{DefaultHasher, Hash, Hasher},
+    sync::Arc,
+};
+
+use serde::{Deserialize, Serialize};
+
+use crate::core::{
+    job::JobId,
+    machine::{Machine, MachineId},
+};
+
+/// What one key of the assignment index holds. Types, zones and jobs are named once, and
+/// machines refer to them by number.
+#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct ShardRecord {
+    kinds: Vec<Kind>,
+    jobs: Vec<JobId>,
+    machines: Vec<(MachineId, usize, Vec<usize>)>,
+}
+
+/// Machine type, zone, and whether it is a spot machine.
+type Kind = (Arc<str>, Arc<str>, bool);
+
+/// A machine in the assignment index.
+#[derive(Debug, Clone, PartialEq)]
+pub struct AssignedMachine {
+    pub id: MachineId,
+    pub machine_type: Arc<str>,
+    pub zone: Arc<str>,
+    pub spot: bool,
+    pub jobs: BTreeSet<JobId>,
+}
+
+impl ShardRecord {
+    /// A shard as stored, unless anything in it can't be understood: a machine that is
+    /// passed over would be one where nothing can run.
+    pub fn parse(text: &str) -> Option<Self> {
+        let record: Self = serde_json::from_str(text).ok()?;
+        let known = |(_, kind, jobs): &(MachineId, usize, Vec<usize>)| {
+            *kind < record.kinds.len() && jobs.iter().all(|job| *job < record.jobs.len())
+        };
+        record.machines.iter().all(known).then_some(record)
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.machines.is_empty()
+    }
+
+    pub fn machines(&self) -> impl Iterator<Item = AssignedMachine> + '_ {
+        self.machines.iter().filter_map(|(id, kind, jobs)| {
+            let (machine_type, zone, spot) = self.kinds.get(*kind)?.clone();
+            let jobs = jobs.iter().filter_map(|job| self.jobs.get(*job).cloned());
+            Some(AssignedMachine {
+                id: id.clone(),
+                machine_type,
+                zone,
+                spot,
+                jobs: jobs.collect(),
+            })
+        })
+    }
+}
+/// Tells one stored value of a shard from another.
+pub(super) fn digest(record: &ShardRecord) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    serde_json::to_string(record).ok().hash(&mut hasher);
+    hasher.finish()
+}
+
+/// A record under way, and the bytes that it takes at most.
+pub(super) struct Builder {
+    pub(super) record: ShardRecord,
+    kinds: HashMap<Kind, usize>,
+    jobs: HashMap<JobId, usize>,
+    places: HashMap<MachineId, usize>,
+    bytes: usize,
+}
+
+/// Digits, quotes, brackets and commas around a number or a name.
+const NUMBER: usize = 7;
+const NAME: usize = 4;
+
+impl Builder {
+    pub(super) fn new() -> Self {
+        Self {
+            record: ShardRecord::default(),
+            kinds: HashMap::new(),
+            jobs: HashMap::new(),
+            places: HashMap::new(),
+            bytes: 64,
+        }
+    }
+
+    /// Lists all these jobs with a machine, or none where they have no room.
+    pub(super) fn list_all(
+        &mut self,
+        machine: &Machine,
+        jobs: &BTreeSet<JobId>,
+        most: usize,
+    ) -> bool {
+        let names = jobs.iter().filter(|job| !self.jobs.contains_key(*job));
+        let names: usize = names.map(|job| job.as_str().len() + NAME).sum();
+        let kind = machine.machine_type.len() + machine.zone.len() + 3 * NAME;
+        let place = machine.id.len() + NAME + 2 * NUMBER;
+        let fits = self.bytes + names + kind + place + jobs.len() * NUMBER <= most;
+        for job in jobs.iter().filter(|_| fits) {
+            self.list(machine, job, usize::MAX);
+        }
+        fits
+    }
+
+    /// Lists a job with a machine, unless that would make the value larger than
+    /// `most`.
+    pub(super) fn list(&mut self, machine: &Machine, job: &JobId, most: usize) -> bool {
+        let kind = (
+            machine.machine_type.clone(),
+            machine.zone.clone(),
+            machine.spot,
+        );
+        let mut bytes = NUMBER;
+        if !self.jobs.contains_key(job) {
+            bytes += job.as_str().len() + NAME;
+        }
+        if !self.kinds.contains_key(&kind) {
+            bytes += kind.0.len() + kind.1.len() + 3 * NAME;
+        }
+        if !self.places.contains_key(&machine.id) {
+            bytes += machine.id.len() + NAME + 2 * NUMBER;
+        }
+        if self.bytes + bytes > most {
+            return false;
+        }
+        self.bytes += bytes;
+        let record = &mut self.record;
+        let kind = *self.kinds.entry(kind).or_insert_with_key(|kind| {
+            record.kinds.push(kind.clone());
+            record.kinds.len() - 1
+        });
+        let job = *self.jobs.entry(job.clone()).or_insert_with_key(|job| {
+            record.jobs.push(job.clone());
+            record.jobs.len() - 1
+        });
+        let id = &machine.id;
+        let place = *self.places.entry(id.clone()).or_insert_with(|| {
+            record.machines.push((id.clone(), kind, Vec::new()));
+            record.machines.len() - 1
+        });
+        record.machines[place].2.push(job);
+        true
+    }
+}
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -4,9 +4,9 @@
 
 use super::ClusterState;
 use crate::core::{
-    capacity_snapshot::{MachineCapacity, Snapshot, by_zone},
-    cluster::Slot,
     job::{JobId, JobSpec, Resources, TaskId},
+    cluster::Slot,
+    capacity_snapshot::{MachineCapacity, Snapshot, by_zone},
     reconciliation::DeferredAction,
 };
 
@@ -55,9 +55,7 @@
             }
         }
         self.drop_spent(view, id, now);
-        if self.jobs[id].nominations.is_empty()
-            && !self.awaits_capacity(spec, DeferredAction::Preempt)
-        {
+        if self.jobs[id].nominations.is_empty() && !self.awaits_capacity(spec, DeferredAction::Preempt) {
             self.make_room_for_gang(view, id, spec, &tasks, now);
         }
         if self.jobs[id].nominations.is_empty() {
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -80,6 +80,11 @@
     },
 }
 
+/// Bytes that a value takes.
+pub fn encoded_len(value: &impl Serialize) -> usize {
+    serde_json::to_string(value).map_or(usize::MAX, |text| text.len())
+}
+
 pub fn put(key: impl Into<String>, value: &impl Serialize) -> Change {
     put_leased(key, value, None)
 }
@@ -160,6 +165,9 @@
         revision: u64,
     },
     TooOld,
+    /// Not executed, and the same request never will be: it is larger than the service takes
+    /// now, or malformed.
+    Rejected,
     /// Not executed: over a limit of requests, or in an outage.
     Refused {
         retry: Option<Duration>,
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -8,10 +8,12 @@
 
 use super::{
     Answer, Node, Purpose, RequestId,
-    job::{JobId, JobRecord, JobSpec, JobState, Kind, Resources, TerminalRecord},
-    machine::MachineType,
-    store::{GENERATION, StateReply, StateRequest, delete, job_key, put, terminal_key, when},
     terminal_states::{self, KnownRange, Place, Range},
+    job::{TerminalRecord, JobId, JobRecord, JobSpec, JobState, Kind, Resources},
+    machine::MachineType,
+    store::{
+        GENERATION, StateReply, StateRequest, delete, encoded_len, terminal_key, job_key, put, when,
+    },
 };
 
 /// What is to be answered about a job once its state is known for sure.
@@ -109,7 +111,8 @@
             self.queue_question(request, id, Question::Repeat(spec, TRIES));
             return;
         }
-        if let Some(reason) = self.reason_it_never_runs(&spec, &types) {
+        let objection = self.reason_it_never_runs(&spec, &types);
+        if let Some(reason) = objection.or_else(|| self.never_stored(&spec)) {
             self.queue_question(request, id, Question::Reject(reason));
             return;
         }
@@ -265,6 +268,16 @@
         Some(known)
     }
 
+    /// Why a job's record can never be stored, if it can't.
+    fn never_stored(&self, spec: &Arc<JobSpec>) -> Option<String> {
+        let record = JobRecord {
+            spec: spec.clone(),
+            accepted_ms: self.clock.wall_ms,
+        };
+        let (bytes, most) = (encoded_len(&record), self.limits.value_bytes);
+        (bytes > most).then(|| format!("its record has {bytes} bytes, at most {most} are stored"))
+    }
+
     /// Why a job can never run, if it can't.
     fn reason_it_never_runs(&self, spec: &JobSpec, types: &[MachineType]) -> Option<String> {
         let Some(team) = self.config.teams.get(&spec.team) else {
@@ -350,10 +363,7 @@
 
     pub(super) fn drive_proofs(&mut self) {
         let now = self.now();
-        if self.user_requests.unproven.is_empty()
-            || self.user_requests.in_flight
-            || now < self.user_requests.next_sync
-        {
+        if self.user_requests.unproven.is_empty() || self.user_requests.in_flight || now < self.user_requests.next_sync {
             return;
         }
         if !self.cache.loaded {
@@ -458,8 +468,7 @@
         let (cluster, generation) = self.cache.cluster;
         let record = TerminalRecord::cancelled(self.counts(&id).0);
         let ended = [(id.clone(), record)];
-        let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges)
-        else {
+        let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges) else {
             self.read_range(request, id, AfterRangeRead::Cancel);
             return;
         };
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -7,15 +7,16 @@
 
 use super::{
     BACK_OFF, Node, Purpose,
-    assignment_index::ShardWrite,
-    cluster::{ClusterState, Job},
     config::Config,
-    job::{JobId, JobState, TaskSet, TerminalRecord},
+    terminal_states::{self, TerminalStates, Place, Range},
+    job::{TerminalRecord, JobId, JobState, TaskSet},
+    cluster::{Job, ClusterState},
+    limits::WriteRate,
+    assignment_index::ShardWrite,
     store::{
         Change, GENERATION, LEADER, StateReply, StateRequest, delete, job_key, progress_key, put,
         shard_key, when,
     },
-    terminal_states::{self, Place, Range, TerminalStates},
 };
 
 #[derive(Debug)]
@@ -62,7 +63,11 @@
 /// How many writes are out, and what the budget allows.
 #[derive(Debug)]
 pub struct WriteQueue {
+    /// Changes a second, now.
     rate: f64,
+    rates: WriteRate,
+    /// Writes in a row that were rejected and could not be made smaller.
+    stuck: u32,
     allowance: f64,
     refilled: Duration,
     in_flight: u32,
@@ -72,6 +77,8 @@
 }
 
 const IN_FLIGHT: u32 = 6;
+/// How often the pause doubles while a rejected write can't be made smaller.
+const STUCK_DOUBLES: u32 = 4;
 /// Results are stored together with those that follow within this time.
 const GATHER: Duration = Duration::from_millis(1500);
 
@@ -129,7 +136,7 @@
         match reply {
             StateReply::Committed { revision } => job.saved.written(set, chunks, *revision),
             // It changed nothing and never will.
-            StateReply::Refused { .. } => {}
+            StateReply::Refused { .. } | StateReply::Rejected => {}
             _ => job.saved.unclear(chunks),
         }
         if !job.done.chunks_beyond(job.saved.stored()).is_empty() {
@@ -162,6 +169,8 @@
     pub fn new(config: &Config) -> Self {
         Self {
             rate: config.writes,
+            rates: WriteRate::new(config.writes, config.writes_next),
+            stuck: 0,
             allowance: config.writes,
             refilled: Duration::ZERO,
             in_flight: 0,
@@ -177,9 +186,28 @@
     fn refill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = now;
+        self.rate = self.rates.at(now);
         self.allowance = (self.allowance + passed * self.rate).min(self.rate);
     }
 
+    /// A write was refused for the rate.
+    pub fn limited(&mut self, now: Duration) {
+        self.rates.limited(now);
+    }
+
+    /// A write was rejected; it will be made smaller, or can't be.
+    pub fn rejected(&mut self, smaller: bool) {
+        self.stuck = match smaller {
+            true => 0,
+            false => self.stuck + 1,
+        };
+    }
+
+    /// How long writes pause after one that failed.
+    fn pause(&self) -> Duration {
+        BACK_OFF * 2_u32.pow(self.stuck.min(STUCK_DOUBLES))
+    }
+
     /// There is room beside what has to be written.
     pub fn has_spare_budget(&self) -> bool {
         self.allowance > self.rate / 4.0
@@ -203,6 +231,9 @@
         let now = self.now();
         self.write_queue.refill(now);
         self.write_queue.has_news = false;
+        if let Some(cluster) = &mut self.cluster {
+            cluster.assignment_index.limit_values(self.limits.value_bytes);
+        }
         while self.write_queue.in_flight < IN_FLIGHT && now >= self.write_queue.retry {
             // One change has to be affordable; a larger transaction borrows.
             if self.write_queue.allowance < 1.0 {
@@ -233,10 +264,7 @@
 
     /// Reads one shard of the assignment index again whose write was not answered.
     fn reread_shard(&mut self, claim: u64) -> bool {
-        let unsure = self
-            .cluster
-            .as_mut()
-            .and_then(|l| l.assignment_index.unsure());
+        let unsure = self.cluster.as_mut().and_then(|l| l.assignment_index.unsure());
         let Some(shard) = unsure else { return false };
         let key = shard_key(shard);
         self.write_queue.in_flight += 1;
@@ -307,7 +335,7 @@
     /// Stores the end of a job that is complete, and with it those of others in the same
     /// range, which cost one change less each.
     fn next_finish_write(&mut self, now: Duration, claim: u64) -> Option<PreparedWrite> {
-        let most = self.config.txn_ops;
+        let most = self.limits.txn_ops;
         let (cluster, generation) = self.cache.cluster;
         let first = self.complete_job(now)?.clone();
         let mut ids = vec![first.clone()];
@@ -358,7 +386,7 @@
     }
 
     fn next_write(&mut self, now: Duration) -> Option<PreparedWrite> {
-        let most = self.config.txn_ops;
+        let most = self.limits.txn_ops;
         let claim = self.cluster.as_ref()?.claim;
 
         if let Some(write) = self.next_finish_write(now, claim) {
@@ -368,11 +396,7 @@
         let cluster = self.cluster.as_mut()?;
         // Starts wait for their job to be listed with their machine.
         if let Some((listings, conditions, changes)) = cluster.assignment_index_write(true, most) {
-            return Some((
-                QueuedWrite::AssignmentIndex { claim, listings },
-                conditions,
-                changes,
-            ));
+            return Some((QueuedWrite::AssignmentIndex { claim, listings }, conditions, changes));
         }
 
         if let Some(write) = cluster.next_progress_write(now.saturating_sub(GATHER), most) {
@@ -380,11 +404,7 @@
         }
 
         if let Some((listings, conditions, changes)) = cluster.assignment_index_write(false, most) {
-            return Some((
-                QueuedWrite::AssignmentIndex { claim, listings },
-                conditions,
-                changes,
-            ));
+            return Some((QueuedWrite::AssignmentIndex { claim, listings }, conditions, changes));
         }
         // Removing what is left over waits until there is plenty of room.
         if !cluster.garbage.is_empty() && self.write_queue.allowance > self.write_queue.rate / 2.0 {
@@ -402,8 +422,14 @@
             StateReply::Committed { revision } => (true, *revision),
             _ => (false, 0),
         };
-        if matches!(reply, StateReply::Refused { .. } | StateReply::Unclear) {
-            self.write_queue.retry = now + BACK_OFF;
+        if matches!(
+            reply,
+            StateReply::Refused { .. } | StateReply::Rejected | StateReply::Unclear
+        ) {
+            self.write_queue.retry = now + self.write_queue.pause();
+        }
+        if committed {
+            self.write_queue.stuck = 0;
         }
         match &write {
             QueuedWrite::Finish { ended, ends, .. } => {
@@ -439,9 +465,7 @@
         self.write_queue.in_flight = self.write_queue.in_flight.saturating_sub(1);
         self.write_queue.has_news = true;
         match write {
-            QueuedWrite::AssignmentIndex { listings, .. } => {
-                cluster.assignment_index_written(listings, &reply)
-            }
+            QueuedWrite::AssignmentIndex { listings, .. } => cluster.assignment_index_written(listings, &reply),
             QueuedWrite::Reread { shard, .. } => {
                 let version = match &reply {
                     StateReply::Entry(entry) => Some(entry.version),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -127,12 +127,41 @@
     }
 }
 
+/// Changes that every transaction must have room for.
+pub const TXN_OPS_LEAST: usize = 4;
+
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
+    /// What the service falls to at some moment, without notice; a limit that is not named
+    /// stays.
+    #[serde(default)]
+    pub next: Option<NextStateLimits>,
+}
+
+/// Limits that the state service will have.
+#[derive(Debug, Clone, Default, Deserialize)]
+pub struct NextStateLimits {
+    pub write_rps: Option<f64>,
+    pub value_kb: Option<f64>,
+    pub txn_ops: Option<usize>,
+}
+
+impl StateLimits {
+    /// Size of a value that is taken now and later.
+    pub fn lowest_value_kb(&self) -> f64 {
+        let next = self.next.as_ref().and_then(|next| next.value_kb);
+        next.map_or(self.value_kb, |next| next.min(self.value_kb))
+    }
+
+    /// Changes in a transaction that are taken now and later.
+    pub fn lowest_txn_ops(&self) -> usize {
+        let next = self.next.as_ref().and_then(|next| next.txn_ops);
+        next.map_or(self.txn_ops, |next| next.min(self.txn_ops))
+    }
 }
 
 #[derive(Debug, Clone, Deserialize)]
@@ -196,6 +225,7 @@
             }
         }
         let workers = &params.workers;
+        let next = params.state.next.clone().unwrap_or_default();
         for (field, value) in [
             ("params.workers.report_s", workers.report_s),
             ("params.workers.lease_s", workers.lease_s),
@@ -205,6 +235,14 @@
             ("params.state.rps", params.state.rps),
             ("params.state.write_rps", params.state.write_rps),
             ("params.state.value_kb", params.state.value_kb),
+            (
+                "params.state.next.write_rps",
+                next.write_rps.unwrap_or(params.state.write_rps),
+            ),
+            (
+                "params.state.next.value_kb",
+                next.value_kb.unwrap_or(params.state.value_kb),
+            ),
             ("params.cloud.rps", params.cloud.rps),
             ("params.resources.cpu_share", params.resources.cpu_share),
         ] {
@@ -228,9 +266,12 @@
         if !(0.0..1e9).contains(&params.time_bound_ms) {
             return fail("params.time_bound_ms", "must be zero or more");
         }
-        if params.state.txn_ops < 4 {
+        if params.state.txn_ops < TXN_OPS_LEAST {
             return fail("params.state.txn_ops", "must be at least 4");
         }
+        if next.txn_ops.is_some_and(|ops| ops < TXN_OPS_LEAST) {
+            return fail("params.state.next.txn_ops", "must be at least 4");
+        }
         if params.resources.sockets < 64 {
             return fail("params.resources.sockets", "must be at least 64");
         }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -58,6 +58,14 @@
     tether: u64,
 }
 
+#[derive(Debug, Deserialize)]
+struct ErrorBody {
+    error: String,
+}
+
+/// The error of a transaction that puts a key under a lease that has ended.
+const NO_SUCH_LEASE: &str = "no such lease";
+
 #[derive(Debug, Deserialize)]
 struct Watched {
     logline: u64,
@@ -148,12 +156,25 @@
         (404, StateRequest::Get { .. }) => StateReply::Missing,
         (404, StateRequest::Renew { .. }) => StateReply::LeaseGone,
         (409, StateRequest::Txn { .. }) => StateReply::Conflict,
-        (400, StateRequest::Txn { .. }) => StateReply::LeaseGone,
+        (400, request) if puts_under_lease(request) && names_lease(body) => StateReply::LeaseGone,
+        (400, _) => StateReply::Rejected,
         (410, StateRequest::Watch { .. }) => StateReply::TooOld,
         _ => StateReply::Unclear,
     }
 }
 
+/// Only a put under a lease can be refused because that lease has ended.
+fn puts_under_lease(request: &StateRequest) -> bool {
+    let leased = |change: &Change| matches!(change, Change::Put { lease: Some(_), .. });
+    matches!(request, StateRequest::Txn { changes, .. } if changes.iter().any(leased))
+}
+
+/// The body says that the lease has ended. Errors of any other form are about the request.
+fn names_lease(body: &[u8]) -> bool {
+    let error: Result<ErrorBody, _> = serde_json::from_slice(body);
+    error.is_ok_and(|body| body.error == NO_SUCH_LEASE)
+}
+
 fn decode_ok(request: &StateRequest, body: &[u8]) -> Option<StateReply> {
     Some(match request {
         StateRequest::Get { .. } => {
--- /dev/null
+++ b/tests/next_limits.rs
@@ -0,0 +1,56 @@
+//! Limits of the state service that the settings announce.
+
+mod node_settings;
+
+use kiteyard::{
+    core::config::{Config, Options},
+    settings::{Settings, SettingsError},
+};
+use serde_json::{Value, json};
+
+fn parse(next: &Value) -> Result<Settings, SettingsError> {
+    Settings::parse(&node_settings::text(0, next))
+}
+
+fn config(next: &Value) -> Config {
+    Config::new(&parse(next).expect("good settings"), Options::default())
+}
+
+#[test]
+fn what_is_written_fits_present_and_announced_limits() {
+    let lower = config(&json!({"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 5}));
+    assert_eq!((lower.value_most, lower.txn_ops), (2048, 5));
+    assert_eq!(
+        lower.writes, 27.0,
+        "the rate of today is used until it falls"
+    );
+    assert_eq!(lower.writes_next, Some(13.5));
+
+    let higher = config(&json!({"value_kb": 64.0, "txn_ops": 32}));
+    assert_eq!((higher.value_most, higher.txn_ops), (16 * 1024, 16));
+    assert_eq!(higher.writes_next, None);
+
+    let none = config(&Value::Null);
+    assert_eq!((none.value_most, none.txn_ops), (16 * 1024, 16));
+}
+
+#[test]
+fn announced_limits_may_say_more_or_less_than_is_known() {
+    let partly = config(&json!({"txn_ops": 4, "watch_most": 3}));
+    assert_eq!((partly.value_most, partly.txn_ops), (16 * 1024, 4));
+    assert!(parse(&json!({})).is_ok());
+}
+
+#[test]
+fn a_bad_limit_is_named() {
+    for (next, field) in [
+        (json!({"write_rps": 0.0}), "params.state.next.write_rps"),
+        (json!({"value_kb": -2.0}), "params.state.next.value_kb"),
+        (json!({"txn_ops": 3}), "params.state.next.txn_ops"),
+        (json!({"txn_ops": "many"}), "params.state.next.txn_ops"),
+        (json!(7), "params.state.next"),
+    ] {
+        let error = parse(&next).expect_err("a bad limit").to_string();
+        assert!(error.contains(&format!("`{field}`")), "{error}");
+    }
+}
--- a/tests/node_settings/mod.rs
+++ b/tests/node_settings/mod.rs
@@ -1,13 +1,19 @@
 //! Settings of one node, `n0`, for tests that drive its core by hand.
 
 use kiteyard::settings::Settings;
-use serde_json::json;
+use serde_json::{Value, json};
 
 /// The first port of the other nodes' addresses; nothing listens there.
 const PEER_PORT: usize = 5;
 
 /// Settings with so many other nodes, `n1` and on.
+#[allow(dead_code)] // Not every test file that uses this module needs both.
 pub fn with_peers(peers: usize) -> Settings {
+    Settings::parse(&text(peers, &Value::Null)).expect("good settings")
+}
+
+/// The settings file itself, with the limits that the state service will have.
+pub fn text(peers: usize, next: &Value) -> String {
     let known: Vec<_> = (0..peers)
         .map(|peer| {
             let label = format!("n{}", peer + 1);
@@ -20,10 +26,10 @@
         "params": {
             "zones": ["a"], "teams": [{"name": "red"}],
             "workers": {"report_s": 1.0, "lease_s": 10.0, "gang_wait_s": 30.0, "gang_peer_s": 5.0, "cancel_s": 30.0},
-            "state": {"rps": 80.0, "write_rps": 30.0, "value_kb": 16.0, "txn_ops": 16},
+            "state": {"rps": 80.0, "write_rps": 30.0, "value_kb": 16.0, "txn_ops": 16, "next": next},
             "cloud": {"rps": 8.0, "list_lag_s": 10.0},
             "resources": {"sockets": 700}
         }
     });
-    Settings::parse(&text.to_string()).expect("good settings")
+    text.to_string()
 }
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -50,7 +50,19 @@
         assignment_index: Vec<(u32, ShardRecord, u64)>,
         resolve_by: Duration,
     ) -> Self {
-        let settings = Settings::parse(SETTINGS).expect("good settings");
+        Self::with_values_of(16.0, cpus, assignment_index, resolve_by)
+    }
+
+    /// The same where values may have so many KiB.
+    pub fn with_values_of(
+        value_kb: f64,
+        cpus: f64,
+        assignment_index: Vec<(u32, ShardRecord, u64)>,
+        resolve_by: Duration,
+    ) -> Self {
+        let limit = format!(r#""value_kb": {value_kb:.2}"#);
+        let settings = SETTINGS.replace(r#""value_kb": 16.0"#, &limit);
+        let settings = Settings::parse(&settings).expect("good settings");
         let config = Config::new(&settings, Options::default());
         let types = vec![MachineType {
             name: Arc::from("m"),
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -4,6 +4,7 @@
 mod cluster;
 mod provisioning;
 mod requeue;
+mod splitting;
 mod starting;
 
 use std::{
--- /dev/null
+++ b/tests/scheduling/splitting.rs
@@ -0,0 +1,311 @@
+//! Shards of the assignment index that are larger than the state service takes now: their machines
+//! move to new shards, and at every moment each version reads all that may run on a machine.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    time::Duration,
+};
+
+use kiteyard::core::{
+    assignment_index::{ShardRecord, ShardWrite},
+    job::{JobId, Kind, Priority},
+    store::{Change, Condition, StateReply},
+};
+use rand::{RngExt, SeedableRng, rngs::StdRng};
+use serde_json::json;
+
+use crate::cluster::{Cluster, spec};
+
+const VALUE_KB: f64 = 2.0;
+const MACHINES: usize = 150;
+const FIRST_JOB: usize = 500;
+
+fn name(machine: usize) -> String {
+    format!("vm-{machine:04}")
+}
+
+/// One shard with all machines, two jobs on each, as a leader with 16 KiB wrote it.
+fn large_shard() -> ShardRecord {
+    let jobs: Vec<String> = (0..MACHINES)
+        .map(|i| format!("run-{:06}", FIRST_JOB + i))
+        .collect();
+    let machines: Vec<_> = (0..MACHINES)
+        .map(|i| json!([name(i), 0, [i, (i + 1) % MACHINES]]))
+        .collect();
+    let text = json!({"kinds": [["m", "a", false]], "jobs": jobs, "machines": machines});
+    ShardRecord::parse(&text.to_string()).expect("a good shard")
+}
+
+/// The stored shards, and writes that may be applied late.
+#[derive(Default)]
+struct Stored {
+    revision: u64,
+    shards: BTreeMap<String, (ShardRecord, u64)>,
+    late: Vec<(Vec<Condition>, Vec<Change>)>,
+}
+
+impl Stored {
+    fn apply(&mut self, conditions: &[Condition], changes: &[Change]) -> bool {
+        let version = |key: &str| self.shards.get(key).map_or(0, |(_, version)| *version);
+        if conditions.iter().any(|c| version(&c.key) != c.version) {
+            return false;
+        }
+        self.revision += 1;
+        for change in changes {
+            match change {
+                Change::Put { key, value, .. } => {
+                    assert!(value.get().len() <= 2048, "a value is too large");
+                    let record = ShardRecord::parse(value.get()).expect("a good shard");
+                    self.shards.insert(key.clone(), (record, self.revision));
+                }
+                Change::Delete { key } => drop(self.shards.remove(key)),
+            }
+        }
+        true
+    }
+
+    /// What a version that knows of no oversized shards takes a machine to list: what the
+    /// shard says that it reads last.
+    fn read_last(&self) -> BTreeMap<String, BTreeSet<JobId>> {
+        let mut listed = BTreeMap::new();
+        for (record, _) in self.shards.values() {
+            listed.extend(record.machines().map(|m| (m.id.to_string(), m.jobs)));
+        }
+        listed
+    }
+
+    fn assignment_index(&self) -> Vec<(u32, ShardRecord, u64)> {
+        let number = |key: &str| key.strip_prefix("roster/").and_then(|n| n.parse().ok());
+        let shards = self.shards.iter();
+        shards
+            .map(|(key, (record, version))| {
+                (number(key).expect("a number"), record.clone(), *version)
+            })
+            .collect()
+    }
+}
+
+struct Split {
+    cluster: Cluster,
+    stored: Stored,
+    rng: StdRng,
+    next_job: usize,
+}
+
+impl Split {
+    fn new(seed: u64, number: u32) -> Self {
+        let mut stored = Stored {
+            revision: 10,
+            ..Stored::default()
+        };
+        stored
+            .shards
+            .insert(format!("roster/{number}"), (large_shard(), 10));
+        let cluster = Self::leader(&stored);
+        Self {
+            cluster,
+            stored,
+            rng: StdRng::seed_from_u64(seed),
+            next_job: 2 * FIRST_JOB,
+        }
+    }
+
+    /// Nobody is proven empty by time alone.
+    fn leader(stored: &Stored) -> Cluster {
+        let mut cluster = Cluster::with_values_of(
+            VALUE_KB,
+            4.0,
+            stored.assignment_index(),
+            Duration::from_secs(100_000),
+        );
+        for job in 0..MACHINES {
+            cluster.job(spec(
+                FIRST_JOB + job,
+                Kind::Service,
+                Priority::Normal,
+                2,
+                1.0,
+            ));
+        }
+        cluster
+    }
+
+    /// Another leader takes over from what is stored.
+    fn take_over(&mut self) {
+        let running = std::mem::take(&mut self.cluster.running);
+        self.cluster = Self::leader(&self.stored);
+        self.cluster.running = running;
+    }
+
+    fn write(&mut self) {
+        let urgent = self.rng.random_bool(0.7);
+        let cluster = &mut self.cluster.leader;
+        let write = cluster
+            .assignment_index_write(urgent, 5)
+            .or_else(|| cluster.assignment_index_write(!urgent, 5));
+        let Some((listings, conditions, changes)) = write else {
+            return;
+        };
+        assert!(changes.len() <= 5);
+        self.check();
+        match self.rng.random_range(0..10) {
+            0 => self.answer(listings, &StateReply::Rejected),
+            1 => self.unclear(listings, &conditions, &changes),
+            2 => {
+                self.stored.late.push((conditions, changes));
+                self.answer(listings, &StateReply::Unclear);
+            }
+            _ => {
+                let reply = match self.stored.apply(&conditions, &changes) {
+                    true => StateReply::Committed {
+                        revision: self.stored.revision,
+                    },
+                    false => StateReply::Conflict,
+                };
+                self.answer(listings, &reply);
+            }
+        }
+        self.check();
+    }
+
+    fn unclear(&mut self, listings: Vec<ShardWrite>, conditions: &[Condition], changes: &[Change]) {
+        self.stored.apply(conditions, changes);
+        self.answer(listings, &StateReply::Unclear);
+    }
+
+    fn answer(&mut self, listings: Vec<ShardWrite>, reply: &StateReply) {
+        self.cluster
+            .leader
+            .assignment_index_written(listings, reply);
+        let assignment_index = &mut self.cluster.leader.assignment_index;
+        while let Some(shard) = assignment_index.unsure() {
+            let read = self.stored.shards.get(&format!("roster/{shard}"));
+            assignment_index.reread(shard, Some(read.map_or(0, |(_, version)| *version)));
+        }
+    }
+
+    fn late_write(&mut self) {
+        if !self.stored.late.is_empty() {
+            let at = self.rng.random_range(0..self.stored.late.len());
+            let (conditions, changes) = self.stored.late.swap_remove(at);
+            self.stored.apply(&conditions, &changes);
+            self.check();
+        }
+    }
+
+    /// A start may go out, or has, only for what both versions would read.
+    fn check(&self) {
+        let read = self.stored.read_last();
+        let nothing = BTreeSet::new();
+        for machine in self.cluster.leader.machines.values() {
+            let listed = read.get(&*machine.id).unwrap_or(&nothing);
+            let lost: Vec<_> = machine.assignment.jobs.difference(listed).collect();
+            assert!(lost.is_empty(), "{}: {lost:?} is not listed", machine.id);
+            for task in self.cluster.running.get(&*machine.id).into_iter().flatten() {
+                assert!(
+                    listed.contains(&task.task.job),
+                    "{}: {:?} runs",
+                    machine.id,
+                    task.task
+                );
+            }
+        }
+    }
+
+    fn resolve(&mut self, machine: usize) {
+        let name = name(machine);
+        if !self.cluster.running.contains_key(&name) {
+            self.cluster.machine(&name);
+        }
+        self.cluster.report(&name);
+    }
+
+    /// Tasks that may be started are.
+    fn start(&mut self) {
+        let machines = self.cluster.leader.machines.values();
+        let mut starts = Vec::new();
+        for machine in machines {
+            for (task, attempt) in machine.tasks.keys() {
+                if machine.fenced && machine.assignment.jobs.contains(&task.job) {
+                    starts.push((machine.id.to_string(), task.clone(), *attempt));
+                }
+            }
+        }
+        for (machine, task, attempt) in starts {
+            let Some(running) = self.cluster.running.get_mut(&machine) else {
+                continue;
+            };
+            if running.iter().all(|there| there.task != task) {
+                running.push(kiteyard::core::machine::ReportedTask {
+                    task,
+                    attempt,
+                    phase: kiteyard::core::machine::TaskPhase::Running,
+                });
+            }
+        }
+    }
+
+    fn live(&mut self, steps: usize) {
+        for step in 0..steps {
+            let machine = self.rng.random_range(0..MACHINES);
+            self.resolve(machine);
+            if step % 5 == 0 {
+                self.next_job += 1;
+                let job = spec(self.next_job, Kind::Array, Priority::Normal, 3, 1.0);
+                self.cluster.job(job);
+            }
+            self.cluster.pass();
+            self.write();
+            self.start();
+            if self.rng.random_bool(0.1) {
+                self.late_write();
+            }
+        }
+    }
+}
+
+#[test]
+fn a_large_shard_is_split_and_nothing_is_lost_on_the_way() {
+    for (seed, number) in [(1, 0), (2, 9), (3, 99), (4, 10)] {
+        let mut split = Split::new(seed, number);
+        split.live(60);
+        split.take_over();
+        split.check();
+        split.live(60);
+        split.take_over();
+        (0..MACHINES).for_each(|machine| split.resolve(machine));
+        split.live(400);
+        let large = format!("roster/{number}");
+        let left = split.stored.shards.get(&large);
+        let text = left.map_or(0, |(record, _)| {
+            serde_json::to_string(record).expect("a record").len()
+        });
+        assert!(text <= 2048, "shard {number} still has {text} bytes");
+        let started: usize = split.cluster.running.values().map(Vec::len).sum();
+        assert!(started > 60, "{started} tasks run");
+    }
+}
+
+/// A leader ended in the middle: both shards count for a machine that is not heard yet.
+#[test]
+fn a_machine_in_two_shards_may_hold_what_either_lists() {
+    let shard = |jobs: &[&str]| {
+        let numbers: Vec<usize> = (0..jobs.len()).collect();
+        let text = json!({"kinds": [["m", "a", false]], "jobs": jobs,
+            "machines": [["vm-0001", 0, numbers]]});
+        ShardRecord::parse(&text.to_string()).expect("a good shard")
+    };
+    let assignment_index = vec![
+        (3, shard(&["run-000001", "run-000002"]), 7),
+        (4, shard(&["run-000002", "run-000003"]), 8),
+    ];
+    let cluster = Cluster::after_a_take_over(4.0, assignment_index, Duration::from_secs(1000));
+    let entry = &cluster.leader.machines["vm-0001"].entry;
+    let may_list: Vec<String> = entry.may_list().map(ToString::to_string).collect();
+    assert_eq!(may_list, ["run-000002", "run-000003", "run-000001"]);
+    assert_eq!(
+        entry.jobs.len(),
+        2,
+        "what is read last is listed for certain"
+    );
+}
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -198,6 +198,7 @@
             answer(200, &json!({"logline": revision, "events": events}))
         }
         StateReply::TooOld => answer(410, &json!({})),
+        StateReply::Rejected => answer(400, &json!({"error": "too large"})),
         StateReply::Refused { .. } | StateReply::Unclear => answer(503, &json!({})),
     }
 }
--- /dev/null
+++ b/tests/state_answers.rs
@@ -0,0 +1,69 @@
+//! What the answers of the state service mean: above all which ones are final.
+
+use std::time::Duration;
+
+use kiteyard::{
+    core::store::{StateReply, StateRequest, delete, put, put_leased, when},
+    wire::state::decode,
+};
+
+const NO_SUCH_LEASE: &[u8] = br#"{"error":"no such lease"}"#;
+
+fn transaction(lease: Option<u64>) -> StateRequest {
+    StateRequest::Txn {
+        conditions: vec![when("live/leader", 4)],
+        changes: vec![put_leased("live/leader", &"n0", lease), delete("roster/1")],
+    }
+}
+
+fn answered(request: &StateRequest, body: &[u8]) -> StateReply {
+    decode(request, 400, None, body)
+}
+
+#[test]
+fn an_ended_lease_is_told_from_a_rejected_transaction() {
+    let leased = transaction(Some(7));
+    assert!(matches!(
+        answered(&leased, NO_SUCH_LEASE),
+        StateReply::LeaseGone
+    ));
+    for body in [
+        &b""[..],
+        b"{}",
+        b"value too large",
+        br#"{"error":"too large"}"#,
+        b"[1",
+    ] {
+        let reply = answered(&leased, body);
+        assert!(matches!(reply, StateReply::Rejected), "{reply:?}");
+    }
+}
+
+#[test]
+fn without_a_lease_none_can_be_gone() {
+    for request in [
+        transaction(None),
+        StateRequest::Txn {
+            conditions: Vec::new(),
+            changes: vec![put("roster/1", &"x")],
+        },
+        StateRequest::Txn {
+            conditions: Vec::new(),
+            changes: Vec::new(),
+        },
+    ] {
+        let reply = answered(&request, NO_SUCH_LEASE);
+        assert!(matches!(reply, StateReply::Rejected), "{reply:?}");
+    }
+}
+
+#[test]
+fn what_may_pass_later_is_not_rejected() {
+    let request = transaction(None);
+    let limited = decode(&request, 429, Some(Duration::from_secs(2)), b"{}");
+    assert!(matches!(limited, StateReply::Refused { limited: true, .. }));
+    let away = decode(&request, 503, None, b"{}");
+    assert!(matches!(away, StateReply::Refused { limited: false, .. }));
+    let broken = decode(&request, 500, None, b"{}");
+    assert!(matches!(broken, StateReply::Unclear));
+}
--- /dev/null
+++ b/tests/value_limits.rs
@@ -0,0 +1,132 @@
+//! Records that are larger than a value of the state service may be.
+
+mod node_settings;
+
+use std::{sync::Arc, time::Duration};
+
+use kiteyard::{
+    core::{
+        Answer, CallId, Clock, Input, Node, Output,
+        config::{Config, Options},
+        provisioning::CloudReply,
+        store::{StateReply, StateRequest},
+    },
+    settings::Settings,
+    wire,
+};
+use serde_json::json;
+
+fn node() -> Node {
+    let text = node_settings::text(0, &json!({"value_kb": 0.5}));
+    let settings = Settings::parse(&text).expect("good settings");
+    Node::new(Config::new(&settings, Options::default()))
+}
+
+fn step(node: &mut Node, ms: u64, input: Input) -> Vec<Output> {
+    let now = Duration::from_millis(ms);
+    let wall_ms = ms;
+    node.step(Clock { now, wall_ms }, input)
+}
+
+fn state_call(outputs: &[Output], which: fn(&StateRequest) -> bool) -> Option<CallId> {
+    outputs.iter().find_map(|output| match output {
+        Output::State { call, request, .. } if which(request) => Some(*call),
+        _ => None,
+    })
+}
+
+fn answer(outputs: &[Output]) -> Option<&Answer> {
+    outputs.iter().find_map(|output| match output {
+        Output::Answer { answer, .. } => Some(answer),
+        _ => None,
+    })
+}
+
+fn writes(outputs: &[Output], key: &str) -> bool {
+    let names = |request: &StateRequest| format!("{request:?}").contains(key);
+    let txn = |request: &StateRequest| matches!(request, StateRequest::Txn { .. });
+    outputs.iter().any(
+        |output| matches!(output, Output::State { request, .. } if txn(request) && names(request)),
+    )
+}
+
+/// A node that has read an empty state and so many machine types.
+fn loaded(types: usize) -> (Node, Vec<Output>) {
+    let mut node = node();
+    let outputs = step(&mut node, 1, Input::Tick);
+    let load = state_call(&outputs, |r| matches!(r, StateRequest::List { .. }));
+    let reply = StateReply::Entries {
+        entries: Vec::new(),
+        more: false,
+        revision: 5,
+    };
+    let call = load.expect("it reads what is stored");
+    let outputs = step(&mut node, 2, Input::State { call, reply });
+    let call = outputs.iter().find_map(|output| match output {
+        Output::Cloud { call, .. } => Some(*call),
+        _ => None,
+    });
+    let frames: Vec<_> = (0..types)
+        .map(|i| {
+            json!({"label": format!("m{i}"), "cpus": 8.0, "gpus": 0.0, "mem_gb": 32.0,
+                "fields": ["a"]})
+        })
+        .collect();
+    let body = json!({ "frames": frames }).to_string();
+    let request = kiteyard::core::provisioning::CloudRequest::Types;
+    let reply = wire::cloud::decode(&request, 200, body.as_bytes());
+    assert!(matches!(reply, CloudReply::Types(_)));
+    let call = call.expect("it asks for machine types");
+    let outputs = step(&mut node, 3, Input::Cloud { call, reply });
+    (node, outputs)
+}
+
+fn submission(image: &str) -> Input {
+    let text = json!({"uid": "run-000001", "flight": "work", "crew": "red", "shape": "array",
+        "lift": "standard", "strings": 1, "cpus": 1.0, "gpus": 0.0, "mem_gb": 1.0, "sail": image,
+        "size_gb": 1.0, "same_place": false, "spread": false, "gusts": false, "airtime_s": 1.0,
+        "tether_s": 0.0, "reel_s": 0.0, "landby_s": 60.0});
+    let spec = wire::user::parse_submission(text.to_string().as_bytes(), false);
+    Input::Submit {
+        request: 7,
+        spec: Arc::new(spec.expect("a good submission")),
+    }
+}
+
+#[test]
+fn types_that_are_too_large_are_kept_in_memory_and_the_node_is_ready() {
+    let (mut node, outputs) = loaded(30);
+    assert!(!writes(&outputs, "live/types"));
+    let outputs = step(&mut node, 4, Input::Ready { request: 8 });
+    assert_eq!(answer(&outputs), Some(&Answer::Ready(true)));
+
+    let (_, outputs) = loaded(1);
+    assert!(writes(&outputs, "live/types"), "what fits is stored");
+}
+
+#[test]
+fn a_job_whose_record_is_too_large_is_refused_and_says_why() {
+    let (mut node, _) = loaded(30);
+    let outputs = step(&mut node, 10, submission(&"x".repeat(200)));
+    assert!(!writes(&outputs, "live/job/"));
+    // Not before it is known that it was never accepted.
+    assert_eq!(answer(&outputs), None);
+    let proof = |r: &StateRequest| matches!(r, StateRequest::Watch { wait, .. } if wait.is_zero());
+    let call = state_call(&outputs, proof).expect("a proof of the copy");
+    let reply = StateReply::Events {
+        events: Vec::new(),
+        revision: 5,
+    };
+    let outputs = step(&mut node, 11, Input::State { call, reply });
+    let end = |r: &StateRequest| matches!(r, StateRequest::Get { key } if key.contains("run-"));
+    let call = state_call(&outputs, end).expect("it looks for its end");
+    let reply = StateReply::Missing;
+    let outputs = step(&mut node, 12, Input::State { call, reply });
+    let Some(Answer::Impossible(why)) = answer(&outputs) else {
+        panic!("{outputs:?}");
+    };
+    assert!(why.contains("at most 512"), "{why}");
+
+    let outputs = step(&mut node, 20, submission("img"));
+    assert!(writes(&outputs, "live/job/"), "what fits is stored");
+}
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -10,6 +10,7 @@
 mod gap;
 mod late;
 mod late_commands;
+mod limits;
 mod liveness;
 mod meet;
 mod meetings;
--- a/tests/world/sim/config.rs
+++ b/tests/world/sim/config.rs
@@ -9,6 +9,10 @@
         .filter(|n| *n != node)
         .map(|n| serde_json::json!({"label": format!("n{n}"), "site": ZONES[n], "peer_addr": "127.0.0.1:1"}))
         .collect();
+    let next = scale.announced.map(|next| {
+        serde_json::json!({"write_rps": next.write_rps, "value_kb": next.value_kb,
+            "txn_ops": next.txn_ops})
+    });
     let text = serde_json::json!({
         "label": format!("n{node}"), "site": ZONES[node],
         "api_addr": "127.0.0.1:1", "cluster_listen": "127.0.0.1:2", "known": peers,
@@ -18,7 +22,8 @@
             "teams": [{"name": "red", "cpus": 8.0, "cpus_max": scale.team_limit}, {"name": "blue", "cpus_max": scale.second_limit}],
             "workers": {"report_s": scale.report.as_secs_f64(), "lease_s": scale.lease.as_secs_f64(),
                 "gang_wait_s": scale.gang_wait.as_secs_f64(), "gang_peer_s": 3.0, "cancel_s": scale.cancel.as_secs_f64()},
-            "state": {"rps": 200.0, "write_rps": 100.0, "value_kb": scale.value_kb, "txn_ops": 16},
+            "state": {"rps": 200.0, "write_rps": 100.0, "value_kb": scale.value_kb, "txn_ops": 16,
+                "next": next},
             "cloud": {"rps": 10.0, "list_lag_s": 3.0},
             "resources": {"sockets": 500}, "time_bound_ms": WALL_MOST as f64 / 2.0
         }
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -39,7 +39,7 @@
 pub use network::Cut;
 pub use pipelines::CancelledStage;
 pub use sabotage::Sabotage;
-pub use scale::{LARGE, LICENSED, LONG, MEDIUM, SMALL, Scale};
+pub use scale::{Announced, LARGE, LICENSED, LONG, MEDIUM, SMALL, Scale};
 pub use users::Job;
 pub use workers::{ToWorker, Worker};
 
@@ -89,6 +89,8 @@
     OutageBegins,
     OutageEnds,
     Crash(usize),
+    /// Processes that start from now on read of these limits.
+    Announce(Announced),
     Bring(Case, Duration),
     /// The node's process ends and comes back with that ability.
     Upgrade(usize, u32),
@@ -480,6 +482,7 @@
             Event::Trouble => self.trouble(),
             Event::Restart(node) => self.restart(node),
             Event::Crash(node) => self.crash(node),
+            Event::Announce(limits) => self.scale.announced = Some(limits),
             Event::Bring(case, lasts) => self.bring(case, lasts),
             Event::Upgrade(node, most) => {
                 self.roll.most[node] = most;
--- a/tests/world/sim/scale.rs
+++ b/tests/world/sim/scale.rs
@@ -4,6 +4,14 @@
 
 use super::ms;
 
+/// `params.state.next` of the settings.
+#[derive(Debug, Clone, Copy)]
+pub struct Announced {
+    pub write_rps: f64,
+    pub value_kb: f64,
+    pub txn_ops: usize,
+}
+
 /// How large a world is, and how fast its clocks tick.
 #[derive(Debug, Clone, Copy)]
 pub struct Scale {
@@ -26,6 +34,8 @@
     /// How often a worker looks at what is due.
     pub look: Duration,
     pub value_kb: f64,
+    /// Limits of the state service that the settings announce.
+    pub announced: Option<Announced>,
     pub troubles: usize,
     /// Seats of the one licence there is, or none.
     pub seats: u32,
@@ -47,6 +57,7 @@
     second_limit: 0.0,
     look: ms(50),
     value_kb: 0.75,
+    announced: None,
     troubles: 9,
     seats: 0,
 };
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -8,7 +8,7 @@
     cluster::Direct,
     job::{JobId, JobState, Kind, TaskId},
     machine::{Command, DirectReply, ExitReason, ReportedTask, TaskPhase, WorkerReport},
-    store::{Entry, StateReply, StateRequest},
+    store::{ASSIGNMENTS, Entry},
 };
 use rand::RngExt;
 
@@ -510,21 +510,18 @@
 
     /// A next leader trusts the assignment index on which jobs an unresponsive machine may hold.
     fn check_listed(&mut self, name: &str, task: &TaskId) {
-        let request = StateRequest::List {
-            prefix: "roster/".into(),
-            after: None,
-        };
-        let entries = match self.state.call(self.now, &request) {
-            Some(StateReply::Entries { entries, .. }) => entries,
-            _ => Vec::new(),
-        };
         let holds = |entry: &&Entry| entry.value.get().contains(name);
-        let listed = entries.iter().filter(holds).any(|entry| {
+        let mut shards = self.state.entries(ASSIGNMENTS);
+        shards.retain(|entry| holds(&entry));
+        let mut listed = false;
+        for entry in shards {
             let record: ShardRecord =
                 serde_json::from_str(entry.value.get()).expect("a shard of the assignment index");
-            let mut machines = record.machines();
-            machines.any(|m| &*m.id == name && m.jobs.contains(&task.job))
-        });
+            // What is read last counts, where several shards name the machine.
+            if let Some(machine) = record.machines().find(|m| &*m.id == name) {
+                listed = machine.jobs.contains(&task.job);
+            }
+        }
         if !listed {
             self.observer.unlisted(self.now, task, name);
         }
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -20,6 +20,22 @@
     ends: Duration,
 }
 
+/// Limits of writes, from a moment on.
+#[derive(Debug, Clone, Copy)]
+pub struct Limits {
+    pub from: Duration,
+    pub value_bytes: usize,
+    pub txn_ops: usize,
+    pub changes_per_s: f64,
+}
+
+/// Changes that may be made now: bursts of one second's worth.
+#[derive(Default)]
+struct Allowance {
+    changes: f64,
+    refilled: Duration,
+}
+
 #[derive(Default)]
 pub struct State {
     revision: u64,
@@ -27,12 +43,23 @@
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
     log: Vec<Event>,
+    limits: Option<Limits>,
+    allowance: Allowance,
+    /// Requests by second, but for watches that wait.
+    requests: BTreeMap<u64, u32>,
+    rejected: u32,
 }
 
 impl State {
     /// The answer, or none where a watch has nothing to tell yet.
     pub fn call(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
         self.expire(now);
+        if !matches!(request, StateRequest::Watch { wait, .. } if !wait.is_zero()) {
+            *self.requests.entry(now.as_secs()).or_default() += 1;
+        }
+        if let Some(reply) = self.over_limits(now, request) {
+            return Some(reply);
+        }
         Some(match request {
             StateRequest::Get { key } => match self.keys.get(key) {
                 Some(found) => StateReply::Entry(entry(key, found)),
@@ -122,6 +149,75 @@
         })
     }
 
+    /// The answer to a write that is larger, or more, than is taken now.
+    fn over_limits(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
+        let limits = self.limits.filter(|limits| now >= limits.from)?;
+        let StateRequest::Txn {
+            conditions,
+            changes,
+        } = request
+        else {
+            return None;
+        };
+        let large = |change: &Change| match change {
+            Change::Put { value, .. } => value.get().len() > limits.value_bytes,
+            Change::Delete { .. } => false,
+        };
+        let parts = changes.len() > limits.txn_ops || conditions.len() > 4 * limits.txn_ops;
+        if parts || changes.iter().any(large) {
+            self.rejected += 1;
+            return Some(StateReply::Rejected);
+        }
+        let passed = now.saturating_sub(self.allowance.refilled).as_secs_f64();
+        self.allowance.refilled = now;
+        let changes_now = self.allowance.changes + passed * limits.changes_per_s;
+        self.allowance.changes = changes_now.min(limits.changes_per_s);
+        let wanted = changes.len() as f64;
+        if wanted > self.allowance.changes {
+            return Some(StateReply::Refused {
+                retry: None,
+                limited: true,
+            });
+        }
+        self.allowance.changes -= wanted;
+        None
+    }
+
+    /// All that is stored under a prefix, in key order.
+    #[allow(dead_code)] // Not asked for on loopback.
+    pub fn entries(&self, prefix: &str) -> Vec<Entry> {
+        let keys = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
+        keys.map(|(key, found)| entry(key, found)).collect()
+    }
+
+    /// Writes are limited from a moment on.
+    #[allow(dead_code)] // The stand-ins on loopback have limits of their own.
+    pub fn limit(&mut self, limits: Limits) {
+        self.limits = Some(limits);
+    }
+
+    /// Writes that were rejected for their size.
+    #[allow(dead_code)]
+    pub fn rejected(&self) -> u32 {
+        self.rejected
+    }
+
+    /// The most requests in any second from a moment on.
+    #[allow(dead_code)]
+    pub fn busiest_second(&self, from: Duration) -> u32 {
+        let since = self.requests.range(from.as_secs()..);
+        since.map(|(_, requests)| *requests).max().unwrap_or(0)
+    }
+
+    /// The largest value under a prefix.
+    #[allow(dead_code)]
+    pub fn largest_value(&self, prefix: &str) -> usize {
+        let keys = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
+        keys.map(|(_, key)| key.value.get().len())
+            .max()
+            .unwrap_or(0)
+    }
+
     pub fn revision(&self) -> u64 {
         self.revision
     }
