--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -302,6 +302,7 @@
         rps: state.rps,
         write_rps: state.write_rps,
         value_kb: state.value_kb,
+        lowered: None,
         txn_ops: state.txn_ops,
         availability: Availability {
             latency: Duration::from_secs_f64(state.latency_ms / 1000.0),
--- a/crates/stand-ins/src/rate_limit.rs
+++ b/crates/stand-ins/src/rate_limit.rs
@@ -22,6 +22,12 @@
         }
     }
 
+    /// Admits no more than that many a second from now on, and at once.
+    pub fn lower(&mut self, rate: f64) {
+        self.rate = self.rate.min(rate);
+        self.burst = self.burst.min(rate);
+    }
+
     /// Takes `amount` if there is as much. More than the burst is never admitted.
     pub fn admit(&mut self, now: Duration, amount: f64) -> bool {
         let passed = now.saturating_sub(self.refilled).as_secs_f64();
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -39,10 +39,31 @@
     pub value_kb: f64,
     /// Changes that one transaction may hold.
     pub txn_ops: usize,
+    /// Limits that the service falls to, without notice.
+    pub lowered: Option<LoweredLimits>,
     /// Latency and outages.
     pub availability: Availability,
 }
 
+/// Limits of writes from a time after the start on.
+#[derive(Debug, Clone, Copy)]
+pub struct LoweredLimits {
+    /// How long after the start they are in force.
+    pub after: Duration,
+    /// Puts and deletes a second.
+    pub write_rps: f64,
+    /// Size of the largest value, in KiB.
+    pub value_kb: f64,
+    /// Changes that one transaction may hold.
+    pub txn_ops: usize,
+}
+
+impl StateSettings {
+    fn lowered_at(&self, now: Duration) -> Option<LoweredLimits> {
+        self.lowered.filter(|limits| now >= limits.after)
+    }
+}
+
 /// Counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateCounts {
@@ -418,13 +439,15 @@
         let Some(changes) = changes else {
             return Reply::malformed();
         };
-        let value_most = (settings.value_kb * 1024.0) as usize;
+        let lowered = settings.lowered_at(self.now());
+        let value_kb = lowered.map_or(settings.value_kb, |limits| limits.value_kb);
+        let txn_ops = lowered.map_or(settings.txn_ops, |limits| limits.txn_ops);
+        let value_most = (value_kb * 1024.0) as usize;
         let too_large = changes.iter().any(|change| match change {
             Change::Put { value, .. } => value.get().len() > value_most,
             Change::Delete { .. } => false,
         });
-        let too_many_parts =
-            changes.len() > settings.txn_ops || txn.when.len() > settings.txn_ops * 4;
+        let too_many_parts = changes.len() > txn_ops || txn.when.len() > txn_ops * 4;
         if too_large || too_many_parts || asked.body.len() > TXN_BYTES {
             return Reply::malformed();
         }
@@ -444,6 +467,9 @@
         let now = self.now();
         let count = changes.len();
         let mut inner = self.inner();
+        if let Some(limits) = self.shared.settings.lowered_at(now) {
+            inner.changes.lower(limits.write_rps);
+        }
         if !inner.changes.admit(now, count as f64) {
             add(&counters.refused_changes, count as u64);
             return Reply::too_many_requests();
--- a/crates/stand-ins/tests/store.rs
+++ b/crates/stand-ins/tests/store.rs
@@ -8,7 +8,7 @@
     availability::{Availability, Outage},
     http::{Connection, Traffic},
     rate_limit::RateLimit,
-    state::{StateService, StateSettings},
+    state::{LoweredLimits, StateService, StateSettings},
     store::{Change, Condition, Store, TxnError},
 };
 use serde_json::{Value, value::to_raw_value};
@@ -109,6 +109,7 @@
         write_rps: 2.0,
         value_kb: 1.0,
         txn_ops: 4,
+        lowered: None,
         availability: Availability {
             latency: Duration::ZERO,
             outages: vec![Outage {
@@ -137,3 +138,43 @@
     tokio::time::sleep(2 * SECOND).await;
     assert_eq!(ask(&mut asking, Method::GET, "/kv/a/b", "").await.0, 503);
 }
+
+#[tokio::test]
+async fn limits_fall_without_notice_and_what_is_stored_stays_readable() {
+    let settings = StateSettings {
+        rps: 1000.0,
+        write_rps: 100.0,
+        value_kb: 1.0,
+        txn_ops: 4,
+        lowered: Some(LoweredLimits {
+            after: SECOND,
+            write_rps: 2.0,
+            value_kb: 0.1,
+            txn_ops: 1,
+        }),
+        availability: Availability::default(),
+    };
+    let (_service, address) = StateService::start(settings).await.expect("a free port");
+    let mut asking = Connection::new(address, Arc::default());
+    let put = |key: &str, bytes: usize| {
+        let value = "x".repeat(bytes);
+        format!(r#"{{"set":"{key}","data":"{value}"}}"#)
+    };
+    let txn = |changes: &[String]| format!(r#"{{"when":[],"apply":[{}]}}"#, changes.join(","));
+    let large = txn(&[put("a", 500)]);
+    let two = txn(&[put("b", 5), put("c", 5)]);
+    for body in [&large, &two] {
+        assert_eq!(ask(&mut asking, Method::POST, "/txn", body).await.0, 200);
+    }
+    tokio::time::sleep(SECOND).await;
+    for body in [&large, &two] {
+        assert_eq!(ask(&mut asking, Method::POST, "/txn", body).await.0, 400);
+    }
+    let one = txn(&[put("d", 5)]);
+    let mut statuses = Vec::new();
+    for _ in 0..3 {
+        statuses.push(ask(&mut asking, Method::POST, "/txn", &one).await.0);
+    }
+    assert_eq!(statuses, [200, 200, 429]);
+    assert_eq!(ask(&mut asking, Method::GET, "/kv/a", "").await.0, 200);
+}
--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -13,7 +13,7 @@
     job::JobId,
     cluster::{StoredClusterState, ClusterState},
     state_cache::LeaderRecord,
-    results::Results,
+    results::{ChunkPart, Results},
     assignment_index::ShardRecord,
     store::{
         PARTITIONED, CLAIMS, Entry, GENERATION, LEADER, PROGRESS, ASSIGNMENTS, SETTLED, StateReply,
@@ -131,7 +131,7 @@
     /// The same for done tasks of an array.
     fn add_progress(&mut self, entry: &Entry) -> Option<()> {
         let (id, chunk) = entry.key.strip_prefix(PROGRESS)?.split_once('/')?;
-        let (id, chunk) = (JobId::parse(id)?, chunk.parse().ok()?);
+        let (id, chunk) = (JobId::parse(id)?, ChunkPart::parse(chunk)?);
         let text: String = serde_json::from_str(entry.value.get()).ok()?;
         let results = self.progress_so_far.entry(id).or_default();
         results.read(chunk, entry.version, &text).then_some(())
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -5,6 +5,7 @@
     collections::BTreeMap,
     fmt,
     hash::{Hash, Hasher},
+    ops::Range,
     sync::Arc,
 };
 
@@ -360,9 +361,16 @@
         more.chunks()
     }
 
-    /// Takes in what another set holds of a chunk.
-    pub fn include(&mut self, other: &TaskSet, chunk: u32) {
-        let range = Self::chunk_words(chunk);
+    /// Whether this set has more than an earlier one in these words.
+    pub fn is_beyond(&self, earlier: &TaskSet, range: &Range<usize>) -> bool {
+        let had = |at: usize| earlier.words.get(at).copied().unwrap_or(0);
+        let words = self.words.iter().enumerate().take(range.end);
+        let mut words = words.skip(range.start);
+        words.any(|(at, word)| word & !had(at) != 0)
+    }
+
+    /// Takes in what another set holds in these words.
+    pub fn include(&mut self, other: &TaskSet, range: Range<usize>) {
         let most = range.end.min(other.words.len());
         if self.words.len() < most {
             self.words.resize(most, 0);
@@ -372,21 +380,26 @@
         }
     }
 
-    fn chunk_words(chunk: u32) -> std::ops::Range<usize> {
+    /// The words of a chunk.
+    pub fn chunk_words(chunk: u32) -> Range<usize> {
         let per = CHUNK as usize / 64;
         chunk as usize * per..(chunk as usize + 1) * per
     }
 
     /// The chunk as text: one hexadecimal number per 64 tasks.
     pub fn encode_chunk(&self, chunk: u32) -> String {
-        let range = Self::chunk_words(chunk);
-        let words: Vec<String> = self
-            .words
-            .get(range.start..range.end.min(self.words.len()))
-            .unwrap_or_default()
-            .iter()
-            .map(|w| format!("{w:x}"))
-            .collect();
+        self.encode_words(chunk, &Self::chunk_words(chunk))
+    }
+
+    /// The same with these words of the chunk alone: those before them are zero.
+    pub fn encode_words(&self, chunk: u32, range: &Range<usize>) -> String {
+        let first = Self::chunk_words(chunk).start;
+        let end = range.end.min(self.words.len()).max(first);
+        let word = |at: usize| match range.contains(&at) {
+            true => format!("{:x}", self.words[at]),
+            false => "0".to_owned(),
+        };
+        let words: Vec<String> = (first..end).map(word).collect();
         words.join(",")
     }
 
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-use super::job::JobId;
+use super::{job::JobId, results::ChunkPart};
 
 /// Everything a follower has to keep in sight: the leader, machine types and active jobs.
 pub const LIVE: &str = "live/";
@@ -46,8 +46,8 @@
     format!("{NODES}{node}")
 }
 
-pub fn progress_key(id: &JobId, chunk: u32) -> String {
-    format!("{PROGRESS}{id}/{chunk}")
+pub fn progress_key(id: &JobId, part: ChunkPart) -> String {
+    format!("{PROGRESS}{id}/{}", part.name())
 }
 
 pub fn shard_key(shard: u32) -> String {
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -11,7 +11,8 @@
     terminal_states::{self, TerminalStates, Place, Range},
     job::{TerminalRecord, JobId, JobState, TaskSet},
     cluster::{Job, ClusterState},
-    limits::WriteRate,
+    limits::{WriteLimits, WriteRate},
+    results::{self, ChunkPart},
     assignment_index::ShardWrite,
     store::{
         Change, GENERATION, LEADER, StateReply, StateRequest, delete, job_key, progress_key, put,
@@ -34,13 +35,13 @@
         claim: u64,
         id: JobId,
         set: TaskSet,
-        chunks: Vec<u32>,
+        chunks: Vec<ChunkPart>,
     },
     /// Reads results of a job again whose write was not answered.
     RereadProgress {
         claim: u64,
         id: JobId,
-        chunk: u32,
+        chunk: ChunkPart,
     },
     Finish {
         claim: u64,
@@ -91,7 +92,7 @@
 
 impl ClusterState {
     /// Stores the results of the job whose oldest one came first, if that was before.
-    fn next_progress_write(&mut self, before: Duration, most: usize) -> Option<PreparedWrite> {
+    fn next_progress_write(&mut self, before: Duration, limits: &WriteLimits) -> Option<PreparedWrite> {
         let claim = self.claim;
         let waits = |job: &Job| !job.saving && !job.complete() && job.saved.unsure().is_none();
         let (id, job) = self
@@ -102,14 +103,14 @@
         job.saving = true;
         job.unsaved_since = None;
         let set = job.done.clone();
-        let mut chunks = set.chunks_beyond(job.saved.stored());
-        chunks.truncate(most);
+        let mut chunks = results::unsaved(&set, job.saved.stored(), limits.value_bytes);
+        chunks.truncate(limits.txn_ops);
         let mut conditions = vec![when(job_key(id), job.version)];
         let mut changes = Vec::new();
         for chunk in &chunks {
             let key = progress_key(id, *chunk);
             conditions.push(when(&key, job.saved.version(*chunk)));
-            changes.push(put(key, &set.encode_chunk(*chunk)));
+            changes.push(put(key, &chunk.encode(&set)));
         }
         let write = QueuedWrite::Progress {
             claim,
@@ -125,7 +126,7 @@
         &mut self,
         id: &JobId,
         set: &TaskSet,
-        chunks: &[u32],
+        chunks: &[ChunkPart],
         reply: &StateReply,
         now: Duration,
     ) {
@@ -146,7 +147,7 @@
 
     /// What is stored of a job's results, as read after an unclear write; false where that
     /// is still not known.
-    fn progress_reread(&mut self, id: &JobId, chunk: u32, reply: &StateReply) -> bool {
+    fn progress_reread(&mut self, id: &JobId, chunk: ChunkPart, reply: &StateReply) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             return true;
         };
@@ -399,7 +400,7 @@
             return Some((QueuedWrite::AssignmentIndex { claim, listings }, conditions, changes));
         }
 
-        if let Some(write) = cluster.next_progress_write(now.saturating_sub(GATHER), most) {
+        if let Some(write) = cluster.next_progress_write(now.saturating_sub(GATHER), &self.limits) {
             return Some(write);
         }
 
--- /dev/null
+++ b/tests/result_parts.rs
@@ -0,0 +1,109 @@
+//! Results of large arrays, stored in values that hold only a part of a chunk.
+
+use std::collections::BTreeMap;
+
+use kiteyard::core::{
+    job::{CHUNK, JobId, TaskSet},
+    results::{ChunkPart, Results, unsaved},
+    store::progress_key,
+};
+use rand::{RngExt, SeedableRng, rngs::StdRng};
+
+const TASKS: u32 = 2 * CHUNK + 5_000;
+
+/// What a version that knows of no parts makes of the keys' names and values.
+fn read_as_numbers(stored: &BTreeMap<String, String>) -> TaskSet {
+    let mut set = TaskSet::default();
+    for (name, text) in stored {
+        let chunk: u32 = name.parse().expect("a number");
+        assert!(set.decode_chunk(chunk, text), "{name}");
+    }
+    set
+}
+
+/// What a failover reads.
+fn read(stored: &BTreeMap<String, String>) -> Results {
+    let mut results = Results::default();
+    for (name, text) in stored {
+        let part = ChunkPart::parse(name).expect("a part");
+        assert_eq!(part.name(), *name);
+        assert!(results.read(part, 7, text));
+    }
+    results
+}
+
+/// Tasks are done in any order; the limit falls on the way and the leader changes.
+#[test]
+fn parts_of_chunks_are_read_whole_by_both_versions() {
+    for (seed, before) in [(1, 16 * 1024), (2, 2048), (3, 1500)] {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let (mut set, mut stored) = (TaskSet::default(), BTreeMap::new());
+        let mut results = Results::default();
+        for turn in 0..60 {
+            for _ in 0..700 {
+                set.insert(rng.random_range(0..TASKS));
+            }
+            let limit = if turn < 30 { before } else { 1500 };
+            let mut parts = unsaved(&set, results.stored(), limit);
+            parts.truncate(5);
+            for part in &parts {
+                let text = part.encode(&set);
+                assert!(text.len() + 2 <= limit, "{} bytes", text.len());
+                stored.insert(part.name(), text);
+            }
+            results.written(&set, &parts, 7);
+            if turn % 20 == 19 {
+                results = read(&stored);
+            }
+            let known: Vec<u32> = results.stored().iter().collect();
+            let by_numbers: Vec<u32> = read_as_numbers(&stored).iter().collect();
+            assert_eq!(known, by_numbers, "turn {turn}");
+        }
+        while let parts @ [_, ..] = &unsaved(&set, results.stored(), 1500)[..] {
+            parts.iter().for_each(|part| {
+                stored.insert(part.name(), part.encode(&set));
+            });
+            results.written(&set, parts, 7);
+        }
+        let all: Vec<u32> = set.iter().collect();
+        let by_numbers: Vec<u32> = read_as_numbers(&stored).iter().collect();
+        assert_eq!(all, by_numbers);
+        let names: Vec<String> = results.chunks().iter().map(ChunkPart::name).collect();
+        assert!(
+            stored.keys().all(|name| names.contains(name)),
+            "all are deleted at the end"
+        );
+    }
+}
+
+#[test]
+fn an_array_that_fits_keeps_its_key() {
+    let mut set = TaskSet::default();
+    (0..3_000).for_each(|task| set.insert(task));
+    let parts = unsaved(&set, &TaskSet::default(), 2048);
+    assert_eq!(parts, [ChunkPart::whole(0)]);
+    let id = JobId::parse("run-000001").expect("an id");
+    assert_eq!(progress_key(&id, parts[0]), "progress/run-000001/0");
+    assert_eq!(parts[0].encode(&set), set.encode_chunk(0));
+}
+
+#[test]
+fn a_part_is_written_alone_where_only_it_has_changed() {
+    let mut set = TaskSet::default();
+    (0..CHUNK).for_each(|task| set.insert(task));
+    let before = set.clone();
+    set.insert(CHUNK + 4_100);
+    (0..64 * 200).for_each(|word| set.insert(CHUNK + word));
+    let names: Vec<String> = unsaved(&set, &before, 2048)
+        .iter()
+        .map(ChunkPart::name)
+        .collect();
+    assert_eq!(names, ["01", "001", "0001", "00001"]);
+    let mut more = set.clone();
+    more.insert(CHUNK + CHUNK - 1);
+    let names: Vec<String> = unsaved(&more, &set, 2048)
+        .iter()
+        .map(ChunkPart::name)
+        .collect();
+    assert_eq!(names, ["00001"]);
+}
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -18,6 +18,7 @@
     job::{JobId, JobRecord, JobSpec, Kind, Priority, TaskId, TaskSet},
     machine::{Command, ExitReason, ReportedTask, Standing, TaskPhase, WorkerReport},
     provisioning::{CloudReply, CloudRequest},
+    results::ChunkPart,
     state_cache::LiveJob,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -357,7 +358,7 @@
     let mut first = TaskSet::default();
     first.insert(0);
     let held = c.cluster.jobs.get_mut(&job).expect("the job");
-    held.saved.written(&first, &[0], 1);
+    held.saved.written(&first, &[ChunkPart::whole(0)], 1);
     assert!(
         c.report("vm-1")
             .iter()
