--- a/src/core/active_job.rs
+++ b/src/core/active_job.rs
@@ -5,8 +5,8 @@
 use super::{
     job::{JobSpec, Kind, TaskSet},
     machine::MachineId,
-    state_cache::LiveJob,
     results::Results,
+    state_cache::LiveJob,
 };
 
 /// Where one task stands.
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -12,8 +12,8 @@
 use tracing::debug;
 
 use super::{
+    cluster::{ClusterState, Counts},
     job::Priority,
-    cluster::{Counts, ClusterState},
     machine::{Machine, Phase, Standing, TaskPhase},
 };
 
--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -16,14 +16,14 @@
 use tracing::info;
 
 use super::{
-    job::JobId,
     cluster::ClusterState,
+    job::JobId,
     machine::{Machine, MachineId, Standing},
     store::{Change, Condition, StateReply, delete, encoded_len, put, shard_key, when},
 };
 
-use record::{Builder, digest};
 pub use record::{AssignedMachine, ShardRecord};
+use record::{Builder, digest};
 
 /// What is known of a machine's place in the stored assignment index.
 #[derive(Debug, Clone, Default)]
@@ -113,7 +113,7 @@
         Self {
             machine: machine.id.clone(),
             jobs: BTreeSet::new(),
-            tried: machine.entry.tried,
+            tried: machine.assignment.tried,
         }
     }
 }
@@ -145,7 +145,11 @@
 
     /// The machine does not exist any more.
     pub fn remove_machine(&mut self, machine: &Machine) {
-        if let Some(shard) = machine.assignment.shard.and_then(|s| self.shards.get_mut(&s)) {
+        if let Some(shard) = machine
+            .assignment
+            .shard
+            .and_then(|s| self.shards.get_mut(&s))
+        {
             if shard.members.remove(&machine.id) {
                 shard.taken = shard.taken.saturating_sub(share(machine));
             }
@@ -261,7 +265,7 @@
             machine.unresolved = true;
             // A leader ended before it had struck the machine off another shard. The one that
             // is read last was written last; what the others list may run there, too.
-            let earlier = std::mem::take(&mut machine.entry);
+            let earlier = std::mem::take(&mut machine.assignment);
             let prior: BTreeSet<JobId> = earlier.may_list().cloned().collect();
             machine.assignment = AssignmentEntry {
                 shard: (!shard.oversized).then_some(id),
@@ -276,7 +280,9 @@
             }
             let share = share(machine);
             let other = earlier.shard.filter(|other| *other != id);
-            if let Some(other) = other.and_then(|other| self.assignment_index.shards.get_mut(&other)) {
+            if let Some(other) =
+                other.and_then(|other| self.assignment_index.shards.get_mut(&other))
+            {
                 other.leave(&name, share);
             }
         }
@@ -338,7 +344,7 @@
             let Some(machine) = self.machines.get_mut(&listed.machine) else {
                 continue;
             };
-            let entry = &mut machine.entry;
+            let entry = &mut machine.assignment;
             if !listing.strikes && listed.jobs.is_empty() && self.assignment_index.moves(entry) {
                 // It found no room, and what lists it now stays.
                 continue;
@@ -355,7 +361,7 @@
             let Some(machine) = self.machines.get_mut(&listed.machine) else {
                 continue;
             };
-            if !self.assignment_index.moves(&machine.entry) {
+            if !self.assignment_index.moves(&machine.assignment) {
                 machine.assignment.stored = false;
             }
         }
@@ -373,7 +379,7 @@
             let machine = self.machines.get_mut(&name);
             if let Some(machine) = machine.filter(|m| m.assignment.shard == Some(id)) {
                 machine.assignment.shard = None;
-                machine.entry.tried = false;
+                machine.assignment.tried = false;
             }
         }
     }
@@ -387,8 +393,8 @@
             let Some(machine) = self.machines.get_mut(&listed.machine) else {
                 continue;
             };
-            let own = machine.entry.listed_in == Some(listing.shard);
-            if own || machine.entry.tried || machine.assignment.shard != Some(listing.shard) {
+            let own = machine.assignment.listed_in == Some(listing.shard);
+            if own || machine.assignment.tried || machine.assignment.shard != Some(listing.shard) {
                 continue;
             }
             machine.assignment.shard = None;
@@ -402,13 +408,17 @@
 
     /// An oversized shard is deleted once no machine may hold what only it lists.
     fn struck_shards(&self) -> Vec<u32> {
-        let oversized = self.assignment_index.shards.iter().filter(|(_, s)| s.oversized);
+        let oversized = self
+            .assignment_index
+            .shards
+            .iter()
+            .filter(|(_, s)| s.oversized);
         let mut struck: BTreeSet<u32> = oversized.map(|(id, _)| *id).collect();
         if struck.is_empty() {
             return Vec::new();
         }
         for machine in self.machines.values() {
-            if let Some(id) = machine.entry.listed_in
+            if let Some(id) = machine.assignment.listed_in
                 && struck.contains(&id)
                 && !Self::may_hold(machine).is_empty()
             {
@@ -438,7 +448,7 @@
                 true => m.standing == Standing::Up && m.fenced && m.unlisted(),
                 // They get no more tasks, and a next leader need not wait for them.
                 false => {
-                    let moves = self.assignment_index.moves(&m.entry);
+                    let moves = self.assignment_index.moves(&m.assignment);
                     let leaves = matches!(m.standing, Standing::Leaving | Standing::Lost)
                         && m.assignment.stored
                         && m.tasks.is_empty()
@@ -483,7 +493,7 @@
     /// The deletion of an oversized shard: it lists nothing any more.
     fn strike_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
         let machines = self.machines.values();
-        let listed = machines.filter(|m| m.entry.listed_in == Some(id));
+        let listed = machines.filter(|m| m.assignment.listed_in == Some(id));
         let listing = ShardWrite {
             shard: id,
             machines: listed.map(Listed::nothing).collect(),
@@ -514,7 +524,7 @@
             let listed = |job: &JobId| machine.assignment.jobs.contains(job);
             let (kept, added): (BTreeSet<JobId>, BTreeSet<JobId>) =
                 Self::may_hold(machine).into_iter().partition(listed);
-            if self.assignment_index.moves(&machine.entry) {
+            if self.assignment_index.moves(&machine.assignment) {
                 moving.push((place, kept));
             } else {
                 // What is listed already may run there: it stays, come what may.
@@ -560,7 +570,7 @@
         let mut jobs: BTreeSet<JobId> = machine.tasks.keys().map(|(t, _)| t.job.clone()).collect();
         if machine.unresolved {
             // Its tasks are not known yet; the previous leader's list stands.
-            jobs.extend(machine.entry.may_list().cloned());
+            jobs.extend(machine.assignment.may_list().cloned());
         }
         jobs
     }
--- a/src/core/roster/answers.rs
+++ b/src/core/assignment_index/answers.rs
@@ -53,7 +53,7 @@
             if let Some(machine) = self.machines.get_mut(&listed.machine)
                 && machine.assignment.shard == Some(listing.shard)
             {
-                machine.entry.tried = listed.tried;
+                machine.assignment.tried = listed.tried;
             }
         }
     }
@@ -70,7 +70,7 @@
             match self.machines.get_mut(&listed.machine) {
                 // One that came back after it was gone is no member any more.
                 Some(machine) if machine.assignment.shard == Some(listing.shard) => {
-                    let entry = &mut machine.entry;
+                    let entry = &mut machine.assignment;
                     entry.tried = false;
                     if listed.jobs.is_empty() && self.assignment_index.moves(entry) {
                         continue;
@@ -92,9 +92,10 @@
         }
         for listed in &listing.machines {
             let machine = self.machines.get_mut(&listed.machine);
-            if let Some(machine) = machine.filter(|m| m.entry.listed_in == Some(listing.shard)) {
-                machine.entry.listed_in = None;
-                machine.assignment.stored = machine.entry.tried;
+            if let Some(machine) = machine.filter(|m| m.assignment.listed_in == Some(listing.shard))
+            {
+                machine.assignment.listed_in = None;
+                machine.assignment.stored = machine.assignment.tried;
             }
         }
     }
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -4,8 +4,8 @@
 
 use super::{
     CallId, Node, Output, Purpose, STATE_TIMEOUT,
-    provisioning::CloudRequest,
     limits::WriteSize,
+    provisioning::CloudRequest,
     store::{StateReply, StateRequest},
 };
 
@@ -65,7 +65,7 @@
     }
 
     /// What an answer to a write teaches of the limits, before anything follows from it.
-    pub(super) fn write_answered(&mut self, write: Option<&WriteSize>, reply: &StateReply) {
+    pub(super) fn note_write_reply(&mut self, write: Option<&WriteSize>, reply: &StateReply) {
         let now = self.now();
         match (write, reply) {
             (Some(size), StateReply::Rejected) => {
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -151,7 +151,12 @@
 }
 
 impl Snapshot {
-    pub fn new(rooms: Vec<MachineCapacity>, usage: Usage, leaving: Usage, on_unresolved: HashSet<JobId>) -> Self {
+    pub fn new(
+        rooms: Vec<MachineCapacity>,
+        usage: Usage,
+        leaving: Usage,
+        on_unresolved: HashSet<JobId>,
+    ) -> Self {
         let zones: BTreeSet<&Arc<str>> = rooms.iter().map(|room| &room.zone).collect();
         let mut view = Self {
             all_zones: zones.into_iter().cloned().collect(),
@@ -305,5 +310,7 @@
 /// Jobs that machines list of which it is not known yet what they hold.
 pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
     let on_unresolved = machines.values().filter(|m| m.unresolved);
-    on_unresolved.flat_map(|m| m.entry.may_list().cloned()).collect()
+    on_unresolved
+        .flat_map(|m| m.assignment.may_list().cloned())
+        .collect()
 }
--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -10,23 +10,23 @@
 
 pub use super::active_job::{Job, Slot};
 use super::{
+    admission::StartRate,
+    assignment_index::{AssignmentIndex, ShardRecord},
     config::Config,
     drain::Progress,
-    provisioning::Provisioning,
-    admission::StartRate,
     handover::HandoverSnapshot,
     job::{JobId, Kind, TaskId},
     machine::{
-        Command, Machine, MachineId, MachineType, Phase, Placement, Standing, Stop, TaskPhase, ExitReason,
-        WorkerReport,
+        Command, ExitReason, Machine, MachineId, MachineType, Phase, Placement, Standing, Stop,
+        TaskPhase, WorkerReport,
     },
     membership::reachability::Reachability,
-    state_cache::LiveJob,
+    provisioning::Provisioning,
     queue::Queue,
-    scale_out::arrivals::Arrivals,
-    results::Results,
-    assignment_index::{AssignmentIndex, ShardRecord},
     reconciliation::Reconciler,
+    results::Results,
+    scale_out::arrivals::Arrivals,
+    state_cache::LiveJob,
     store::progress_key,
 };
 use kiteyard_maintenance::{
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -4,10 +4,10 @@
 
 use super::{
     Answer, Node,
+    cluster::{ClusterState, Direct},
     job::Kind,
-    cluster::{Direct, ClusterState},
     machine::{
-        Command, DirectReply, MachineId, Phase, Standing, Stop, TaskPhase, ExitReason, WorkerReport,
+        Command, DirectReply, ExitReason, MachineId, Phase, Standing, Stop, TaskPhase, WorkerReport,
     },
 };
 use tracing::debug;
@@ -215,7 +215,9 @@
                     }
                 }
                 (Phase::Decided | Phase::Sent { .. }, None)
-                    if machine.fenced && !withheld && machine.assignment.jobs.contains(&task.job) =>
+                    if machine.fenced
+                        && !withheld
+                        && machine.assignment.jobs.contains(&task.job) =>
                 {
                     let (last, direct) = match placement.phase {
                         Phase::Sent { seq, direct } => (seq, direct),
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -11,8 +11,8 @@
 use tracing::info;
 
 use super::{
-    job::{JobId, Kind, TaskId},
     cluster::ClusterState,
+    job::{JobId, Kind, TaskId},
     machine::{Machine, MachineId, Phase, Standing, TaskPhase},
 };
 
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use super::{
+    cluster::{ClusterState, Job},
     job::{JobId, JobSpec, Kind, Resources},
-    cluster::{Job, ClusterState},
     machine::Standing,
 };
 
@@ -129,7 +129,11 @@
 
     /// The owner's estimate, corrected by what was seen of the class.
     pub fn estimated_run_time(&self, job: &Job) -> f64 {
-        let correction = self.runtime_corrections.get(&job.spec.class).copied().unwrap_or_default();
+        let correction = self
+            .runtime_corrections
+            .get(&job.spec.class)
+            .copied()
+            .unwrap_or_default();
         (job.spec.estimate_s * correction.exp()).max(1.0)
     }
 
@@ -142,7 +146,10 @@
             let ratio = (ran.as_secs_f64() / job.spec.estimate_s)
                 .ln()
                 .clamp(-2.0, 2.0);
-            let correction = self.runtime_corrections.entry(job.spec.class.clone()).or_insert(0.0);
+            let correction = self
+                .runtime_corrections
+                .entry(job.spec.class.clone())
+                .or_insert(0.0);
             *correction += (ratio - *correction) * 0.02;
         }
     }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -14,10 +14,10 @@
 
 use super::{
     INTERNAL, Node, RequestId,
-    user_requests::{TerminalRead, Question},
-    job::{TerminalRecord, JobId, JobSpec, JobState, Priority},
     cluster::ClusterState,
+    job::{JobId, JobSpec, JobState, Priority, TerminalRecord},
     state_cache::LiveJob,
+    user_requests::{Question, TerminalRead},
 };
 
 /// Ends that the leader reads at a time.
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -11,8 +11,8 @@
 use tracing::info;
 
 use super::{
-    job::{JobId, Kind, TaskId},
     cluster::ClusterState,
+    job::{JobId, Kind, TaskId},
     machine::{MachineId, Phase, Placement, Standing, TaskPhase},
 };
 
@@ -120,7 +120,8 @@
             return;
         }
         let pause = self.drains_pause.or_else(|| {
-            let clear = !self.reachability.is_uncertain && self.reachability.partitioned_zones.is_empty();
+            let clear =
+                !self.reachability.is_uncertain && self.reachability.partitioned_zones.is_empty();
             (!clear || self.unresolved()).then_some(Waits::Outlook)
         });
         if pause != self.drains_paused {
--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -10,13 +10,13 @@
 
 use super::{
     BACK_OFF, Node, Purpose, STATE_TIMEOUT,
+    assignment_index::ShardRecord,
+    cluster::{ClusterState, StoredClusterState},
     job::JobId,
-    cluster::{StoredClusterState, ClusterState},
-    state_cache::LeaderRecord,
     results::{ChunkPart, Results},
-    assignment_index::ShardRecord,
+    state_cache::LeaderRecord,
     store::{
-        PARTITIONED, CLAIMS, Entry, GENERATION, LEADER, PROGRESS, ASSIGNMENTS, SETTLED, StateReply,
+        ASSIGNMENTS, CLAIMS, Entry, GENERATION, LEADER, PARTITIONED, PROGRESS, SETTLED, StateReply,
         StateRequest, delete, put, put_leased, when,
     },
 };
@@ -408,7 +408,8 @@
 
     pub(super) fn observe_leader(&mut self) {
         if let Some((record, version)) = &self.cache.leader
-            && self.election
+            && self
+                .election
                 .observed
                 .as_ref()
                 .is_none_or(|s| s.version != *version)
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -9,9 +9,9 @@
 use tracing::{debug, info};
 
 use super::{
+    cluster::{ClusterState, Job},
     job::{JobId, Kind, TaskId},
-    cluster::{Job, ClusterState},
-    machine::{MachineId, Phase, Placement, Stop, TaskPhase, ExitReason},
+    machine::{ExitReason, MachineId, Phase, Placement, Stop, TaskPhase},
 };
 
 /// A job that failed on so many machines, and nowhere else was done, is at fault.
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -17,10 +17,10 @@
 
 use super::{
     Node, Output,
-    job::JobId,
     cluster::ClusterState,
-    machine::{Machine, MachineId, MachineKind},
     heartbeat_forwarding::PeerMessage,
+    job::JobId,
+    machine::{Machine, MachineId, MachineKind},
 };
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -47,7 +47,10 @@
     fn of(cluster: &ClusterState, now: Duration) -> Self {
         let faulty = cluster.jobs.iter().filter(|(_, job)| job.faulty());
         let mut handover = Self {
-            faulty: faulty.map(|(id, _)| id.clone()).take(ENTRIES_MOST).collect(),
+            faulty: faulty
+                .map(|(id, _)| id.clone())
+                .take(ENTRIES_MOST)
+                .collect(),
             refused: cluster.provisioning.refusals(now),
             ..Self::default()
         };
@@ -133,7 +136,8 @@
     /// Takes what was told of jobs and machines that it knows, and keeps the rest
     /// for machines that are yet to report.
     pub fn apply_handover(&mut self, mut handover: HandoverSnapshot, now: Duration) {
-        self.provisioning.restore_refusals(std::mem::take(&mut handover.refused), now);
+        self.provisioning
+            .restore_refusals(std::mem::take(&mut handover.refused), now);
         for id in std::mem::take(&mut handover.faulty) {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.inherited_faulty = true;
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -15,11 +15,11 @@
 use super::{
     Node, Output, Purpose,
     election::PreviousLeader,
+    heartbeat_forwarding::PeerMessage,
     membership::{
         nodes::{EVERY, NodeHeartbeat, REFUSED},
         reachability::HeartbeatPath,
     },
-    heartbeat_forwarding::PeerMessage,
     store::{self, StateReply},
 };
 
@@ -64,7 +64,9 @@
             reply,
             StateReply::Refused { limited: false, .. } | StateReply::Unclear
         );
-        self.membership.nodes.state_answered(self.clock.now, !failed);
+        self.membership
+            .nodes
+            .state_answered(self.clock.now, !failed);
     }
 
     /// The state service refuses this node, and another one tells that it is
@@ -87,7 +89,9 @@
     /// Another node that hears the leader, when this one does not.
     pub(super) fn peer_hearing_leader(&self) -> Option<String> {
         let (leader, claim) = self.known_leader()?;
-        self.membership.nodes.peer_hearing_leader(leader, claim, self.now())
+        self.membership
+            .nodes
+            .peer_hearing_leader(leader, claim, self.now())
     }
 
     /// Who leads, and under which claim: by what is stored, or, while the state service
@@ -163,8 +167,10 @@
     pub(super) fn heartbeat(&mut self, from: String, heartbeat: NodeHeartbeat) {
         let now = self.now();
         self.membership.nodes.record_claim(&from, &heartbeat);
-        let leads = heartbeat.heard.is_zero() && self.known_leader() == Some((&from, heartbeat.claim));
-        let served = self.membership.nodes.state_service_silence(now) < super::membership::nodes::REACHES;
+        let leads =
+            heartbeat.heard.is_zero() && self.known_leader() == Some((&from, heartbeat.claim));
+        let served =
+            self.membership.nodes.state_service_silence(now) < super::membership::nodes::REACHES;
         if leads && heartbeat.state > REFUSED && served {
             // By now it may be away for everybody: a leader that made way then would leave
             // the place empty until it is back, and its workers without their leases.
@@ -178,7 +184,11 @@
     /// not, to make way.
     pub(super) fn resign(&mut self, from: String, claim: u64) {
         let refused = self.membership.nodes.state_service_silence(self.now()) > REFUSED;
-        if !refused || !self.is_leader() || self.claim() != Some(claim) || !self.has_previous_leader_stopped() {
+        if !refused
+            || !self.is_leader()
+            || self.claim() != Some(claim)
+            || !self.has_previous_leader_stopped()
+        {
             return;
         }
         self.drop_leadership("the state service refuses it, but not others");
@@ -215,7 +225,12 @@
                 self.membership.detector.forget(&machine);
             }
             let before = &cluster.reachability;
-            if (before.is_uncertain, before.is_isolated, &before.partitioned_zones) != (is_uncertain, is_isolated, &reachability.partitioned_zones) {
+            if (
+                before.is_uncertain,
+                before.is_isolated,
+                &before.partitioned_zones,
+            ) != (is_uncertain, is_isolated, &reachability.partitioned_zones)
+            {
                 info!(is_uncertain, is_isolated, partitioned_zones = ?reachability.partitioned_zones, "reachability");
                 cluster.requeue();
             }
@@ -228,7 +243,13 @@
         let best = self.membership.nodes.best_peer(now);
         let settled = self.membership.leading_for(now) > worker_move_time(self.config.report);
         // Looked up only where another node hears any: that looks at every machine.
-        let hears = || self.membership.detector.machines_heard().values().sum::<u32>();
+        let hears = || {
+            self.membership
+                .detector
+                .machines_heard()
+                .values()
+                .sum::<u32>()
+        };
         let better = settled
             && best
                 .as_ref()
@@ -266,6 +287,8 @@
             self.membership.record_worker_arrival();
         }
         self.record_zone_heartbeat(zone);
-        self.membership.detector.record_heartbeat(machine, zone, path);
+        self.membership
+            .detector
+            .record_heartbeat(machine, zone, path);
     }
 }
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -11,11 +11,11 @@
 use super::{
     Answer, Node, Output, RequestId,
     handover::HandoverSnapshot,
+    heartbeat::WORKER_RETURNS,
     job::JobId,
+    licences::LicenceView,
     machine::{MachineId, WorkerReport},
     membership::{nodes::NodeHeartbeat, reachability::HeartbeatPath},
-    heartbeat::WORKER_RETURNS,
-    licences::LicenceView,
 };
 
 /// One line between two nodes.
@@ -23,25 +23,15 @@
 #[serde(rename_all = "snake_case")]
 pub enum PeerMessage {
     /// A worker's report, for the leader.
-    Report {
-        relay: u64,
-        report: WorkerReport,
-    },
+    Report { relay: u64, report: WorkerReport },
     /// The leader's answer; none where it does not lead.
-    Reported {
-        relay: u64,
-        answer: Option<Answer>,
-    },
+    Reported { relay: u64, answer: Option<Answer> },
     #[serde(rename = "pulse")]
     Heartbeat(NodeHeartbeat),
     /// The leader is asked to make way.
-    Resign {
-        claim: u64,
-    },
+    Resign { claim: u64 },
     /// It has, and does not act any more.
-    Resigned {
-        claim: u64,
-    },
+    Resigned { claim: u64 },
     /// What the next leader should not have to learn again.
     #[serde(rename = "hints")]
     Handover(HandoverSnapshot),
@@ -130,7 +120,9 @@
         let now = self.now();
         let is_cut_from_leader = self.is_cut_from_leader(&report, claim);
         if is_cut_from_leader {
-            self.membership.nodes.record_stranded_worker(&report.machine, now);
+            self.membership
+                .nodes
+                .record_stranded_worker(&report.machine, now);
             self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
         }
         if is_cut_from_leader && !self.hears_leader() {
@@ -261,7 +253,8 @@
             return;
         };
         let over = now >= first.until;
-        let heard = (self.hears_leader() || self.leader_stores_heartbeats()) && self.other_leader().is_some();
+        let heard = (self.hears_leader() || self.leader_stores_heartbeats())
+            && self.other_leader().is_some();
         let on = heard || self.is_leader() || self.peer_hearing_leader().is_some();
         if !on && !over {
             return;
--- a/src/core/image_locality.rs
+++ b/src/core/image_locality.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use super::{
-    job::{JobId, Kind},
-    cluster::{Job, ClusterState},
     capacity_snapshot::Snapshot,
+    cluster::{ClusterState, Job},
+    job::{JobId, Kind},
 };
 
 impl ClusterState {
@@ -35,7 +35,9 @@
         let patience = Duration::from_secs_f64(self.fetch_alone(spec).min(3600.0));
         spec.kind == Kind::Array
             && job.nominations.is_empty()
-            && job.locality_wait_since.is_none_or(|since| now < since + patience)
+            && job
+                .locality_wait_since
+                .is_none_or(|since| now < since + patience)
     }
 
     pub(super) fn place_with_image(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
--- a/src/core/images.rs
+++ b/src/core/images.rs
@@ -4,8 +4,8 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use super::{
-    job::{JobSpec, Kind},
     cluster::ClusterState,
+    job::{JobSpec, Kind},
     machine::{Machine, MachineId, MachineType},
 };
 
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    job::{JobSpec, TaskId},
     cluster::ClusterState,
+    job::{JobSpec, TaskId},
 };
 
 fn times(needs: &BTreeMap<String, u32>, count: u32) -> Needs {
@@ -98,7 +98,7 @@
             if !machine.unresolved {
                 continue;
             }
-            for id in machine.entry.may_list() {
+            for id in machine.assignment.may_list() {
                 let Some(job) = self.jobs.get(id) else {
                     // It may have been anything.
                     unknown = true;
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    job::{JobId, JobSpec, Resources, TaskId},
     assignment_index::AssignmentEntry,
+    job::{JobId, JobSpec, Resources, TaskId},
 };
 
 pub type MachineId = Arc<str>;
@@ -362,7 +362,9 @@
     /// A start waits for its job to be listed in the assignment index.
     pub fn unlisted(&self) -> bool {
         self.tasks.iter().any(|((task, _), p)| {
-            p.phase == Phase::Decided && p.stop.is_none() && !self.assignment.jobs.contains(&task.job)
+            p.phase == Phase::Decided
+                && p.stop.is_none()
+                && !self.assignment.jobs.contains(&task.job)
         })
     }
 
--- a/src/core/membership/mod.rs
+++ b/src/core/membership/mod.rs
@@ -5,9 +5,9 @@
 //! by which way, and says what to make of it. It decides about service only. That no
 //! task runs twice rests on the claim, on tokens and on leases, whatever is said here.
 
-pub mod phi_accrual;
 pub mod attention;
 pub mod nodes;
+pub mod phi_accrual;
 pub mod reachability;
 
 use std::time::Duration;
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -161,7 +161,13 @@
         (*claimed > claim).then_some((node, *claimed))
     }
 
-    pub fn heartbeat(&mut self, from: String, heartbeat: NodeHeartbeat, leads: bool, now: Duration) {
+    pub fn heartbeat(
+        &mut self,
+        from: String,
+        heartbeat: NodeHeartbeat,
+        leads: bool,
+        now: Duration,
+    ) {
         if leads {
             self.leader = (heartbeat.claim, now);
             self.gaps.record(now);
@@ -193,7 +199,8 @@
     /// That node told lately that it hears the leader of this claim.
     pub fn peer_hears_leader(&self, node: &str, claim: u64, now: Duration) -> bool {
         let heard = |p: &NodeHeartbeat| p.claim == claim && p.heard < MISSED;
-        self.fresh(now).any(|(n, heartbeat)| n == node && heard(heartbeat))
+        self.fresh(now)
+            .any(|(n, heartbeat)| n == node && heard(heartbeat))
     }
 
     fn fresh(&self, now: Duration) -> impl Iterator<Item = (&String, &NodeHeartbeat)> {
@@ -222,7 +229,8 @@
 
     /// Some other node that is heard is served by the state service.
     pub fn is_any_peer_served(&self, now: Duration) -> bool {
-        self.fresh(now).any(|(_, heartbeat)| heartbeat.state < REACHES)
+        self.fresh(now)
+            .any(|(_, heartbeat)| heartbeat.state < REACHES)
     }
 
     /// A node is heard, whatever it says.
@@ -242,8 +250,14 @@
     }
 
     /// The same among some of them.
-    pub fn best_peer_of(&self, now: Duration, among: impl Fn(&String) -> bool) -> Option<(String, u32)> {
-        let served = self.fresh(now).filter(|(_, heartbeat)| heartbeat.state < REACHES);
+    pub fn best_peer_of(
+        &self,
+        now: Duration,
+        among: impl Fn(&String) -> bool,
+    ) -> Option<(String, u32)> {
+        let served = self
+            .fresh(now)
+            .filter(|(_, heartbeat)| heartbeat.state < REACHES);
         served
             .filter(|(node, _)| among(node))
             .map(|(node, heartbeat)| (heartbeat.machines(), node))
--- a/src/core/membership/reachability.rs
+++ b/src/core/membership/reachability.rs
@@ -13,8 +13,8 @@
 };
 
 use super::{
-    phi_accrual::{PhiAccrual, Source},
     attention::Attention,
+    phi_accrual::{PhiAccrual, Source},
 };
 use crate::core::machine::MachineId;
 
@@ -163,14 +163,19 @@
     /// Machines by zone that were heard within about a report, without help.
     pub fn machines_heard(&self) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
-        for last_heard in self.machines.values().filter(|last_heard| self.is_recent(last_heard)) {
+        for last_heard in self
+            .machines
+            .values()
+            .filter(|last_heard| self.is_recent(last_heard))
+        {
             *zones.entry(last_heard.zone.clone()).or_insert(0) += 1;
         }
         zones
     }
 
     fn is_recent(&self, last_heard: &LastHeard) -> bool {
-        last_heard.own
+        last_heard
+            .own
             .is_some_and(|at| self.attention.time() <= at + self.report * 3 / 2)
     }
 
@@ -183,7 +188,8 @@
     pub fn reachability(&mut self) -> Reachability {
         let at = self.attention.time();
         let keep = self.keep;
-        self.machines.retain(|_, last_heard| at <= last_heard.any + keep);
+        self.machines
+            .retain(|_, last_heard| at <= last_heard.any + keep);
         let mut counts: BTreeMap<&Arc<str>, (usize, usize)> = BTreeMap::new();
         for last_heard in self.machines.values() {
             let count = counts.entry(&last_heard.zone).or_insert((0, 0));
@@ -212,7 +218,9 @@
                 reachability.reachable_zones.insert(name.clone());
             }
         }
-        reachability.reachable_zones.retain(|zone| !reachability.partitioned_zones.contains(zone));
+        reachability
+            .reachable_zones
+            .retain(|zone| !reachability.partitioned_zones.contains(zone));
         reachability
     }
 
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -12,9 +12,11 @@
 
 use super::{
     BACK_OFF, Node, Purpose,
+    job::{JobId, TerminalRecord},
+    store::{
+        Entry, GENERATION, LEADER, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, when,
+    },
     terminal_states::{self, Place, Range, Rewrite},
-    job::{TerminalRecord, JobId},
-    store::{TERMINAL_RANGES, Entry, TERMINAL_STATES, GENERATION, LEADER, StateReply, StateRequest, when},
 };
 use kiteyard_rollout::generation::Stage;
 
@@ -137,7 +139,10 @@
         };
         let range = work.range().clone();
         // Whoever waits for a change comes first, and so do the terminal states of jobs.
-        if migration.allowance < 1.0 || !self.write_queue.has_spare_budget() || !self.ranges.free(&range, now) {
+        if migration.allowance < 1.0
+            || !self.write_queue.has_spare_budget()
+            || !self.ranges.free(&range, now)
+        {
             return;
         }
         let Some(known) = self.ranges.get(&range) else {
@@ -189,7 +194,12 @@
         );
     }
 
-    pub(super) fn migrated(&mut self, about: (u64, u64), step: MigrationRequest, reply: StateReply) {
+    pub(super) fn migrated(
+        &mut self,
+        about: (u64, u64),
+        step: MigrationRequest,
+        reply: StateReply,
+    ) {
         let now = self.now();
         if let MigrationRequest::Rewrite(range, ends, _) = &step {
             match &reply {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,48 +1,48 @@
 //! The service as a state machine: inputs go in, and what to send, write and
 //! answer comes out. Nothing here reads a clock or touches a socket.
 
-pub mod partitioned_zones;
 pub mod active_job;
+pub mod admission;
+pub mod assignment_index;
 mod calls;
+mod capacity_snapshot;
+pub mod cluster;
 pub mod commands;
 pub mod config;
-pub mod dependencies;
 pub mod consolidation;
+pub mod deadline_ordering;
+pub mod dependencies;
 pub mod drain;
+pub mod election;
 pub mod failures;
-pub mod terminal_states;
-pub mod provisioning;
-pub mod admission;
-pub mod user_requests;
 pub mod handover;
+pub mod heartbeat;
+pub mod heartbeat_forwarding;
+pub mod image_locality;
 pub mod images;
 pub mod job;
-pub mod election;
-pub mod cluster;
+pub mod licences;
 pub mod limits;
 pub mod machine;
 pub mod maintenance;
 pub mod membership;
 pub mod migrate;
-pub mod state_cache;
-pub mod image_locality;
-pub mod deadline_ordering;
-pub mod heartbeat;
+pub mod partitioned_zones;
+pub mod provisioning;
 pub mod queue;
-pub mod heartbeat_forwarding;
-mod scale_out;
+pub mod reconciliation;
 pub mod results;
 pub mod rollout;
-mod capacity_snapshot;
-pub mod assignment_index;
-pub mod write_queue;
+mod scale_out;
 pub mod scheduling;
-pub mod licences;
+pub mod state_cache;
+pub mod store;
 pub mod stored_heartbeat;
+pub mod terminal_states;
 pub mod unresponsive;
-pub mod reconciliation;
-pub mod store;
+pub mod user_requests;
 mod watch;
+pub mod write_queue;
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -54,18 +54,18 @@
 use tracing::warn;
 
 use calls::Call;
+use cluster::{ClusterState, Direct};
 use config::Config;
-use provisioning::{CloudReply, CloudRequest};
-use user_requests::{UserRequests, Question};
-use job::{TerminalRecord, JobId, JobSpec, JobState};
 use election::Election;
-use cluster::{Direct, ClusterState};
+use heartbeat_forwarding::{ForwardedHeartbeats, PeerMessage};
+use job::{JobId, JobSpec, JobState, TerminalRecord};
+use licences::LicenceView;
 use machine::{Command, DirectReply, MachineType, WorkerReport};
 use membership::{Membership, reachability::HeartbeatPath};
+use provisioning::{CloudReply, CloudRequest};
 use state_cache::StateCache;
-use heartbeat_forwarding::{PeerMessage, ForwardedHeartbeats};
-use licences::LicenceView;
 use store::{StateReply, StateRequest};
+use user_requests::{Question, UserRequests};
 
 /// Time as a step sees it.
 #[derive(Debug, Clone, Copy)]
@@ -398,7 +398,7 @@
             Input::Report { request, report } => self.report(request, report),
             Input::State { call, reply } => {
                 if let Some(call) = self.calls.remove(&call) {
-                    self.write_answered(call.write.as_ref(), &reply);
+                    self.note_write_reply(call.write.as_ref(), &reply);
                     self.state_reply(call.purpose, reply);
                 }
             }
@@ -597,11 +597,7 @@
                 renewed,
                 asked,
             } => self.verified(claim, renewed, asked, reply),
-            Purpose::Claim {
-                lease,
-                sent,
-                prior,
-            } => self.claimed(lease, sent, prior, reply),
+            Purpose::Claim { lease, sent, prior } => self.claimed(lease, sent, prior, reply),
             Purpose::Probe => self.probed(&reply),
             Purpose::StoredHeartbeat => self.heartbeat_stored(),
             Purpose::StoreSettledClaim => self.settled_claim_stored(),
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -24,10 +24,10 @@
 
 use super::{
     Answer, BACK_OFF, Node, Output, Purpose, RequestId,
-    machine::WorkerReport,
     heartbeat::worker_move_time,
     heartbeat_forwarding::PeerMessage,
-    store::{PARTITIONED, GENERATION, LEADER, StateReply, StateRequest, put, when},
+    machine::WorkerReport,
+    store::{GENERATION, LEADER, PARTITIONED, StateReply, StateRequest, put, when},
 };
 
 pub const PARTITIONED_ZONES_FEATURE: Feature = Feature {
@@ -88,7 +88,8 @@
     /// Nobody in that zone may be answered, or sent a start.
     fn is_partitioned(&self, zone: &str) -> bool {
         let partitioned_zones = &self.partitioned_zones;
-        self.cache.partitioned_zones.0.zones.contains_key(zone) || partitioned_zones.unsure.contains(zone)
+        self.cache.partitioned_zones.0.zones.contains_key(zone)
+            || partitioned_zones.unsure.contains(zone)
     }
 
     /// An answer with 200 was given.
@@ -243,7 +244,9 @@
             }
         }
         // One that may have been listed is settled by the next write, whatever it says.
-        if zones != self.cache.partitioned_zones.0.zones || !self.partitioned_zones.unsure.is_empty() {
+        if zones != self.cache.partitioned_zones.0.zones
+            || !self.partitioned_zones.unsure.is_empty()
+        {
             self.store_partitions(zones);
         }
     }
@@ -259,7 +262,10 @@
         let partitioned_zones = cluster.reachability.partitioned_zones.iter();
         let partitioned_zones = partitioned_zones.filter(|zone| !self.is_partitioned(zone));
         let silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
-        partitioned_zones.filter(|zone| silent(zone)).cloned().collect()
+        partitioned_zones
+            .filter(|zone| silent(zone))
+            .cloned()
+            .collect()
     }
 
     /// By then anybody in a zone was answered last, by this leader or one before it.
@@ -298,7 +304,12 @@
         );
     }
 
-    pub(super) fn zones_stored(&mut self, claim: u64, record: PartitionedZonesRecord, reply: &StateReply) {
+    pub(super) fn zones_stored(
+        &mut self,
+        claim: u64,
+        record: PartitionedZonesRecord,
+        reply: &StateReply,
+    ) {
         let now = self.now();
         self.partitioned_zones.writing = false;
         self.partitioned_zones.retry = now + BACK_OFF;
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -10,8 +10,8 @@
 use tracing::info;
 
 use super::{
-    job::{JobSpec, Kind},
     cluster::ClusterState,
+    job::{JobSpec, Kind},
     machine::{ListedMachine, ListedState, Machine, MachineId, MachineKind, MachineType, Standing},
 };
 
@@ -161,7 +161,11 @@
     }
 
     /// What the previous leader was refused is not asked for again at once.
-    pub(super) fn restore_refusals(&mut self, refused: Vec<(MachineKind, Duration)>, now: Duration) {
+    pub(super) fn restore_refusals(
+        &mut self,
+        refused: Vec<(MachineKind, Duration)>,
+        now: Duration,
+    ) {
         for (kind, left) in refused {
             self.refused
                 .entry(kind)
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -10,8 +10,8 @@
 
 use super::{
     Node,
+    cluster::{ClusterState, Job},
     job::{JobId, Priority},
-    cluster::{Job, ClusterState},
     machine::MachineId,
 };
 
@@ -116,7 +116,8 @@
     /// ever look at it again. There is none.
     pub fn lost_job(&self) -> Option<JobId> {
         let cluster = self.cluster.as_ref()?;
-        let waits = |(id, job): &(&JobId, &Job)| job.waiting_count() > 0 && !cluster.queue.holds(id);
+        let waits =
+            |(id, job): &(&JobId, &Job)| job.waiting_count() > 0 && !cluster.queue.holds(id);
         cluster.jobs.iter().find(waits).map(|(id, _)| id.clone())
     }
 }
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -4,17 +4,17 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use kiteyard_recovery::{
+    adoption::{AdoptionDecision, KnownState, Reported, decide_adoption},
     reconciliation::{Count, Input, Output, Patience, Reconciliation},
-    adoption::{KnownState, Reported, AdoptionDecision, decide_adoption},
 };
 use tracing::info;
 
 use super::{
-    config::Config,
-    job::{JobSpec, TaskId},
     cluster::{ClusterState, Slot},
-    machine::{Machine, Standing, TaskPhase, ExitReason},
+    config::Config,
     heartbeat::WORKER_RETRY,
+    job::{JobSpec, TaskId},
+    machine::{ExitReason, Machine, Standing, TaskPhase},
 };
 
 /// Orders that wait while the leader begins.
@@ -62,11 +62,17 @@
             count.stored += 1;
             count.silent += usize::from(is_awaited(machine));
         }
-        let outputs = self.reconciler.reconciliation.step(now, Input::Heard(counts));
+        let outputs = self
+            .reconciler
+            .reconciliation
+            .step(now, Input::Heard(counts));
         self.apply_reconciliation(outputs);
         if now >= self.reconciler.next_log && !self.reconciler.held.is_empty() {
             let held = std::mem::take(&mut self.reconciler.held);
-            let (first, room) = (held.get(&DeferredAction::Preempt), held.get(&DeferredAction::Provision));
+            let (first, room) = (
+                held.get(&DeferredAction::Preempt),
+                held.get(&DeferredAction::Provision),
+            );
             info!(preemptions = first, scale_outs = room, "actions deferred");
             self.reconciler.next_log = now + Duration::from_secs(1);
         }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -13,11 +13,11 @@
 
 use super::{
     Answer, BACK_OFF, Node, Purpose, RequestId,
-    partitioned_zones::PARTITIONED_ZONES_FEATURE,
     drain::DRAINS,
-    terminal_states::PACKED_TERMINAL_STATES,
     migrate::Migration,
+    partitioned_zones::PARTITIONED_ZONES_FEATURE,
     store::{GENERATION, LEADER, ORDERS, StateReply, StateRequest, node_key, put, when},
+    terminal_states::PACKED_TERMINAL_STATES,
 };
 
 /// All changes of the stored state that this build knows.
@@ -108,7 +108,9 @@
 
     /// Whether this node may claim the leadership, as far as stored forms go.
     pub(super) fn may_claim(&self) -> bool {
-        !self.rollout.retiring && self.now() >= self.rollout.blocked && self.refusal_reason().is_none()
+        !self.rollout.retiring
+            && self.now() >= self.rollout.blocked
+            && self.refusal_reason().is_none()
     }
 
     pub(super) fn accepts_requests(&self) -> bool {
@@ -272,7 +274,8 @@
     /// No record is left of what a generation that is being left has stored.
     fn nothing_left(&self) -> bool {
         let written = self.cache.cluster.0.written();
-        let no_zones = written >= PARTITIONED_ZONES_FEATURE.since || self.cache.partitioned_zones.0.zones.is_empty();
+        let no_zones = written >= PARTITIONED_ZONES_FEATURE.since
+            || self.cache.partitioned_zones.0.zones.is_empty();
         no_zones && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
     }
 
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -1,22 +1,22 @@
 //! What is to be rented: for waiting work that neither running nor booting machines take.
 
-mod upcoming_capacity;
 pub mod arrivals;
 mod plan;
+mod upcoming_capacity;
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use tracing::info;
 
-use upcoming_capacity::UpcomingCapacity;
 use plan::{ScaleOutOrder, ScaleOutPlan};
+use upcoming_capacity::UpcomingCapacity;
 
 use super::{
-    provisioning::ProvisioningRequest,
+    capacity_snapshot::jobs_on_unresolved,
+    cluster::{ClusterState, Job},
     job::{JobId, JobSpec, Kind, Resources},
-    cluster::{Job, ClusterState},
     machine::{MachineKind, Standing},
-    capacity_snapshot::jobs_on_unresolved,
+    provisioning::ProvisioningRequest,
     reconciliation::DeferredAction,
 };
 
@@ -87,7 +87,12 @@
     }
 
     /// Orders machines for the tasks that neither coming nor idle room takes.
-    fn plan_demand(&mut self, mut demand: Demand, plan: &mut ScaleOutPlan, idle: &mut UpcomingCapacity) {
+    fn plan_demand(
+        &mut self,
+        mut demand: Demand,
+        plan: &mut ScaleOutPlan,
+        idle: &mut UpcomingCapacity,
+    ) {
         let spec = demand.spec.clone();
         if !spec.one_zone {
             demand.tasks = plan.coming.fill(&spec, None, demand.tasks);
@@ -320,7 +325,12 @@
 }
 
 /// A zone where all of a job's tasks find room.
-fn whole_in(spec: &JobSpec, tasks: u32, ahead: &UpcomingCapacity, idle: &UpcomingCapacity) -> Option<Arc<str>> {
+fn whole_in(
+    spec: &JobSpec,
+    tasks: u32,
+    ahead: &UpcomingCapacity,
+    idle: &UpcomingCapacity,
+) -> Option<Arc<str>> {
     let zones = ahead.zones().chain(idle.zones());
     let whole = |zone: &&Arc<str>| {
         let zone = Some(&***zone);
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -15,10 +15,10 @@
 use kiteyard_maintenance::ledger::Replicas;
 
 use super::{
-    job::{JobId, JobSpec, Kind, Priority, Resources, TaskId},
+    capacity_snapshot::{MachineCapacity, Snapshot, Unplaceable, Usage, jobs_on_unresolved},
     cluster::ClusterState,
+    job::{JobId, JobSpec, Kind, Priority, Resources, TaskId},
     machine::{Machine, MachineId, Standing},
-    capacity_snapshot::{Unplaceable, MachineCapacity, Usage, Snapshot, jobs_on_unresolved},
     reconciliation::DeferredAction,
 };
 
@@ -71,7 +71,9 @@
 
     /// Nothing is started that can't be delivered, and nobody stopped for it.
     pub(super) fn reaches(&self, zone: &str) -> bool {
-        !self.reachability.is_uncertain && !self.reachability.partitioned_zones.contains(zone) && !self.withheld.contains(zone)
+        !self.reachability.is_uncertain
+            && !self.reachability.partitioned_zones.contains(zone)
+            && !self.withheld.contains(zone)
     }
 
     /// Places what fits, makes room for what does not, and parks the rest.
@@ -119,7 +121,9 @@
         }
         let spec = &job.spec;
         if (job.version < self.claim && view.on_unresolved.contains(id))
-            || self.closed_priority.is_some_and(|closed_priority| spec.priority <= closed_priority)
+            || self
+                .closed_priority
+                .is_some_and(|closed_priority| spec.priority <= closed_priority)
             || view.rules_out(spec, !job.nominations.is_empty())
         {
             return true;
@@ -128,7 +132,10 @@
             return false;
         }
         // No room is looked at for what may have none. Its turn is counted all the same.
-        let (with_image, seats) = (self.prefers_image_locality(job, now), !spec.licences.is_empty());
+        let (with_image, seats) = (
+            self.prefers_image_locality(job, now),
+            !spec.licences.is_empty(),
+        );
         if seats {
             self.retry_by(now + SEATS_AGAIN);
         }
@@ -327,7 +334,13 @@
 
     /// Both checks: with the nominated tasks of equal or higher priority taken
     /// as running, and again without them.
-    fn fits(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec, free: &Resources) -> bool {
+    fn fits(
+        &self,
+        view: &Snapshot,
+        room: &MachineCapacity,
+        spec: &JobSpec,
+        free: &Resources,
+    ) -> bool {
         if !spec.need.fits_in(free) {
             return false;
         }
@@ -595,7 +608,13 @@
 
     /// Work that another team runs beyond its guarantee, what leaves it put
     /// aside. A higher priority is left alone: it would only preempt back.
-    fn may_reclaim(&self, view: &Snapshot, leaving: &Usage, spec: &JobSpec, victim: &JobSpec) -> bool {
+    fn may_reclaim(
+        &self,
+        view: &Snapshot,
+        leaving: &Usage,
+        spec: &JobSpec,
+        victim: &JobSpec,
+    ) -> bool {
         if victim.priority > spec.priority || victim.team == spec.team {
             return false;
         }
@@ -618,7 +637,14 @@
         self.ledger.breach(&victim.team, *standing, *count)
     }
 
-    fn nominate(&mut self, view: &mut Snapshot, id: &JobId, spec: &JobSpec, plan: Plan, now: Duration) {
+    fn nominate(
+        &mut self,
+        view: &mut Snapshot,
+        id: &JobId,
+        spec: &JobSpec,
+        plan: Plan,
+        now: Duration,
+    ) {
         let machine = view.rooms[plan.room].id.clone();
         info!(job = %id, machine = %machine, victims = plan.victims.len(), breaches = plan.breaches, "nominate");
         self.counts.nominations += 1;
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -4,9 +4,9 @@
 
 use super::ClusterState;
 use crate::core::{
-    job::{JobId, JobSpec, Resources, TaskId},
-    cluster::Slot,
     capacity_snapshot::{MachineCapacity, Snapshot, by_zone},
+    cluster::Slot,
+    job::{JobId, JobSpec, Resources, TaskId},
     reconciliation::DeferredAction,
 };
 
@@ -55,7 +55,9 @@
             }
         }
         self.drop_spent(view, id, now);
-        if self.jobs[id].nominations.is_empty() && !self.awaits_capacity(spec, DeferredAction::Preempt) {
+        if self.jobs[id].nominations.is_empty()
+            && !self.awaits_capacity(spec, DeferredAction::Preempt)
+        {
             self.make_room_for_gang(view, id, spec, &tasks, now);
         }
         if self.jobs[id].nominations.is_empty() {
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -4,9 +4,9 @@
 
 use super::ClusterState;
 use crate::core::{
+    capacity_snapshot::Usage,
     job::{JobId, Resources},
     machine::Placement,
-    capacity_snapshot::Usage,
 };
 
 impl ClusterState {
@@ -45,7 +45,7 @@
     fn add_unresolved(&self, usage: &mut Usage) {
         let mut hidden: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.unresolved) {
-            let mut listed = machine.entry.may_list();
+            let mut listed = machine.assignment.may_list();
             // A job that was cancelled meanwhile may still run there, and whose it
             // was nobody knows any more: the whole machine counts for each team.
             if listed.any(|id| !self.jobs.contains_key(id)) {
@@ -55,7 +55,7 @@
                 continue;
             }
             for (id, job) in machine
-                .entry
+                .assignment
                 .may_list()
                 .filter_map(|id| self.jobs.get_key_value(id))
             {
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use super::{
-    partitioned_zones::PartitionedZonesRecord,
     job::{JobId, JobRecord},
     machine::MachineType,
-    stored_heartbeat::StoredHeartbeat,
+    partitioned_zones::PartitionedZonesRecord,
     store::{
-        PARTITIONED, CLAIMS, DRAINS, Entry, Event, GENERATION, JOBS, LEADER, NODES, ORDERS, SETTLED,
-        STORED_HEARTBEAT, TYPES, job_key,
+        CLAIMS, DRAINS, Entry, Event, GENERATION, JOBS, LEADER, NODES, ORDERS, PARTITIONED,
+        SETTLED, STORED_HEARTBEAT, TYPES, job_key,
     },
+    stored_heartbeat::StoredHeartbeat,
 };
 
 /// Who leads, in the leader key.
@@ -166,7 +166,9 @@
             // It decides nothing that is stored: one that can't be read is just no heartbeat.
             STORED_HEARTBEAT => {
                 let stored_heartbeat = event.value.as_ref()?;
-                return serde_json::from_str(stored_heartbeat.get()).ok().map(StateChange::StoredHeartbeat);
+                return serde_json::from_str(stored_heartbeat.get())
+                    .ok()
+                    .map(StateChange::StoredHeartbeat);
             }
             key => match key.strip_prefix(NODES) {
                 Some(node) => self.node_told(node.to_owned(), event),
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -72,6 +72,10 @@
     pub(super) fn leader_stores_heartbeats(&self) -> bool {
         let leader = self.cache.leader.as_ref();
         self.peer_hearing_leader().is_none()
-            && leader.is_some_and(|(_, claim)| self.membership.nodes.leader_stores_heartbeats(*claim, self.now()))
+            && leader.is_some_and(|(_, claim)| {
+                self.membership
+                    .nodes
+                    .leader_stores_heartbeats(*claim, self.now())
+            })
     }
 }
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -14,8 +14,8 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
 use super::{
-    job::{TerminalRecord, JobId, JobState},
-    store::{Change, Condition, TERMINAL_RANGES, TERMINAL_STATES, delete, terminal_key, put, when},
+    job::{JobId, JobState, TerminalRecord},
+    store::{Change, Condition, TERMINAL_RANGES, TERMINAL_STATES, delete, put, terminal_key, when},
 };
 
 pub const PACKED_TERMINAL_STATES: Feature = Feature {
@@ -273,7 +273,11 @@
 
 /// What proves that a job has no end, in each place where it could be; none where a
 /// range is not known, or where it has one.
-pub fn absence_conditions(cluster: &Cluster, id: &JobId, ranges: &TerminalRanges) -> Option<Vec<Condition>> {
+pub fn absence_conditions(
+    cluster: &Cluster,
+    id: &JobId,
+    ranges: &TerminalRanges,
+) -> Option<Vec<Condition>> {
     let mut conditions = Vec::new();
     for place in places(cluster) {
         conditions.push(match place {
@@ -300,11 +304,18 @@
     pub ends: Option<(Range, TerminalStates)>,
 }
 
-pub fn terminal_write(cluster: &Cluster, jobs: &[(JobId, TerminalRecord)], ranges: &TerminalRanges) -> Option<TerminalWrite> {
+pub fn terminal_write(
+    cluster: &Cluster,
+    jobs: &[(JobId, TerminalRecord)],
+    ranges: &TerminalRanges,
+) -> Option<TerminalWrite> {
     match place(cluster.written()) {
         Place::Single => Some(TerminalWrite {
             conditions: Vec::new(),
-            changes: jobs.iter().map(|(id, r)| put(terminal_key(id), r)).collect(),
+            changes: jobs
+                .iter()
+                .map(|(id, r)| put(terminal_key(id), r))
+                .collect(),
             ends: None,
         }),
         Place::Packed => {
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -11,8 +11,8 @@
 use tracing::info;
 
 use super::{
-    job::Kind,
     cluster::ClusterState,
+    job::Kind,
     machine::{Machine, MachineId, Standing},
 };
 
@@ -41,7 +41,9 @@
 impl ClusterState {
     /// The machine missed a report: it is asked whether it still answers.
     pub(super) fn should_probe(&self, machine: &Machine, now: Duration) -> bool {
-        machine.is_unheard(self.config.report * 3 / 2, now) && !machine.commands_unanswered && machine.endless_tasks() > 0
+        machine.is_unheard(self.config.report * 3 / 2, now)
+            && !machine.commands_unanswered
+            && machine.endless_tasks() > 0
     }
 
     /// The machine is silent, and the cloud's list, which showed it, does not any more: it
@@ -67,8 +69,10 @@
             .machines
             .values()
             .filter(|m| {
-                let unresponsive = m.is_unheard(silence, now) && m.commands_unanswered && m.endless_tasks() > 0;
-                unresponsive && self.reachability.reachable_zones.contains(&m.zone) || self.has_vanished(m, now)
+                let unresponsive =
+                    m.is_unheard(silence, now) && m.commands_unanswered && m.endless_tasks() > 0;
+                unresponsive && self.reachability.reachable_zones.contains(&m.zone)
+                    || self.has_vanished(m, now)
             })
             .map(|m| (Reverse(m.endless_tasks()), m.id.clone()))
             .filter(|(_, id)| !self.provisioning.is_being_returned(id))
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -8,12 +8,12 @@
 
 use super::{
     Answer, Node, Purpose, RequestId,
-    terminal_states::{self, KnownRange, Place, Range},
-    job::{TerminalRecord, JobId, JobRecord, JobSpec, JobState, Kind, Resources},
+    job::{JobId, JobRecord, JobSpec, JobState, Kind, Resources, TerminalRecord},
     machine::MachineType,
     store::{
-        GENERATION, StateReply, StateRequest, delete, encoded_len, terminal_key, job_key, put, when,
+        GENERATION, StateReply, StateRequest, delete, encoded_len, job_key, put, terminal_key, when,
     },
+    terminal_states::{self, KnownRange, Place, Range},
 };
 
 /// What is to be answered about a job once its state is known for sure.
@@ -363,7 +363,10 @@
 
     pub(super) fn drive_proofs(&mut self) {
         let now = self.now();
-        if self.user_requests.unproven.is_empty() || self.user_requests.in_flight || now < self.user_requests.next_sync {
+        if self.user_requests.unproven.is_empty()
+            || self.user_requests.in_flight
+            || now < self.user_requests.next_sync
+        {
             return;
         }
         if !self.cache.loaded {
@@ -468,7 +471,8 @@
         let (cluster, generation) = self.cache.cluster;
         let record = TerminalRecord::cancelled(self.counts(&id).0);
         let ended = [(id.clone(), record)];
-        let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges) else {
+        let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges)
+        else {
             self.read_range(request, id, AfterRangeRead::Cancel);
             return;
         };
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -5,8 +5,8 @@
 use super::{
     BACK_OFF, Node, Purpose, WATCH_WAIT,
     job::JobId,
-    state_cache::{StateCache, StateChange},
     results::Results,
+    state_cache::{StateCache, StateChange},
     store::{LIVE, StateReply, StateRequest},
 };
 
@@ -114,7 +114,10 @@
             }
             StateChange::LeaderKey => self.leader_changed(),
             StateChange::Cluster => {}
-            StateChange::StoredHeartbeat(stored_heartbeat) => self.membership.nodes.stored_heartbeat(stored_heartbeat, now),
+            StateChange::StoredHeartbeat(stored_heartbeat) => self
+                .membership
+                .nodes
+                .stored_heartbeat(stored_heartbeat, now),
             StateChange::Types => {
                 if let (Some(cluster), Some(types)) = (&mut self.cluster, &self.cache.types) {
                     cluster.types = types.clone();
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -7,17 +7,17 @@
 
 use super::{
     BACK_OFF, Node, Purpose,
+    assignment_index::ShardWrite,
+    cluster::{ClusterState, Job},
     config::Config,
-    terminal_states::{self, TerminalStates, Place, Range},
-    job::{TerminalRecord, JobId, JobState, TaskSet},
-    cluster::{Job, ClusterState},
+    job::{JobId, JobState, TaskSet, TerminalRecord},
     limits::{WriteLimits, WriteRate},
     results::{self, ChunkPart},
-    assignment_index::ShardWrite,
     store::{
         Change, GENERATION, LEADER, StateReply, StateRequest, delete, job_key, progress_key, put,
         shard_key, when,
     },
+    terminal_states::{self, Place, Range, TerminalStates},
 };
 
 #[derive(Debug)]
@@ -92,7 +92,11 @@
 
 impl ClusterState {
     /// Stores the results of the job whose oldest one came first, if that was before.
-    fn next_progress_write(&mut self, before: Duration, limits: &WriteLimits) -> Option<PreparedWrite> {
+    fn next_progress_write(
+        &mut self,
+        before: Duration,
+        limits: &WriteLimits,
+    ) -> Option<PreparedWrite> {
         let claim = self.claim;
         let waits = |job: &Job| !job.saving && !job.complete() && job.saved.unsure().is_none();
         let (id, job) = self
@@ -233,7 +237,9 @@
         self.write_queue.refill(now);
         self.write_queue.has_news = false;
         if let Some(cluster) = &mut self.cluster {
-            cluster.assignment_index.limit_values(self.limits.value_bytes);
+            cluster
+                .assignment_index
+                .limit_values(self.limits.value_bytes);
         }
         while self.write_queue.in_flight < IN_FLIGHT && now >= self.write_queue.retry {
             // One change has to be affordable; a larger transaction borrows.
@@ -265,7 +271,10 @@
 
     /// Reads one shard of the assignment index again whose write was not answered.
     fn reread_shard(&mut self, claim: u64) -> bool {
-        let unsure = self.cluster.as_mut().and_then(|l| l.assignment_index.unsure());
+        let unsure = self
+            .cluster
+            .as_mut()
+            .and_then(|l| l.assignment_index.unsure());
         let Some(shard) = unsure else { return false };
         let key = shard_key(shard);
         self.write_queue.in_flight += 1;
@@ -397,7 +406,11 @@
         let cluster = self.cluster.as_mut()?;
         // Starts wait for their job to be listed with their machine.
         if let Some((listings, conditions, changes)) = cluster.assignment_index_write(true, most) {
-            return Some((QueuedWrite::AssignmentIndex { claim, listings }, conditions, changes));
+            return Some((
+                QueuedWrite::AssignmentIndex { claim, listings },
+                conditions,
+                changes,
+            ));
         }
 
         if let Some(write) = cluster.next_progress_write(now.saturating_sub(GATHER), &self.limits) {
@@ -405,7 +418,11 @@
         }
 
         if let Some((listings, conditions, changes)) = cluster.assignment_index_write(false, most) {
-            return Some((QueuedWrite::AssignmentIndex { claim, listings }, conditions, changes));
+            return Some((
+                QueuedWrite::AssignmentIndex { claim, listings },
+                conditions,
+                changes,
+            ));
         }
         // Removing what is left over waits until there is plenty of room.
         if !cluster.garbage.is_empty() && self.write_queue.allowance > self.write_queue.rate / 2.0 {
@@ -466,7 +483,9 @@
         self.write_queue.in_flight = self.write_queue.in_flight.saturating_sub(1);
         self.write_queue.has_news = true;
         match write {
-            QueuedWrite::AssignmentIndex { listings, .. } => cluster.assignment_index_written(listings, &reply),
+            QueuedWrite::AssignmentIndex { listings, .. } => {
+                cluster.assignment_index_written(listings, &reply)
+            }
             QueuedWrite::Reread { shard, .. } => {
                 let version = match &reply {
                     StateReply::Entry(entry) => Some(entry.version),
--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -14,9 +14,9 @@
 use crate::{
     core::{
         CallId, Input,
-        provisioning::{CloudReply, CloudRequest},
         cluster::Direct,
         machine::DirectReply,
+        provisioning::{CloudReply, CloudRequest},
         store::{StateReply, StateRequest},
     },
     settings::Settings,
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{
-    provisioning::{CloudReply, CloudRequest, ProvisioningRequest},
     job::Resources,
     machine::{ListedMachine, ListedState, MachineType},
+    provisioning::{CloudReply, CloudRequest, ProvisioningRequest},
 };
 
 #[derive(Debug, Deserialize)]
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -12,9 +12,9 @@
 
 use crate::core::{
     job::{JobId, JobSpec, JobState, Kind, Priority, Resources},
+    licences::LicenceView,
     maintenance::{self, MachineView},
     rollout::Ask,
-    licences::LicenceView,
 };
 
 #[derive(Debug, Deserialize)]
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -4,7 +4,7 @@
 
 use crate::core::{
     job::{JobId, TaskId},
-    machine::{Command, DirectReply, ReportedTask, TaskPhase, ExitReason, WorkerReport},
+    machine::{Command, DirectReply, ExitReason, ReportedTask, TaskPhase, WorkerReport},
 };
 
 #[derive(Debug, Deserialize, Serialize)]
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -139,7 +139,7 @@
 
     fn write(&mut self) {
         let urgent = self.rng.random_bool(0.7);
-        let cluster = &mut self.cluster.leader;
+        let cluster = &mut self.cluster.cluster;
         let write = cluster
             .assignment_index_write(urgent, 5)
             .or_else(|| cluster.assignment_index_write(!urgent, 5));
@@ -175,9 +175,9 @@
 
     fn answer(&mut self, listings: Vec<ShardWrite>, reply: &StateReply) {
         self.cluster
-            .leader
+            .cluster
             .assignment_index_written(listings, reply);
-        let assignment_index = &mut self.cluster.leader.assignment_index;
+        let assignment_index = &mut self.cluster.cluster.assignment_index;
         while let Some(shard) = assignment_index.unsure() {
             let read = self.stored.shards.get(&format!("roster/{shard}"));
             assignment_index.reread(shard, Some(read.map_or(0, |(_, version)| *version)));
@@ -197,7 +197,7 @@
     fn check(&self) {
         let read = self.stored.read_last();
         let nothing = BTreeSet::new();
-        for machine in self.cluster.leader.machines.values() {
+        for machine in self.cluster.cluster.machines.values() {
             let listed = read.get(&*machine.id).unwrap_or(&nothing);
             let lost: Vec<_> = machine.assignment.jobs.difference(listed).collect();
             assert!(lost.is_empty(), "{}: {lost:?} is not listed", machine.id);
@@ -222,7 +222,7 @@
 
     /// Tasks that may be started are.
     fn start(&mut self) {
-        let machines = self.cluster.leader.machines.values();
+        let machines = self.cluster.cluster.machines.values();
         let mut starts = Vec::new();
         for machine in machines {
             for (task, attempt) in machine.tasks.keys() {
@@ -300,7 +300,7 @@
         (4, shard(&["run-000002", "run-000003"]), 8),
     ];
     let cluster = Cluster::after_a_take_over(4.0, assignment_index, Duration::from_secs(1000));
-    let entry = &cluster.leader.machines["vm-0001"].entry;
+    let entry = &cluster.cluster.machines["vm-0001"].assignment;
     let may_list: Vec<String> = entry.may_list().map(ToString::to_string).collect();
     assert_eq!(may_list, ["run-000002", "run-000003", "run-000001"]);
     assert_eq!(
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -11,7 +11,7 @@
     Answer, Input,
     job::{JobId, JobSpec, JobState, Kind, TerminalRecord},
     store::{Change, GENERATION, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, put},
-    terminal_states::{Ends, Range, parse_single},
+    terminal_states::{Range, TerminalStates, parse_single},
 };
 use kiteyard_rollout::generation::{Cluster, Stage};
 use rand::RngExt;
@@ -340,7 +340,7 @@
         }
     }
 
-    /// Ends that are stored for the first time: one that active jobs waited for has its time.
+    /// TerminalStates that are stored for the first time: one that active jobs waited for has its time.
     pub(crate) fn look_at_ends(&mut self, changes: &[Change]) {
         for change in changes {
             let Change::Put { key, value, .. } = change else {
@@ -375,7 +375,7 @@
         }
     }
 
-    /// Ends that are read, in one unsafe variant: all of them say that the job is done, those
+    /// TerminalStates that are read, in one unsafe variant: all of them say that the job is done, those
     /// that are not there as well.
     pub(super) fn tampered_end(&self, request: &StateRequest, reply: &mut StateReply) {
         let StateRequest::Get { key } = request else {
@@ -427,7 +427,7 @@
     if range.key() != key {
         return None;
     }
-    let ends: Ends = serde_json::from_str(text).expect("the ends of a range");
+    let ends: TerminalStates = serde_json::from_str(text).expect("the ends of a range");
     ends.get(name)
 }
 
