--- a/src/core/active_job.rs
+++ b/src/core/active_job.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use super::{
-    job::{JobSpec, Kind, TaskSet},
+    job::{JobSpec, Kind, Priority, TaskSet},
     machine::MachineId,
     results::Results,
     state_cache::LiveJob,
@@ -30,6 +30,8 @@
     pub blocked: bool,
     /// When it has to be done for the jobs that need it to be in time.
     pub latest_finish_ms: Option<u64>,
+    /// The priority that its owner gave it; `spec` has that of the jobs that need it, too.
+    pub own_priority: Priority,
     /// It was said that its pipeline will probably be late.
     pub(super) at_risk: bool,
     pub slots: Vec<Slot>,
@@ -80,6 +82,7 @@
             ready_ms: live.record.accepted_ms,
             blocked: !live.record.spec.needs.is_empty(),
             latest_finish_ms: None,
+            own_priority: spec.priority,
             at_risk: false,
             done_count: spec.tasks - waiting.len() as u32,
             slots,
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -50,6 +50,18 @@
     }
 }
 
+/// The last task of a job ends after so many times the run time of one.
+const LAST_TASK: f64 = 1.5;
+/// What a stage takes beside its run time: the fetch of the image, starts, the stored end.
+const STAGE_OVERHEAD: Duration = Duration::from_secs(5);
+/// Room for one more task mostly falls free within this time.
+const WAITS_FOR_ROOM: Duration = Duration::from_secs(10);
+
+/// The time from the moment a job may start until its end is stored.
+fn expected_time(run_time: Duration) -> Duration {
+    run_time.mul_f64(LAST_TASK) + STAGE_OVERHEAD
+}
+
 /// What the graph has to know of a job.
 fn facts(job: &LiveJob) -> JobFacts<JobId> {
     let (spec, accepted_ms) = (&job.record.spec, job.record.accepted_ms);
@@ -58,7 +70,7 @@
         priority: spec.priority as u8,
         accepted_ms,
         deadline_ms: deadline_ms(spec, accepted_ms),
-        expected: crate::settings::seconds(spec.estimate_s),
+        expected: expected_time(crate::settings::seconds(spec.estimate_s)),
     }
 }
 
@@ -281,6 +293,22 @@
         self.requeue();
     }
 
+    /// The job is as urgent as those that need it, and they would be in time if it found room
+    /// a little later by itself: nobody is stopped for it yet. What is stopped loses its work,
+    /// and room falls free all the time.
+    pub(super) fn has_time_before_preempting(&self, id: &JobId) -> bool {
+        let Some(job) = self.jobs.get(id) else {
+            return false;
+        };
+        let inherits = job.spec.priority > job.own_priority;
+        let Some(latest_ms) = job.latest_finish_ms.filter(|_| inherits) else {
+            return false;
+        };
+        let expected = expected_time(crate::settings::seconds(self.estimated_run_time(job)));
+        let needed = (expected + WAITS_FOR_ROOM).as_millis() as u64;
+        self.wall_ms + needed < latest_ms
+    }
+
     fn warn_of_late_pipelines(&mut self) {
         let wall_ms = self.wall_ms;
         let mut late = Vec::new();
@@ -288,7 +316,8 @@
             let Some(latest_ms) = job.latest_finish_ms.filter(|_| !job.at_risk) else {
                 continue;
             };
-            let expected_ms = wall_ms + (self.estimated_run_time(job) * 1000.0) as u64;
+            let run_time = crate::settings::seconds(self.estimated_run_time(job));
+            let expected_ms = wall_ms + expected_time(run_time).as_millis() as u64;
             if expected_ms > latest_ms {
                 late.push((id.clone(), expected_ms - latest_ms));
             }
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -28,6 +28,9 @@
 /// How soon a job that waits for a seat is tried again.
 const SEATS_AGAIN: Duration = Duration::from_secs(1);
 
+/// How soon a job that has time to wait for room is looked at again.
+const SLACK_AGAIN: Duration = Duration::from_secs(1);
+
 /// How soon waiting jobs are tried again after room was held no longer.
 const HELD_AGAIN: Duration = Duration::from_secs(1);
 
@@ -432,6 +435,10 @@
         if self.awaits_capacity(spec, DeferredAction::Preempt) {
             return false;
         }
+        if self.has_time_before_preempting(id) {
+            self.retry_by(now + SLACK_AGAIN);
+            return false;
+        }
         let waiting = self.jobs[id].waiting_count() as usize;
         while self.jobs[id].nominations.len() < waiting {
             let nominated = self.jobs[id].nominations.len() as u32;
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -2,6 +2,7 @@
 //! random clusters, and the examples of the paper.
 
 mod cluster;
+mod dependencies;
 mod provisioning;
 mod requeue;
 mod splitting;
