--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -23,6 +23,10 @@
 /// All changes of the stored state that this build knows.
 pub const FEATURES: &[Feature] = &[PACKED_TERMINAL_STATES, PARTITIONED_ZONES_FEATURE, DRAINS];
 
+/// Jobs that need others: no generation of its own, since the records of all other jobs keep
+/// their form. A build that does not know it can't read such a job and stays a standby.
+pub const JOB_DEPENDENCIES: &str = "job-dependencies";
+
 /// What operators ask of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Ask {
@@ -73,13 +77,14 @@
         .and_then(|config| config.reads_most)
         .unwrap_or(newest);
     let able = FEATURES.iter().filter(|f| f.since <= most);
+    let names = able.map(|f| f.name).chain([JOB_DEPENDENCIES]);
     Ability {
         build: option_env!("KITEYARD_BUILD")
             .unwrap_or(env!("CARGO_PKG_VERSION"))
             .to_owned(),
         least: OLDEST,
         most,
-        features: able.map(|f| f.name.to_owned()).collect(),
+        features: names.map(str::to_owned).collect(),
         held_to: config.and_then(|config| config.held_to(FEATURES)),
     }
 }
@@ -117,6 +122,18 @@
         !self.rollout.retiring && self.refusal_reason().is_none()
     }
 
+    /// Every node said that it knows jobs that need others. Where rollouts are off nobody says
+    /// anything, and operators answer for it.
+    pub(super) fn all_know_dependencies(&self) -> bool {
+        let gone = &self.cache.orders.0.gone;
+        let mut nodes = self.configured().filter(|node| !gone.contains(*node));
+        let knows = |node: &String| {
+            let ability = self.cache.nodes.get(node).and_then(|(a, _)| a.as_ref());
+            ability.is_some_and(|a| a.features.iter().any(|name| name == JOB_DEPENDENCIES))
+        };
+        self.rollout.machine.is_none() || nodes.all(knows)
+    }
+
     /// A record outside of what is watched can't be read.
     pub(super) fn report_unreadable(&mut self, key: &str) {
         if self.rollout.unread.as_deref() != Some(key) {
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -116,6 +116,10 @@
             self.queue_question(request, id, Question::Reject(reason));
             return;
         }
+        if !spec.needs.is_empty() && !self.all_know_dependencies() {
+            self.answer(request, Answer::Later { retry: RETRY });
+            return;
+        }
         self.check_needs(NeedsCheck {
             request,
             unchecked: spec.needs.clone(),
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -143,8 +143,13 @@
 
 impl Asked {
     fn new() -> Self {
-        let settings = node_settings::with_peers(0);
-        let node = Node::new(Config::new(&settings, Options::default()));
+        Self::with(0, Options::default())
+    }
+
+    /// One of several nodes.
+    fn with(peers: usize, options: Options) -> Self {
+        let settings = node_settings::with_peers(peers);
+        let node = Node::new(Config::new(&settings, options));
         let outputs = Vec::new();
         Self {
             node,
@@ -216,7 +221,11 @@
 
 /// The jobs that a submission names, and what a node says of a job that needs others.
 mod needs {
-    use kiteyard::core::job::JobState;
+    use kiteyard::core::{
+        job::JobState,
+        rollout::{FEATURES, JOB_DEPENDENCIES},
+        store::Change,
+    };
 
     use super::*;
 
@@ -287,10 +296,14 @@
     impl Asked {
         /// A node whose copy holds these active jobs.
         fn with_jobs(jobs: &[Value]) -> Self {
-            let mut asked = Self::new();
+            Self::new().with_active(jobs, Vec::new())
+        }
+
+        fn with_active(self, jobs: &[Value], mut entries: Vec<Entry>) -> Self {
+            let mut asked = self;
             asked.step(Input::Tick);
             let numbered = jobs.iter().zip(2..);
-            let mut entries: Vec<Entry> = numbered.map(|(job, at)| entry_of(job, at)).collect();
+            entries.extend(numbered.map(|(job, at)| entry_of(job, at)));
             entries.push(text_entry("live/types", TYPES, 1));
             asked.loads(entries, 10);
             asked
@@ -412,6 +425,42 @@
         }
     }
 
+    /// What two nodes said they are able to, where rollouts are on.
+    fn two_nodes(other_features: &Value) -> Asked {
+        let file = include_str!("../deploy/rollout.toml");
+        let config = kiteyard_rollout::config::Config::parse(file, FEATURES).expect("a file");
+        let options = Options {
+            rollout: Some(Arc::new(config)),
+            ..Options::default()
+        };
+        let entry = |node: &str, features: &Value| {
+            let ability = json!({"build": "b", "least": 1, "most": 4, "features": features});
+            text_entry(&format!("live/node/{node}"), &ability.to_string(), 1)
+        };
+        let own = json!([JOB_DEPENDENCIES]);
+        let said = vec![entry("n0", &own), entry("n1", other_features)];
+        Asked::with(1, options).with_active(&[submission_of(2, &[])], said)
+    }
+
+    #[test]
+    fn jobs_that_name_others_wait_until_every_node_knows_them() {
+        let mut asked = two_nodes(&json!(["drains"]));
+        asked.submit(1, &submission_of(1, &[2]));
+        let answer = asked.answer(1).expect("an answer");
+        assert!(matches!(answer, Answer::Later { .. }), "{answer:?}");
+        let mut asked = two_nodes(&json!(["drains", JOB_DEPENDENCIES]));
+        asked.submit(1, &submission_of(1, &[2]));
+        let accept = asked.sent(is_accept);
+        asked.reply(accept, StateReply::Committed { revision: 11 });
+        assert_eq!(asked.answer(1), Some(Answer::Accepted(id_of(1))));
+    }
+
+    /// A job is stored, and not what the node says of itself.
+    fn is_accept(request: &StateRequest) -> bool {
+        let stores = |change: &Change| matches!(change, Change::Put { key, .. } if key.starts_with("live/job/"));
+        matches!(request, StateRequest::Txn { changes, .. } if changes.iter().any(stores))
+    }
+
     #[test]
     fn a_job_that_names_one_that_is_over_is_accepted() {
         for state in ["done", "cancelled"] {
