--- a/src/core/election.rs
+++ b/src/core/election/mod.rs
@@ -1,25 +1,33 @@
 //! Leadership: a key under a short lease in the state service.
 //!
-//! The leader counts its lease from when it asked for the last good renewal, so
-//! it stops before the service can end the lease. Its token is made of the
-//! revision of its claim, and every write of a leader depends on that claim.
+//! Owns the lease, the claim, the term and the proof that the claim still stands. The
+//! leader counts its lease from when it asked for the last good renewal, so it stops before
+//! the service can end the lease. Its token is made of the revision of its claim, and every
+//! write of a leader depends on that claim.
+//!
+//! It never lets a node act past its term, never extends the term by a renewal alone, and
+//! never takes a missing leader key for a proof: neither that this node's claim stands, nor
+//! that a leader which the holder of the key may have superseded has stopped.
+
+mod failover;
+mod key_removal;
 
-use std::{collections::BTreeMap, time::Duration};
+use std::time::Duration;
 
 use tracing::info;
 
 use super::{
-    BACK_OFF, Node, Purpose, STATE_TIMEOUT,
-    assignment_index::ShardRecord,
-    cluster::{ClusterState, StoredClusterState},
-    job::JobId,
-    results::{ChunkPart, Results},
+    BACK_OFF, Node, Purpose,
     state_cache::LeaderRecord,
     store::{
-        ASSIGNMENTS, CLAIMS, Entry, GENERATION, LEADER, PARTITIONED, PROGRESS, SETTLED, StateReply,
-        StateRequest, delete, put, put_leased, when,
+        CLAIMS, GENERATION, LEADER, PARTITIONED, SETTLED, StateReply, StateRequest, put,
+        put_leased, when,
     },
 };
+use failover::FailoverLoader;
+use key_removal::KeyRemoval;
+
+pub use failover::FailoverRead;
 
 #[derive(Debug, Default)]
 pub struct Election {
@@ -57,14 +65,6 @@
     loader: Option<FailoverLoader>,
 }
 
-#[derive(Debug)]
-struct KeyRemoval {
-    claim: u64,
-    since: Duration,
-    asking: bool,
-    retry: Duration,
-}
-
 #[derive(Debug)]
 struct ObservedLeader {
     version: u64,
@@ -101,57 +101,6 @@
     }
 }
 
-/// What a new leader reads before it acts.
-#[derive(Debug, Default)]
-struct FailoverLoader {
-    started: bool,
-    progress: Option<BTreeMap<JobId, Results>>,
-    index: Option<Vec<(u32, ShardRecord, u64)>>,
-    progress_so_far: BTreeMap<JobId, Results>,
-    index_so_far: Vec<(u32, ShardRecord, u64)>,
-    retry: Duration,
-    in_flight: u32,
-    /// It was not read at the first try.
-    again: bool,
-}
-
-/// The first try of a failover is given up after this time: what it reads changes nothing,
-/// and an answer that was lost must not hold everything up. Later ones take the usual time.
-const FIRST_ATTEMPT: Duration = Duration::from_millis(500);
-
-impl FailoverLoader {
-    /// Takes a shard of the assignment index in; none where it can't be read.
-    fn add_shard(&mut self, entry: &Entry) -> Option<()> {
-        let shard = entry.key.strip_prefix(ASSIGNMENTS)?.parse().ok()?;
-        let record = ShardRecord::parse(entry.value.get())?;
-        self.index_so_far.push((shard, record, entry.version));
-        Some(())
-    }
-
-    /// The same for done tasks of an array.
-    fn add_progress(&mut self, entry: &Entry) -> Option<()> {
-        let (id, chunk) = entry.key.strip_prefix(PROGRESS)?.split_once('/')?;
-        let (id, chunk) = (JobId::parse(id)?, ChunkPart::parse(chunk)?);
-        let text: String = serde_json::from_str(entry.value.get()).ok()?;
-        let results = self.progress_so_far.entry(id).or_default();
-        results.read(chunk, entry.version, &text).then_some(())
-    }
-}
-
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum FailoverRead {
-    Progress { claim: u64 },
-    AssignmentIndex { claim: u64 },
-}
-
-impl FailoverRead {
-    fn claim(self) -> u64 {
-        match self {
-            FailoverRead::Progress { claim } | FailoverRead::AssignmentIndex { claim } => claim,
-        }
-    }
-}
-
 impl Node {
     /// Holds a claim and is inside its term. A claim whose term ran out while
     /// the state service was away stands again with the next good renewal and proof,
@@ -460,165 +409,4 @@
         self.election.storing_settled = false;
         self.election.settled_at = self.now() + BACK_OFF;
     }
-
-    /// Removes the key of a claim that this node has given up, after it stopped acting:
-    /// the next leader need not wait for the end of the lease then. If it can't be
-    /// removed, the lease, which is not renewed any more, ends by itself.
-    pub(super) fn remove_leader_key(&mut self, claim: u64, wait: Duration) {
-        self.election.lease = None;
-        self.election.valid_until = Duration::ZERO;
-        self.election.key_removal = Some(KeyRemoval {
-            claim,
-            since: self.now(),
-            asking: false,
-            retry: self.now() + wait,
-        });
-        self.drive_key_removal();
-    }
-
-    fn drive_key_removal(&mut self) {
-        let now = self.now();
-        let ttl = self.config.leader_ttl;
-        let over = |v: &mut KeyRemoval| now > v.since + ttl;
-        if self.election.key_removal.take_if(over).is_some() {
-            return;
-        }
-        let Some(key_removal) = &mut self.election.key_removal else {
-            return;
-        };
-        if key_removal.asking || now < key_removal.retry {
-            return;
-        }
-        key_removal.asking = true;
-        let claim = key_removal.claim;
-        self.call(
-            Purpose::RemoveLeaderKey { claim },
-            StateRequest::Txn {
-                conditions: vec![when(LEADER, claim)],
-                changes: vec![delete(LEADER)],
-            },
-        );
-    }
-
-    pub(super) fn leader_key_removed(&mut self, claim: u64, reply: &StateReply) {
-        let retry = self.now() + BACK_OFF;
-        match reply {
-            StateReply::Committed { .. } | StateReply::Conflict => {
-                self.election.key_removal.take_if(|v| v.claim == claim);
-            }
-            _ => {
-                if let Some(key_removal) = &mut self.election.key_removal {
-                    key_removal.asking = false;
-                    key_removal.retry = retry;
-                }
-            }
-        }
-    }
-
-    fn drive_failover(&mut self) {
-        let now = self.now();
-        let acts = self.is_leader();
-        if self.election.loader.is_some() && !acts {
-            self.expedite_proof();
-        }
-        let (Some(loader), Some(claim)) = (&mut self.election.loader, self.election.claim) else {
-            return;
-        };
-        if now < self.election.renewed + self.config.leader_term
-            && !loader.started
-            && loader.in_flight == 0
-            && now >= loader.retry
-        {
-            loader.started = true;
-            loader.progress_so_far.clear();
-            loader.index_so_far.clear();
-            loader.in_flight = 2;
-            self.read_failover_page(FailoverRead::Progress { claim }, None);
-            self.read_failover_page(FailoverRead::AssignmentIndex { claim }, None);
-            return;
-        }
-        // The cache must hold what came until the claim, too.
-        if loader.in_flight > 0 || !acts || loader.progress.is_none() || loader.index.is_none() {
-            return;
-        }
-        let Some(types) = self.cache.types.clone() else {
-            return;
-        };
-        let loader = self.election.loader.take().expect("just seen");
-        let found = StoredClusterState {
-            jobs: &self.cache.jobs,
-            progress: loader.progress.unwrap_or_default(),
-            assignment_index: loader.index.unwrap_or_default(),
-            resolve_by: self.election.previous_stopped_at + self.config.worker_lease_bound,
-            zone_lease_ends: self.zone_lease_ends(),
-        };
-        let mut cluster = ClusterState::new(self.config.clone(), claim, types, found, now);
-        cluster.apply_handover(std::mem::take(&mut self.handover), now);
-        self.cluster = Some(cluster);
-        self.tell_leader_of_graph();
-    }
-
-    fn failover_timeout(&self) -> Duration {
-        match &self.election.loader {
-            Some(loader) if !loader.again => FIRST_ATTEMPT,
-            _ => STATE_TIMEOUT,
-        }
-    }
-
-    fn read_failover_page(&mut self, loading: FailoverRead, after: Option<String>) {
-        let prefix = match loading {
-            FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS,
-            _ => PROGRESS,
-        };
-        self.call_within(
-            self.failover_timeout(),
-            Purpose::Failover(loading),
-            StateRequest::List {
-                prefix: prefix.into(),
-                after,
-            },
-        );
-    }
-
-    pub(super) fn failover_reply(&mut self, loading: FailoverRead, reply: StateReply) {
-        let now = self.now();
-        if self.election.claim != Some(loading.claim()) {
-            return;
-        }
-        let Some(loader) = &mut self.election.loader else {
-            return;
-        };
-        let StateReply::Entries { entries, more, .. } = reply else {
-            let lost = !loader.again && matches!(reply, StateReply::Unclear);
-            loader.in_flight -= 1;
-            loader.started = false;
-            loader.again = true;
-            loader.retry = if lost { now } else { now + BACK_OFF };
-            return;
-        };
-        let last = entries.last().map(|e| e.key.clone());
-        let mut unreadable = entries.iter().filter(|entry| {
-            let read = match loading {
-                FailoverRead::AssignmentIndex { .. } => loader.add_shard(entry),
-                _ => loader.add_progress(entry),
-            };
-            read.is_none()
-        });
-        if let Some(entry) = unreadable.next() {
-            let key = entry.key.clone();
-            self.abort_failover(&key);
-            return;
-        }
-        if let (true, Some(_)) = (more, &last) {
-            self.read_failover_page(loading, last);
-            return;
-        }
-        loader.in_flight -= 1;
-        match loading {
-            FailoverRead::AssignmentIndex { .. } => {
-                loader.index = Some(std::mem::take(&mut loader.index_so_far));
-            }
-            _ => loader.progress = Some(std::mem::take(&mut loader.progress_so_far)),
-        }
-    }
 }
