--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -1,14 +1,88 @@
-//! Calls to other services, and what waits for their answers.
+//! Calls to other services, why they were made, and what waits for their answers.
 
-use std::time::Duration;
+use std::{sync::Arc, time::Duration};
 
 use super::{
-    CallId, Node, Output, Purpose, STATE_TIMEOUT,
+    CallId, Node, Output, RequestId, STATE_TIMEOUT,
+    cluster::Direct,
+    election,
+    job::{JobId, JobSpec},
     limits::WriteSize,
+    migrate, partitioned_zones,
     provisioning::CloudRequest,
     store::{StateReply, StateRequest},
+    terminal_states, user_requests, write_queue,
 };
 
+/// Why a call was made.
+#[derive(Debug)]
+pub(super) enum Purpose {
+    Load {
+        after: bool,
+    },
+    Watch,
+    Sync,
+    Grant,
+    Renew {
+        sent: Duration,
+    },
+    /// Proves the claim and the cache after a renewal that was asked for at `renewed`.
+    Verify {
+        claim: u64,
+        renewed: Duration,
+        asked: Duration,
+    },
+    Claim {
+        lease: u64,
+        sent: Duration,
+        prior: election::PreviousLeader,
+    },
+    Probe,
+    StoredHeartbeat,
+    StoreSettledClaim,
+    RemoveLeaderKey {
+        claim: u64,
+    },
+    Accept {
+        request: RequestId,
+        spec: Arc<JobSpec>,
+        accepted_ms: u64,
+        tries: u8,
+    },
+    Cancel {
+        request: RequestId,
+        id: JobId,
+        ends: Option<(terminal_states::Range, terminal_states::TerminalStates)>,
+    },
+    ReadTerminalState(Box<user_requests::TerminalRead>),
+    /// Reads whether a job that a submission names is active.
+    ReadNeed(Box<user_requests::NeedsCheck>),
+    ReadRange {
+        request: RequestId,
+        id: JobId,
+        then: user_requests::AfterRangeRead,
+    },
+    Announce,
+    StoreGeneration,
+    Order {
+        request: RequestId,
+    },
+    Migrate((u64, u64), migrate::MigrationRequest),
+    StoreDrains {
+        request: Option<RequestId>,
+        drains: kiteyard_maintenance::drain::Drains,
+    },
+    StorePartitions {
+        claim: u64,
+        record: partitioned_zones::PartitionedZonesRecord,
+    },
+    Failover(election::FailoverRead),
+    QueuedWrite(write_queue::QueuedWrite),
+    StoreTypes,
+    Cloud(CloudRequest),
+    Direct(Direct),
+}
+
 /// A call that waits for its answer.
 #[derive(Debug)]
 pub(super) struct Call {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -26,6 +26,7 @@
 pub mod machine;
 pub mod maintenance;
 pub mod membership;
+mod message;
 pub mod migrate;
 pub mod partitioned_zones;
 pub mod provisioning;
@@ -50,248 +51,22 @@
     time::Duration,
 };
 
-use serde::{Deserialize, Serialize};
 use tracing::warn;
 
-use calls::Call;
+use calls::{Call, Purpose};
 use cluster::{ClusterState, Direct};
 use config::Config;
 use election::Election;
-use heartbeat_forwarding::{ForwardedHeartbeats, PeerMessage};
-use job::{JobId, JobSpec, JobState, TerminalRecord};
-use licences::LicenceView;
-use machine::{Command, DirectReply, MachineType, WorkerReport};
+use heartbeat_forwarding::ForwardedHeartbeats;
+use job::{JobId, TerminalRecord};
+use machine::{DirectReply, MachineType, WorkerReport};
 use membership::{Membership, reachability::HeartbeatPath};
 use provisioning::{CloudReply, CloudRequest};
 use state_cache::StateCache;
 use store::{StateReply, StateRequest};
 use user_requests::{Question, UserRequests};
 
-/// Time as a step sees it.
-#[derive(Debug, Clone, Copy)]
-pub struct Clock {
-    /// Steady time since the process began.
-    pub now: Duration,
-    /// The time of day, in milliseconds.
-    pub wall_ms: u64,
-}
-
-/// Names a request that waits for its answer.
-pub type RequestId = u64;
-/// The node's own requests have this name: nobody waits for their answers.
-pub const INTERNAL: RequestId = RequestId::MAX;
-/// Names a call to another service.
-pub type CallId = u64;
-
-#[derive(Debug)]
-pub enum Input {
-    Submit {
-        request: RequestId,
-        spec: Arc<JobSpec>,
-    },
-    Status {
-        request: RequestId,
-        id: JobId,
-    },
-    Withdraw {
-        request: RequestId,
-        id: JobId,
-    },
-    Ready {
-        request: RequestId,
-    },
-    Licences {
-        request: RequestId,
-    },
-    Rollout {
-        request: RequestId,
-        ask: rollout::Ask,
-    },
-    Maintenance {
-        request: RequestId,
-        ask: maintenance::Ask,
-    },
-    /// The process is about to end.
-    Retire,
-    Report {
-        request: RequestId,
-        report: WorkerReport,
-    },
-    State {
-        call: CallId,
-        reply: StateReply,
-    },
-    Cloud {
-        call: CallId,
-        reply: CloudReply,
-    },
-    Direct {
-        call: CallId,
-        reply: DirectReply,
-    },
-    Peer {
-        from: String,
-        message: PeerMessage,
-    },
-    Tick,
-}
-
-#[derive(Debug)]
-pub enum Output {
-    Answer {
-        request: RequestId,
-        answer: Answer,
-    },
-    State {
-        call: CallId,
-        request: StateRequest,
-        timeout: Duration,
-    },
-    Cloud {
-        call: CallId,
-        request: CloudRequest,
-    },
-    /// Commands straight to a worker.
-    Direct {
-        call: CallId,
-        direct: Direct,
-    },
-    Peer {
-        to: String,
-        message: PeerMessage,
-    },
-}
-
-impl Output {
-    /// What becomes of this when the leader's term was over before it could go out:
-    /// it may be sent all the same, changed, or turns into news for the node.
-    ///
-    /// A process that stood still in the middle of a step goes on as if no time had
-    /// passed. Writes depend on the claim and may go out; commands may not.
-    pub fn withheld(self) -> Result<Output, Box<Input>> {
-        match self {
-            Output::Answer {
-                request,
-                answer: Answer::Commands { .. },
-            } => Ok(Output::Answer {
-                request,
-                answer: Answer::Redirect(None),
-            }),
-            Output::Peer {
-                to,
-                message: PeerMessage::Reported { relay, .. },
-            } => Ok(Output::Peer {
-                to,
-                message: PeerMessage::Reported {
-                    relay,
-                    answer: None,
-                },
-            }),
-            Output::Direct { call, .. } => Err(Box::new(Input::Direct {
-                call,
-                reply: DirectReply::Unclear,
-            })),
-            other => Ok(other),
-        }
-    }
-}
-
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
-    Accepted(JobId),
-    /// Known already: its state now.
-    Known(JobId, JobState),
-    Status(JobId, JobState, u32, u32),
-    /// It is pending until these jobs are done.
-    Waiting(JobId, Vec<JobId>),
-    NotFound,
-    /// It can never run.
-    Impossible(String),
-    /// Undecidable now.
-    Later {
-        retry: Duration,
-    },
-    Ready(bool),
-    /// How licences stand, and how old that is where this node does not lead.
-    Licences(Vec<LicenceView>, Option<Duration>),
-    Rollout(Box<kiteyard_rollout::view::Status>),
-    Drains(Vec<maintenance::MachineView>),
-    Commands {
-        token: u64,
-        commands: Vec<Command>,
-    },
-    /// Another node leads, or none is known.
-    Redirect(Option<String>),
-}
-
-/// Why a call was made.
-#[derive(Debug)]
-enum Purpose {
-    Load {
-        after: bool,
-    },
-    Watch,
-    Sync,
-    Grant,
-    Renew {
-        sent: Duration,
-    },
-    /// Proves the claim and the cache after a renewal that was asked for at `renewed`.
-    Verify {
-        claim: u64,
-        renewed: Duration,
-        asked: Duration,
-    },
-    Claim {
-        lease: u64,
-        sent: Duration,
-        prior: election::PreviousLeader,
-    },
-    Probe,
-    StoredHeartbeat,
-    StoreSettledClaim,
-    RemoveLeaderKey {
-        claim: u64,
-    },
-    Accept {
-        request: RequestId,
-        spec: Arc<JobSpec>,
-        accepted_ms: u64,
-        tries: u8,
-    },
-    Cancel {
-        request: RequestId,
-        id: JobId,
-        ends: Option<(terminal_states::Range, terminal_states::TerminalStates)>,
-    },
-    ReadTerminalState(Box<user_requests::TerminalRead>),
-    /// Reads whether a job that a submission names is active.
-    ReadNeed(Box<user_requests::NeedsCheck>),
-    ReadRange {
-        request: RequestId,
-        id: JobId,
-        then: user_requests::AfterRangeRead,
-    },
-    Announce,
-    StoreGeneration,
-    Order {
-        request: RequestId,
-    },
-    Migrate((u64, u64), migrate::MigrationRequest),
-    StoreDrains {
-        request: Option<RequestId>,
-        drains: kiteyard_maintenance::drain::Drains,
-    },
-    StorePartitions {
-        claim: u64,
-        record: partitioned_zones::PartitionedZonesRecord,
-    },
-    Failover(election::FailoverRead),
-    QueuedWrite(write_queue::QueuedWrite),
-    StoreTypes,
-    Cloud(CloudRequest),
-    Direct(Direct),
-}
+pub use message::{Answer, CallId, Clock, INTERNAL, Input, Output, RequestId};
 
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
 const WATCH_WAIT: Duration = Duration::from_secs(10);
