--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -29,11 +29,65 @@
     again: bool,
 }
 
+/// The progress of jobs and the assignment index are read side by side.
+const FAILOVER_READS: u32 = 2;
 /// The first try of a failover is given up after this time: what it reads changes nothing,
 /// and an answer that was lost must not hold everything up. Later ones take the usual time.
 const FIRST_ATTEMPT: Duration = Duration::from_millis(500);
 
 impl FailoverLoader {
+    /// The reads are to be started, for the first time or again.
+    fn is_due(&self, now: Duration) -> bool {
+        !self.started && self.in_flight == 0 && now >= self.retry
+    }
+
+    /// All was read.
+    fn is_complete(&self) -> bool {
+        self.in_flight == 0 && self.progress.is_some() && self.index.is_some()
+    }
+
+    /// Both reads are under way, from their first page.
+    fn start(&mut self) {
+        self.started = true;
+        self.progress_so_far.clear();
+        self.index_so_far.clear();
+        self.in_flight = FAILOVER_READS;
+    }
+
+    /// A page was not read: both reads start again, at once where the first try was lost.
+    fn read_failed(&mut self, reply: &StateReply, now: Duration) {
+        let lost = !self.again && matches!(reply, StateReply::Unclear);
+        self.in_flight -= 1;
+        self.started = false;
+        self.again = true;
+        self.retry = if lost { now } else { now + BACK_OFF };
+    }
+
+    /// Takes a page in; the key of the first entry that can't be read, where there is one.
+    fn add_page(&mut self, loading: FailoverRead, entries: &[Entry]) -> Option<String> {
+        let unreadable = entries.iter().find(|entry| {
+            let read = match loading {
+                FailoverRead::AssignmentIndex { .. } => self.add_shard(entry),
+                FailoverRead::Progress { .. } => self.add_progress(entry),
+            };
+            read.is_none()
+        });
+        unreadable.map(|entry| entry.key.clone())
+    }
+
+    /// The last page of one of the reads is in.
+    fn finish(&mut self, loading: FailoverRead) {
+        self.in_flight -= 1;
+        match loading {
+            FailoverRead::AssignmentIndex { .. } => {
+                self.index = Some(std::mem::take(&mut self.index_so_far));
+            }
+            FailoverRead::Progress { .. } => {
+                self.progress = Some(std::mem::take(&mut self.progress_so_far));
+            }
+        }
+    }
+
     /// Takes a shard of the assignment index in; none where it can't be read.
     fn add_shard(&mut self, entry: &Entry) -> Option<()> {
         let shard = entry.key.strip_prefix(ASSIGNMENTS)?.parse().ok()?;
@@ -68,35 +122,42 @@
 
 impl Node {
     pub(super) fn drive_failover(&mut self) {
-        let now = self.now();
         let acts = self.is_leader();
         if self.election.loader.is_some() && !acts {
             self.expedite_proof();
         }
-        let (Some(loader), Some(claim)) = (&mut self.election.loader, self.election.claim) else {
+        let (Some(loader), Some(claim)) = (&self.election.loader, self.election.claim) else {
             return;
         };
-        if now < self.election.renewed + self.config.leader_term
-            && !loader.started
-            && loader.in_flight == 0
-            && now >= loader.retry
-        {
-            loader.started = true;
-            loader.progress_so_far.clear();
-            loader.index_so_far.clear();
-            loader.in_flight = 2;
-            self.read_failover_page(FailoverRead::Progress { claim }, None);
-            self.read_failover_page(FailoverRead::AssignmentIndex { claim }, None);
+        let now = self.now();
+        if now < self.election.renewed + self.config.leader_term && loader.is_due(now) {
+            self.start_failover_reads(claim);
             return;
         }
         // The cache must hold what came until the claim, too.
-        if loader.in_flight > 0 || !acts || loader.progress.is_none() || loader.index.is_none() {
-            return;
+        if acts && loader.is_complete() {
+            self.take_over(claim);
         }
+    }
+
+    fn start_failover_reads(&mut self, claim: u64) {
+        let Some(loader) = &mut self.election.loader else {
+            return;
+        };
+        loader.start();
+        self.read_failover_page(FailoverRead::Progress { claim }, None);
+        self.read_failover_page(FailoverRead::AssignmentIndex { claim }, None);
+    }
+
+    /// Makes the cluster state of the new term from what was read.
+    fn take_over(&mut self, claim: u64) {
+        let now = self.now();
         let Some(types) = self.cache.types.clone() else {
             return;
         };
-        let loader = self.election.loader.take().expect("just seen");
+        let Some(loader) = self.election.loader.take() else {
+            return;
+        };
         let found = StoredClusterState {
             jobs: &self.cache.jobs,
             progress: loader.progress.unwrap_or_default(),
@@ -120,7 +181,7 @@
     fn read_failover_page(&mut self, loading: FailoverRead, after: Option<String>) {
         let prefix = match loading {
             FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS,
-            _ => PROGRESS,
+            FailoverRead::Progress { .. } => PROGRESS,
         };
         self.call_within(
             self.failover_timeout(),
@@ -141,36 +202,17 @@
             return;
         };
         let StateReply::Entries { entries, more, .. } = reply else {
-            let lost = !loader.again && matches!(reply, StateReply::Unclear);
-            loader.in_flight -= 1;
-            loader.started = false;
-            loader.again = true;
-            loader.retry = if lost { now } else { now + BACK_OFF };
+            loader.read_failed(&reply, now);
             return;
         };
-        let last = entries.last().map(|e| e.key.clone());
-        let mut unreadable = entries.iter().filter(|entry| {
-            let read = match loading {
-                FailoverRead::AssignmentIndex { .. } => loader.add_shard(entry),
-                _ => loader.add_progress(entry),
-            };
-            read.is_none()
-        });
-        if let Some(entry) = unreadable.next() {
-            let key = entry.key.clone();
+        if let Some(key) = loader.add_page(loading, &entries) {
             self.abort_failover(&key);
             return;
         }
-        if let (true, Some(_)) = (more, &last) {
-            self.read_failover_page(loading, last);
+        if let (true, Some(last)) = (more, entries.last()) {
+            self.read_failover_page(loading, Some(last.key.clone()));
             return;
         }
-        loader.in_flight -= 1;
-        match loading {
-            FailoverRead::AssignmentIndex { .. } => {
-                loader.index = Some(std::mem::take(&mut loader.index_so_far));
-            }
-            _ => loader.progress = Some(std::mem::take(&mut loader.progress_so_far)),
-        }
+        loader.finish(loading);
     }
 }
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -114,10 +114,22 @@
     }
 
     pub(super) fn drive_election(&mut self) {
-        let now = self.now();
         if !self.cache.loaded {
             return;
         }
+        self.renew_lease();
+        if self.election.claim.is_some() {
+            self.drive_failover();
+            self.store_settled_claim();
+            return;
+        }
+        self.drive_key_removal();
+        self.drive_campaign();
+    }
+
+    /// Renews the lease where that is due.
+    fn renew_lease(&mut self) {
+        let now = self.now();
         if let Some(lease) = self.election.lease
             && !self.election.renewing
             && now >= self.election.next_renewal
@@ -126,12 +138,11 @@
             self.election.next_renewal = now + self.config.renew_every;
             self.call(Purpose::Renew { sent: now }, StateRequest::Renew { lease });
         }
-        if self.election.claim.is_some() {
-            self.drive_failover();
-            self.store_settled_claim();
-            return;
-        }
-        self.drive_key_removal();
+    }
+
+    /// Asks for a lease, and with a lease for the leadership, where this node may have it.
+    fn drive_campaign(&mut self) {
+        let now = self.now();
         let patience = self.config.leader_ttl;
         if self.election.claiming
             || now < self.election.retry
@@ -141,45 +152,46 @@
             return;
         }
         let Some(prior) = self.previous() else { return };
-        let version = self.cache.leader.as_ref().map_or(0, |(_, v)| *v);
         self.election.claiming = true;
         match self.election.lease {
-            None => self.call(
-                Purpose::Grant,
-                StateRequest::Grant {
-                    ttl: self.config.leader_ttl,
-                },
-            ),
-            Some(lease) => {
-                // By the time of the answer the key may be this claim's already.
-                self.election.requested |= prior != PreviousLeader::SameNode;
-                let record = LeaderRecord {
-                    node: self.config.node.clone(),
-                    superseded: prior == PreviousLeader::Superseded,
-                };
-                self.call(
-                    Purpose::Claim {
-                        lease,
-                        sent: now,
-                        prior,
-                    },
-                    StateRequest::Txn {
-                        // A process that does not know how the records are written
-                        // now can't claim, nor one that does not know whom it may not
-                        // answer.
-                        conditions: vec![
-                            when(LEADER, version),
-                            when(CLAIMS, self.cache.claims),
-                            when(GENERATION, self.cache.cluster.1),
-                            when(PARTITIONED, self.cache.partitioned_zones.1),
-                        ],
-                        changes: vec![
-                            put_leased(LEADER, &record, Some(lease)),
-                            put(CLAIMS, &self.config.node),
-                        ],
-                    },
-                );
-            }
+            None => self.request_lease(),
+            Some(lease) => self.claim_leadership(lease, prior),
+        }
+    }
+
+    fn request_lease(&mut self) {
+        let ttl = self.config.leader_ttl;
+        self.call(Purpose::Grant, StateRequest::Grant { ttl });
+    }
+
+    fn claim_leadership(&mut self, lease: u64, prior: PreviousLeader) {
+        // By the time of the answer the key may be this claim's already.
+        self.election.requested |= prior != PreviousLeader::SameNode;
+        let sent = self.now();
+        let request = self.claim_transaction(lease, prior);
+        self.call(Purpose::Claim { lease, sent, prior }, request);
+    }
+
+    /// The write that makes this node the leader.
+    fn claim_transaction(&self, lease: u64, prior: PreviousLeader) -> StateRequest {
+        let version = self.cache.leader.as_ref().map_or(0, |(_, v)| *v);
+        let record = LeaderRecord {
+            node: self.config.node.clone(),
+            superseded: prior == PreviousLeader::Superseded,
+        };
+        StateRequest::Txn {
+            // A process that does not know how the records are written now can't claim, nor
+            // one that does not know whom it may not answer.
+            conditions: vec![
+                when(LEADER, version),
+                when(CLAIMS, self.cache.claims),
+                when(GENERATION, self.cache.cluster.1),
+                when(PARTITIONED, self.cache.partitioned_zones.1),
+            ],
+            changes: vec![
+                put_leased(LEADER, &record, Some(lease)),
+                put(CLAIMS, &self.config.node),
+            ],
         }
     }
 
@@ -314,21 +326,7 @@
         let now = self.now();
         match reply {
             StateReply::Committed { revision } if self.election.lease == Some(lease) => {
-                info!(claim = revision, after = ?(now - sent), ?prior, "became leader");
-                self.election.claim = Some(revision);
-                // What was confirmed until now may be missing in the cache yet.
-                self.election.valid_until = Duration::ZERO;
-                self.election.proven = sent;
-                self.election.previous_stopped_at = match prior {
-                    PreviousLeader::SameNode => Duration::ZERO,
-                    PreviousLeader::LeaseExpired | PreviousLeader::Resigned => now,
-                    PreviousLeader::Superseded => now + self.config.leader_ttl,
-                };
-                self.election.requested = true;
-                self.election.loader = Some(FailoverLoader::default());
-                self.election.key_removal = None;
-                self.membership.begin_leading(now);
-                self.verify_claim();
+                self.begin_claim(revision, sent, prior);
             }
             StateReply::LeaseGone => {
                 self.election.lease = None;
@@ -340,6 +338,26 @@
         }
     }
 
+    /// The claim was written; this node acts once it is proven.
+    fn begin_claim(&mut self, claim: u64, sent: Duration, prior: PreviousLeader) {
+        let now = self.now();
+        info!(claim, after = ?(now - sent), ?prior, "became leader");
+        self.election.claim = Some(claim);
+        // What was confirmed until now may be missing in the cache yet.
+        self.election.valid_until = Duration::ZERO;
+        self.election.proven = sent;
+        self.election.previous_stopped_at = match prior {
+            PreviousLeader::SameNode => Duration::ZERO,
+            PreviousLeader::LeaseExpired | PreviousLeader::Resigned => now,
+            PreviousLeader::Superseded => now + self.config.leader_ttl,
+        };
+        self.election.requested = true;
+        self.election.loader = Some(FailoverLoader::default());
+        self.election.key_removal = None;
+        self.membership.begin_leading(now);
+        self.verify_claim();
+    }
+
     /// The leader key has changed.
     pub(super) fn leader_changed(&mut self) {
         self.observe_leader();
