--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -133,6 +133,15 @@
         });
     }
 
+    /// Sends commands straight to a worker.
+    pub(super) fn call_worker(&mut self, direct: Direct) {
+        self.next_call += 1;
+        let call = self.next_call;
+        self.calls
+            .insert(call, Purpose::Direct(direct.clone()).into());
+        self.out.push(Output::Direct { call, direct });
+    }
+
     /// Why a call was made whose answer has come.
     pub(super) fn purpose_of(&mut self, call: CallId) -> Option<Purpose> {
         self.calls.remove(&call).map(|call| call.purpose)
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -76,6 +76,21 @@
 /// Final states kept in memory, so that polls for them need no request.
 const TERMINAL_CACHE_MOST: usize = 4096;
 
+/// What a round of the leader has found to be done by others.
+struct RoundWork {
+    /// Something waits for a fresh proof of the claim.
+    needs_proof: bool,
+    directs: Vec<Direct>,
+    cloud: Option<CloudRequest>,
+}
+
+/// Schedules what waits, where that is due.
+fn run_due_pass(cluster: &mut ClusterState, now: Duration) {
+    if cluster.queue.dirty && now >= cluster.next_pass {
+        cluster.pass(now);
+    }
+}
+
 /// One controller node.
 pub struct Node {
     config: Arc<Config>,
@@ -159,34 +174,15 @@
             Input::Submit { request, spec } => self.submit(request, spec),
             Input::Status { request, id } => self.queue_question(request, id, Question::Status),
             Input::Withdraw { request, id } => self.queue_question(request, id, Question::Withdraw),
-            Input::Ready { request } => {
-                let ready = self.cache.loaded
-                    && self.cache.types.is_some()
-                    && !self.is_refused_alone()
-                    && self.accepts_requests();
-                self.answer(request, Answer::Ready(ready));
-            }
+            Input::Ready { request } => self.answer(request, Answer::Ready(self.is_ready())),
             Input::Licences { request } => self.licences(request),
             Input::Rollout { request, ask } => self.rollout_asked(request, ask),
             Input::Maintenance { request, ask } => self.maintenance_asked(request, ask),
             Input::Retire => self.retire(),
             Input::Report { request, report } => self.report(request, report),
-            Input::State { call, reply } => {
-                if let Some(call) = self.calls.remove(&call) {
-                    self.note_write_reply(call.write.as_ref(), &reply);
-                    self.state_reply(call.purpose, reply);
-                }
-            }
-            Input::Cloud { call, reply } => {
-                if let Some(Purpose::Cloud(request)) = self.purpose_of(call) {
-                    self.cloud_reply(&request, reply);
-                }
-            }
-            Input::Direct { call, reply } => {
-                if let Some(Purpose::Direct(direct)) = self.purpose_of(call) {
-                    self.direct_reply(&direct, reply);
-                }
-            }
+            Input::State { call, reply } => self.state_service_answered(call, reply),
+            Input::Cloud { call, reply } => self.cloud_answered(call, reply),
+            Input::Direct { call, reply } => self.worker_answered(call, reply),
             Input::Peer { from, message } => self.peer_message(from, message),
             Input::Tick => {}
         }
@@ -209,6 +205,13 @@
         self.election.may_act_until()
     }
 
+    fn is_ready(&self) -> bool {
+        self.cache.loaded
+            && self.cache.types.is_some()
+            && !self.is_refused_alone()
+            && self.accepts_requests()
+    }
+
     fn now(&self) -> Duration {
         self.clock.now
     }
@@ -234,55 +237,73 @@
         self.drive_proofs();
         self.drive_forwarding();
         self.drive_handover();
+        self.drive_leader();
+    }
+
+    /// What a leader does by itself once it has taken over.
+    fn drive_leader(&mut self) {
         let now = self.now();
         if !self.is_leader() {
             return;
         }
-        let proven = self.proven();
         let Some(cluster) = &mut self.cluster else {
             return;
         };
         cluster.wall_ms = self.clock.wall_ms;
-        // What follows looks at every machine, and reports come by the hundred a
-        // second: it is done for all that came meanwhile.
-        if now < cluster.next_round {
-            // Writes do not wait for the round, or the larger the fleet the fewer
-            // would go out.
-            if self.write_queue.has_news {
-                self.drive_write_queue();
-            }
-            return;
+        // A round looks at every machine, and reports come by the hundred a second: it is
+        // done for all that came meanwhile.
+        if now >= cluster.next_round {
+            self.run_leader_round();
+        } else if self.write_queue.has_news {
+            // Writes do not wait for the round, or the larger the fleet the fewer would
+            // go out.
+            self.drive_write_queue();
         }
-        cluster.next_round =
-            now + ROUND + self.config.round_per_machine * cluster.machines.len() as u32;
+    }
+
+    fn run_leader_round(&mut self) {
+        let proven = self.proven();
+        self.schedule_next_round();
         self.update_reachability();
-        let Some(cluster) = &mut self.cluster else {
+        let Some(work) = self.plan_leader_round(proven) else {
             return;
         };
-        cluster.proven = proven;
-        cluster.tick(now);
-        let needs_proof = cluster.needs_proof(now);
-        if cluster.queue.dirty && now >= cluster.next_pass {
-            cluster.pass(now);
-        }
-        let directs = cluster.direct_commands(now);
-        let cloud = cluster.cloud_work(now);
-        for direct in directs {
-            self.next_call += 1;
-            let call = self.next_call;
-            self.calls
-                .insert(call, Purpose::Direct(direct.clone()).into());
-            self.out.push(Output::Direct { call, direct });
+        for direct in work.directs {
+            self.call_worker(direct);
         }
-        if let Some(request) = cloud {
+        if let Some(request) = work.cloud {
             self.call_cloud(request);
         }
-        if needs_proof {
+        if work.needs_proof {
             self.expedite_proof();
         }
         self.drive_write_queue();
     }
 
+    /// The larger the fleet, the longer the pause between two rounds.
+    fn schedule_next_round(&mut self) {
+        let now = self.now();
+        if let Some(cluster) = &mut self.cluster {
+            let pause = self.config.round_per_machine * cluster.machines.len() as u32;
+            cluster.next_round = now + ROUND + pause;
+        }
+    }
+
+    /// Decides what is to be sent; none where this node has just stopped leading.
+    fn plan_leader_round(&mut self, proven: Duration) -> Option<RoundWork> {
+        let now = self.now();
+        let cluster = self.cluster.as_mut()?;
+        cluster.proven = proven;
+        cluster.tick(now);
+        let needs_proof = cluster.needs_proof(now);
+        run_due_pass(cluster, now);
+        Some(RoundWork {
+            needs_proof,
+            directs: cluster.direct_commands(now),
+            cloud: cluster.cloud_work(now),
+        })
+    }
+
     fn direct_reply(&mut self, direct: &Direct, reply: DirectReply) {
         let now = self.now();
         match &reply {
@@ -343,28 +364,32 @@
         }
     }
 
+    fn state_service_answered(&mut self, call: CallId, reply: StateReply) {
+        if let Some(call) = self.calls.remove(&call) {
+            self.note_write_reply(call.write.as_ref(), &reply);
+            self.state_reply(call.purpose, reply);
+        }
+    }
+
+    fn cloud_answered(&mut self, call: CallId, reply: CloudReply) {
+        if let Some(Purpose::Cloud(request)) = self.purpose_of(call) {
+            self.cloud_reply(&request, reply);
+        }
+    }
+
+    fn worker_answered(&mut self, call: CallId, reply: DirectReply) {
+        if let Some(Purpose::Direct(direct)) = self.purpose_of(call) {
+            self.direct_reply(&direct, reply);
+        }
+    }
+
+    /// Hands an answer of the state service to whatever asked for it.
     fn state_reply(&mut self, purpose: Purpose, reply: StateReply) {
-        let now = self.now();
         self.state_answered(&reply);
         match purpose {
             Purpose::Load { after } => self.loaded(after, reply),
-            Purpose::Watch => {
-                self.watching = false;
-                // Each change ends the watch of every node, and all of them ask
-                // again: with many small jobs that alone was more than the state
-                // service takes, and submissions were refused. Events gather, but for the
-                // leader: what it learns late starts late.
-                let pause = match (self.take_events(reply), self.is_leader()) {
-                    (false, _) => BACK_OFF,
-                    (true, true) => Duration::ZERO,
-                    (true, false) => self.config.watch_every,
-                };
-                self.retry_watch = now + pause;
-            }
-            Purpose::Sync => {
-                let proven = self.take_events(reply);
-                self.synced(proven);
-            }
+            Purpose::Watch => self.watch_answered(reply),
+            Purpose::Sync => self.sync_answered(reply),
             Purpose::Grant => self.granted(reply),
             Purpose::Renew { sent } => self.renewed(sent, reply),
             Purpose::Verify {
@@ -399,11 +424,28 @@
             Purpose::StorePartitions { claim, record } => self.zones_stored(claim, record, &reply),
             Purpose::Failover(loading) => self.failover_reply(loading, reply),
             Purpose::QueuedWrite(write) => self.write_answered(write, reply),
-            Purpose::StoreTypes => {}
-            Purpose::Cloud(_) | Purpose::Direct(_) => {}
+            Purpose::StoreTypes | Purpose::Cloud(_) | Purpose::Direct(_) => {}
         }
     }
 
+    fn watch_answered(&mut self, reply: StateReply) {
+        self.watching = false;
+        // Each change ends the watch of every node, and all of them ask again: with many
+        // small jobs that alone was more than the state service takes, and submissions were
+        // refused. Events gather, but for the leader: what it learns late starts late.
+        let pause = match (self.take_events(reply), self.is_leader()) {
+            (false, _) => BACK_OFF,
+            (true, true) => Duration::ZERO,
+            (true, false) => self.config.watch_every,
+        };
+        self.retry_watch = self.now() + pause;
+    }
+
+    fn sync_answered(&mut self, reply: StateReply) {
+        let proven = self.take_events(reply);
+        self.synced(proven);
+    }
+
     fn cache_terminal_state(&mut self, id: JobId, record: TerminalRecord) {
         self.end_in_graph(&id, record);
         if self.terminal_cache.insert(id.clone(), record).is_none() {
@@ -439,9 +481,7 @@
             self.drop_leadership("a worker knows a higher token");
             return None;
         }
-        if cluster.queue.dirty && now >= cluster.next_pass {
-            cluster.pass(now);
-        }
+        run_due_pass(cluster, now);
         Some(match cluster.report(report, now) {
             Some((token, commands)) => Answer::Commands { token, commands },
             None => Answer::Redirect(None),
