--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -18,9 +18,9 @@
 use super::{
     Node, Output,
     cluster::ClusterState,
-    heartbeat_forwarding::PeerMessage,
     job::JobId,
     machine::{Machine, MachineId, MachineKind},
+    peer_message::PeerMessage,
 };
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -15,11 +15,11 @@
 use super::{
     Node, Output, Purpose,
     election::PreviousLeader,
-    heartbeat_forwarding::PeerMessage,
     membership::{
         nodes::{EVERY, NodeHeartbeat, REFUSED},
         reachability::HeartbeatPath,
     },
+    peer_message::PeerMessage,
     store::{self, StateReply},
 };
 
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -1,47 +1,24 @@
-//! What nodes tell one another: reports of workers that can't reach the leader,
-//! and how far jobs are, for display.
+//! Reports of workers that can't reach the leader, passed on by other nodes, and how far jobs
+//! are, for display.
+//!
+//! Owns the reports that wait for the leader's answer or for a leader, and what the leader
+//! told of jobs and licences. Only a leader inside its term answers a report with commands.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
     time::Duration,
 };
 
-use serde::{Deserialize, Serialize};
-
 use super::{
     Answer, Node, Output, RequestId,
-    handover::HandoverSnapshot,
     heartbeat::WORKER_RETURNS,
     job::JobId,
     licences::LicenceView,
     machine::{MachineId, WorkerReport},
-    membership::{nodes::NodeHeartbeat, reachability::HeartbeatPath},
+    membership::reachability::HeartbeatPath,
 };
 
-/// One line between two nodes.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum PeerMessage {
-    /// A worker's report, for the leader.
-    Report { relay: u64, report: WorkerReport },
-    /// The leader's answer; none where it does not lead.
-    Reported { relay: u64, answer: Option<Answer> },
-    #[serde(rename = "pulse")]
-    Heartbeat(NodeHeartbeat),
-    /// The leader is asked to make way.
-    Resign { claim: u64 },
-    /// It has, and does not act any more.
-    Resigned { claim: u64 },
-    /// What the next leader should not have to learn again.
-    #[serde(rename = "hints")]
-    Handover(HandoverSnapshot),
-    /// Done and running tasks of active jobs, and how licences stand.
-    Digest {
-        jobs: Vec<(JobId, u32, u32)>,
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        licences: Vec<LicenceView>,
-    },
-}
+pub use super::peer_message::PeerMessage;
 
 #[derive(Debug)]
 struct Waiting {
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -9,11 +9,11 @@
 
 use super::{
     cluster::Direct,
-    heartbeat_forwarding::PeerMessage,
     job::{JobId, JobSpec, JobState},
     licences::LicenceView,
     machine::{Command, DirectReply, WorkerReport},
     maintenance,
+    peer_message::PeerMessage,
     provisioning::{CloudReply, CloudRequest},
     rollout,
     store::{StateReply, StateRequest},
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -29,6 +29,7 @@
 mod message;
 pub mod migrate;
 pub mod partitioned_zones;
+pub mod peer_message;
 pub mod provisioning;
 pub mod queue;
 pub mod reconciliation;
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -25,8 +25,8 @@
 use super::{
     Answer, BACK_OFF, Node, Output, Purpose, RequestId,
     heartbeat::worker_move_time,
-    heartbeat_forwarding::PeerMessage,
     machine::WorkerReport,
+    peer_message::PeerMessage,
     store::{GENERATION, LEADER, PARTITIONED, StateReply, StateRequest, put, when},
 };
 
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -13,7 +13,7 @@
 use tracing::info;
 
 use crate::{
-    core::{Input, heartbeat_forwarding::PeerMessage},
+    core::{Input, peer_message::PeerMessage},
     settings::Settings,
     wire::peer::Line,
 };
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::heartbeat_forwarding::PeerMessage;
+use crate::core::peer_message::PeerMessage;
 
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Line {
