--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -106,6 +106,7 @@
     }
 }
 
+/// One of the two reads of a failover, under the claim for which it was begun.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FailoverRead {
     Progress { claim: u64 },
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -29,6 +29,7 @@
 
 pub use failover::FailoverRead;
 
+/// What this node knows of its lease, its claim and the leader before it.
 #[derive(Debug, Default)]
 pub struct Election {
     lease: Option<u64>,
@@ -87,6 +88,7 @@
 }
 
 impl Election {
+    /// The end of the term: nothing that rests on the claim may go out after it.
     pub fn may_act_until(&self) -> Duration {
         self.valid_until
     }
@@ -96,6 +98,7 @@
         self.previous_stopped_at
     }
 
+    /// The first fencing token of the claim; its lower 16 bits are raised machine by machine.
     pub fn token(&self) -> Option<u64> {
         self.claim.map(|claim| claim << 16)
     }
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -75,18 +75,15 @@
 /// How often entries of workers that were not seen for long are removed: looking through
 /// them at each report would take time that grows with the square of the fleet.
 const CLEANUP_EVERY: Duration = Duration::from_secs(1);
+/// How long the leader's answer to a forwarded report is waited for.
+const FORWARDED_FOR: Duration = Duration::from_secs(1);
 /// How long a report is held: a worker waits 4 s for its answer.
 const HELD_FOR: Duration = Duration::from_millis(3400);
 
 impl Node {
     pub(super) fn report(&mut self, request: RequestId, report: WorkerReport) {
         if self.is_leader() {
-            self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
-            let Some(report) = self.defer_report(request, report) else {
-                return;
-            };
-            let answer = self.answer_as_leader(&report);
-            self.answer(request, answer.unwrap_or(Answer::Redirect(None)));
+            self.report_to_leader(request, report);
             return;
         }
         let Some((node, claim)) = self.other_leader() else {
@@ -120,16 +117,31 @@
             self.answer(request, Answer::Redirect(Some(node)));
             return;
         }
+        self.forward_report(node, request, report);
+    }
+
+    /// A report that came straight to this node while it leads.
+    fn report_to_leader(&mut self, request: RequestId, report: WorkerReport) {
+        self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
+        let Some(report) = self.defer_report(request, report) else {
+            return;
+        };
+        let answer = self.answer_as_leader(&report);
+        self.answer(request, answer.unwrap_or(Answer::Redirect(None)));
+    }
+
+    /// Passes a report on to the leader; the worker waits here for the answer.
+    fn forward_report(&mut self, leader: String, request: RequestId, report: WorkerReport) {
         self.forwarded.next += 1;
         let relay = self.forwarded.next;
         let waiting = Waiting {
             request,
             machine: report.machine.clone(),
-            until: now + Duration::from_secs(1),
+            until: self.now() + FORWARDED_FOR,
         };
         self.forwarded.waiting.insert(relay, waiting);
         self.out.push(Output::Peer {
-            to: node,
+            to: leader,
             message: PeerMessage::Report { relay, report },
         });
     }
