--- /dev/null
+++ b/src/core/cluster/placement.rs
@@ -0,0 +1,150 @@
+//! Places tasks on machines, stops them, frees their slots and marks them done.
+//!
+//! Stopping only asks for an end: the slot of a task that was sent stays taken until its end
+//! is known, or its job needs it no more. Only a start that was decided and not sent yet is
+//! taken back at once.
+
+use std::time::Duration;
+
+use tracing::debug;
+
+use super::{ClusterState, Slot};
+use crate::core::{
+    job::{JobId, Kind, TaskId},
+    machine::{MachineId, Phase, Placement, Stop, TaskPhase},
+};
+
+impl ClusterState {
+    /// The task waits again, provided that it is on this machine and no other.
+    pub(super) fn release_slot(&mut self, id: &MachineId, task: &TaskId, placement: &Placement) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let slot = &mut job.slots[task.index as usize];
+        if matches!(slot, Slot::On(machine) if machine == id) {
+            *slot = Slot::Waiting;
+            job.placed -= 1;
+            job.waiting.push(task.index);
+            if placement.phase == Phase::Seen(TaskPhase::Running) {
+                job.running -= 1;
+            }
+            self.queue.push(&task.job, job);
+        }
+    }
+
+    pub(super) fn finish(&mut self, task: &TaskId, now: Duration) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        // Replicas run until their job is cancelled.
+        if job.spec.kind == Kind::Service || task.index >= job.spec.tasks {
+            return;
+        }
+        let all = match job.spec.kind {
+            Kind::Gang => 0..job.spec.tasks,
+            _ => task.index..task.index + 1,
+        };
+        for index in all {
+            if job.done.contains(index) {
+                continue;
+            }
+            job.done.insert(index);
+            job.done_count += 1;
+            job.unsaved_since.get_or_insert(now);
+            match &job.slots[index as usize] {
+                Slot::On(_) => job.placed -= 1,
+                Slot::Waiting | Slot::Done => {}
+            }
+            let slot = std::mem::replace(&mut job.slots[index as usize], Slot::Done);
+            if let Slot::On(machine) = slot
+                && let Some(machine) = self.machines.get_mut(&machine)
+            {
+                // Nothing of a done task is needed any more.
+                for ((t, _), p) in &mut machine.tasks {
+                    if t.job == task.job && t.index == index && !p.exited() {
+                        if p.phase == Phase::Seen(TaskPhase::Running) {
+                            job.running -= 1;
+                        }
+                        p.foreign = true;
+                        p.stop.get_or_insert(Stop::new(Duration::ZERO, now));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Stops what is left of a gang; it starts again once all of it is gone.
+    pub fn break_gang(&mut self, id: &JobId, grace: Duration, now: Duration) {
+        let mut unsent = Vec::new();
+        for machine in self.machines.values_mut() {
+            machine.tasks.retain(|(task, _), p| {
+                if task.job != *id || p.foreign || p.exited() {
+                    return true;
+                }
+                if p.phase == Phase::Decided {
+                    unsent.push((machine.id.clone(), task.clone(), p.clone()));
+                    return false;
+                }
+                p.stop.get_or_insert(Stop::new(grace, now));
+                true
+            });
+        }
+        for (machine, task, placement) in unsent {
+            self.release_slot(&machine, &task, &placement);
+        }
+    }
+
+    /// Tells a task to stop. One that was never sent is just not started.
+    pub fn stop(&mut self, id: &MachineId, key: &(TaskId, u64), grace: Duration, now: Duration) {
+        let gang = self
+            .jobs
+            .get(&key.0.job)
+            .is_some_and(|job| job.spec.kind == Kind::Gang);
+        if gang {
+            self.break_gang(&key.0.job.clone(), grace, now);
+            return;
+        }
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        let Some(placement) = machine.tasks.get_mut(key) else {
+            return;
+        };
+        if placement.phase == Phase::Decided {
+            let placement = machine.tasks.remove(key).expect("just seen");
+            self.release_slot(id, &key.0, &placement);
+            self.requeue();
+        } else if placement.stop.is_none() {
+            placement.stop = Some(Stop::new(grace, now));
+        }
+    }
+
+    /// Puts a waiting task on a machine.
+    pub fn place(&mut self, id: &MachineId, task: TaskId, attempt: u64, now: Duration) {
+        let job = self.jobs.get_mut(&task.job).expect("job of a waiting task");
+        job.slots[task.index as usize] = Slot::On(id.clone());
+        job.placed += 1;
+        // One nomination fewer is needed: the one of this machine, if there is one.
+        if let Some(at) = job.nominations.iter().position(|m| m == id) {
+            job.nominations.remove(at);
+        }
+        let waiting = job.waiting_count() as usize;
+        job.nominations.truncate(waiting);
+        let machine = self.machines.get_mut(id).expect("known machine");
+        debug!(task = %task, machine = %id, attempt, "place");
+        self.counts.starts += 1;
+        machine.tasks.insert(
+            (task, attempt),
+            Placement {
+                phase: Phase::Decided,
+                need: job.spec.need,
+                spec: Some(job.spec.clone()),
+                since: now,
+                running_since: None,
+                stop: None,
+                foreign: false,
+                offered: 0,
+            },
+        );
+    }
+}
