--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -23,29 +23,44 @@
         if self.next_retry.take_if(|at| now >= *at).is_some() {
             self.requeue();
         }
+        let lost = self.end_leases(now);
+        self.delay_after_mass_loss(lost, now);
+        self.resolve_empty_machines();
+    }
+
+    /// Machines whose worker's lease is over are lost, and so are their tasks. Returns how many.
+    fn end_leases(&mut self, now: Duration) -> usize {
         let proven = self.proven;
         let lost: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.standing == Standing::Up || m.standing == Standing::Leaving)
-            .filter(|m| m.session > m.dead_session)
+            .filter(|m| holds_lease(m))
             .filter(|m| self.lease_end(m).is_some_and(|at| proven > at))
             .map(|m| m.id.clone())
             .collect();
         for id in &lost {
-            let machine = self.machines.get_mut(id).expect("just listed");
-            machine.dead_session = machine.session;
-            machine.fenced = false;
-            // Heard once under this claim, so its lease was counted from then.
-            machine.unresolved = false;
-            if machine.standing == Standing::Up {
-                machine.standing = Standing::Lost;
-            }
-            self.counts.lost += 1;
-            info!(machine = %id, tasks = machine.tasks.len(), "machine lost");
-            self.end_session(id, now);
+            self.lose_machine(id, now);
         }
-        self.delay_after_mass_loss(lost.len(), now);
+        lost.len()
+    }
+
+    fn lose_machine(&mut self, id: &MachineId, now: Duration) {
+        let machine = self.machines.get_mut(id).expect("just listed");
+        machine.dead_session = machine.session;
+        machine.fenced = false;
+        // Heard once under this claim, so its lease was counted from then.
+        machine.unresolved = false;
+        if machine.standing == Standing::Up {
+            machine.standing = Standing::Lost;
+        }
+        self.counts.lost += 1;
+        info!(machine = %id, tasks = machine.tasks.len(), "machine lost");
+        self.end_session(id, now);
+    }
+
+    /// Unresponsive machines hold nothing any more once every lease that they may have is over.
+    fn resolve_empty_machines(&mut self) {
+        let proven = self.proven;
         let unresolved = self.machines.values().filter(|m| m.unresolved);
         let empty = unresolved.filter(|m| proven > self.resolved_by(m));
         let empty: Vec<MachineId> = empty.map(|m| m.id.clone()).collect();
@@ -86,10 +101,14 @@
     pub fn needs_proof(&self, now: Duration) -> bool {
         let over = |end: Duration| now > end && self.proven <= end;
         self.machines.values().any(|m| {
-            let lost = matches!(m.standing, Standing::Up | Standing::Leaving)
-                && m.session > m.dead_session
-                && self.lease_end(m).is_some_and(over);
+            let lost = holds_lease(m) && self.lease_end(m).is_some_and(over);
             lost || (m.unresolved && over(self.resolved_by(m)))
         })
     }
 }
+
+/// The worker's session counts, so that its lease may end.
+fn holds_lease(machine: &Machine) -> bool {
+    matches!(machine.standing, Standing::Up | Standing::Leaving)
+        && machine.session > machine.dead_session
+}
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -145,13 +145,37 @@
         now: Duration,
     ) -> Self {
         let StoredClusterState {
-            jobs: live,
-            mut progress,
+            jobs,
+            progress,
             assignment_index,
             resolve_by,
             zone_lease_ends,
         } = found;
-        let mut cluster = Self {
+        let mut cluster = Self::empty(config, claim, types, resolve_by, zone_lease_ends, now);
+        cluster.licence_ledger = cluster.new_ledger(now);
+        for (shard, record, version) in assignment_index {
+            cluster.load_shard(shard, &record, version, now);
+        }
+        cluster.load_jobs(jobs, progress);
+        info!(
+            claim,
+            jobs = cluster.jobs.len(),
+            machines = cluster.machines.len(),
+            "failover complete"
+        );
+        cluster
+    }
+
+    /// Without jobs and machines.
+    fn empty(
+        config: Arc<Config>,
+        claim: u64,
+        types: Arc<Vec<MachineType>>,
+        resolve_by: Duration,
+        zone_lease_ends: BTreeMap<Arc<str>, Duration>,
+        now: Duration,
+    ) -> Self {
+        Self {
             claim,
             token: claim << 16,
             jobs: BTreeMap::new(),
@@ -189,25 +213,22 @@
             garbage: Vec::new(),
             types,
             config,
-        };
-        cluster.licence_ledger = cluster.new_ledger(now);
-        for (shard, record, version) in assignment_index {
-            cluster.load_shard(shard, &record, version, now);
         }
-        for (id, job) in live {
+    }
+
+    /// Adds the jobs that were found; results of others are of no more use.
+    fn load_jobs(
+        &mut self,
+        jobs: &BTreeMap<JobId, LiveJob>,
+        mut progress: BTreeMap<JobId, Results>,
+    ) {
+        for (id, job) in jobs {
             let done = progress.remove(id).unwrap_or_default();
-            cluster.add_job(id, job, done);
+            self.add_job(id, job, done);
         }
-        for (id, set) in progress {
-            cluster.discard_results(&id, &set);
+        for (id, results) in progress {
+            self.discard_results(&id, &results);
         }
-        info!(
-            claim,
-            jobs = cluster.jobs.len(),
-            machines = cluster.machines.len(),
-            "failover complete"
-        );
-        cluster
     }
 
     fn machine(
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -11,7 +11,7 @@
 use super::{ClusterState, Slot};
 use crate::core::{
     job::{JobId, Kind, TaskId},
-    machine::{MachineId, Phase, Placement, Stop, TaskPhase},
+    machine::{Machine, MachineId, Phase, Placement, Stop, TaskPhase},
 };
 
 impl ClusterState {
@@ -32,6 +32,7 @@
         }
     }
 
+    /// A task is done, and with one of a gang the whole gang.
     pub(super) fn finish(&mut self, task: &TaskId, now: Duration) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -40,36 +41,33 @@
         if job.spec.kind == Kind::Service || task.index >= job.spec.tasks {
             return;
         }
-        let all = match job.spec.kind {
+        let finished = match job.spec.kind {
             Kind::Gang => 0..job.spec.tasks,
             _ => task.index..task.index + 1,
         };
-        for index in all {
-            if job.done.contains(index) {
-                continue;
-            }
-            job.done.insert(index);
-            job.done_count += 1;
-            job.unsaved_since.get_or_insert(now);
-            match &job.slots[index as usize] {
-                Slot::On(_) => job.placed -= 1,
-                Slot::Waiting | Slot::Done => {}
-            }
-            let slot = std::mem::replace(&mut job.slots[index as usize], Slot::Done);
-            if let Slot::On(machine) = slot
-                && let Some(machine) = self.machines.get_mut(&machine)
-            {
-                // Nothing of a done task is needed any more.
-                for ((t, _), p) in &mut machine.tasks {
-                    if t.job == task.job && t.index == index && !p.exited() {
-                        if p.phase == Phase::Seen(TaskPhase::Running) {
-                            job.running -= 1;
-                        }
-                        p.foreign = true;
-                        p.stop.get_or_insert(Stop::new(Duration::ZERO, now));
-                    }
-                }
-            }
+        for index in finished {
+            self.finish_index(&task.job, index, now);
+        }
+    }
+
+    /// Marks one task of a job done, and stops what is left of it.
+    fn finish_index(&mut self, id: &JobId, index: u32, now: Duration) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if job.done.contains(index) {
+            return;
+        }
+        job.done.insert(index);
+        job.done_count += 1;
+        job.unsaved_since.get_or_insert(now);
+        let slot = std::mem::replace(&mut job.slots[index as usize], Slot::Done);
+        let Slot::On(machine) = slot else {
+            return;
+        };
+        job.placed -= 1;
+        if let Some(machine) = self.machines.get_mut(&machine) {
+            job.running -= stop_finished(machine, id, index, now);
         }
     }
 
@@ -148,3 +146,20 @@
         );
     }
 }
+
+/// Stops what a machine holds of a task that is done, since nothing of it is needed any more.
+/// Returns how many of its placements were running.
+fn stop_finished(machine: &mut Machine, id: &JobId, index: u32, now: Duration) -> u32 {
+    let mut running = 0;
+    for ((task, _), placement) in &mut machine.tasks {
+        if task.job != *id || task.index != index || placement.exited() {
+            continue;
+        }
+        if placement.phase == Phase::Seen(TaskPhase::Running) {
+            running += 1;
+        }
+        placement.foreign = true;
+        placement.stop.get_or_insert(Stop::new(Duration::ZERO, now));
+    }
+    running
+}
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -13,7 +13,8 @@
 use crate::core::{
     job::TaskId,
     machine::{
-        Command, ExitReason, MachineId, Phase, Placement, Standing, Stop, TaskPhase, WorkerReport,
+        Command, ExitReason, Machine, MachineId, Phase, Placement, Standing, Stop, TaskPhase,
+        WorkerReport,
     },
 };
 use kiteyard_recovery::adoption::AdoptionDecision;
@@ -31,66 +32,57 @@
         self.ensure_machine(&id, &report.machine_type, &report.zone, report.spot, now);
         let before = self.availability(&id, now);
         let machine = self.machines.get_mut(&id)?;
-        // A report of a session that is over, or older than one seen already,
-        // was held back on its way; nobody waits for its answer.
-        let late = report.session <= machine.dead_session
-            || report.session < machine.session
-            || (report.session == machine.session && report.seq <= machine.report_seq);
-        if late {
+        if machine.is_late(report) {
             debug!(machine = %id, report.session, report.seq, "late report");
             return None;
         }
         let new_session = report.session > machine.session;
         if new_session {
-            machine.session = report.session;
-            machine.report_seq = 0;
-            machine.content_seq = 0;
-        }
-        machine.addr = Some(report.addr);
-        machine.heard_at = Some(now);
-        machine.commands_unanswered = false;
-        machine.answered_at = Some(now);
-        if matches!(machine.standing, Standing::Booting | Standing::Lost) {
-            info!(machine = %id, kind = %machine.machine_type, zone = %machine.zone, "machine up");
-            machine.standing = Standing::Up;
-            machine.idle_since = now;
-        }
-        // Only a worker that knows this leader's token has answered after the
-        // claim: an older report could have been overtaken by a start.
-        machine.fenced = report.token >= token;
-        machine.unresolved &= !machine.fenced;
-        if let Some(notice) = report.notice_s
-            && machine.notice_at.is_none()
-        {
-            let notice = crate::settings::seconds(notice);
-            info!(machine = %id, ?notice, "spot notice");
-            machine.notice_at = Some(now + notice);
+            machine.begin_session(report.session);
         }
+        machine.heard_from(report, token, now);
+        machine.take_spot_notice(report, now);
         if new_session {
-            let tasks = self.machines[&id].tasks.len();
-            if tasks > 0 {
-                info!(machine = %id, tasks, "worker's lease ran out");
-            }
-            self.end_session(&id, now);
-        }
-        let machine = self.machines.get_mut(&id)?;
-        machine.report_seq = report.seq;
-        // A direct command's answer may have brought newer news already.
-        if report.seq > machine.content_seq {
-            machine.content_seq = report.seq;
-            self.apply_report(&id, report, true, now);
+            self.end_former_session(&id, now);
         }
+        self.apply_regular_report(&id, report, now);
         if self.availability(&id, now) != before {
             self.requeue();
         }
-        let machine = self.machines.get_mut(&id)?;
+        self.answer(&id, report.seq)
+    }
+
+    /// The token and the commands that answer a machine's report.
+    fn answer(&mut self, id: &MachineId, seq: u64) -> Option<(u64, Vec<Command>)> {
         // While a direct command is under way nothing else is ordered, so that
         // the two can't be executed in the wrong order.
-        let commands = match machine.direct {
+        let commands = match self.machines.get(id)?.direct {
             true => Vec::new(),
-            false => self.commands(&id, Some(report.seq)),
+            false => self.commands(id, Some(seq)),
         };
-        Some((self.machines[&id].token, commands))
+        Some((self.machines[id].token, commands))
+    }
+
+    /// The worker has begun a new session, which it does when its lease has run out.
+    fn end_former_session(&mut self, id: &MachineId, now: Duration) {
+        let tasks = self.machines[id].tasks.len();
+        if tasks > 0 {
+            info!(machine = %id, tasks, "worker's lease ran out");
+        }
+        self.end_session(id, now);
+    }
+
+    /// Takes in the tasks of a report that came in the usual way, unless newer ones are known.
+    fn apply_regular_report(&mut self, id: &MachineId, report: &WorkerReport, now: Duration) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        machine.report_seq = report.seq;
+        // A direct command's answer may have brought newer news already.
+        if report.seq > machine.content_seq {
+            machine.content_seq = report.seq;
+            self.apply_report(id, report, true, now);
+        }
     }
 
     /// A new session has none of the tasks of the one before.
@@ -117,61 +109,30 @@
         regular: bool,
         now: Duration,
     ) {
-        // Most of a report repeats the one before.
-        let machine = &self.machines[id];
-        let news: Vec<((TaskId, u64), TaskPhase)> = report
-            .tasks
-            .iter()
-            .map(|reported| ((reported.task.clone(), reported.attempt), reported.phase))
-            .filter(|(key, phase)| {
-                let known = machine.tasks.get(key);
-                known.is_none_or(|placement| placement.phase != Phase::Seen(*phase))
-            })
-            .collect();
-        for (key, phase) in news {
+        for (key, phase) in changed_phases(&self.machines[id], report) {
             self.apply_task_report(id, key, phase, now);
         }
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get(id) else {
             return;
         };
-        // All that was reported is known now. Mostly there is nothing else.
-        if machine.tasks.len() <= report.tasks.len() {
-            return;
+        for key in missing_tasks(machine, report, regular) {
+            self.remove_missing(id, &key, now);
         }
-        let listed: BTreeSet<(&TaskId, u64)> = report
-            .tasks
-            .iter()
-            .map(|reported| (&reported.task, reported.attempt))
-            .collect();
-        let gone: Vec<_> = machine
-            .tasks
-            .iter()
-            .filter(|(key, placement)| {
-                !listed.contains(&(&key.0, key.1))
-                    && match placement.phase {
-                        Phase::Decided => false,
-                        Phase::Sent { seq, direct } => {
-                            regular
-                                && report.seq > seq
-                                && direct.is_none_or(|token| report.token > token)
-                        }
-                        Phase::Seen(_) => true,
-                    }
-            })
-            .map(|(key, _)| key.clone())
-            .collect();
-        for key in gone {
-            let machine = self.machines.get_mut(id).expect("still there");
-            let placement = machine.tasks.remove(&key).expect("just listed");
-            if !machine.busy() {
-                machine.idle_since = now;
-            }
-            if !placement.exited() {
-                self.placement_ended(id, &key.0, &placement, None, now);
-            }
+    }
+
+    /// A task that a report shows to be gone.
+    fn remove_missing(&mut self, id: &MachineId, key: &(TaskId, u64), now: Duration) {
+        let machine = self.machines.get_mut(id).expect("still there");
+        let placement = machine.tasks.remove(key).expect("just listed");
+        if !machine.busy() {
+            machine.idle_since = now;
+        }
+        if !placement.exited() {
+            self.placement_ended(id, &key.0, &placement, None, now);
         }
     }
 
+    /// One task of a report, whose phase is not the one known before.
     fn apply_task_report(
         &mut self,
         id: &MachineId,
@@ -207,37 +168,57 @@
         if phase == TaskPhase::Waiting {
             self.has_gathered(id, &key, now);
         }
-        let ran = matches!(before, Phase::Seen(TaskPhase::Running));
-        if !placement.foreign
-            && let Some(job) = self.jobs.get_mut(&key.0.job)
-        {
-            if phase == TaskPhase::Running {
-                job.running += 1;
-            } else if ran {
-                job.running -= 1;
-            }
+        self.count_running(&key.0, &placement, before, phase);
+        if let TaskPhase::Exited(reason) = phase {
+            self.task_exited(id, &key.0, placement, reason, now);
         }
-        if let TaskPhase::Exited(why) = phase {
-            if let (ExitReason::Done, Some(since)) = (why, placement.running_since) {
-                self.record_run_time(&key.0.job, now - since);
-            }
-            let machine = self.machines.get_mut(id).expect("known machine");
-            if !machine.busy() {
-                machine.idle_since = now;
-            }
-            self.placement_ended(
-                id,
-                &key.0,
-                &Placement {
-                    phase: Phase::Seen(TaskPhase::Waiting),
-                    ..placement
-                },
-                Some(why),
-                now,
-            );
+    }
+
+    /// Keeps the number of a job's running tasks.
+    fn count_running(
+        &mut self,
+        task: &TaskId,
+        placement: &Placement,
+        before: Phase,
+        phase: TaskPhase,
+    ) {
+        if placement.foreign {
+            return;
+        }
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        if phase == TaskPhase::Running {
+            job.running += 1;
+        } else if before == Phase::Seen(TaskPhase::Running) {
+            job.running -= 1;
         }
     }
 
+    /// A task was reported as exited. Its placement stays until the worker forgets it.
+    fn task_exited(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        placement: Placement,
+        reason: ExitReason,
+        now: Duration,
+    ) {
+        if let (ExitReason::Done, Some(since)) = (reason, placement.running_since) {
+            self.record_run_time(&task.job, now - since);
+        }
+        let machine = self.machines.get_mut(id).expect("known machine");
+        if !machine.busy() {
+            machine.idle_since = now;
+        }
+        // `count_running` took it off the running ones; freeing its slot must not do so again.
+        let placement = Placement {
+            phase: Phase::Seen(TaskPhase::Waiting),
+            ..placement
+        };
+        self.placement_ended(id, task, &placement, Some(reason), now);
+    }
+
     /// A task in a report that this leader did not start: one that a former
     /// leader started, or one that has no business there.
     fn adopt(&mut self, id: &MachineId, key: &(TaskId, u64), phase: TaskPhase, now: Duration) {
@@ -272,25 +253,113 @@
         }
     }
 
-    /// A placement has come to its end; `why` is none where it just went.
+    /// A placement has come to its end; `reason` is none where it just went.
     fn placement_ended(
         &mut self,
         id: &MachineId,
         task: &TaskId,
         placement: &Placement,
-        why: Option<ExitReason>,
+        reason: Option<ExitReason>,
         now: Duration,
     ) {
         self.queue.dirty = true;
-        if why == Some(ExitReason::Done) {
+        if reason == Some(ExitReason::Done) {
             if !placement.foreign {
                 self.release_slot(id, task, placement);
             }
             self.finish(task, now);
         } else if !placement.foreign {
             self.release_slot(id, task, placement);
-            self.failed(id, task, why, now);
+            self.failed(id, task, reason, now);
         }
         self.requeue();
     }
 }
+
+impl Machine {
+    /// A report of a session that is over, or older than one seen already, was held back
+    /// on its way; nobody waits for its answer.
+    fn is_late(&self, report: &WorkerReport) -> bool {
+        report.session <= self.dead_session
+            || report.session < self.session
+            || (report.session == self.session && report.seq <= self.report_seq)
+    }
+
+    fn begin_session(&mut self, session: u64) {
+        self.session = session;
+        self.report_seq = 0;
+        self.content_seq = 0;
+    }
+
+    /// Notes the contact, and whether the worker knows the leader's token.
+    fn heard_from(&mut self, report: &WorkerReport, token: u64, now: Duration) {
+        self.addr = Some(report.addr);
+        self.heard_at = Some(now);
+        self.commands_unanswered = false;
+        self.answered_at = Some(now);
+        if matches!(self.standing, Standing::Booting | Standing::Lost) {
+            info!(machine = %self.id, kind = %self.machine_type, zone = %self.zone, "machine up");
+            self.standing = Standing::Up;
+            self.idle_since = now;
+        }
+        // Only a worker that knows this leader's token has answered after the
+        // claim: an older report could have been overtaken by a start.
+        self.fenced = report.token >= token;
+        self.unresolved &= !self.fenced;
+    }
+
+    /// The first notice that the cloud takes the machine back counts.
+    fn take_spot_notice(&mut self, report: &WorkerReport, now: Duration) {
+        if let Some(notice) = report.notice_s
+            && self.notice_at.is_none()
+        {
+            let notice = crate::settings::seconds(notice);
+            info!(machine = %self.id, ?notice, "spot notice");
+            self.notice_at = Some(now + notice);
+        }
+    }
+}
+
+/// The tasks of a report whose phase is new; most of a report repeats the one before.
+fn changed_phases(machine: &Machine, report: &WorkerReport) -> Vec<((TaskId, u64), TaskPhase)> {
+    report
+        .tasks
+        .iter()
+        .map(|reported| ((reported.task.clone(), reported.attempt), reported.phase))
+        .filter(|(key, phase)| {
+            let known = machine.tasks.get(key);
+            known.is_none_or(|placement| placement.phase != Phase::Seen(*phase))
+        })
+        .collect()
+}
+
+/// Tasks that are gone from the machine: the report would list them otherwise.
+fn missing_tasks(machine: &Machine, report: &WorkerReport, regular: bool) -> Vec<(TaskId, u64)> {
+    // All that was reported is known now. Mostly there is nothing else.
+    if machine.tasks.len() <= report.tasks.len() {
+        return Vec::new();
+    }
+    let listed: BTreeSet<(&TaskId, u64)> = report
+        .tasks
+        .iter()
+        .map(|reported| (&reported.task, reported.attempt))
+        .collect();
+    machine
+        .tasks
+        .iter()
+        .filter(|(key, _)| !listed.contains(&(&key.0, key.1)))
+        .filter(|(_, placement)| would_be_listed(placement, report, regular))
+        .map(|(key, _)| key.clone())
+        .collect()
+}
+
+/// A task still on the machine would be in the report: its start can't have overtaken it.
+fn would_be_listed(placement: &Placement, report: &WorkerReport, regular: bool) -> bool {
+    match placement.phase {
+        Phase::Decided => false,
+        Phase::Sent { seq, direct } => {
+            regular && report.seq > seq && direct.is_none_or(|token| report.token > token)
+        }
+        Phase::Seen(_) => true,
+    }
+}
