--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -7,8 +7,8 @@
 };
 
 use super::{
-    job::{JobId, JobSpec, Kind, Priority, Resources, TaskId},
-    machine::{Machine, MachineId},
+    job::{JobId, JobSpec, Kind, Priority, Resources},
+    machine::{AttemptKey, Machine, MachineId},
 };
 
 /// A machine as one pass sees it. A pass looks at every room for most jobs, so
@@ -27,7 +27,7 @@
     /// Held for parked tasks, by job.
     pub held: Vec<(Priority, JobId, Resources)>,
     /// Set aside as victims in this pass.
-    pub victims: HashSet<(TaskId, u64)>,
+    pub victims: HashSet<AttemptKey>,
 }
 
 impl MachineCapacity {
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -11,7 +11,7 @@
 use super::{ClusterState, Slot};
 use crate::core::{
     job::{JobId, Kind, TaskId},
-    machine::{Machine, MachineId, Phase, Placement, Stop, TaskPhase},
+    machine::{AttemptKey, Machine, MachineId, Phase, Placement, Stop, TaskPhase},
 };
 
 impl ClusterState {
@@ -93,7 +93,7 @@
     }
 
     /// Tells a task to stop. One that was never sent is just not started.
-    pub fn stop(&mut self, id: &MachineId, key: &(TaskId, u64), grace: Duration, now: Duration) {
+    pub fn stop(&mut self, id: &MachineId, key: &AttemptKey, grace: Duration, now: Duration) {
         let gang = self
             .jobs
             .get(&key.0.job)
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -13,8 +13,8 @@
 use crate::core::{
     job::TaskId,
     machine::{
-        Command, ExitReason, Machine, MachineId, Phase, Placement, Standing, Stop, TaskPhase,
-        WorkerReport,
+        AttemptKey, Command, ExitReason, Machine, MachineId, Phase, Placement, Standing, Stop,
+        TaskPhase, WorkerReport,
     },
 };
 use kiteyard_recovery::adoption::AdoptionDecision;
@@ -121,7 +121,7 @@
     }
 
     /// A task that a report shows to be gone.
-    fn remove_missing(&mut self, id: &MachineId, key: &(TaskId, u64), now: Duration) {
+    fn remove_missing(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
         let machine = self.machines.get_mut(id).expect("still there");
         let placement = machine.tasks.remove(key).expect("just listed");
         if !machine.busy() {
@@ -136,7 +136,7 @@
     fn apply_task_report(
         &mut self,
         id: &MachineId,
-        key: (TaskId, u64),
+        key: AttemptKey,
         phase: TaskPhase,
         now: Duration,
     ) {
@@ -221,7 +221,7 @@
 
     /// A task in a report that this leader did not start: one that a former
     /// leader started, or one that has no business there.
-    fn adopt(&mut self, id: &MachineId, key: &(TaskId, u64), phase: TaskPhase, now: Duration) {
+    fn adopt(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
         let decision = self.decide_adoption(&key.0, phase);
         let ours = decision == AdoptionDecision::Adopt;
         let job = self.jobs.get_mut(&key.0.job);
@@ -321,7 +321,7 @@
 }
 
 /// The tasks of a report whose phase is new; most of a report repeats the one before.
-fn changed_phases(machine: &Machine, report: &WorkerReport) -> Vec<((TaskId, u64), TaskPhase)> {
+fn changed_phases(machine: &Machine, report: &WorkerReport) -> Vec<(AttemptKey, TaskPhase)> {
     report
         .tasks
         .iter()
@@ -334,7 +334,7 @@
 }
 
 /// Tasks that are gone from the machine: the report would list them otherwise.
-fn missing_tasks(machine: &Machine, report: &WorkerReport, regular: bool) -> Vec<(TaskId, u64)> {
+fn missing_tasks(machine: &Machine, report: &WorkerReport, regular: bool) -> Vec<AttemptKey> {
     // All that was reported is known now. Mostly there is nothing else.
     if machine.tasks.len() <= report.tasks.len() {
         return Vec::new();
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -12,8 +12,8 @@
 
 use super::{
     cluster::ClusterState,
-    job::{JobId, Kind, TaskId},
-    machine::{Machine, MachineId, Phase, Standing, TaskPhase},
+    job::{JobId, Kind},
+    machine::{AttemptKey, Machine, MachineId, Phase, Standing, TaskPhase},
 };
 
 /// A machine is worth emptying when it is used for less than one part in so many.
@@ -107,7 +107,7 @@
     /// Stops replicas on a machine that is to go, as far as the ledger allows.
     fn move_replicas(&mut self, id: &MachineId, now: Duration) {
         let services = self.observe_services();
-        let running: Vec<(TaskId, u64)> = self.machines[id]
+        let running: Vec<AttemptKey> = self.machines[id]
             .tasks
             .iter()
             .filter(|(_, p)| !p.exited() && !p.stopping() && !p.foreign)
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -12,8 +12,8 @@
 
 use super::{
     cluster::ClusterState,
-    job::{JobId, Kind, TaskId},
-    machine::{MachineId, Phase, Placement, Standing, TaskPhase},
+    job::{JobId, Kind},
+    machine::{AttemptKey, MachineId, Phase, Placement, Standing, TaskPhase},
 };
 
 pub const DRAINS: Feature = Feature {
@@ -98,7 +98,7 @@
             info!(machine = %id, tasks = machine.tasks.len(), "cordoned");
             let decided = machine.tasks.iter();
             let decided = decided.filter(|(_, p)| p.phase == Phase::Decided);
-            let decided: Vec<(TaskId, u64)> = decided.map(|(key, _)| key.clone()).collect();
+            let decided: Vec<AttemptKey> = decided.map(|(key, _)| key.clone()).collect();
             for key in decided {
                 self.stop(&id, &key, Duration::ZERO, now);
             }
@@ -167,10 +167,10 @@
         id: &MachineId,
         services: &BTreeMap<JobId, Replicas>,
         now: Duration,
-    ) -> Vec<Task<(TaskId, u64)>> {
+    ) -> Vec<Task<AttemptKey>> {
         let placements = self.machines[id].tasks.iter();
         let left = placements.filter(|(_, p)| !p.exited() && !p.foreign);
-        let mut tasks: Vec<Task<(TaskId, u64)>> = left
+        let mut tasks: Vec<Task<AttemptKey>> = left
             .filter_map(|(key, placement)| {
                 let spec = placement.spec.as_ref()?;
                 let kind = match spec.kind {
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -11,7 +11,7 @@
 use super::{
     cluster::{ClusterState, Job},
     job::{JobId, Kind, TaskId},
-    machine::{ExitReason, MachineId, Phase, Placement, Stop, TaskPhase},
+    machine::{AttemptKey, ExitReason, MachineId, Phase, Placement, Stop, TaskPhase},
 };
 
 /// A job that failed on so many machines, and nowhere else was done, is at fault.
@@ -121,7 +121,7 @@
     }
 
     /// Stops a task of a gang that is not complete any more, now that it has the image.
-    pub(super) fn has_gathered(&mut self, id: &MachineId, key: &(TaskId, u64), now: Duration) {
+    pub(super) fn has_gathered(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
         let Some(job) = self.jobs.get(&key.0.job) else {
             return;
         };
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -9,8 +9,13 @@
     job::{JobId, JobSpec, Resources, TaskId},
 };
 
+/// Names a machine, as the cloud does.
 pub type MachineId = Arc<str>;
 
+/// One attempt of a task: the task, and the number of its start, which no other start of any
+/// leader has.
+pub type AttemptKey = (TaskId, u64);
+
 /// A kind of machine that the cloud rents.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -243,7 +248,7 @@
     pub first_seen: Duration,
     pub idle_since: Duration,
     pub notice_at: Option<Duration>,
-    pub tasks: BTreeMap<(TaskId, u64), Placement>,
+    pub tasks: BTreeMap<AttemptKey, Placement>,
     /// Images in the machine's cache, as far as seen, with their last use.
     pub images: BTreeMap<Arc<str>, Duration>,
     /// What those are worth to services, see `value_images`.
