--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -46,32 +46,46 @@
 
 /// The picture of one leader, built at its failover and dropped with its claim.
 pub struct ClusterState {
-    pub config: Arc<Config>,
-    pub claim: u64,
+    /// Settings of the node.
+    pub(super) config: Arc<Config>,
+    /// Number of the claim that this leader leads by.
+    pub(super) claim: u64,
+    /// The token that machines begin with under this leader, higher than any of earlier claims.
     pub token: u64,
-    pub types: Arc<Vec<MachineType>>,
+    /// Machine types that the cloud rents.
+    pub(super) types: Arc<Vec<MachineType>>,
+    /// Active jobs.
     pub jobs: BTreeMap<JobId, Job>,
+    /// Machines that are rented, and what is or may be on them.
     pub machines: BTreeMap<MachineId, Machine>,
+    /// Jobs with waiting tasks, in the order in which they are tried.
     pub queue: Queue,
-    pub provisioning: Provisioning,
+    /// Machines being rented and returned.
+    pub(super) provisioning: Provisioning,
     /// Until then an unresponsive machine may hold tasks that a previous leader started.
-    pub resolve_by: Duration,
+    pub(super) resolve_by: Duration,
     /// The claim is known to have stood at this time.
     pub proven: Duration,
+    /// The last number given to a start, see `next_attempt`.
     attempts: u64,
-    pub next_pass: Duration,
-    pub next_round: Duration,
+    /// No scheduling pass before this time.
+    pub(super) next_pass: Duration,
+    /// No round of periodic work before this time.
+    pub(super) next_round: Duration,
     /// When the first parked job is to be tried again.
     pub(super) next_retry: Option<Duration>,
-    pub counts: Counts,
+    /// What was counted since this leader took over.
+    pub(super) counts: Counts,
+    /// When the log shows them next.
     pub(super) next_log: Duration,
     /// The time of day.
     pub wall_ms: u64,
     /// How far run times of a class are from their estimates, as a logarithm.
     pub runtime_corrections: HashMap<Arc<str>, f64>,
+    /// Which jobs each machine may run, as stored.
     pub assignment_index: AssignmentIndex,
     /// Counted licences, if there are any.
-    pub licence_ledger: Option<kiteyard_licences::ledger::Ledger>,
+    pub(super) licence_ledger: Option<kiteyard_licences::ledger::Ledger>,
     /// What the silence of machines means, and the zones where somebody is to be asked.
     pub reachability: Reachability,
     /// What may be taken down on purpose.
@@ -93,7 +107,7 @@
     /// Machines that were returned, for the node to forget.
     pub(super) returned_machines: Vec<MachineId>,
     /// How fast tasks start.
-    pub start_rate: StartRate,
+    pub(super) start_rate: StartRate,
     /// What usually comes.
     pub(super) arrivals: Arrivals,
     /// What is let in no more, see `priority_to_close`.
@@ -101,12 +115,14 @@
     /// What the previous leader told of machines not met yet.
     pub(super) pending_handover: HandoverSnapshot,
     /// Stored results of jobs that are over.
-    pub garbage: Vec<String>,
+    pub(super) garbage: Vec<String>,
 }
 
 /// What a failover found in the state service.
 pub struct StoredClusterState<'a> {
+    /// Jobs that are neither done nor cancelled.
     pub jobs: &'a BTreeMap<JobId, LiveJob>,
+    /// Stored results by job; some may be of jobs that are over.
     pub progress: BTreeMap<JobId, Results>,
     /// The assignment index's shards, each with its number and revision.
     pub assignment_index: Vec<(u32, ShardRecord, u64)>,
@@ -119,24 +135,35 @@
 /// Commands for one worker, to be sent straight to it.
 #[derive(Debug, Clone)]
 pub struct Direct {
+    /// The worker's machine.
     pub machine: MachineId,
+    /// Where the worker listens.
     pub addr: std::net::SocketAddr,
+    /// The token that the commands are valid under.
     pub token: u64,
+    /// The worker's session that they are meant for.
     pub session: u64,
+    /// What the worker is to do, in this order.
     pub commands: Vec<Command>,
 }
 
 /// Counters that the log shows now and then.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
+    /// Tasks placed on machines.
     pub starts: u64,
+    /// Tasks stopped for others of a higher priority.
     pub victims: u64,
+    /// Machines held for waiting tasks.
     pub nominations: u64,
+    /// Nominations given up again.
     pub cleared: u64,
+    /// Machines whose lease ended.
     pub lost: u64,
 }
 
 impl ClusterState {
+    /// Builds the state from what a failover found stored.
     pub fn new(
         config: Arc<Config>,
         claim: u64,
@@ -250,6 +277,7 @@
         machine
     }
 
+    /// The machine of this name, added if it is not known yet.
     pub fn ensure_machine(
         &mut self,
         id: &MachineId,
@@ -273,6 +301,7 @@
         self.attempts
     }
 
+    /// Adds an active job with its stored results, unless it is there already.
     pub fn add_job(&mut self, id: &JobId, live: &LiveJob, saved: impl Into<Results>) {
         if self.jobs.contains_key(id) {
             return;
@@ -331,6 +360,7 @@
         self.request_pass();
     }
 
+    /// Whether any machine may hold tasks that are not known.
     pub fn unresolved(&self) -> bool {
         self.machines.values().any(|m| m.unresolved)
     }
