--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -2,6 +2,7 @@
 //! back; workers once there is a leader.
 
 mod node_settings;
+mod worker_reports;
 
 use std::{sync::Arc, time::Duration};
 
@@ -213,18 +214,7 @@
 }
 
 fn report_of(machine: &str, token: u64) -> WorkerReport {
-    WorkerReport {
-        machine: Arc::from(machine),
-        addr: "127.0.0.1:9".parse().expect("an address"),
-        machine_type: Arc::from("m"),
-        zone: Arc::from("a"),
-        spot: false,
-        session: 1,
-        seq: 5,
-        token,
-        notice_s: None,
-        tasks: Vec::new(),
-    }
+    worker_reports::report_of(machine, token, Vec::new())
 }
 
 fn answered(outputs: &[Output]) -> Option<(u64, Answer)> {
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -1,6 +1,7 @@
 //! A whole fleet at one node: no fixed limit turns machines away.
 
 mod node_settings;
+mod worker_reports;
 
 use std::{sync::Arc, time::Duration};
 
@@ -77,18 +78,7 @@
 }
 
 fn report(machine: usize, token: u64, tasks: Vec<ReportedTask>) -> WorkerReport {
-    WorkerReport {
-        machine: Arc::from(format!("vm-{machine:06}")),
-        addr: "127.0.0.1:9".parse().expect("an address"),
-        machine_type: Arc::from("m"),
-        zone: Arc::from("a"),
-        spot: false,
-        session: 1,
-        seq: 5,
-        token,
-        notice_s: None,
-        tasks,
-    }
+    worker_reports::report_of(&format!("vm-{machine:06}"), token, tasks)
 }
 
 /// Each machine's report, a request for each machine's number.
