--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -1,8 +1,8 @@
-//! What a new leader reads before it acts: the progress of jobs and the assignment index.
+//! Failover: loads job progress and the assignment index before a new leader acts.
 //!
-//! Owns the loader and builds the cluster state of the new term from it. It never lets a
-//! node lead on part of what is stored: an entry that can't be read aborts the failover, and
-//! the cluster state is made only inside the term and once everything was read.
+//! Owns the loader and builds the cluster state of the new term from it. A node never leads
+//! on partially loaded state: an unreadable entry aborts the failover, and the cluster state is
+//! built only within the term and after everything has been read.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,7 +15,7 @@
     store::{ASSIGNMENTS, Entry, PROGRESS, StateReply, StateRequest},
 };
 
-/// What a new leader reads before it acts.
+/// State that a new leader loads before it acts.
 #[derive(Debug, Default)]
 pub(super) struct FailoverLoader {
     started: bool,
@@ -25,28 +25,28 @@
     index_so_far: Vec<(u32, ShardRecord, u64)>,
     retry: Duration,
     in_flight: u32,
-    /// It was not read at the first try.
+    /// The first attempt failed.
     again: bool,
 }
 
-/// The progress of jobs and the assignment index are read side by side.
+/// Number of concurrent reads: job progress and the assignment index.
 const FAILOVER_READS: u32 = 2;
-/// The first try of a failover is given up after this time: what it reads changes nothing,
-/// and an answer that was lost must not hold everything up. Later ones take the usual time.
+/// Timeout of the first attempt. The reads are idempotent, and a lost reply must not delay the
+/// failover; later attempts use `STATE_TIMEOUT`.
 const FIRST_ATTEMPT: Duration = Duration::from_millis(500);
 
 impl FailoverLoader {
-    /// The reads are to be started, for the first time or again.
+    /// Returns whether the reads should be started, for the first time or again.
     fn is_due(&self, now: Duration) -> bool {
         !self.started && self.in_flight == 0 && now >= self.retry
     }
 
-    /// All was read.
+    /// Returns whether both reads have finished.
     fn is_complete(&self) -> bool {
         self.in_flight == 0 && self.progress.is_some() && self.index.is_some()
     }
 
-    /// Both reads are under way, from their first page.
+    /// Resets the loader to the first page of both reads and marks them as in flight.
     fn start(&mut self) {
         self.started = true;
         self.progress_so_far.clear();
@@ -54,7 +54,8 @@
         self.in_flight = FAILOVER_READS;
     }
 
-    /// A page was not read: both reads start again, at once where the first try was lost.
+    /// Restarts both reads after a failed page: at once if the reply to the first attempt was lost,
+    /// otherwise after a delay.
     fn read_failed(&mut self, reply: &StateReply, now: Duration) {
         let lost = !self.again && matches!(reply, StateReply::Unclear);
         self.in_flight -= 1;
@@ -63,7 +64,7 @@
         self.retry = if lost { now } else { now + BACK_OFF };
     }
 
-    /// Takes a page in; the key of the first entry that can't be read, where there is one.
+    /// Adds a page and returns the key of its first unreadable entry, if any.
     fn add_page(&mut self, loading: FailoverRead, entries: &[Entry]) -> Option<String> {
         let unreadable = entries.iter().find(|entry| {
             let read = match loading {
@@ -75,7 +76,7 @@
         unreadable.map(|entry| entry.key.clone())
     }
 
-    /// The last page of one of the reads is in.
+    /// Completes one of the reads after its last page.
     fn finish(&mut self, loading: FailoverRead) {
         self.in_flight -= 1;
         match loading {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Takes a shard of the assignment index in; none where it can't be read.
+    /// Adds a shard of the assignment index; returns `None` if it can't be read.
     fn add_shard(&mut self, entry: &Entry) -> Option<()> {
         let shard = entry.key.strip_prefix(ASSIGNMENTS)?.parse().ok()?;
         let record = ShardRecord::parse(entry.value.get())?;
@@ -96,7 +97,7 @@
         Some(())
     }
 
-    /// The same for done tasks of an array.
+    /// Adds the finished tasks of an array; returns `None` if they can't be read.
     fn add_progress(&mut self, entry: &Entry) -> Option<()> {
         let (id, chunk) = entry.key.strip_prefix(PROGRESS)?.split_once('/')?;
         let (id, chunk) = (JobId::parse(id)?, ChunkPart::parse(chunk)?);
@@ -106,7 +107,7 @@
     }
 }
 
-/// One of the two reads of a failover, under the claim for which it was begun.
+/// One of the two reads of a failover, with the claim it was started for.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FailoverRead {
     Progress { claim: u64 },
@@ -135,7 +136,7 @@
             self.start_failover_reads(claim);
             return;
         }
-        // The cache must hold what came until the claim, too.
+        // Being the leader implies that the cache includes everything stored before the claim.
         if acts && loader.is_complete() {
             self.take_over(claim);
         }
@@ -150,7 +151,7 @@
         self.read_failover_page(FailoverRead::AssignmentIndex { claim }, None);
     }
 
-    /// Makes the cluster state of the new term from what was read.
+    /// Builds the cluster state of the new term from the loaded state.
     fn take_over(&mut self, claim: u64) {
         let now = self.now();
         let Some(types) = self.cache.types.clone() else {
--- a/src/core/election/key_removal.rs
+++ b/src/core/election/key_removal.rs
@@ -1,8 +1,8 @@
-//! Giving the leader key away after this node has stopped acting.
+//! Removal of the leader key after this node has stopped acting as the leader.
 //!
-//! Owns the request that deletes the key of a claim that was given up. It deletes that key
-//! only as it stands under that claim, never one that another node has put there since, and
-//! it gives up after the lease would have ended by itself.
+//! Owns the request that deletes the key of a released claim. The delete is conditional on that
+//! claim, so it never removes a key that another node has written since, and it is retried only
+//! until the lease would have expired anyway.
 
 use std::time::Duration;
 
@@ -20,9 +20,8 @@
 }
 
 impl Node {
-    /// Removes the key of a claim that this node has given up, after it stopped acting:
-    /// the next leader need not wait for the end of the lease then. If it can't be
-    /// removed, the lease, which is not renewed any more, ends by itself.
+    /// Removes the leader key of a released claim, so that the next leader need not wait for the
+    /// lease to expire. If the removal fails, the lease expires because it is no longer renewed.
     pub(in crate::core) fn remove_leader_key(&mut self, claim: u64, wait: Duration) {
         self.election.lease = None;
         self.election.valid_until = Duration::ZERO;
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -1,13 +1,13 @@
-//! Leadership: a key under a short lease in the state service.
+//! Leader election: a key under a short lease in the state service.
 //!
-//! Owns the lease, the claim, the term and the proof that the claim still stands. The
-//! leader counts its lease from when it asked for the last good renewal, so it stops before
-//! the service can end the lease. Its token is made of the revision of its claim, and every
-//! write of a leader depends on that claim.
+//! Owns the lease, the claim, the term and the verification that the claim is still valid. The
+//! leader counts its lease from when it sent the last successful renewal, so it stops acting
+//! before the state service can expire the lease. Its fencing token is derived from the revision
+//! of its claim, and every write of a leader is conditional on that claim.
 //!
-//! It never lets a node act past its term, never extends the term by a renewal alone, and
-//! never takes a missing leader key for a proof: neither that this node's claim stands, nor
-//! that a leader which the holder of the key may have superseded has stopped.
+//! A node never acts past its term, and a renewal alone never extends the term. A missing leader
+//! key proves neither that this node's claim is valid nor that a leader which the holder of the
+//! key superseded has stopped.
 
 mod failover;
 mod key_removal;
@@ -29,39 +29,39 @@
 
 pub use failover::FailoverRead;
 
-/// What this node knows of its lease, its claim and the leader before it.
+/// State of this node's lease, its claim and the previous leader.
 #[derive(Debug, Default)]
 pub struct Election {
     lease: Option<u64>,
-    /// Revision of the claim while it stands.
+    /// Revision of this node's claim while it is valid.
     claim: Option<u64>,
-    /// The last good renewal was asked for then.
+    /// Time at which the last successful renewal was sent.
     renewed: Duration,
-    /// Until then this node may act as the leader: a term after the last renewal that was
-    /// followed by a proof of the claim and of the cache. Never before the first proof.
+    /// End of the time in which this node may act as the leader: one term after the last renewal
+    /// that was followed by a verification of the claim and the cache. Zero before the first one.
     valid_until: Duration,
     next_renewal: Duration,
     renewing: bool,
     claiming: bool,
     retry: Duration,
-    /// This process has asked for a vacant leadership, so a leader key of this
-    /// node need not be that of the process before it.
+    /// This process has requested the leadership itself, so a leader key of this node need not
+    /// belong to the previous process.
     requested: bool,
-    /// The claim is known to have stood at this time.
+    /// Latest time at which the claim is known to have been valid.
     proven: Duration,
-    /// When that was asked for last.
+    /// Time at which the last verification was sent.
     proof_asked: Duration,
-    /// The previous leader has stopped acting by then.
+    /// Time by which the previous leader has stopped acting.
     previous_stopped_at: Duration,
-    /// The leader key that this node saw last, and since when.
+    /// Leader key that this node saw last.
     observed: Option<ObservedLeader>,
-    /// A note that this claim is settled is under way, or was tried at this time.
+    /// The write that marks this claim as settled is in flight.
     storing_settled: bool,
+    /// Start of the delay before the next attempt of that write.
     settled_at: Duration,
-    /// A claim that resigned for this node.
+    /// Claim of a leader that resigned in favour of this node.
     resigned: Option<u64>,
-    /// A claim that was given away to whoever comes first: its key is still to go,
-    /// since when, and whether that was asked for.
+    /// Pending removal of the leader key of a released claim.
     key_removal: Option<KeyRemoval>,
     loader: Option<FailoverLoader>,
 }
@@ -70,44 +70,44 @@
 struct ObservedLeader {
     version: u64,
     since: Duration,
-    /// Its owner took the place of one that may act for another term.
+    /// The owner superseded a leader that may still act for up to a term.
     superseded: bool,
 }
 
-/// What is known of the leader before a claim, and so of when it has stopped.
+/// State of the previous leader at the time of a claim, which tells when it has stopped acting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PreviousLeader {
-    /// Its lease has ended, and its term before that.
+    /// Its lease has expired, and its term before that.
     LeaseExpired,
-    /// It was the process before this one.
+    /// It was the previous process of this node.
     SameNode,
-    /// It said so.
+    /// It has resigned.
     Resigned,
-    /// It may act until the end of its term: it last renewed it before this claim.
+    /// It may act until the end of its term, which it last renewed before this claim.
     Superseded,
 }
 
 impl Election {
-    /// The end of the term: nothing that rests on the claim may go out after it.
+    /// Returns the end of the term. Nothing that depends on the claim may be sent after it.
     pub fn may_act_until(&self) -> Duration {
         self.valid_until
     }
 
-    /// By then whoever led before this claim has stopped.
+    /// Returns the time by which the leader before this claim has stopped acting.
     pub fn previous_leader_stopped_at(&self) -> Duration {
         self.previous_stopped_at
     }
 
-    /// The first fencing token of the claim; its lower 16 bits are raised machine by machine.
+    /// Returns the first fencing token of the claim. Its lower 16 bits are incremented per machine.
     pub fn token(&self) -> Option<u64> {
         self.claim.map(|claim| claim << 16)
     }
 }
 
 impl Node {
-    /// Holds a claim and is inside its term. A claim whose term ran out while
-    /// the state service was away stands again with the next good renewal and proof,
-    /// since the lease then never ended.
+    /// Returns whether this node holds a claim and is within its term. A claim whose term ended
+    /// during an outage of the state service becomes valid again with the next successful renewal
+    /// and verification, because the lease has not expired in that case.
     pub(super) fn is_leader(&self) -> bool {
         self.election.claim.is_some() && self.now() < self.election.valid_until
     }
@@ -130,7 +130,7 @@
         self.drive_campaign();
     }
 
-    /// Renews the lease where that is due.
+    /// Renews the lease if a renewal is due.
     fn renew_lease(&mut self) {
         let now = self.now();
         if let Some(lease) = self.election.lease
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Asks for a lease, and with a lease for the leadership, where this node may have it.
+    /// Requests a lease, and once it has one the leadership, if this node may lead.
     fn drive_campaign(&mut self) {
         let now = self.now();
         let patience = self.config.leader_ttl;
@@ -168,14 +168,14 @@
     }
 
     fn claim_leadership(&mut self, lease: u64, prior: PreviousLeader) {
-        // By the time of the answer the key may be this claim's already.
+        // By the time of the reply, the leader key may already be the one of this claim.
         self.election.requested |= prior != PreviousLeader::SameNode;
         let sent = self.now();
         let request = self.claim_transaction(lease, prior);
         self.call(Purpose::Claim { lease, sent, prior }, request);
     }
 
-    /// The write that makes this node the leader.
+    /// Builds the transaction that makes this node the leader.
     fn claim_transaction(&self, lease: u64, prior: PreviousLeader) -> StateRequest {
         let version = self.cache.leader.as_ref().map_or(0, |(_, v)| *v);
         let record = LeaderRecord {
@@ -183,8 +183,8 @@
             superseded: prior == PreviousLeader::Superseded,
         };
         StateRequest::Txn {
-            // A process that does not know how the records are written now can't claim, nor
-            // one that does not know whom it may not answer.
+            // A process with an outdated generation or an outdated list of partitioned zones can't
+            // claim: it would misread the records, or answer workers that it must not answer.
             conditions: vec![
                 when(LEADER, version),
                 when(CLAIMS, self.cache.claims),
@@ -198,11 +198,11 @@
         }
     }
 
-    /// Whether this node may claim the leadership now, and what it takes the place of.
+    /// Returns the state of the previous leader if this node may claim the leadership now.
     fn previous(&self) -> Option<PreviousLeader> {
         let Some((record, version)) = &self.cache.leader else {
-            // A key that stood for less than a term may have taken the place of
-            // one that still acts, and one that was never seen may have, too.
+            // The owner of a key that existed for less than a lease, or that this node never
+            // saw, may have superseded a leader that still acts.
             let ended = self.election.observed.as_ref().is_some_and(|observed| {
                 !observed.superseded
                     || self.cache.settled == observed.version
@@ -214,9 +214,9 @@
             });
         };
         if record.node == self.config.node {
-            // A process that ended never acts again: its successor on the same
-            // node need not wait for the end of its lease. One that itself took
-            // another's place may have ended before that one's term.
+            // A process that has exited never acts again, so the next process of the same node
+            // need not wait for its lease to expire. If it superseded another leader, though, it
+            // may have exited before the end of that leader's term.
             return Some(match (self.cache.unsettled(), self.election.requested) {
                 (true, _) => PreviousLeader::Superseded,
                 (false, false) => PreviousLeader::SameNode,
@@ -229,13 +229,13 @@
         self.leader_to_supersede()
     }
 
-    /// The leader has made way for this node.
+    /// Records that the leader has resigned in favour of this node.
     pub(super) fn resigned(&mut self, claim: u64) {
         self.election.resigned = Some(claim);
         self.election.retry = self.now();
     }
 
-    /// Whoever led before has stopped acting.
+    /// Returns whether the previous leader has stopped acting.
     pub(super) fn has_previous_leader_stopped(&self) -> bool {
         self.now() >= self.election.previous_stopped_at
     }
@@ -245,7 +245,7 @@
         match reply {
             StateReply::Granted { lease } => {
                 self.election.lease = Some(lease);
-                // The claim follows at once; a renewal fixes the start of the term.
+                // The claim follows at once. A renewal determines the start of the term.
                 self.election.next_renewal = self.now();
             }
             _ => self.election.retry = self.now() + BACK_OFF,
@@ -257,22 +257,22 @@
         match reply {
             StateReply::Renewed => {
                 self.election.renewed = self.election.renewed.max(sent);
-                // The lease outlives a claim that another node has replaced, so
-                // the term grows only once the claim was seen to stand as well.
+                // The lease outlives a claim that another node has replaced, so the term is
+                // extended only once the claim has been verified as well.
                 self.verify_claim();
             }
             StateReply::LeaseGone => {
                 self.election.lease = None;
                 self.election.valid_until = Duration::ZERO;
-                self.drop_leadership("its lease is gone");
+                self.drop_leadership("the lease has expired in the state service");
             }
             _ => self.election.next_renewal = self.now() + BACK_OFF,
         }
     }
 
-    /// Asks whether the claim stands, and for all that was stored until now: a watch that
-    /// does not wait tells both. Were the claim alone compared, a leader whose own watch is
-    /// refused, lost or slow would go on without the cancellations that others confirm.
+    /// Verifies that the claim is valid and fetches everything stored until now, using a watch
+    /// that returns at once. Comparing only the claim would let a leader whose own watch is
+    /// refused, lost or slow miss cancellations that other nodes have confirmed.
     fn verify_claim(&mut self) {
         let Some(claim) = self.claim() else { return };
         let (asked, renewed) = (self.now(), self.election.renewed);
@@ -288,7 +288,7 @@
         );
     }
 
-    /// What rests on the claim must not wait for the next renewal.
+    /// Verifies the claim ahead of the next renewal, for work that depends on the result.
     pub(super) fn expedite_proof(&mut self) {
         if self.now() > self.election.proof_asked + BACK_OFF {
             self.verify_claim();
@@ -299,8 +299,9 @@
         self.election.proven
     }
 
-    /// The claim stood after `asked`, and whatever was stored before is in the cache. So
-    /// whoever acts knows each cancellation that was confirmed more than a term ago.
+    /// Handles the reply to a verification. If the claim was valid after `asked`, the cache holds
+    /// everything stored before that, so a node within its term knows each cancellation that was
+    /// confirmed more than a term ago.
     pub(super) fn verified(
         &mut self,
         claim: u64,
@@ -310,7 +311,7 @@
     ) {
         let copied = self.take_events(reply);
         let standing = self.cache.leader.as_ref().map(|(_, version)| *version);
-        // A claim that has gone was dropped with the events.
+        // A replaced claim was dropped while the events were applied.
         if copied && self.election.claim == Some(claim) && standing == Some(claim) {
             self.election.proven = self.election.proven.max(asked);
             let until = renewed + self.config.leader_term;
@@ -335,18 +336,18 @@
                 self.election.lease = None;
                 self.election.retry = now;
             }
-            // Unclear: the watch shows whether the claim stands; if it does, it
-            // is taken again as one of this node's own.
+            // Unclear: the watch shows whether the claim was written. If it was, the
+            // leadership is claimed again from this node's own key.
             _ => self.election.retry = now + BACK_OFF,
         }
     }
 
-    /// The claim was written; this node acts once it is proven.
+    /// Starts the failover after the claim was written. This node acts once it is verified.
     fn begin_claim(&mut self, claim: u64, sent: Duration, prior: PreviousLeader) {
         let now = self.now();
-        info!(claim, after = ?(now - sent), ?prior, "became leader");
+        info!(claim, after = ?(now - sent), ?prior, "claimed the leadership; loading the state");
         self.election.claim = Some(claim);
-        // What was confirmed until now may be missing in the cache yet.
+        // The cache may still miss requests that were confirmed before the claim.
         self.election.valid_until = Duration::ZERO;
         self.election.proven = sent;
         self.election.previous_stopped_at = match prior {
@@ -361,7 +362,7 @@
         self.verify_claim();
     }
 
-    /// The leader key has changed.
+    /// Handles a change of the leader key.
     pub(super) fn leader_changed(&mut self) {
         self.observe_leader();
         let standing = self.cache.leader.as_ref().map(|(_, version)| *version);
@@ -369,7 +370,7 @@
             && self.cache.cursor >= claim
             && standing != Some(claim)
         {
-            self.drop_leadership("its claim is gone");
+            self.drop_leadership("the leader key was removed or replaced");
         }
         if standing.is_none() {
             self.election.retry = self.now();
@@ -395,7 +396,7 @@
 
     pub(super) fn drop_leadership(&mut self, why: &str) {
         if self.election.claim.take().is_some() {
-            info!(why, "no longer leads");
+            info!(why, "stopped leading");
         }
         self.cluster = None;
         self.election.loader = None;
@@ -403,8 +404,8 @@
         self.ranges.reset();
     }
 
-    /// Whoever led before this claim has stopped: once that is stored, a successor
-    /// of this process need not wait for it any more.
+    /// Stores that the previous leader has stopped, so that the next process of this node need not
+    /// wait for it.
     fn store_settled_claim(&mut self) {
         let now = self.now();
         if !self.cache.unsettled()
