--- a/src/core/membership/attention.rs
+++ b/src/core/membership/attention.rs
@@ -1,11 +1,11 @@
-//! How long a process has really attended, as opposed to how late it is.
+//! Clock that counts only the time during which the process was running.
 
 use std::time::Duration;
 
-/// A process is asked what is due every few hundredths of a second. More than this
-/// between two steps is time in which it could not have heard anybody.
+/// Longest step that counts in full. Steps come every few hundredths of a second; during a longer
+/// one the process was stalled and could not receive messages.
 const STEP_MOST: Duration = Duration::from_millis(250);
-/// After standing still for so long, what came meanwhile is still to be read.
+/// After a stall longer than this, messages that arrived meanwhile are still unread.
 const STOOD_STILL: Duration = Duration::from_millis(1500);
 
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 }
 
 impl Attention {
-    /// Says whether the process stood still before this step.
+    /// Advances the clock and returns whether the process was stalled before this step.
     pub fn tick(&mut self, now: Duration) -> bool {
         let passed = now.saturating_sub(self.last);
         self.last = now;
@@ -23,7 +23,7 @@
         passed > STOOD_STILL
     }
 
-    /// Time that the process attended.
+    /// Returns the time during which the process was running.
     pub fn time(&self) -> Duration {
         self.time
     }
--- a/src/core/membership/mod.rs
+++ b/src/core/membership/mod.rs
@@ -1,9 +1,8 @@
-//! Who is alive: what this node knows of the other nodes and of the machines, and
-//! what their silence means.
+//! Liveness of the other nodes and of the machines, as observed by this node.
 //!
-//! One state machine without requests of its own: it is told what was heard, when and
-//! by which way, and says what to make of it. It decides about service only. That no
-//! task runs twice rests on the claim, on tokens and on leases, whatever is said here.
+//! A state machine that sends no requests: it records which messages arrived, when and by which
+//! path, and classifies silences. Its results affect availability only. That no task runs twice
+//! is ensured by the claim, the fencing tokens and the leases, independently of this module.
 
 pub mod attention;
 pub mod nodes;
@@ -19,9 +18,9 @@
 pub struct Membership {
     pub nodes: Nodes,
     pub detector: FailureDetector,
-    /// This node gave the leadership away because it heard nobody, and when.
+    /// Time at which this node gave up the leadership, until a worker reports or it leads again.
     stepped_down_at: Option<Duration>,
-    /// Since when it leads.
+    /// Time since which this node leads.
     leading_since: Duration,
 }
 
@@ -35,7 +34,7 @@
         }
     }
 
-    /// This node leads from now on: who reports to it changes.
+    /// Resets the failure detector for a node that starts to lead, as other workers report to it.
     pub fn begin_leading(&mut self, now: Duration) {
         self.detector.reset();
         self.leading_since = now;
@@ -51,13 +50,13 @@
         self.stepped_down_at = Some(now);
     }
 
-    /// A worker came to this node by itself.
+    /// Records a report that a worker sent to this node directly.
     pub fn record_worker_arrival(&mut self) {
         self.stepped_down_at = None;
     }
 
-    /// A node that just gave up does not lead again before it hears workers, unless
-    /// nobody else has for so long.
+    /// Returns whether this node may claim the leadership. A node that stepped down waits until it
+    /// receives reports from workers, or until `patience` has passed without another leader.
     pub fn may_campaign(&self, now: Duration, patience: Duration) -> bool {
         self.stepped_down_at.is_none_or(|at| now > at + patience)
     }
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -1,4 +1,4 @@
-//! What nodes tell one another, and when a leader is missed.
+//! Heartbeats between nodes, and the detection of a lost leader.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -15,19 +15,19 @@
     stored_heartbeat::{STORED_HEARTBEAT_EVERY, StoredHeartbeat},
 };
 
-/// What a node tells every other one, again and again.
+/// Heartbeat that a node sends to every other node at a fixed interval.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeHeartbeat {
-    /// The claim of the leader it knows; 0: none.
+    /// Claim of the leader that the sender knows; 0 if none.
     pub claim: u64,
-    /// How long ago it heard from that leader.
+    /// Time since the sender heard from that leader; zero if it is the leader itself.
     pub heard: Duration,
-    /// How long ago the state service answered it.
+    /// Time since the state service answered the sender.
     pub state: Duration,
-    /// Machines by zone that reported to it lately.
+    /// Number of machines per zone that reported to the sender recently.
     #[serde(default)]
     pub hears: BTreeMap<Arc<str>, u32>,
-    /// Which process it is, and which generation it knows, where rollouts are on.
+    /// Process of the sender and the generation it knows, if rollouts are enabled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub told: Option<Told>,
 }
@@ -47,42 +47,45 @@
 #[derive(Debug)]
 pub struct Nodes {
     others: BTreeMap<String, Other>,
-    /// The leader's claim, and when it was heard of last.
+    /// Claim of the leader, and the time at which it was last heard.
     leader: (u64, Duration),
-    /// The newest claim that another node told to hold, and which node.
+    /// Newest claim that another node reported to hold, and that node.
     claimed: Option<(String, u64)>,
-    /// Since when it is known to lead.
+    /// Time since which the leader is known.
     leader_since: Duration,
-    /// The gaps between its heartbeats.
+    /// Intervals between the leader's heartbeats.
     gaps: PhiAccrual,
-    /// Machines that it heard, as it told last.
+    /// Number of machines that the leader hears, by its last heartbeat.
     leader_hears: u32,
-    /// When its last heartbeat in the state service was seen.
+    /// Time at which the leader's last stored heartbeat was seen.
     stored_heartbeat_at: Option<Duration>,
-    /// When the state service answered last, and since when without a failure.
+    /// Time of the state service's last answer to this node.
     state: Duration,
+    /// Time since which the state service has answered this node without a failure.
     served_since: Option<Duration>,
-    /// Workers that know the leader's token and came here instead, and when.
+    /// Workers that know the leader's token and reported here instead, and when.
     stranded: HashMap<MachineId, Duration>,
-    /// A worker's lease: what was stranded before that is of no more interest.
+    /// Time after which a stranded worker is forgotten: the length of a worker's lease.
     keep: Duration,
 }
 
+/// Interval between two heartbeats of a node.
 pub const EVERY: Duration = Duration::from_millis(700);
-/// What another node told stands for so long.
+/// Time for which the last heartbeat of another node is considered current.
 const FRESH: Duration = Duration::from_millis(2200);
-/// A leader of which two heartbeats were missed is not heard, as long as too few of its
-/// heartbeats are known to say more, and whatever they are after half as long again.
+/// Silence of two missed heartbeats. A leader silent for longer counts as not heard if its phi
+/// value is high or still unknown, and in any case after 1.5 times this time.
 const MISSED: Duration = Duration::from_millis(1700);
+/// Suspicion level at which the leader's silence is no longer an ordinary gap.
 const PHI: f64 = 8.0;
-/// A node that was answered within this time reaches the state service.
+/// A node that was answered within this time is served by the state service.
 pub const REACHES: Duration = Duration::from_millis(1600);
-/// One that was not answered for so long is refused.
+/// A node that was not answered for this time is refused by the state service.
 pub const REFUSED: Duration = Duration::from_millis(2500);
-/// After an outage of the state service, the leader is given this time to go on.
+/// Delay after an outage of the state service in which the leader may resume.
 const SERVED: Duration = Duration::from_millis(1500);
-/// A leader is missed by its workers when one in so many of those that it heard came
-/// to another node; one always does where they are few.
+/// The leader counts as lost to its workers when one in this many of the machines that it heard
+/// has reported to this node instead. One worker is always needed.
 const STRANDED_ONE_IN: u32 = 10;
 
 impl Nodes {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// What an answer tells of whether the state service serves this node.
+    /// Records whether the state service served a request of this node.
     pub fn state_answered(&mut self, now: Duration, served: bool) {
         if served {
             self.state = now;
@@ -116,16 +119,16 @@
         now.saturating_sub(self.state)
     }
 
-    /// The state service answers this node, and has done so for a while.
+    /// Returns whether the state service serves this node and has done so for a while.
     pub fn is_served(&self, now: Duration) -> bool {
         let settled = self.served_since.is_some_and(|at| now > at + SERVED);
         settled && self.state_service_silence(now) <= REACHES
     }
 
-    /// The leader by the stored key, which may be this node itself.
+    /// Sets the known leader, which may be this node itself.
     pub fn leader_is(&mut self, claim: u64, own: bool, now: Duration) {
         if self.leader.0 != claim {
-            // A new leader is given the time to be heard.
+            // A new leader counts as heard at first, so that its heartbeats can arrive.
             self.leader = (claim, now);
             self.leader_since = now;
             self.gaps = PhiAccrual::new(Source::Periodic);
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Since when this claim is known, if it is the one that stands.
+    /// Returns the time since which this claim is known, if it is the current one.
     pub fn leader_since(&self, claim: u64) -> Option<Duration> {
         (self.leader.0 == claim).then_some(self.leader_since)
     }
@@ -147,7 +150,7 @@
         now.saturating_sub(self.leader.1)
     }
 
-    /// A node that leads was heard by itself just now.
+    /// Records the claim of a heartbeat if its sender is the leader itself.
     pub fn record_claim(&mut self, from: &str, heartbeat: &NodeHeartbeat) {
         let newer = |known: &(String, u64)| heartbeat.claim > known.1;
         if heartbeat.heard.is_zero() && self.claimed.as_ref().is_none_or(newer) {
@@ -155,7 +158,7 @@
         }
     }
 
-    /// The node that leads by what nodes told, if its claim is newer than this one.
+    /// Returns the node that reported to hold a newer claim than this one, and that claim.
     pub fn claimed_after(&self, claim: u64) -> Option<(&str, u64)> {
         let (node, claimed) = self.claimed.as_ref()?;
         (*claimed > claim).then_some((node, *claimed))
@@ -176,13 +179,13 @@
         self.others.insert(from, Other { at: now, heartbeat });
     }
 
-    /// The leader was heard here lately, or is too new to be missed.
+    /// Returns whether this node has heard the leader recently. A new leader counts as heard.
     pub fn hears_leader(&self, now: Duration) -> bool {
         let silence = self.leader_silence(now);
         silence < MISSED || (silence < MISSED * 3 / 2 && self.gaps.phi(now) < PHI)
     }
 
-    /// The leader wrote that it is alive.
+    /// Records a heartbeat that the leader has stored in the state service.
     pub fn stored_heartbeat(&mut self, stored_heartbeat: StoredHeartbeat, now: Duration) {
         if stored_heartbeat.claim == self.leader.0 {
             self.stored_heartbeat_at = Some(now);
@@ -190,13 +193,13 @@
         }
     }
 
-    /// The leader's last stored heartbeat is not older than two that were missed.
+    /// Returns whether the leader's stored heartbeat is recent: at most about two intervals old.
     pub fn leader_stores_heartbeats(&self, claim: u64, now: Duration) -> bool {
         let lately = |at: Duration| now < at + STORED_HEARTBEAT_EVERY * 2 + MISSED / 2;
         self.leader.0 == claim && self.stored_heartbeat_at.is_some_and(lately)
     }
 
-    /// That node told lately that it hears the leader of this claim.
+    /// Returns whether a node reported recently that it hears the leader of this claim.
     pub fn peer_hears_leader(&self, node: &str, claim: u64, now: Duration) -> bool {
         let heard = |p: &NodeHeartbeat| p.claim == claim && p.heard < MISSED;
         self.fresh(now)
@@ -211,7 +214,7 @@
             .map(|(node, other)| (node, &other.heartbeat))
     }
 
-    /// Another node that hears the leader, when this one does not.
+    /// Returns another node that hears the leader.
     pub fn peer_hearing_leader(&self, leader: &str, claim: u64, now: Duration) -> Option<String> {
         let heard = self.others.iter().find(|(node, other)| {
             *node != leader
@@ -221,35 +224,35 @@
         heard.map(|(node, _)| node.clone())
     }
 
-    /// Another node that is heard and is not the leader.
+    /// Returns another live node that is not the leader.
     pub fn alive_peer_besides(&self, leader: Option<&str>, now: Duration) -> Option<String> {
         let mut alive = self.fresh(now).filter(|(node, _)| Some(&***node) != leader);
         alive.next().map(|(node, _)| node.clone())
     }
 
-    /// Some other node that is heard is served by the state service.
+    /// Returns whether the state service serves any other live node.
     pub fn is_any_peer_served(&self, now: Duration) -> bool {
         self.fresh(now)
             .any(|(_, heartbeat)| heartbeat.state < REACHES)
     }
 
-    /// A node is heard, whatever it says.
+    /// Returns whether a heartbeat of this node arrived recently.
     pub fn is_alive(&self, node: &str, now: Duration) -> bool {
         self.fresh(now).any(|(other, _)| other == node)
     }
 
-    /// What a node that is heard told of its process.
+    /// Returns the process information of a live node.
     pub fn told(&self, node: &str, now: Duration) -> Option<Told> {
         let mut fresh = self.fresh(now);
         fresh.find(|(other, _)| *other == node)?.1.told
     }
 
-    /// The served node that hears most machines, and how many.
+    /// Returns the served node that hears the most machines, and their number.
     pub fn best_peer(&self, now: Duration) -> Option<(String, u32)> {
         self.best_peer_of(now, |_| true)
     }
 
-    /// The same among some of them.
+    /// Returns the served node that hears the most machines among those accepted by the filter.
     pub fn best_peer_of(
         &self,
         now: Duration,
@@ -265,7 +268,7 @@
             .map(|(machines, node)| (node.clone(), machines))
     }
 
-    /// A worker that knows the leader's token came here instead.
+    /// Records a worker that knows the leader's token and reported to this node instead.
     pub fn record_stranded_worker(&mut self, machine: &MachineId, now: Duration) {
         if self.stranded.len() >= 64 {
             let keep = self.keep;
@@ -274,18 +277,18 @@
         self.stranded.insert(machine.clone(), now);
     }
 
-    /// No node hears the leader any more, and its workers leave it.
+    /// Returns whether the leader is lost: no live node hears it and its workers are leaving it.
     pub fn leader_missed(&self, claim: u64, silent: Duration, now: Duration) -> bool {
         let unheard = self.leader.0 == claim && self.leader_silence(now) > silent;
         if !unheard {
             return false;
         }
-        // One that another node hears is reached by its relays.
+        // A leader that another node hears still receives the reports which that node forwards.
         let heard = |p: &NodeHeartbeat| p.claim == claim && p.heard < silent;
         let stranded = self.stranded.values().filter(|at| now < **at + silent);
         let stranded = stranded.count();
         let enough = (self.leader_hears / STRANDED_ONE_IN).max(1) as usize;
-        // One that writes goes on, unless more of its workers left it than it hears.
+        // A leader that stores heartbeats stays, unless more workers left it than it hears.
         let stored_heartbeat_at = self.stored_heartbeat_at.is_some_and(|at| now < at + silent);
         let lives = stored_heartbeat_at && stranded <= self.leader_hears as usize;
         stranded >= enough && !lives && !self.fresh(now).any(|(_, heartbeat)| heard(heartbeat))
--- a/src/core/membership/phi_accrual.rs
+++ b/src/core/membership/phi_accrual.rs
@@ -1,30 +1,31 @@
-//! How unlikely a silence is, by what was seen of the gaps before it.
+//! Phi accrual failure detector.
 //!
-//! Times between two heartbeats come from the settings, the network and the load,
-//! and differ by a factor of ten between deployments. So nothing is fixed here: the
-//! gaps themselves are counted, and a silence is told as `phi`, the negative decimal
-//! logarithm of the chance that it is one more such gap.
+//! The time between two heartbeats depends on the settings, the network and the load, and
+//! differs by a factor of ten between deployments, so there is no fixed timeout. The detector
+//! records the gaps and rates a silence by `phi`, the negative decimal logarithm of the
+//! probability of a gap at least that long.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Gaps are counted in steps of 0.1 ms, up to ten minutes.
+/// Resolution of the recorded gaps, of up to ten minutes.
 const STEP: Duration = Duration::from_micros(100);
 const GAP_MOST: u64 = 6_000_000;
-/// Gaps after which the older half is forgotten, and those that are needed to judge.
+/// Size of the sample window; when it is full, the older half is dropped.
 const KEEP: u64 = 2048;
+/// Number of gaps needed for an estimate.
 const LEAST: u64 = 8;
-/// A deviation is taken to be at least this share of the mean: few gaps, all alike,
-/// say little of the next.
+/// Lower bound of the standard deviation as a share of the mean, since a few equal gaps say
+/// little about the next one.
 const DEVIATION_LEAST: f64 = 0.25;
 
-/// What makes the heartbeats.
+/// Arrival pattern of the heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Source {
-    /// One that sends at regular times.
+    /// A single sender with a regular interval.
     Periodic,
-    /// Many, independent of one another: gaps are as in a Poisson process.
+    /// Many independent senders: arrivals form a Poisson process.
     Independent,
 }
 
@@ -65,7 +66,7 @@
         self.last = Some(now);
     }
 
-    /// A silence that ended by itself was none of the usual gaps.
+    /// Restarts the current silence without recording it as a gap.
     pub fn skip(&mut self, now: Duration) {
         self.last = self.last.map(|_| now);
     }
@@ -74,7 +75,7 @@
         self.last.map(|last| now.saturating_sub(last))
     }
 
-    /// Zero as long as too little is known.
+    /// Returns the suspicion level of the current silence, or zero with too few samples.
     pub fn phi(&self, now: Duration) -> f64 {
         let (Some(silence), count) = (self.silence(now), self.newer.len() + self.older.len())
         else {
@@ -93,7 +94,7 @@
         };
         let mean = of(Histogram::mean).max(1.0);
         match self.source {
-            // What is longer than nearly every gap counts from there on.
+            // Only the part of the silence beyond the 99.9th percentile of the gaps counts.
             Source::Independent => {
                 let long = |h: &Histogram<u32>| h.value_at_quantile(0.999) as f64;
                 let usual = long(&self.newer).max(long(&self.older));
@@ -107,8 +108,8 @@
     }
 }
 
-/// The negative logarithm of a normal distribution's tail beyond `over`, by the
-/// logistic curve that is close to it.
+/// Returns the negative decimal logarithm of a normal distribution's tail beyond `over`, using
+/// a logistic approximation.
 fn tail(over: f64, deviation: f64) -> f64 {
     let y = over / deviation;
     let e = (-y * (1.5976 + 0.070566 * y * y)).exp();
--- a/src/core/membership/reachability.rs
+++ b/src/core/membership/reachability.rs
@@ -1,10 +1,10 @@
-//! Which machines a node hears, over which way, and what their silence means.
+//! Failure detector for machines: which machines a node hears, and by which path.
 //!
-//! One machine that stops reporting is gone or hangs. Many that stop reporting at once have
-//! one cause, and that is first of all the way between them and this node: it is cut
-//! off itself, or a zone is. What tells them apart is who else is heard over the same
-//! way. So a machine's silence counts against it only while the rest of its zone is
-//! heard, and a node that hears nobody any more doubts itself.
+//! A single machine that stops reporting has failed or hangs. Many that stop at once have a
+//! common cause, most likely the network between them and this node: either this node or a zone
+//! is partitioned. The two are told apart by the other machines on the same path. So a machine's
+//! silence counts against it only while the rest of its zone is heard, and a node that hears no
+//! machine at all suspects itself.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -18,59 +18,61 @@
 };
 use crate::core::machine::MachineId;
 
-/// The way by which a heartbeat came.
+/// Path by which a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatPath {
-    /// The worker's own report to this node.
+    /// The worker reported to this node directly.
     Report,
-    /// Another node passed the report on.
+    /// Another node forwarded the report.
     Forwarded,
-    /// The worker answered a direct question.
+    /// The worker answered a direct command.
     Reply,
 }
 
-/// A silence less likely than one in a hundred million is none of the usual ones.
+/// Suspicion level of a silence: a probability below one in a hundred million.
 const PHI: f64 = 8.0;
-/// However many report, a silence of the network's own delays says nothing.
+/// Shortest silence that counts, above ordinary network delays even if many machines report.
 const SILENCE_LEAST: Duration = Duration::from_millis(400);
-/// Questions without an answer that make a node doubt itself, and machines that it
-/// has to have heard for that.
+/// Number of unanswered direct commands in a row after which a silent node is isolated.
 const UNANSWERED: u32 = 3;
+/// Number of known machines needed to judge a node or a zone.
 const MACHINES_LEAST: usize = 3;
 
 #[derive(Debug)]
 struct LastHeard {
     zone: Arc<str>,
-    /// When it was heard by any way, and when without another node's help.
+    /// Time of the last heartbeat by any path.
     any: Duration,
+    /// Time of the last heartbeat that no other node forwarded.
     own: Option<Duration>,
 }
 
 #[derive(Debug)]
 struct Zone {
     reports: PhiAccrual,
-    /// Direct questions in a row that were not answered.
+    /// Number of unanswered direct commands in a row.
     unanswered: u32,
 }
 
-/// What a node makes of the silence around it.
+/// Reachability of machines and zones as seen by a node.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Reachability {
-    /// Nobody is heard, and it is not known yet why.
+    /// No machine is heard, and the cause is not known yet.
     pub is_uncertain: bool,
-    /// Nobody is heard and nobody answers: the fault is here.
+    /// No machine is heard and none answers: this node is cut off.
     pub is_isolated: bool,
-    /// Zones of which nobody is heard any more.
+    /// Zones in which no machine is heard any more.
     pub partitioned_zones: BTreeSet<Arc<str>>,
-    /// Zones of which most machines are heard: who is silent there is so by itself.
+    /// Zones in which at least half of the machines are heard, so that a silent machine there has
+    /// failed on its own.
     pub reachable_zones: BTreeSet<Arc<str>>,
 }
 
-/// What a node knows of the machines, whether it leads or not.
+/// Failure detector for the machines, used by leader and followers.
 #[derive(Debug)]
 pub struct FailureDetector {
     report: Duration,
-    /// After so long a machine that is not heard is forgotten.
+    /// Time after which a silent machine is forgotten.
     keep: Duration,
     attention: Attention,
     machines: HashMap<MachineId, LastHeard>,
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Time goes on. Whatever is judged here is judged in time during which the
-    /// process attended: one that stood still heard nobody, and nobody is to blame.
+    /// Advances the clock, which counts only the time during which the process was running. After a
+    /// stall, in which it could not receive anything, all silences start again.
     pub fn tick(&mut self, now: Duration) {
         if self.attention.tick(now) {
             let at = self.attention.time();
@@ -104,7 +106,7 @@
         }
     }
 
-    /// This node's part changes, and with it who reports to it.
+    /// Discards the recorded gaps when this node's role changes, and with it which workers report.
     pub fn reset(&mut self) {
         self.reports = PhiAccrual::new(Source::Independent);
         self.zones.clear();
@@ -145,7 +147,7 @@
         }
     }
 
-    /// A direct question was not answered.
+    /// Records that a machine did not answer a direct command.
     pub fn record_unanswered(&mut self, machine: &MachineId) {
         self.unanswered += 1;
         if let Some(last_heard) = self.machines.get(machine)
@@ -155,12 +157,12 @@
         }
     }
 
-    /// The machine was returned.
+    /// Removes a machine that was returned to the cloud.
     pub fn forget(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 
-    /// Machines by zone that were heard within about a report, without help.
+    /// Returns the number of machines per zone heard directly within 1.5 report intervals.
     pub fn machines_heard(&self) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
         for last_heard in self
@@ -184,7 +186,7 @@
         reports.silence(at).is_some_and(|s| s > SILENCE_LEAST) && reports.phi(at) >= PHI
     }
 
-    /// What the silence around this node means now.
+    /// Evaluates the current silences.
     pub fn reachability(&mut self) -> Reachability {
         let at = self.attention.time();
         let keep = self.keep;
@@ -209,7 +211,7 @@
             if known >= MACHINES_LEAST && self.is_silent(&zone.reports) && zone.unanswered > 0 {
                 reachability.partitioned_zones.insert(name.clone());
             }
-            // With few machines in a zone, the others' say is more than its own.
+            // In a zone with few machines, the machines of all zones decide.
             let (known, lately) = match known < MACHINES_LEAST {
                 true => sum,
                 false => (known, lately),
@@ -224,8 +226,8 @@
         reachability
     }
 
-    /// Zones of which no report came for too long: somebody there is to be asked. Where
-    /// nobody is heard at all, that is everywhere.
+    /// Returns the zones that were silent for too long and should be probed; all zones if no
+    /// machine is heard at all.
     pub fn silent_zones(&self) -> BTreeSet<Arc<str>> {
         let all = self.is_silent(&self.reports);
         let zones = self.zones.iter();
