--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -1,9 +1,8 @@
-//! What the leader learned and the next one should not have to learn again: which
-//! images are in the machines' caches, which jobs fail wherever they run, where
-//! the workers are, and what the cloud has refused.
+//! Handover of learned state to the next leader: the images in the machines' caches, the jobs that
+//! fail on every machine, the addresses of the workers, and the capacity the cloud has refused.
 //!
-//! The leader tells the other nodes, and they tell whoever leads next. It is taken
-//! as a hint: it decides between rooms, how often a job is tried and whom to ask,
+//! The leader sends a snapshot to the other nodes, which pass it on to the next leader. It is only
+//! a hint: it affects placement, the number of retries of a job and which workers are contacted,
 //! never whether a task may start.
 
 use std::{
@@ -25,22 +24,22 @@
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct HandoverSnapshot {
-    /// Each image is named once, and machines refer to it by number.
+    /// Names of the images; machines refer to them by index.
     images: Vec<Arc<str>>,
     machines: BTreeMap<MachineId, Vec<usize>>,
     #[serde(default)]
     faulty: Vec<JobId>,
-    /// Where the workers of machines are, and their session.
+    /// Address and session of each machine's worker.
     #[serde(default)]
     workers: BTreeMap<MachineId, (SocketAddr, u64)>,
-    /// Kinds of machine that the cloud refused, and for how long they are not asked for.
+    /// Machine kinds that the cloud refused, and the time until they are requested again.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     refused: Vec<(MachineKind, Duration)>,
 }
 
-/// How often the leader tells them.
+/// Interval between two snapshots from the leader.
 const SEND_EVERY: Duration = Duration::from_secs(5);
-/// Machines, and jobs, that are told of.
+/// Maximum number of machines, and of jobs, in a snapshot.
 const ENTRIES_MOST: usize = 8000;
 
 impl HandoverSnapshot {
@@ -72,7 +71,7 @@
         handover
     }
 
-    /// What was told of one machine, given away to it.
+    /// Moves the state of one machine from the snapshot to the machine.
     fn restore(&mut self, machine: &mut Machine) {
         let numbers = self.machines.remove(&machine.id).unwrap_or_default();
         let images = numbers.into_iter().filter_map(|n| self.images.get(n));
@@ -93,7 +92,7 @@
 }
 
 impl Node {
-    /// The leader tells the others, again and again.
+    /// Sends a snapshot to the other nodes at a fixed interval while this node leads.
     pub(super) fn drive_handover(&mut self) {
         let now = self.now();
         if now < self.next_handover || !self.is_leader() {
@@ -110,7 +109,7 @@
         }
     }
 
-    /// What the leader told, or to a new one what the one before did.
+    /// Applies a snapshot if this node leads, or else keeps it for the next leader.
     pub(super) fn handover_received(&mut self, handover: HandoverSnapshot) {
         match &mut self.cluster {
             Some(cluster) => cluster.apply_handover(handover, self.clock.now),
@@ -118,7 +117,7 @@
         }
     }
 
-    /// Another node leads now: a process that has just started knows nothing.
+    /// Forwards the last snapshot to a new leader, which may be a newly started process.
     pub(super) fn forward_handover(&mut self) {
         if let Some((record, _)) = &self.cache.leader
             && record.node != self.config.node
@@ -133,8 +132,8 @@
 }
 
 impl ClusterState {
-    /// Takes what was told of jobs and machines that it knows, and keeps the rest
-    /// for machines that are yet to report.
+    /// Applies a snapshot to the known jobs and machines, and keeps the rest for machines that have
+    /// not reported yet.
     pub fn apply_handover(&mut self, mut handover: HandoverSnapshot, now: Duration) {
         self.provisioning
             .restore_refusals(std::mem::take(&mut handover.refused), now);
@@ -149,7 +148,7 @@
         self.pending_handover = handover;
     }
 
-    /// A machine that is new to this leader.
+    /// Restores the handed-over state of a machine that is new to this leader.
     pub(super) fn restore_machine(&mut self, machine: &mut Machine) {
         self.pending_handover.restore(machine);
     }
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -1,12 +1,11 @@
-//! Whether the leader still serves, and how the leadership changes hands before its
-//! lease ends.
+//! Heartbeats between nodes, and changes of the leadership before the lease expires.
 //!
-//! The lease is long, so that work goes on while the state service is away. A leader
-//! that is partitioned would keep its place as long, and every worker that can't reach it
-//! would lose its tasks. So one that nobody hears is superseded, one that the state
-//! service refuses makes way when asked, and one that hears nobody gives up by itself.
-//! All that decides about service alone: that no task runs twice rests on the claim
-//! and on how long a previous leader may still act, whatever nodes tell one another.
+//! The lease is long, so that work continues during an outage of the state service. A
+//! partitioned leader would keep the leadership for as long, and every worker that can't reach
+//! it would lose its tasks. So a leader that no node hears is superseded, a leader that the state
+//! service refuses resigns on request, and a leader that hears no workers steps down by itself.
+//! All of this affects availability only: that no task runs twice is ensured by the claim and by
+//! the bound on how long a previous leader may act, whatever the heartbeats say.
 
 use std::time::Duration;
 
@@ -23,42 +22,42 @@
     store::{self, StateReply},
 };
 
-/// When the next heartbeat goes out, and whether the state service is being asked.
+/// Schedule of the heartbeats and state of the probe of the state service.
 #[derive(Debug, Default)]
 pub struct Heartbeats {
     next: Duration,
     probing: bool,
-    /// The leader that is to make way, and its claim, once the state service has answered.
+    /// Leader that is asked to resign once the state service has answered, and its claim.
     refused: Option<(String, u64)>,
 }
 
-/// A worker waits this long for an answer, and this long before it tries another node.
+/// Time that a worker waits for the answer to a report.
 const WORKER_ANSWER: Duration = Duration::from_secs(4);
+/// Delay before a worker tries another node.
 pub const WORKER_RETRY: Duration = Duration::from_secs(1);
 
-/// A worker that was sent to a node and is not answered there is back by then.
+/// Time within which a redirected worker returns if it gets no answer at the new node.
 pub const WORKER_RETURNS: Duration = WORKER_ANSWER
     .saturating_add(WORKER_RETRY)
     .saturating_add(Duration::from_secs(1));
 
-/// After a change of the leader, workers that reported to another node have turned to
-/// the new one within this time.
+/// Returns the time after a change of the leader within which all workers report to the new one.
 pub fn worker_move_time(report: Duration) -> Duration {
     report * 5 / 4 + WORKER_ANSWER + WORKER_RETRY
 }
 
-/// By then a node that was handed the leadership has claimed it.
+/// Time within which a node that was handed the leadership has claimed it.
 const TRANSFER_TIME: Duration = Duration::from_millis(600);
 
-/// A leader that was not heard for so long is missed: by then all its workers have
-/// turned to other nodes, and a process that ended is mostly back.
+/// Returns the silence after which a leader is considered lost. By then all of its workers have
+/// turned to other nodes, and a restarted process is usually back.
 pub fn leader_silence_limit(worker_lease: Duration) -> Duration {
     let moved = WORKER_ANSWER + WORKER_RETRY + Duration::from_millis(500);
     worker_lease.mul_f64(0.55).min(moved)
 }
 
 impl Node {
-    /// What an answer tells of whether the state service serves this node.
+    /// Records whether the state service served a request of this node.
     pub(super) fn state_answered(&mut self, reply: &StateReply) {
         let failed = matches!(
             reply,
@@ -69,14 +68,14 @@
             .state_answered(self.clock.now, !failed);
     }
 
-    /// The state service refuses this node, and another one tells that it is
-    /// served: users are better off there.
+    /// Returns whether the state service refuses this node but serves another one, so that users
+    /// should turn to that node.
     pub(super) fn is_refused_alone(&self) -> bool {
         let (nodes, now) = (&self.membership.nodes, self.now());
         nodes.state_service_silence(now) > REFUSED && nodes.is_any_peer_served(now)
     }
 
-    /// The claim has stood long enough for the workers to have turned to the leader.
+    /// Returns whether the claim is old enough for all workers to report to its leader.
     pub(super) fn workers_have_moved(&self, claim: u64) -> bool {
         let since = self.membership.nodes.leader_since(claim);
         since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report))
@@ -86,7 +85,7 @@
         self.membership.nodes.hears_leader(self.now())
     }
 
-    /// Another node that hears the leader, when this one does not.
+    /// Returns another node that hears the leader.
     pub(super) fn peer_hearing_leader(&self) -> Option<String> {
         let (leader, claim) = self.known_leader()?;
         self.membership
@@ -94,9 +93,9 @@
             .peer_hearing_leader(leader, claim, self.now())
     }
 
-    /// Who leads, and under which claim: by what is stored, or, while the state service
-    /// does not answer this node, by what the other nodes say. A node that did not know
-    /// left workers that only it reaches without an answer until their leases ended.
+    /// Returns the leader and its claim: by the stored key, or by the other nodes' heartbeats while
+    /// the state service does not answer this node. Without the latter, workers that reach only
+    /// this node would get no answer until their leases expire.
     pub(super) fn known_leader(&self) -> Option<(&str, u64)> {
         let stored = self.cache.leader.as_ref();
         let stored = stored.map(|(record, version)| (&*record.node, *version));
@@ -106,7 +105,7 @@
         told.filter(|_| unread).or(stored)
     }
 
-    /// Another node that is heard and is not the leader.
+    /// Returns another live node that is not the leader.
     pub(super) fn alive_peer(&self) -> Option<String> {
         let leader = self.known_leader().map(|(node, _)| node);
         self.membership.nodes.alive_peer_besides(leader, self.now())
@@ -125,7 +124,7 @@
         let nodes = &self.membership.nodes;
         let heartbeat = NodeHeartbeat {
             claim,
-            // Only the leader itself says that it was heard this very moment.
+            // Zero is reserved for the leader itself.
             heard: match own {
                 true => Duration::ZERO,
                 false => nodes.leader_silence(now).max(Duration::from_millis(1)),
@@ -139,7 +138,7 @@
             let message = PeerMessage::Heartbeat(heartbeat.clone());
             self.out.push(Output::Peer { to, message });
         }
-        // A node that has nothing to ask would not know whether it is served.
+        // A node without other requests would not learn whether it is served.
         if silent {
             self.probe();
         }
@@ -172,16 +171,16 @@
         let served =
             self.membership.nodes.state_service_silence(now) < super::membership::nodes::REACHES;
         if leads && heartbeat.state > REFUSED && served {
-            // By now it may be away for everybody: a leader that made way then would leave
-            // the place empty until it is back, and its workers without their leases.
+            // The state service may be down for all nodes by now. If the leader resigned then,
+            // nobody could lead until it is back, and the workers would lose their leases. So
+            // the leader is asked only after the service has answered this node.
             self.heartbeats.refused = Some((from.clone(), heartbeat.claim));
             self.probe();
         }
         self.membership.nodes.heartbeat(from, heartbeat, leads, now);
     }
 
-    /// Another node is served by the state service and asks this one, which is
-    /// not, to make way.
+    /// Resigns on request of a node that the state service serves, if it refuses this one.
     pub(super) fn resign(&mut self, from: String, claim: u64) {
         let refused = self.membership.nodes.state_service_silence(self.now()) > REFUSED;
         if !refused
@@ -191,14 +190,14 @@
         {
             return;
         }
-        self.drop_leadership("the state service refuses it, but not others");
+        self.drop_leadership("the state service refuses this node but serves others");
         self.out.push(Output::Peer {
             to: from,
             message: PeerMessage::Resigned { claim },
         });
     }
 
-    /// Whether another node's leadership is to be taken before its lease ends.
+    /// Returns `Superseded` if another node's leadership should be taken before its lease expires.
     pub(super) fn leader_to_supersede(&self) -> Option<PreviousLeader> {
         let (record, version) = self.cache.leader.as_ref()?;
         let (nodes, now) = (&self.membership.nodes, self.now());
@@ -207,14 +206,14 @@
         }
         let missed = nodes.leader_missed(*version, self.config.leader_silence_limit, now);
         missed.then(|| {
-            info!(leader = %record.node, claim = version, "nobody hears the leader");
+            info!(leader = %record.node, claim = version, "superseding a leader no node hears");
             PreviousLeader::Superseded
         })
     }
 
-    /// What the leader makes of the silence around it. One that hears nobody and gets
-    /// no answer either is itself partitioned, whatever it thinks of its machines: it
-    /// hands over to the node that hears most, or leaves the place empty.
+    /// Updates the leader's view of which machines are reachable. A leader that hears no machine
+    /// and gets no answers is partitioned itself: it hands the leadership over to the node that
+    /// hears the most machines, or releases it.
     pub(super) fn update_reachability(&mut self) {
         let now = self.now();
         let reachability = self.membership.detector.reachability();
@@ -231,7 +230,7 @@
                 &before.partitioned_zones,
             ) != (is_uncertain, is_isolated, &reachability.partitioned_zones)
             {
-                info!(is_uncertain, is_isolated, partitioned_zones = ?reachability.partitioned_zones, "reachability");
+                info!(is_uncertain, is_isolated, partitioned_zones = ?reachability.partitioned_zones, "reachability changed");
                 cluster.requeue();
             }
             cluster.reachability = reachability;
@@ -242,7 +241,7 @@
         }
         let best = self.membership.nodes.best_peer(now);
         let settled = self.membership.leading_for(now) > worker_move_time(self.config.report);
-        // Looked up only where another node hears any: that looks at every machine.
+        // Evaluated only if another node hears machines, as it iterates over all machines.
         let hears = || {
             self.membership
                 .detector
@@ -255,11 +254,11 @@
                 .as_ref()
                 .is_some_and(|(_, machines)| *machines >= 3 && *machines > 2 * hears());
         if is_isolated || better {
-            self.transfer_leadership(best.map(|(node, _)| node), "it hears no workers");
+            self.transfer_leadership(best.map(|(node, _)| node), "it hears few or no workers");
         }
     }
 
-    /// Gives the leadership away, to another node or to whoever claims it first.
+    /// Gives up the leadership, to a given node or to whichever claims it first.
     pub(super) fn transfer_leadership(&mut self, to: Option<String>, why: &str) {
         let Some(claim) = self.claim() else { return };
         self.drop_leadership(why);
@@ -272,11 +271,11 @@
             }
             None => Duration::ZERO,
         };
-        // It may not have got there: then the place is left to whoever comes first.
+        // The message may be lost: then the leader key is removed and any node may claim.
         self.remove_leader_key(claim, wait);
     }
 
-    /// A heartbeat of a machine.
+    /// Records a heartbeat of a machine.
     pub(super) fn record_heartbeat(
         &mut self,
         machine: &super::machine::MachineId,
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -1,8 +1,8 @@
-//! Reports of workers that can't reach the leader, passed on by other nodes, and how far jobs
-//! are, for display.
+//! Forwarding of reports from workers that can't reach the leader, and the digest of job progress
+//! for display.
 //!
-//! Owns the reports that wait for the leader's answer or for a leader, and what the leader
-//! told of jobs and licences. Only a leader inside its term answers a report with commands.
+//! Owns the reports that wait for the leader's answer or for a leader, and the last digest of jobs
+//! and licences from the leader. Only a leader within its term answers a report with commands.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -27,7 +27,7 @@
     until: Duration,
 }
 
-/// A report that came while no leader is heard.
+/// Report that arrived while no leader was heard.
 #[derive(Debug)]
 struct Held {
     request: RequestId,
@@ -37,24 +37,24 @@
 
 #[derive(Debug, Default)]
 pub struct ForwardedHeartbeats {
-    /// The last number that was given. An answer to the process before this one may come
-    /// here yet: it must not be taken for one to another worker's report, so each process
-    /// begins elsewhere.
+    /// Last relay number in use. Each process starts at a different one, so that a late answer
+    /// to the previous process is not taken for the answer to another worker's report.
     next: u64,
     waiting: BTreeMap<u64, Waiting>,
-    /// In the order in which their time is up.
+    /// Held reports in order of their deadline.
     held: VecDeque<Held>,
-    /// Tasks that the held reports list.
+    /// Number of tasks listed by the held reports.
     held_tasks: usize,
-    /// Workers that were sent to the leader or came from it, and when.
+    /// Workers that were redirected to the leader or came from it, and when.
     tried: HashMap<MachineId, Duration>,
-    /// When a relayed worker was answered last.
+    /// Time of the last answer to each worker whose reports are forwarded.
     answered: HashMap<MachineId, Duration>,
+    /// Finished and running tasks of each job, from the leader's last digest.
     digest: HashMap<JobId, (u32, u32)>,
-    /// How licences stand, as the leader told, and when.
+    /// Licence usage from the leader's last digest, and the time of its arrival.
     licences: (Vec<LicenceView>, Duration),
     next_digest: Duration,
-    /// When old entries of `tried` and `answered` are removed next.
+    /// Time of the next removal of old entries from `tried` and `answered`.
     next_cleanup: Duration,
 }
 
@@ -66,18 +66,20 @@
         }
     }
 
+    /// Returns the number of finished and of running tasks of a job.
     pub fn counts(&self, id: &JobId) -> (u32, u32) {
         self.digest.get(id).copied().unwrap_or((0, 0))
     }
 }
 
+/// Interval between two digests from the leader.
 const DIGEST_EVERY: Duration = Duration::from_secs(1);
-/// How often entries of workers that were not seen for long are removed: looking through
-/// them at each report would take time that grows with the square of the fleet.
+/// Interval between removals of old worker entries. Scanning them at each report would take time
+/// quadratic in the size of the fleet.
 const CLEANUP_EVERY: Duration = Duration::from_secs(1);
-/// How long the leader's answer to a forwarded report is waited for.
+/// Time to wait for the leader's answer to a forwarded report.
 const FORWARDED_FOR: Duration = Duration::from_secs(1);
-/// How long a report is held: a worker waits 4 s for its answer.
+/// Time for which a report is held. A worker waits 4 s for its answer.
 const HELD_FOR: Duration = Duration::from_millis(3400);
 
 impl Node {
@@ -101,8 +103,8 @@
         }
         if is_cut_from_leader && !self.hears_leader() {
             match self.leader_stores_heartbeats() {
-                // Nobody can pass it on, and the leader goes on without: the worker tries
-                // the ways that it has.
+                // No node can forward the report, and the leader stays the leader: the worker
+                // tries the other nodes.
                 true => self.answer(request, Answer::Redirect(None)),
                 false => self.hold(request, report),
             }
@@ -120,7 +122,7 @@
         self.forward_report(node, request, report);
     }
 
-    /// A report that came straight to this node while it leads.
+    /// Handles a report that a worker sent directly to this node while it leads.
     fn report_to_leader(&mut self, request: RequestId, report: WorkerReport) {
         self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
         let Some(report) = self.defer_report(request, report) else {
@@ -130,7 +132,7 @@
         self.answer(request, answer.unwrap_or(Answer::Redirect(None)));
     }
 
-    /// Passes a report on to the leader; the worker waits here for the answer.
+    /// Forwards a report to the leader, and keeps the worker's request open for the answer.
     fn forward_report(&mut self, leader: String, request: RequestId, report: WorkerReport) {
         self.forwarded.next += 1;
         let relay = self.forwarded.next;
@@ -146,20 +148,20 @@
         });
     }
 
-    /// Whether a worker that came here can't reach the leader, so that its report is
-    /// relayed and its lease goes on.
+    /// Returns whether the worker can't reach the leader, so that its report is forwarded and its
+    /// lease is kept alive.
     ///
-    /// One that knows the leader's token and still comes here has lost its way to it,
-    /// as has one that comes back soon after it was sent there. A new leader calls
-    /// workers wherever they are, though: until all have turned to it, one may know its
-    /// token and not where it is. A relayed worker stays where it is answered, so now
-    /// and then it is sent to the leader again: else it would depend on two nodes and
-    /// the way between them for ever.
+    /// A worker that knows the leader's token and still reports here has lost its connection to the
+    /// leader, as has one that returns soon after it was redirected. A new leader contacts workers
+    /// directly, though, so until all workers have moved, one may know the token but not the
+    /// leader's address. A worker stays with the node that answers it, so it is redirected to the
+    /// leader again from time to time; otherwise it would depend on two nodes and the connection
+    /// between them forever.
     fn is_cut_from_leader(&mut self, report: &WorkerReport, claim: u64) -> bool {
         let now = self.now();
         let knows = report.token >> 16 == claim;
         if !self.hears_leader() && self.leader_stores_heartbeats() {
-            // Nothing is relayed: it is sent to the leader, unless it comes from there.
+            // Reports can't be forwarded: the worker is redirected, unless it just was.
             let tried = self.forwarded.tried.get(&report.machine);
             return tried.is_some_and(|at| now < *at + WORKER_RETURNS);
         }
@@ -176,8 +178,8 @@
         }
     }
 
-    /// No more reports are relayed, but for those of workers whose lease is half over:
-    /// the whole fleet may come at once, and those can't wait.
+    /// Returns whether no further report may be forwarded. The whole fleet may report here at once;
+    /// workers whose lease is half over can't wait and get twice the limit.
     fn is_forwarding_full(&self, machine: &MachineId) -> bool {
         let half = self.config.worker_lease_bound / 2;
         let answered = self.forwarded.answered.get(machine);
@@ -189,7 +191,7 @@
         self.forwarded.waiting.len() >= most
     }
 
-    /// How licences stand: proven where this node leads, else as the leader told.
+    /// Answers with the licence usage: verified if this node leads, else from the leader's digest.
     pub(super) fn licences(&mut self, request: RequestId) {
         if self.config.options.licences.is_none() {
             self.answer(request, Answer::Licences(Vec::new(), None));
@@ -207,15 +209,15 @@
         self.answer(request, answer);
     }
 
-    /// Another node that leads, and its claim.
+    /// Returns the leader and its claim, if it is another node.
     fn other_leader(&self) -> Option<(String, u64)> {
         let (node, claim) = self.known_leader()?;
         (node != self.config.node).then(|| (node.to_owned(), claim))
     }
 
-    /// No leader is heard here. Sent on, a worker would spend the rest of its lease
-    /// on a node that is gone, or going round the others: it is sent to a node that
-    /// hears the leader, or waits here until one leads.
+    /// Holds a report while this node hears no leader, or redirects the worker to a node that does.
+    /// Redirected elsewhere, the worker would spend the rest of its lease on a dead node or on
+    /// trying the others.
     fn hold(&mut self, request: RequestId, report: WorkerReport) {
         let now = self.now();
         let tasks = report.tasks.len();
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Answers the held reports once a leader is heard, or their time is up.
+    /// Handles the held reports once a leader is heard, or their deadline has passed.
     fn drive_held(&mut self) {
         let now = self.now();
         let Some(first) = self.forwarded.held.front() else {
@@ -252,15 +254,15 @@
             if on {
                 self.report(held.request, held.report);
             } else {
-                // Not to the next node of its list: that may be the one that is gone,
-                // and would cost it most of its lease.
+                // The next node in the worker's list may be the dead one, which would cost the
+                // worker most of its lease, so it is redirected to a live node.
                 let answer = Answer::Redirect(self.alive_peer());
                 self.answer(held.request, answer);
             }
         }
     }
 
-    /// Takes out all held reports, or those whose time is up.
+    /// Removes all held reports, or only those whose deadline has passed.
     fn take_held(&mut self, all: bool) -> Vec<Held> {
         let now = self.now();
         let relays = &mut self.forwarded;
@@ -318,7 +320,7 @@
             if now < entry.get().until {
                 break;
             }
-            // The leader can't be reached from here either: another node may do.
+            // This node can't reach the leader either, but another node may.
             let waiting = entry.remove();
             self.answer(waiting.request, Answer::Redirect(None));
         }
--- a/src/core/peer_message.rs
+++ b/src/core/peer_message.rs
@@ -1,4 +1,4 @@
-//! The form of what nodes tell one another.
+//! Messages between nodes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,24 +7,24 @@
     membership::nodes::NodeHeartbeat,
 };
 
-/// One line between two nodes.
+/// Message from one node to another, sent as one line.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerMessage {
-    /// A worker's report, for the leader.
+    /// A worker's report, forwarded to the leader.
     Report { relay: u64, report: WorkerReport },
-    /// The leader's answer; none where it does not lead.
+    /// The answer to a forwarded report; `None` if the receiver does not lead.
     Reported { relay: u64, answer: Option<Answer> },
     #[serde(rename = "pulse")]
     Heartbeat(NodeHeartbeat),
-    /// The leader is asked to make way.
+    /// Request to the leader to resign.
     Resign { claim: u64 },
-    /// It has, and does not act any more.
+    /// Confirmation that the leader has resigned and no longer acts.
     Resigned { claim: u64 },
-    /// What the next leader should not have to learn again.
+    /// Learned state for the next leader.
     #[serde(rename = "hints")]
     Handover(HandoverSnapshot),
-    /// Done and running tasks of active jobs, and how licences stand.
+    /// Numbers of finished and running tasks of active jobs, and the licence usage.
     Digest {
         jobs: Vec<(JobId, u32, u32)>,
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -1,10 +1,10 @@
-//! The leader's heartbeats in the state service, for nodes that its heartbeats don't reach.
+//! Leader heartbeats stored in the state service, for nodes that the direct ones don't reach.
 //!
-//! A node that hears neither the leader nor another one that does can't tell one that is
-//! gone from one whose connections are refused. The state service answers both, so a leader
-//! that some other node may not hear writes there now and then that it is alive, and how
-//! many machines it hears. Written only then, it costs nothing on other days; it is no
-//! claim, and what rests on it is service alone.
+//! A node that hears neither the leader nor a node that does can't tell a dead leader from one
+//! whose connections are refused. The node and a live leader both reach the state service, so
+//! a leader that some node may not hear periodically stores there that it is alive and how many
+//! machines it hears. The writes are made only in that case and cost nothing otherwise. A stored
+//! heartbeat is not a claim and affects availability only.
 
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
     store::{LEADER, STORED_HEARTBEAT, StateRequest, put, when},
 };
 
-/// What the leader writes.
+/// Record that the leader stores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredHeartbeat {
     pub claim: u64,
-    /// Machines that reported to it lately.
+    /// Number of machines that reported to the leader recently.
     pub hears: u32,
 }
 
@@ -31,9 +31,9 @@
     next: Duration,
 }
 
-/// The least time between two stored heartbeats: as often as a heartbeat that may be missed once.
+/// Minimum interval between two stored heartbeats: two direct heartbeats, one of which may be lost.
 pub const STORED_HEARTBEAT_EVERY: Duration = Duration::from_millis(2 * EVERY.as_millis() as u64);
-/// A new leader's first heartbeats get this time to be heard, and to be told of.
+/// Delay before a new leader stores heartbeats, so that its first direct ones are acknowledged.
 const FIRST: Duration = Duration::from_millis(3 * EVERY.as_millis() as u64);
 
 impl Node {
@@ -67,8 +67,8 @@
         self.heartbeat_writer.next = self.now() + STORED_HEARTBEAT_EVERY;
     }
 
-    /// The leader is not heard, nor known to be by another node, but it lives. Where another
-    /// node hears it, workers are better off there: it relays for those that can't reach it.
+    /// Returns whether the leader stores heartbeats and no other node is known to hear it. Workers
+    /// should turn to a node that hears the leader, if there is one: it forwards their reports.
     pub(super) fn leader_stores_heartbeats(&self) -> bool {
         let leader = self.cache.leader.as_ref();
         self.peer_hearing_leader().is_none()
