--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -1,16 +1,16 @@
-//! Zones that are partitioned, as stored: a promise to whoever leads next.
+//! Stored list of partitioned zones, which binds this leader and its successors.
 //!
-//! A leader that ends while a zone is partitioned leaves a successor that does not know since
-//! when the workers there were not answered, and which would wait a whole lease again
-//! before their tasks start elsewhere. So the leader stores, once a zone is apart, when it
-//! answered anybody there last. While that stands,
+//! If a leader fails while a zone is partitioned, its successor does not know since when the
+//! workers there were not answered, and would wait for a whole lease again before their tasks
+//! start elsewhere. So the leader stores when it last answered a worker of a partitioned zone.
+//! While a zone is listed, no leader
 //!
-//! - nobody answers a report of that zone with 200, and
-//! - nobody sends a start there,
+//! - answers a report from that zone with status 200, or
+//! - sends a start command there.
 //!
-//! neither this leader nor a later one: whoever wants to removes the zone first, by a write
-//! that depends on its claim and that it has seen committed. So no lease there lasts longer
-//! than one that began at the stored time, and what begins there late ends by then.
+//! A leader that needs to do so first removes the zone, by a write that is conditional on its
+//! claim and that it has seen committed. So no lease in the zone outlasts one that began at the
+//! stored time, and a task that starts there late has stopped by then.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -37,14 +37,14 @@
     forms: &["live/apart"],
 };
 
-/// When workers of these zones were answered last, in milliseconds of the time of day.
+/// Partitioned zones with the time of the last answer to their workers, in Unix milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartitionedZonesRecord {
     pub zones: BTreeMap<Arc<str>, u64>,
 }
 
-/// Where a report came from that has to wait.
+/// Sender of a deferred report: a worker, or a node that forwarded it.
 #[derive(Debug)]
 enum ReportOrigin {
     Worker(RequestId),
@@ -60,39 +60,40 @@
 
 #[derive(Debug, Default)]
 pub struct PartitionedZones {
-    /// When this node answered somebody in a zone last, since it keeps count of it.
+    /// Time of this node's last answer to a worker of each zone, recorded since `counting_since`.
     answered: HashMap<Arc<str>, Duration>,
     counting_since: Option<Duration>,
-    /// A write is under way, or was and may be done yet, that would list these.
     writing: bool,
+    /// Zones that a write lists which is in flight, or whose result is unknown.
     unsure: BTreeSet<Arc<str>>,
-    /// Zones that were heard again: they are to be removed.
+    /// Listed zones that were heard again and should be removed from the list.
     heard: BTreeSet<Arc<str>>,
     waiting: Vec<Waiting>,
-    /// Tasks that the waiting reports list.
+    /// Number of tasks listed by the deferred reports.
     waiting_tasks: usize,
     retry: Duration,
 }
 
-/// How long a report waits for its zone: less than the second that another node gives a
-/// relay, and than a worker waits.
+/// Time for which a report waits until its zone is removed from the list: less than the second
+/// that another node waits for a forwarded report, and less than a worker waits.
 const DEFERRED_FOR: Duration = Duration::from_millis(900);
-/// A zone that was heard again is not listed again at once.
+/// Delay before a zone that was heard again may be listed again.
 const RELIST_AFTER: Duration = Duration::from_secs(5);
 
 impl Node {
+    /// Returns whether the stored generation includes the list of partitioned zones.
     fn stores_partitioned_zones(&self) -> bool {
         self.cache.cluster.0.written() >= PARTITIONED_ZONES_FEATURE.since
     }
 
-    /// Nobody in that zone may be answered, or sent a start.
+    /// Returns whether the zone is or may be listed, so that its workers must not be answered.
     fn is_partitioned(&self, zone: &str) -> bool {
         let partitioned_zones = &self.partitioned_zones;
         self.cache.partitioned_zones.0.zones.contains_key(zone)
             || partitioned_zones.unsure.contains(zone)
     }
 
-    /// An answer with 200 was given.
+    /// Records an answer with status 200 to a worker of a zone.
     pub(super) fn record_zone_answer(&mut self, zone: &Arc<str>) {
         if self.partitioned_zones.counting_since.is_some() {
             let now = self.now();
@@ -100,14 +101,14 @@
         }
     }
 
-    /// A heartbeat: the zone has to be removed before anybody there is answered.
+    /// Marks a listed zone for removal after a heartbeat from one of its machines.
     pub(super) fn record_zone_heartbeat(&mut self, zone: &Arc<str>) {
         if self.is_partitioned(zone) {
             self.partitioned_zones.heard.insert(zone.clone());
         }
     }
 
-    /// Keeps a report that may not be answered yet; gives it back where it may.
+    /// Defers a report that must not be answered yet; otherwise returns it.
     pub(super) fn defer_report(
         &mut self,
         request: RequestId,
@@ -116,7 +117,7 @@
         self.defer(ReportOrigin::Worker(request), report)
     }
 
-    /// The same for one that another node relayed.
+    /// Defers a report that another node forwarded; otherwise returns it.
     pub(super) fn defer_forwarded_report(
         &mut self,
         from: &str,
@@ -158,12 +159,12 @@
         }
     }
 
-    /// Whether a waiting report can be answered or has waited too long.
+    /// Returns whether a deferred report can be answered or has waited too long.
     fn waiting_due(&self, now: Duration) -> bool {
         let Some(first) = self.partitioned_zones.waiting.first() else {
             return false;
         };
-        // They wait equally long, so the first is over before the others.
+        // All wait equally long, so the first one expires first.
         if !self.is_leader() || now >= first.until {
             return true;
         }
@@ -171,8 +172,8 @@
         waiting.any(|waiting| !self.is_partitioned(&waiting.report.zone))
     }
 
-    /// Reports whose zone was removed are answered; those that waited too long, or whose
-    /// node leads no more, are sent on.
+    /// Answers the deferred reports whose zone was removed from the list, and redirects those that
+    /// waited too long, or all of them if this node no longer leads.
     fn drive_deferred_reports(&mut self) {
         let now = self.now();
         if !self.waiting_due(now) {
@@ -208,8 +209,8 @@
         }
         self.drive_deferred_reports();
         if self.claim().is_none() {
-            // A write of that claim that comes late fails. While the claim may stand again,
-            // as after an outage, one that was not answered may still be done.
+            // Late writes of a lost claim fail. As long as the claim may become valid again, as
+            // after an outage, a write without a reply may still be executed.
             self.partitioned_zones.unsure.clear();
             self.partitioned_zones.heard.clear();
         }
@@ -223,8 +224,8 @@
         };
         if !listed.is_empty() || !unsure.is_empty() || !cluster.withheld.is_empty() {
             let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unsure).cloned().collect();
-            // The machines of a zone that was reopened have not changed: none of their
-            // reports would bring the waiting jobs back to the heap.
+            // The machines of a zone that is no longer withheld may not have changed, so their
+            // reports alone would not return the waiting jobs to the heap.
             if withheld != cluster.withheld {
                 cluster.withheld = withheld;
                 cluster.requeue();
@@ -243,7 +244,7 @@
                 zones.insert(zone, self.clock.wall_ms.saturating_sub(ago));
             }
         }
-        // One that may have been listed is settled by the next write, whatever it says.
+        // The next committed write resolves the unconfirmed zones, whatever it lists.
         if zones != self.cache.partitioned_zones.0.zones
             || !self.partitioned_zones.unsure.is_empty()
         {
@@ -251,8 +252,8 @@
         }
     }
 
-    /// Zones that are apart now, whose workers were answered some time ago, and that are
-    /// not listed.
+    /// Returns the partitioned zones that are not listed and whose workers were not answered
+    /// recently.
     fn newly_partitioned(&self) -> Vec<Arc<str>> {
         let Some(cluster) = &self.cluster else {
             return Vec::new();
@@ -268,7 +269,8 @@
             .collect()
     }
 
-    /// By then anybody in a zone was answered last, by this leader or one before it.
+    /// Returns an upper bound of the time of the last answer to a worker of a zone, by this leader
+    /// or a previous one.
     fn last_answered(&self, zone: &Arc<str>) -> Duration {
         let own = self.partitioned_zones.answered.get(zone).copied();
         let counting = self.partitioned_zones.counting_since.unwrap_or(self.now());
@@ -284,7 +286,7 @@
             .keys()
             .filter(|zone| !record.zones.contains_key(*zone));
         let new: BTreeSet<Arc<str>> = new.cloned().collect();
-        info!(zones = ?zones.keys().collect::<Vec<_>>(), "partitioned zones");
+        info!(zones = ?zones.keys().collect::<Vec<_>>(), "storing the list of partitioned zones");
         let conditions = vec![
             when(LEADER, claim),
             when(PARTITIONED, *version),
@@ -292,7 +294,7 @@
         ];
         let record = PartitionedZonesRecord { zones };
         let changes = vec![put(PARTITIONED, &record)];
-        // It counts as listed from now on.
+        // New zones count as listed from now on.
         self.partitioned_zones.unsure.extend(new);
         self.partitioned_zones.writing = true;
         self.call(
@@ -316,8 +318,8 @@
         if self.claim() != Some(claim) {
             return;
         }
-        // A write that was refused changes nothing, but one before it may not have been
-        // answered: only one that is known to be in settles both.
+        // A refused write changes nothing, but an earlier write without a reply may still be
+        // executed. Only a committed write resolves both.
         if let StateReply::Committed { revision } = reply {
             let before = &self.cache.partitioned_zones.0.zones;
             let removed = before.keys().any(|zone| !record.zones.contains_key(zone));
@@ -332,10 +334,10 @@
         }
     }
 
-    /// When the leases in each listed zone are over, for a new leader.
+    /// Returns the time by which the leases in each listed zone have expired, for a new leader.
     pub(super) fn zone_lease_ends(&self) -> BTreeMap<Arc<str>, Duration> {
         let now = self.now();
-        // Both ends of the span were read from clocks that may be off.
+        // Both ends of the interval were read from clocks that may be off by `wall_error`.
         let lease = self.config.worker_lease_bound + self.config.wall_error * 2;
         let zones = self.cache.partitioned_zones.0.zones.iter();
         let over = zones.map(|(zone, at)| {
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -1,10 +1,10 @@
-//! Machines that stop reporting with replicas on them, or are gone from the cloud's list:
-//! proving them empty by returning them, before the worker's lease is over.
+//! Return of machines that stopped reporting while they run replicas, or that vanished from the
+//! cloud's list, before the lease of their worker expires.
 //!
-//! A machine that hangs takes its replicas with it, and they may start elsewhere
-//! only when its lease is over or it is gone. Once the cloud has confirmed its
-//! return it is gone. A machine that is only partitioned goes on working, though: it is
-//! given up only while most of its zone is heard, so that its silence is its own.
+//! The replicas of a hung machine may start elsewhere only after its lease has expired or the
+//! machine is gone, and it is gone once the cloud has confirmed its return. A partitioned machine
+//! keeps working, though, so a machine is returned only while most of its zone is heard, which
+//! rules out a partition of the zone.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -16,13 +16,13 @@
     machine::{Machine, MachineId, Standing},
 };
 
-/// Machines that one request returns at most.
+/// Maximum number of machines returned by one request.
 const RETURNED_MOST: usize = 100;
-/// A report that is later than this after its time is missed.
+/// Delay after which an overdue report counts as missed.
 const REPORT_LATE: Duration = Duration::from_secs(1);
 
 impl Machine {
-    /// How many tasks run here that have to run all the time.
+    /// Returns the number of tasks of services and gangs that run on this machine.
     fn endless_tasks(&self) -> usize {
         let endless = self.tasks.values().filter(|p| {
             let endless = p.spec.as_ref().is_some_and(|s| s.kind != Kind::Array);
@@ -39,16 +39,16 @@
 }
 
 impl ClusterState {
-    /// The machine missed a report: it is asked whether it still answers.
+    /// Returns whether the machine missed a report and should be asked whether it still answers.
     pub(super) fn should_probe(&self, machine: &Machine, now: Duration) -> bool {
         machine.is_unheard(self.config.report * 3 / 2, now)
             && !machine.commands_unanswered
             && machine.endless_tasks() > 0
     }
 
-    /// The machine is silent, and the cloud's list, which showed it, does not any more: it
-    /// was taken back. That needs no doubt about the way there. A list may be older than
-    /// the one before by as much as it lags, so it must be newer than that.
+    /// Returns whether the machine is silent and has disappeared from the cloud's list, which means
+    /// that the cloud has reclaimed it; a partition can't cause this. A list may be older than the
+    /// one before it by the list lag, so only a list that is newer by more than that counts.
     fn has_vanished(&self, machine: &Machine, now: Duration) -> bool {
         let lag = self.config.list_lag * 2;
         let since = machine.heard_at.unwrap_or(machine.first_seen);
@@ -57,10 +57,10 @@
         missed && shown.zip(read).is_some_and(|(at, read)| read > at + lag)
     }
 
-    /// Machines to be returned, as a proof that nothing runs there any more: those
+    /// Returns the machines to be returned to the cloud so that nothing runs there any more, those
     /// with the most replicas first.
     pub(super) fn plan_unresponsive_returns(&mut self, now: Duration) -> Vec<MachineId> {
-        // One that does not know that it still leads may be the one partitioned.
+        // A leader without a recent verification of its claim may be partitioned itself.
         if now > self.proven + self.config.renew_every * 2 || self.reachability.is_uncertain {
             return Vec::new();
         }
@@ -80,7 +80,7 @@
         go.sort();
         go.truncate(RETURNED_MOST);
         for (_, machine) in &go {
-            info!(%machine, "unresponsive: returned to prove it empty");
+            info!(%machine, "returning an unresponsive machine to free its tasks");
         }
         go.into_iter().map(|(_, id)| id).collect()
     }
