--- a/tests/cancelling.rs
+++ b/tests/cancelling.rs
@@ -1,4 +1,4 @@
-//! The sum that keeps cancelled tasks from outliving `cancel_s`, over many settings.
+//! Checks over many settings that no cancelled task can run for longer than `cancel_s`.
 
 use std::time::Duration;
 
@@ -24,8 +24,9 @@
     Settings::parse(&text.to_string())
 }
 
-/// Clocks may differ by so much in a second; a direct command is given up after a second.
+/// Maximum clock drift per second.
 const DRIFT: f64 = 0.0005;
+/// Timeout of a direct command, in seconds.
 const DIRECT: f64 = 1.0;
 
 proptest! {
@@ -36,9 +37,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// A leader that heard of nothing since its last proof acts for a term, and what it
-    /// answered or sent last lives for a worker's lease. Where that does not fit, the
-    /// settings are refused, and the line names the field.
+    /// A leader that has missed everything since its last verification acts for a term, and its
+    /// last answer or command keeps a worker's lease alive. Settings in which the sum exceeds
+    /// `cancel_s` are refused with an error that names the field.
     #[test]
     fn a_term_and_a_lease_end_within_a_cancellation(lease in 1.0..90.0f64, cancel in 1.0..150.0f64) {
         match settings(lease, cancel) {
