--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -21,70 +21,70 @@
     started: bool,
     progress: Option<BTreeMap<JobId, Results>>,
     index: Option<Vec<(u32, ShardRecord, u64)>>,
-    progress_so_far: BTreeMap<JobId, Results>,
-    index_so_far: Vec<(u32, ShardRecord, u64)>,
-    retry: Duration,
-    in_flight: u32,
+    partial_progress: BTreeMap<JobId, Results>,
+    partial_index: Vec<(u32, ShardRecord, u64)>,
+    retry_at: Duration,
+    reads_in_flight: u32,
     /// The first attempt failed.
-    again: bool,
+    has_failed: bool,
 }
 
 /// Number of concurrent reads: job progress and the assignment index.
-const FAILOVER_READS: u32 = 2;
+const FAILOVER_READ_COUNT: u32 = 2;
 /// Timeout of the first attempt. The reads are idempotent, and a lost reply must not delay the
 /// failover; later attempts use `STATE_TIMEOUT`.
-const FIRST_ATTEMPT: Duration = Duration::from_millis(500);
+const FIRST_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl FailoverLoader {
     /// Returns whether the reads should be started, for the first time or again.
     fn is_due(&self, now: Duration) -> bool {
-        !self.started && self.in_flight == 0 && now >= self.retry
+        !self.started && self.reads_in_flight == 0 && now >= self.retry_at
     }
 
     /// Returns whether both reads have finished.
     fn is_complete(&self) -> bool {
-        self.in_flight == 0 && self.progress.is_some() && self.index.is_some()
+        self.reads_in_flight == 0 && self.progress.is_some() && self.index.is_some()
     }
 
     /// Resets the loader to the first page of both reads and marks them as in flight.
-    fn start(&mut self) {
+    fn start_reads(&mut self) {
         self.started = true;
-        self.progress_so_far.clear();
-        self.index_so_far.clear();
-        self.in_flight = FAILOVER_READS;
+        self.partial_progress.clear();
+        self.partial_index.clear();
+        self.reads_in_flight = FAILOVER_READ_COUNT;
     }
 
     /// Restarts both reads after a failed page: at once if the reply to the first attempt was lost,
     /// otherwise after a delay.
     fn read_failed(&mut self, reply: &StateReply, now: Duration) {
-        let lost = !self.again && matches!(reply, StateReply::Unclear);
-        self.in_flight -= 1;
+        let reply_lost = !self.has_failed && matches!(reply, StateReply::Unclear);
+        self.reads_in_flight -= 1;
         self.started = false;
-        self.again = true;
-        self.retry = if lost { now } else { now + BACK_OFF };
+        self.has_failed = true;
+        self.retry_at = if reply_lost { now } else { now + BACK_OFF };
     }
 
     /// Adds a page and returns the key of its first unreadable entry, if any.
-    fn add_page(&mut self, loading: FailoverRead, entries: &[Entry]) -> Option<String> {
+    fn add_page(&mut self, read: FailoverRead, entries: &[Entry]) -> Option<String> {
         let unreadable = entries.iter().find(|entry| {
-            let read = match loading {
+            let added = match read {
                 FailoverRead::AssignmentIndex { .. } => self.add_shard(entry),
                 FailoverRead::Progress { .. } => self.add_progress(entry),
             };
-            read.is_none()
+            added.is_none()
         });
         unreadable.map(|entry| entry.key.clone())
     }
 
     /// Completes one of the reads after its last page.
-    fn finish(&mut self, loading: FailoverRead) {
-        self.in_flight -= 1;
-        match loading {
+    fn finish_read(&mut self, read: FailoverRead) {
+        self.reads_in_flight -= 1;
+        match read {
             FailoverRead::AssignmentIndex { .. } => {
-                self.index = Some(std::mem::take(&mut self.index_so_far));
+                self.index = Some(std::mem::take(&mut self.partial_index));
             }
             FailoverRead::Progress { .. } => {
-                self.progress = Some(std::mem::take(&mut self.progress_so_far));
+                self.progress = Some(std::mem::take(&mut self.partial_progress));
             }
         }
     }
@@ -93,7 +93,7 @@
     fn add_shard(&mut self, entry: &Entry) -> Option<()> {
         let shard = entry.key.strip_prefix(ASSIGNMENTS)?.parse().ok()?;
         let record = ShardRecord::parse(entry.value.get())?;
-        self.index_so_far.push((shard, record, entry.version));
+        self.partial_index.push((shard, record, entry.version));
         Some(())
     }
 
@@ -102,7 +102,7 @@
         let (id, chunk) = entry.key.strip_prefix(PROGRESS)?.split_once('/')?;
         let (id, chunk) = (JobId::parse(id)?, ChunkPart::parse(chunk)?);
         let text: String = serde_json::from_str(entry.value.get()).ok()?;
-        let results = self.progress_so_far.entry(id).or_default();
+        let results = self.partial_progress.entry(id).or_default();
         results.read(chunk, entry.version, &text).then_some(())
     }
 }
@@ -124,20 +124,20 @@
 
 impl Node {
     pub(super) fn drive_failover(&mut self) {
-        let acts = self.is_leader();
-        if self.election.loader.is_some() && !acts {
+        let is_leader = self.is_leader();
+        if self.election.loader.is_some() && !is_leader {
             self.expedite_proof();
         }
         let (Some(loader), Some(claim)) = (&self.election.loader, self.election.claim) else {
             return;
         };
         let now = self.now();
-        if now < self.election.renewed + self.config.leader_term && loader.is_due(now) {
+        if now < self.election.last_renewal_sent + self.config.leader_term && loader.is_due(now) {
             self.start_failover_reads(claim);
             return;
         }
         // Being the leader implies that the cache includes everything stored before the claim.
-        if acts && loader.is_complete() {
+        if is_leader && loader.is_complete() {
             self.take_over(claim);
         }
     }
@@ -146,7 +146,7 @@
         let Some(loader) = &mut self.election.loader else {
             return;
         };
-        loader.start();
+        loader.start_reads();
         self.read_failover_page(FailoverRead::Progress { claim }, None);
         self.read_failover_page(FailoverRead::AssignmentIndex { claim }, None);
     }
@@ -160,14 +160,14 @@
         let Some(loader) = self.election.loader.take() else {
             return;
         };
-        let found = StoredClusterState {
+        let stored = StoredClusterState {
             jobs: &self.cache.jobs,
             progress: loader.progress.unwrap_or_default(),
             assignment_index: loader.index.unwrap_or_default(),
             resolve_by: self.election.previous_stopped_at + self.config.worker_lease_bound,
             zone_lease_ends: self.zone_lease_ends(),
         };
-        let mut cluster = ClusterState::new(self.config.clone(), claim, types, found, now);
+        let mut cluster = ClusterState::new(self.config.clone(), claim, types, stored, now);
         cluster.apply_handover(std::mem::take(&mut self.handover), now);
         self.cluster = Some(cluster);
         self.tell_leader_of_graph();
@@ -175,19 +175,19 @@
 
     pub(super) fn failover_timeout(&self) -> Duration {
         match &self.election.loader {
-            Some(loader) if !loader.again => FIRST_ATTEMPT,
+            Some(loader) if !loader.has_failed => FIRST_ATTEMPT_TIMEOUT,
             _ => STATE_TIMEOUT,
         }
     }
 
-    fn read_failover_page(&mut self, loading: FailoverRead, after: Option<String>) {
-        let prefix = match loading {
+    fn read_failover_page(&mut self, read: FailoverRead, after: Option<String>) {
+        let prefix = match read {
             FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS,
             FailoverRead::Progress { .. } => PROGRESS,
         };
         self.call_within(
             self.failover_timeout(),
-            Purpose::Failover(loading),
+            Purpose::Failover(read),
             StateRequest::List {
                 prefix: prefix.into(),
                 after,
@@ -195,9 +195,13 @@
         );
     }
 
-    pub(in crate::core) fn failover_reply(&mut self, loading: FailoverRead, reply: StateReply) {
+    pub(in crate::core) fn failover_read_answered(
+        &mut self,
+        read: FailoverRead,
+        reply: StateReply,
+    ) {
         let now = self.now();
-        if self.election.claim != Some(loading.claim()) {
+        if self.election.claim != Some(read.claim()) {
             return;
         }
         let Some(loader) = &mut self.election.loader else {
@@ -207,14 +211,14 @@
             loader.read_failed(&reply, now);
             return;
         };
-        if let Some(key) = loader.add_page(loading, &entries) {
+        if let Some(key) = loader.add_page(read, &entries) {
             self.abort_failover(&key);
             return;
         }
         if let (true, Some(last)) = (more, entries.last()) {
-            self.read_failover_page(loading, Some(last.key.clone()));
+            self.read_failover_page(read, Some(last.key.clone()));
             return;
         }
-        loader.finish(loading);
+        loader.finish_read(read);
     }
 }
--- a/src/core/election/key_removal.rs
+++ b/src/core/election/key_removal.rs
@@ -14,22 +14,22 @@
 #[derive(Debug)]
 pub(super) struct KeyRemoval {
     claim: u64,
-    since: Duration,
-    asking: bool,
-    retry: Duration,
+    started_at: Duration,
+    in_flight: bool,
+    retry_at: Duration,
 }
 
 impl Node {
     /// Removes the leader key of a released claim, so that the next leader need not wait for the
     /// lease to expire. If the removal fails, the lease expires because it is no longer renewed.
-    pub(in crate::core) fn remove_leader_key(&mut self, claim: u64, wait: Duration) {
+    pub(in crate::core) fn remove_leader_key(&mut self, claim: u64, delay: Duration) {
         self.election.lease = None;
         self.election.valid_until = Duration::ZERO;
         self.election.key_removal = Some(KeyRemoval {
             claim,
-            since: self.now(),
-            asking: false,
-            retry: self.now() + wait,
+            started_at: self.now(),
+            in_flight: false,
+            retry_at: self.now() + delay,
         });
         self.drive_key_removal();
     }
@@ -37,17 +37,17 @@
     pub(super) fn drive_key_removal(&mut self) {
         let now = self.now();
         let ttl = self.config.leader_ttl;
-        let over = |v: &mut KeyRemoval| now > v.since + ttl;
-        if self.election.key_removal.take_if(over).is_some() {
+        let is_expired = |removal: &mut KeyRemoval| now > removal.started_at + ttl;
+        if self.election.key_removal.take_if(is_expired).is_some() {
             return;
         }
         let Some(key_removal) = &mut self.election.key_removal else {
             return;
         };
-        if key_removal.asking || now < key_removal.retry {
+        if key_removal.in_flight || now < key_removal.retry_at {
             return;
         }
-        key_removal.asking = true;
+        key_removal.in_flight = true;
         let claim = key_removal.claim;
         self.call(
             Purpose::RemoveLeaderKey { claim },
@@ -58,16 +58,18 @@
         );
     }
 
-    pub(in crate::core) fn leader_key_removed(&mut self, claim: u64, reply: &StateReply) {
-        let retry = self.now() + BACK_OFF;
+    pub(in crate::core) fn key_removal_answered(&mut self, claim: u64, reply: &StateReply) {
+        let retry_at = self.now() + BACK_OFF;
         match reply {
             StateReply::Committed { .. } | StateReply::Conflict => {
-                self.election.key_removal.take_if(|v| v.claim == claim);
+                self.election
+                    .key_removal
+                    .take_if(|removal| removal.claim == claim);
             }
             _ => {
                 if let Some(key_removal) = &mut self.election.key_removal {
-                    key_removal.asking = false;
-                    key_removal.retry = retry;
+                    key_removal.in_flight = false;
+                    key_removal.retry_at = retry_at;
                 }
             }
         }
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -36,31 +36,31 @@
     /// Revision of this node's claim while it is valid.
     claim: Option<u64>,
     /// Time at which the last successful renewal was sent.
-    renewed: Duration,
+    last_renewal_sent: Duration,
     /// End of the time in which this node may act as the leader: one term after the last renewal
     /// that was followed by a verification of the claim and the cache. Zero before the first one.
     valid_until: Duration,
     next_renewal: Duration,
-    renewing: bool,
-    claiming: bool,
-    retry: Duration,
+    renewal_in_flight: bool,
+    campaign_in_flight: bool,
+    retry_at: Duration,
     /// This process has requested the leadership itself, so a leader key of this node need not
     /// belong to the previous process.
-    requested: bool,
+    has_requested_claim: bool,
     /// Latest time at which the claim is known to have been valid.
-    proven: Duration,
+    proven_at: Duration,
     /// Time at which the last verification was sent.
-    proof_asked: Duration,
+    proof_requested_at: Duration,
     /// Time by which the previous leader has stopped acting.
     previous_stopped_at: Duration,
     /// Leader key that this node saw last.
     observed: Option<ObservedLeader>,
     /// The write that marks this claim as settled is in flight.
-    storing_settled: bool,
+    settled_write_in_flight: bool,
     /// Start of the delay before the next attempt of that write.
-    settled_at: Duration,
+    settled_retry_base: Duration,
     /// Claim of a leader that resigned in favour of this node.
-    resigned: Option<u64>,
+    resigned_claim: Option<u64>,
     /// Pending removal of the leader key of a released claim.
     key_removal: Option<KeyRemoval>,
     loader: Option<FailoverLoader>,
@@ -69,9 +69,9 @@
 #[derive(Debug)]
 struct ObservedLeader {
     version: u64,
-    since: Duration,
+    first_seen: Duration,
     /// The owner superseded a leader that may still act for up to a term.
-    superseded: bool,
+    has_superseded: bool,
 }
 
 /// State of the previous leader at the time of a claim, which tells when it has stopped acting.
@@ -134,10 +134,10 @@
     fn renew_lease(&mut self) {
         let now = self.now();
         if let Some(lease) = self.election.lease
-            && !self.election.renewing
+            && !self.election.renewal_in_flight
             && now >= self.election.next_renewal
         {
-            self.election.renewing = true;
+            self.election.renewal_in_flight = true;
             self.election.next_renewal = now + self.config.renew_every;
             self.call(Purpose::Renew { sent: now }, StateRequest::Renew { lease });
         }
@@ -146,16 +146,18 @@
     /// Requests a lease, and once it has one the leadership, if this node may lead.
     fn drive_campaign(&mut self) {
         let now = self.now();
-        let patience = self.config.leader_ttl;
-        if self.election.claiming
-            || now < self.election.retry
-            || !self.membership.may_campaign(now, patience)
+        let leader_ttl = self.config.leader_ttl;
+        if self.election.campaign_in_flight
+            || now < self.election.retry_at
+            || !self.membership.may_campaign(now, leader_ttl)
             || !self.may_claim()
         {
             return;
         }
-        let Some(prior) = self.previous() else { return };
-        self.election.claiming = true;
+        let Some(prior) = self.previous_leader() else {
+            return;
+        };
+        self.election.campaign_in_flight = true;
         match self.election.lease {
             None => self.request_lease(),
             Some(lease) => self.claim_leadership(lease, prior),
@@ -169,7 +171,7 @@
 
     fn claim_leadership(&mut self, lease: u64, prior: PreviousLeader) {
         // By the time of the reply, the leader key may already be the one of this claim.
-        self.election.requested |= prior != PreviousLeader::SameNode;
+        self.election.has_requested_claim |= prior != PreviousLeader::SameNode;
         let sent = self.now();
         let request = self.claim_transaction(lease, prior);
         self.call(Purpose::Claim { lease, sent, prior }, request);
@@ -199,16 +201,16 @@
     }
 
     /// Returns the state of the previous leader if this node may claim the leadership now.
-    fn previous(&self) -> Option<PreviousLeader> {
+    fn previous_leader(&self) -> Option<PreviousLeader> {
         let Some((record, version)) = &self.cache.leader else {
             // The owner of a key that existed for less than a lease, or that this node never
             // saw, may have superseded a leader that still acts.
-            let ended = self.election.observed.as_ref().is_some_and(|observed| {
-                !observed.superseded
+            let has_stopped = self.election.observed.as_ref().is_some_and(|observed| {
+                !observed.has_superseded
                     || self.cache.settled == observed.version
-                    || self.now() > observed.since + self.config.leader_ttl
+                    || self.now() > observed.first_seen + self.config.leader_ttl
             });
-            return Some(match ended {
+            return Some(match has_stopped {
                 true => PreviousLeader::LeaseExpired,
                 false => PreviousLeader::Superseded,
             });
@@ -217,22 +219,24 @@
             // A process that has exited never acts again, so the next process of the same node
             // need not wait for its lease to expire. If it superseded another leader, though, it
             // may have exited before the end of that leader's term.
-            return Some(match (self.cache.unsettled(), self.election.requested) {
-                (true, _) => PreviousLeader::Superseded,
-                (false, false) => PreviousLeader::SameNode,
-                (false, true) => PreviousLeader::LeaseExpired,
-            });
+            return Some(
+                match (self.cache.unsettled(), self.election.has_requested_claim) {
+                    (true, _) => PreviousLeader::Superseded,
+                    (false, false) => PreviousLeader::SameNode,
+                    (false, true) => PreviousLeader::LeaseExpired,
+                },
+            );
         }
-        if self.election.resigned == Some(*version) {
+        if self.election.resigned_claim == Some(*version) {
             return Some(PreviousLeader::Resigned);
         }
         self.leader_to_supersede()
     }
 
     /// Records that the leader has resigned in favour of this node.
-    pub(super) fn resigned(&mut self, claim: u64) {
-        self.election.resigned = Some(claim);
-        self.election.retry = self.now();
+    pub(super) fn resignation_received(&mut self, claim: u64) {
+        self.election.resigned_claim = Some(claim);
+        self.election.retry_at = self.now();
     }
 
     /// Returns whether the previous leader has stopped acting.
@@ -240,23 +244,23 @@
         self.now() >= self.election.previous_stopped_at
     }
 
-    pub(super) fn granted(&mut self, reply: StateReply) {
-        self.election.claiming = false;
+    pub(super) fn grant_answered(&mut self, reply: StateReply) {
+        self.election.campaign_in_flight = false;
         match reply {
             StateReply::Granted { lease } => {
                 self.election.lease = Some(lease);
                 // The claim follows at once. A renewal determines the start of the term.
                 self.election.next_renewal = self.now();
             }
-            _ => self.election.retry = self.now() + BACK_OFF,
+            _ => self.election.retry_at = self.now() + BACK_OFF,
         }
     }
 
-    pub(super) fn renewed(&mut self, sent: Duration, reply: StateReply) {
-        self.election.renewing = false;
+    pub(super) fn renewal_answered(&mut self, sent: Duration, reply: StateReply) {
+        self.election.renewal_in_flight = false;
         match reply {
             StateReply::Renewed => {
-                self.election.renewed = self.election.renewed.max(sent);
+                self.election.last_renewal_sent = self.election.last_renewal_sent.max(sent);
                 // The lease outlives a claim that another node has replaced, so the term is
                 // extended only once the claim has been verified as well.
                 self.verify_claim();
@@ -275,8 +279,8 @@
     /// refused, lost or slow miss cancellations that other nodes have confirmed.
     fn verify_claim(&mut self) {
         let Some(claim) = self.claim() else { return };
-        let (asked, renewed) = (self.now(), self.election.renewed);
-        self.election.proof_asked = asked;
+        let (asked, renewed) = (self.now(), self.election.last_renewal_sent);
+        self.election.proof_requested_at = asked;
         self.call_within(
             self.failover_timeout(),
             Purpose::Verify {
@@ -290,43 +294,43 @@
 
     /// Verifies the claim ahead of the next renewal, for work that depends on the result.
     pub(super) fn expedite_proof(&mut self) {
-        if self.now() > self.election.proof_asked + BACK_OFF {
+        if self.now() > self.election.proof_requested_at + BACK_OFF {
             self.verify_claim();
         }
     }
 
-    pub(super) fn proven(&self) -> Duration {
-        self.election.proven
+    pub(super) fn claim_proven_at(&self) -> Duration {
+        self.election.proven_at
     }
 
     /// Handles the reply to a verification. If the claim was valid after `asked`, the cache holds
     /// everything stored before that, so a node within its term knows each cancellation that was
     /// confirmed more than a term ago.
-    pub(super) fn verified(
+    pub(super) fn verification_answered(
         &mut self,
         claim: u64,
         renewed: Duration,
         asked: Duration,
         reply: StateReply,
     ) {
-        let copied = self.take_events(reply);
-        let standing = self.cache.leader.as_ref().map(|(_, version)| *version);
+        let is_cache_current = self.take_events(reply);
+        let stored_claim = self.cache.leader.as_ref().map(|(_, version)| *version);
         // A replaced claim was dropped while the events were applied.
-        if copied && self.election.claim == Some(claim) && standing == Some(claim) {
-            self.election.proven = self.election.proven.max(asked);
-            let until = renewed + self.config.leader_term;
-            self.election.valid_until = self.election.valid_until.max(until);
+        if is_cache_current && self.election.claim == Some(claim) && stored_claim == Some(claim) {
+            self.election.proven_at = self.election.proven_at.max(asked);
+            let term_end = renewed + self.config.leader_term;
+            self.election.valid_until = self.election.valid_until.max(term_end);
         }
     }
 
-    pub(super) fn claimed(
+    pub(super) fn claim_answered(
         &mut self,
         lease: u64,
         sent: Duration,
         prior: PreviousLeader,
         reply: StateReply,
     ) {
-        self.election.claiming = false;
+        self.election.campaign_in_flight = false;
         let now = self.now();
         match reply {
             StateReply::Committed { revision } if self.election.lease == Some(lease) => {
@@ -334,11 +338,11 @@
             }
             StateReply::LeaseGone => {
                 self.election.lease = None;
-                self.election.retry = now;
+                self.election.retry_at = now;
             }
             // Unclear: the watch shows whether the claim was written. If it was, the
             // leadership is claimed again from this node's own key.
-            _ => self.election.retry = now + BACK_OFF,
+            _ => self.election.retry_at = now + BACK_OFF,
         }
     }
 
@@ -349,13 +353,13 @@
         self.election.claim = Some(claim);
         // The cache may still miss requests that were confirmed before the claim.
         self.election.valid_until = Duration::ZERO;
-        self.election.proven = sent;
+        self.election.proven_at = sent;
         self.election.previous_stopped_at = match prior {
             PreviousLeader::SameNode => Duration::ZERO,
             PreviousLeader::LeaseExpired | PreviousLeader::Resigned => now,
             PreviousLeader::Superseded => now + self.config.leader_ttl,
         };
-        self.election.requested = true;
+        self.election.has_requested_claim = true;
         self.election.loader = Some(FailoverLoader::default());
         self.election.key_removal = None;
         self.membership.begin_leading(now);
@@ -365,15 +369,15 @@
     /// Handles a change of the leader key.
     pub(super) fn leader_changed(&mut self) {
         self.observe_leader();
-        let standing = self.cache.leader.as_ref().map(|(_, version)| *version);
+        let stored_claim = self.cache.leader.as_ref().map(|(_, version)| *version);
         if let Some(claim) = self.election.claim
             && self.cache.cursor >= claim
-            && standing != Some(claim)
+            && stored_claim != Some(claim)
         {
             self.drop_leadership("the leader key was removed or replaced");
         }
-        if standing.is_none() {
-            self.election.retry = self.now();
+        if stored_claim.is_none() {
+            self.election.retry_at = self.now();
         }
     }
 
@@ -383,20 +387,20 @@
                 .election
                 .observed
                 .as_ref()
-                .is_none_or(|s| s.version != *version)
+                .is_none_or(|observed| observed.version != *version)
         {
             self.election.observed = Some(ObservedLeader {
                 version: *version,
-                since: self.now(),
-                superseded: record.superseded,
+                first_seen: self.now(),
+                has_superseded: record.superseded,
             });
             self.forward_handover();
         }
     }
 
-    pub(super) fn drop_leadership(&mut self, why: &str) {
+    pub(super) fn drop_leadership(&mut self, reason: &str) {
         if self.election.claim.take().is_some() {
-            info!(why, "stopped leading");
+            info!(reason, "stopped leading");
         }
         self.cluster = None;
         self.election.loader = None;
@@ -411,13 +415,13 @@
         if !self.cache.unsettled()
             || !self.is_leader()
             || !self.has_previous_leader_stopped()
-            || self.election.storing_settled
-            || now < self.election.settled_at + BACK_OFF
+            || self.election.settled_write_in_flight
+            || now < self.election.settled_retry_base + BACK_OFF
         {
             return;
         }
         let Some(claim) = self.claim() else { return };
-        self.election.storing_settled = true;
+        self.election.settled_write_in_flight = true;
         self.call(
             Purpose::StoreSettledClaim,
             StateRequest::Txn {
@@ -427,8 +431,8 @@
         );
     }
 
-    pub(super) fn settled_claim_stored(&mut self) {
-        self.election.storing_settled = false;
-        self.election.settled_at = self.now() + BACK_OFF;
+    pub(super) fn settled_claim_answered(&mut self) {
+        self.election.settled_write_in_flight = false;
+        self.election.settled_retry_base = self.now() + BACK_OFF;
     }
 }
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -301,7 +301,7 @@
             }
             PeerMessage::Heartbeat(heartbeat) => self.heartbeat(from, heartbeat),
             PeerMessage::Resign { claim } => self.resign(from, claim),
-            PeerMessage::Resigned { claim } => self.resigned(claim),
+            PeerMessage::Resigned { claim } => self.resignation_received(claim),
             PeerMessage::Handover(handover) => self.handover_received(handover),
             PeerMessage::Digest { jobs, licences } => {
                 self.forwarded.licences = (licences, self.now());
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -263,7 +263,7 @@
     }
 
     fn run_leader_round(&mut self) {
-        let proven = self.proven();
+        let proven = self.claim_proven_at();
         self.schedule_next_round();
         self.update_reachability();
         let Some(work) = self.plan_leader_round(proven) else {
@@ -391,18 +391,18 @@
             Purpose::Load { after } => self.loaded(after, reply),
             Purpose::Watch => self.watch_answered(reply),
             Purpose::Sync => self.sync_answered(reply),
-            Purpose::Grant => self.granted(reply),
-            Purpose::Renew { sent } => self.renewed(sent, reply),
+            Purpose::Grant => self.grant_answered(reply),
+            Purpose::Renew { sent } => self.renewal_answered(sent, reply),
             Purpose::Verify {
                 claim,
                 renewed,
                 asked,
-            } => self.verified(claim, renewed, asked, reply),
-            Purpose::Claim { lease, sent, prior } => self.claimed(lease, sent, prior, reply),
+            } => self.verification_answered(claim, renewed, asked, reply),
+            Purpose::Claim { lease, sent, prior } => self.claim_answered(lease, sent, prior, reply),
             Purpose::Probe => self.probed(&reply),
             Purpose::StoredHeartbeat => self.heartbeat_stored(),
-            Purpose::StoreSettledClaim => self.settled_claim_stored(),
-            Purpose::RemoveLeaderKey { claim } => self.leader_key_removed(claim, &reply),
+            Purpose::StoreSettledClaim => self.settled_claim_answered(),
+            Purpose::RemoveLeaderKey { claim } => self.key_removal_answered(claim, &reply),
             Purpose::Accept {
                 request,
                 spec,
@@ -423,7 +423,7 @@
                 self.drains_stored(request, drains, &reply);
             }
             Purpose::StorePartitions { claim, record } => self.zones_stored(claim, record, &reply),
-            Purpose::Failover(loading) => self.failover_reply(loading, reply),
+            Purpose::Failover(loading) => self.failover_read_answered(loading, reply),
             Purpose::QueuedWrite(write) => self.write_answered(write, reply),
             Purpose::StoreTypes | Purpose::Cloud(_) | Purpose::Direct(_) => {}
         }
