--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -15,7 +15,7 @@
     Node, Output, Purpose,
     election::PreviousLeader,
     membership::{
-        nodes::{EVERY, NodeHeartbeat, REFUSED},
+        nodes::{HEARTBEAT_INTERVAL, NodeHeartbeat, STATE_REFUSED_TIMEOUT},
         reachability::HeartbeatPath,
     },
     peer_message::PeerMessage,
@@ -65,14 +65,14 @@
         );
         self.membership
             .nodes
-            .state_answered(self.clock.now, !failed);
+            .record_state_reply(self.clock.now, !failed);
     }
 
     /// Returns whether the state service refuses this node but serves another one, so that users
     /// should turn to that node.
     pub(super) fn is_refused_alone(&self) -> bool {
         let (nodes, now) = (&self.membership.nodes, self.now());
-        nodes.state_service_silence(now) > REFUSED && nodes.is_any_peer_served(now)
+        nodes.state_service_silence(now) > STATE_REFUSED_TIMEOUT && nodes.is_any_peer_served(now)
     }
 
     /// Returns whether the claim is old enough for all workers to report to its leader.
@@ -100,8 +100,9 @@
         let stored = self.cache.leader.as_ref();
         let stored = stored.map(|(record, version)| (&*record.node, *version));
         let nodes = &self.membership.nodes;
-        let unread = nodes.state_service_silence(self.now()) > REFUSED && !self.is_leader();
-        let told = nodes.claimed_after(stored.map_or(0, |(_, claim)| claim));
+        let unread =
+            nodes.state_service_silence(self.now()) > STATE_REFUSED_TIMEOUT && !self.is_leader();
+        let told = nodes.newer_claim(stored.map_or(0, |(_, claim)| claim));
         told.filter(|_| unread).or(stored)
     }
 
@@ -116,11 +117,11 @@
         self.membership.detector.tick(now);
         let claim = self.known_leader().map_or(0, |(_, claim)| claim);
         let own = self.is_leader();
-        self.membership.nodes.leader_is(claim, own, now);
+        self.membership.nodes.set_leader(claim, own, now);
         if now < self.heartbeats.next {
             return;
         }
-        self.heartbeats.next = now + EVERY;
+        self.heartbeats.next = now + HEARTBEAT_INTERVAL;
         let nodes = &self.membership.nodes;
         let heartbeat = NodeHeartbeat {
             claim,
@@ -133,7 +134,7 @@
             hears: self.membership.detector.machines_heard(),
             told: self.told(),
         };
-        let silent = heartbeat.state > EVERY;
+        let silent = heartbeat.state > HEARTBEAT_INTERVAL;
         for to in self.config.peers.clone() {
             let message = PeerMessage::Heartbeat(heartbeat.clone());
             self.out.push(Output::Peer { to, message });
@@ -165,24 +166,27 @@
 
     pub(super) fn heartbeat(&mut self, from: String, heartbeat: NodeHeartbeat) {
         let now = self.now();
-        self.membership.nodes.record_claim(&from, &heartbeat);
+        self.membership.nodes.record_peer_claim(&from, &heartbeat);
         let leads =
             heartbeat.heard.is_zero() && self.known_leader() == Some((&from, heartbeat.claim));
-        let served =
-            self.membership.nodes.state_service_silence(now) < super::membership::nodes::REACHES;
-        if leads && heartbeat.state > REFUSED && served {
+        let served = self.membership.nodes.state_service_silence(now)
+            < super::membership::nodes::STATE_SERVED_TIMEOUT;
+        if leads && heartbeat.state > STATE_REFUSED_TIMEOUT && served {
             // The state service may be down for all nodes by now. If the leader resigned then,
             // nobody could lead until it is back, and the workers would lose their leases. So
             // the leader is asked only after the service has answered this node.
             self.heartbeats.refused = Some((from.clone(), heartbeat.claim));
             self.probe();
         }
-        self.membership.nodes.heartbeat(from, heartbeat, leads, now);
+        self.membership
+            .nodes
+            .record_heartbeat(from, heartbeat, leads, now);
     }
 
     /// Resigns on request of a node that the state service serves, if it refuses this one.
     pub(super) fn resign(&mut self, from: String, claim: u64) {
-        let refused = self.membership.nodes.state_service_silence(self.now()) > REFUSED;
+        let refused =
+            self.membership.nodes.state_service_silence(self.now()) > STATE_REFUSED_TIMEOUT;
         if !refused
             || !self.is_leader()
             || self.claim() != Some(claim)
@@ -204,7 +208,7 @@
         if record.node == self.config.node || !nodes.is_served(now) {
             return None;
         }
-        let missed = nodes.leader_missed(*version, self.config.leader_silence_limit, now);
+        let missed = nodes.is_leader_lost(*version, self.config.leader_silence_limit, now);
         missed.then(|| {
             info!(leader = %record.node, claim = version, "superseding a leader no node hears");
             PreviousLeader::Superseded
--- a/src/core/membership/mod.rs
+++ b/src/core/membership/mod.rs
@@ -4,7 +4,7 @@
 //! path, and classifies silences. Its results affect availability only. That no task runs twice
 //! is ensured by the claim, the fencing tokens and the leases, independently of this module.
 
-pub mod attention;
+pub mod active_time;
 pub mod nodes;
 pub mod phi_accrual;
 pub mod reachability;
@@ -25,10 +25,10 @@
 }
 
 impl Membership {
-    pub fn new(report: Duration, worker_lease: Duration) -> Self {
+    pub fn new(report_interval: Duration, worker_lease: Duration) -> Self {
         Self {
             nodes: Nodes::new(worker_lease),
-            detector: FailureDetector::new(report, worker_lease),
+            detector: FailureDetector::new(report_interval, worker_lease),
             stepped_down_at: None,
             leading_since: Duration::ZERO,
         }
@@ -56,8 +56,8 @@
     }
 
     /// Returns whether this node may claim the leadership. A node that stepped down waits until it
-    /// receives reports from workers, or until `patience` has passed without another leader.
-    pub fn may_campaign(&self, now: Duration, patience: Duration) -> bool {
-        self.stepped_down_at.is_none_or(|at| now > at + patience)
+    /// receives reports from workers, or until `max_wait` has passed without another leader.
+    pub fn may_campaign(&self, now: Duration, max_wait: Duration) -> bool {
+        self.stepped_down_at.is_none_or(|at| now > at + max_wait)
     }
 }
--- a/src/core/membership/phi_accrual.rs
+++ b/src/core/membership/phi_accrual.rs
@@ -10,19 +10,19 @@
 use hdrhistogram::Histogram;
 
 /// Resolution of the recorded gaps, of up to ten minutes.
-const STEP: Duration = Duration::from_micros(100);
-const GAP_MOST: u64 = 6_000_000;
+const GAP_RESOLUTION: Duration = Duration::from_micros(100);
+const MAX_GAP_STEPS: u64 = 6_000_000;
 /// Size of the sample window; when it is full, the older half is dropped.
-const KEEP: u64 = 2048;
+const WINDOW_SIZE: u64 = 2048;
 /// Number of gaps needed for an estimate.
-const LEAST: u64 = 8;
+const MIN_SAMPLES: u64 = 8;
 /// Lower bound of the standard deviation as a share of the mean, since a few equal gaps say
 /// little about the next one.
-const DEVIATION_LEAST: f64 = 0.25;
+const MIN_DEVIATION_RATIO: f64 = 0.25;
 
 /// Arrival pattern of the heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Source {
+pub enum ArrivalPattern {
     /// A single sender with a regular interval.
     Periodic,
     /// Many independent senders: arrivals form a Poisson process.
@@ -31,48 +31,50 @@
 
 #[derive(Debug)]
 pub struct PhiAccrual {
-    source: Source,
+    pattern: ArrivalPattern,
     newer: Histogram<u32>,
     older: Histogram<u32>,
-    last: Option<Duration>,
+    last_arrival: Option<Duration>,
 }
 
 fn histogram() -> Histogram<u32> {
-    let mut counts = Histogram::new_with_bounds(1, GAP_MOST, 2).expect("bounds that are in order");
-    counts.auto(false);
-    counts
+    let mut histogram =
+        Histogram::new_with_bounds(1, MAX_GAP_STEPS, 2).expect("bounds that are in order");
+    histogram.auto(false);
+    histogram
 }
 
 impl PhiAccrual {
-    pub fn new(source: Source) -> Self {
+    pub fn new(pattern: ArrivalPattern) -> Self {
         Self {
-            source,
+            pattern,
             newer: histogram(),
             older: histogram(),
-            last: None,
+            last_arrival: None,
         }
     }
 
     pub fn record(&mut self, now: Duration) {
-        if let Some(last) = self.last {
-            let gap = now.saturating_sub(last);
-            let steps = (gap.as_nanos() / STEP.as_nanos()) as u64;
+        if let Some(last_arrival) = self.last_arrival {
+            let gap = now.saturating_sub(last_arrival);
+            let steps = (gap.as_nanos() / GAP_RESOLUTION.as_nanos()) as u64;
             self.newer.saturating_record(steps.max(1));
-            if self.newer.len() >= KEEP / 2 {
+            if self.newer.len() >= WINDOW_SIZE / 2 {
                 std::mem::swap(&mut self.newer, &mut self.older);
                 self.newer.reset();
             }
         }
-        self.last = Some(now);
+        self.last_arrival = Some(now);
     }
 
     /// Restarts the current silence without recording it as a gap.
-    pub fn skip(&mut self, now: Duration) {
-        self.last = self.last.map(|_| now);
+    pub fn restart_silence(&mut self, now: Duration) {
+        self.last_arrival = self.last_arrival.map(|_| now);
     }
 
     pub fn silence(&self, now: Duration) -> Option<Duration> {
-        self.last.map(|last| now.saturating_sub(last))
+        self.last_arrival
+            .map(|last_arrival| now.saturating_sub(last_arrival))
     }
 
     /// Returns the suspicion level of the current silence, or zero with too few samples.
@@ -81,39 +83,39 @@
         else {
             return 0.0;
         };
-        if count < LEAST {
+        if count < MIN_SAMPLES {
             return 0.0;
         }
-        let silence = silence.as_secs_f64() / STEP.as_secs_f64();
-        let of = |f: fn(&Histogram<u32>) -> f64| {
-            let part = |h: &Histogram<u32>| match h.len() {
+        let silence = silence.as_secs_f64() / GAP_RESOLUTION.as_secs_f64();
+        let weighted_mean = |f: fn(&Histogram<u32>) -> f64| {
+            let weighted = |h: &Histogram<u32>| match h.len() {
                 0 => 0.0,
                 len => f(h) * len as f64,
             };
-            (part(&self.newer) + part(&self.older)) / count as f64
+            (weighted(&self.newer) + weighted(&self.older)) / count as f64
         };
-        let mean = of(Histogram::mean).max(1.0);
-        match self.source {
+        let mean = weighted_mean(Histogram::mean).max(1.0);
+        match self.pattern {
             // Only the part of the silence beyond the 99.9th percentile of the gaps counts.
-            Source::Independent => {
-                let long = |h: &Histogram<u32>| h.value_at_quantile(0.999) as f64;
-                let usual = long(&self.newer).max(long(&self.older));
+            ArrivalPattern::Independent => {
+                let quantile = |h: &Histogram<u32>| h.value_at_quantile(0.999) as f64;
+                let usual = quantile(&self.newer).max(quantile(&self.older));
                 (silence - usual).max(0.0) / mean * std::f64::consts::LOG10_E
             }
-            Source::Periodic => {
-                let deviation = of(Histogram::stdev).max(mean * DEVIATION_LEAST);
-                tail(silence - mean, deviation)
+            ArrivalPattern::Periodic => {
+                let deviation = weighted_mean(Histogram::stdev).max(mean * MIN_DEVIATION_RATIO);
+                normal_tail(silence - mean, deviation)
             }
         }
     }
 }
 
-/// Returns the negative decimal logarithm of a normal distribution's tail beyond `over`, using
+/// Returns the negative decimal logarithm of a normal distribution's tail beyond `excess`, using
 /// a logistic approximation.
-fn tail(over: f64, deviation: f64) -> f64 {
-    let y = over / deviation;
+fn normal_tail(excess: f64, deviation: f64) -> f64 {
+    let y = excess / deviation;
     let e = (-y * (1.5976 + 0.070566 * y * y)).exp();
-    match over > 0.0 {
+    match excess > 0.0 {
         true => -(e / (1.0 + e)).max(f64::MIN_POSITIVE).log10(),
         false => -(1.0 - 1.0 / (1.0 + e)).log10(),
     }
--- a/src/core/membership/reachability.rs
+++ b/src/core/membership/reachability.rs
@@ -13,8 +13,8 @@
 };
 
 use super::{
-    attention::Attention,
-    phi_accrual::{PhiAccrual, Source},
+    active_time::ActiveTime,
+    phi_accrual::{ArrivalPattern, PhiAccrual},
 };
 use crate::core::machine::MachineId;
 
@@ -30,21 +30,21 @@
 }
 
 /// Suspicion level of a silence: a probability below one in a hundred million.
-const PHI: f64 = 8.0;
+const PHI_THRESHOLD: f64 = 8.0;
 /// Shortest silence that counts, above ordinary network delays even if many machines report.
-const SILENCE_LEAST: Duration = Duration::from_millis(400);
+const MIN_SILENCE: Duration = Duration::from_millis(400);
 /// Number of unanswered direct commands in a row after which a silent node is isolated.
-const UNANSWERED: u32 = 3;
+const MIN_UNANSWERED: u32 = 3;
 /// Number of known machines needed to judge a node or a zone.
-const MACHINES_LEAST: usize = 3;
+const MIN_MACHINES: usize = 3;
 
 #[derive(Debug)]
 struct LastHeard {
     zone: Arc<str>,
     /// Time of the last heartbeat by any path.
-    any: Duration,
+    any_path: Duration,
     /// Time of the last heartbeat that no other node forwarded.
-    own: Option<Duration>,
+    direct: Option<Duration>,
 }
 
 #[derive(Debug)]
@@ -71,10 +71,10 @@
 /// Failure detector for the machines, used by leader and followers.
 #[derive(Debug)]
 pub struct FailureDetector {
-    report: Duration,
+    report_interval: Duration,
     /// Time after which a silent machine is forgotten.
-    keep: Duration,
-    attention: Attention,
+    retention: Duration,
+    active_time: ActiveTime,
     machines: HashMap<MachineId, LastHeard>,
     zones: BTreeMap<Arc<str>, Zone>,
     reports: PhiAccrual,
@@ -82,14 +82,14 @@
 }
 
 impl FailureDetector {
-    pub fn new(report: Duration, keep: Duration) -> Self {
+    pub fn new(report_interval: Duration, retention: Duration) -> Self {
         Self {
-            report,
-            keep,
-            attention: Attention::default(),
+            report_interval,
+            retention,
+            active_time: ActiveTime::default(),
             machines: HashMap::new(),
             zones: BTreeMap::new(),
-            reports: PhiAccrual::new(Source::Independent),
+            reports: PhiAccrual::new(ArrivalPattern::Independent),
             unanswered: 0,
         }
     }
@@ -97,10 +97,12 @@
     /// Advances the clock, which counts only the time during which the process was running. After a
     /// stall, in which it could not receive anything, all silences start again.
     pub fn tick(&mut self, now: Duration) {
-        if self.attention.tick(now) {
-            let at = self.attention.time();
-            self.reports.skip(at);
-            self.zones.values_mut().for_each(|z| z.reports.skip(at));
+        if self.active_time.tick(now) {
+            let at = self.active_time.elapsed();
+            self.reports.restart_silence(at);
+            self.zones
+                .values_mut()
+                .for_each(|z| z.reports.restart_silence(at));
             self.unanswered = 0;
             self.zones.values_mut().for_each(|z| z.unanswered = 0);
         }
@@ -108,35 +110,35 @@
 
     /// Discards the recorded gaps when this node's role changes, and with it which workers report.
     pub fn reset(&mut self) {
-        self.reports = PhiAccrual::new(Source::Independent);
+        self.reports = PhiAccrual::new(ArrivalPattern::Independent);
         self.zones.clear();
         self.unanswered = 0;
     }
 
     pub fn record_heartbeat(&mut self, machine: &MachineId, zone: &Arc<str>, path: HeartbeatPath) {
-        let at = self.attention.time();
-        let own = path != HeartbeatPath::Forwarded;
+        let at = self.active_time.elapsed();
+        let is_direct = path != HeartbeatPath::Forwarded;
         match self.machines.get_mut(machine) {
             Some(last_heard) => {
-                last_heard.any = at;
-                if own {
-                    last_heard.own = Some(at);
+                last_heard.any_path = at;
+                if is_direct {
+                    last_heard.direct = Some(at);
                 }
             }
             None => {
                 let last_heard = LastHeard {
                     zone: zone.clone(),
-                    any: at,
-                    own: own.then_some(at),
+                    any_path: at,
+                    direct: is_direct.then_some(at),
                 };
                 self.machines.insert(machine.clone(), last_heard);
             }
         }
-        if !own {
+        if !is_direct {
             return;
         }
         let entry = self.zones.entry(zone.clone()).or_insert_with(|| Zone {
-            reports: PhiAccrual::new(Source::Independent),
+            reports: PhiAccrual::new(ArrivalPattern::Independent),
             unanswered: 0,
         });
         entry.unanswered = 0;
@@ -177,46 +179,46 @@
 
     fn is_recent(&self, last_heard: &LastHeard) -> bool {
         last_heard
-            .own
-            .is_some_and(|at| self.attention.time() <= at + self.report * 3 / 2)
+            .direct
+            .is_some_and(|at| self.active_time.elapsed() <= at + self.report_interval * 3 / 2)
     }
 
     fn is_silent(&self, reports: &PhiAccrual) -> bool {
-        let at = self.attention.time();
-        reports.silence(at).is_some_and(|s| s > SILENCE_LEAST) && reports.phi(at) >= PHI
+        let at = self.active_time.elapsed();
+        reports.silence(at).is_some_and(|s| s > MIN_SILENCE) && reports.phi(at) >= PHI_THRESHOLD
     }
 
     /// Evaluates the current silences.
     pub fn reachability(&mut self) -> Reachability {
-        let at = self.attention.time();
-        let keep = self.keep;
+        let at = self.active_time.elapsed();
+        let retention = self.retention;
         self.machines
-            .retain(|_, last_heard| at <= last_heard.any + keep);
+            .retain(|_, last_heard| at <= last_heard.any_path + retention);
         let mut counts: BTreeMap<&Arc<str>, (usize, usize)> = BTreeMap::new();
         for last_heard in self.machines.values() {
             let count = counts.entry(&last_heard.zone).or_insert((0, 0));
             count.0 += 1;
             count.1 += usize::from(self.is_recent(last_heard));
         }
-        let sum = counts.values().fold((0, 0), |s, c| (s.0 + c.0, s.1 + c.1));
-        let enough = sum.0 >= MACHINES_LEAST;
-        let is_uncertain = enough && self.is_silent(&self.reports);
+        let total = counts.values().fold((0, 0), |s, c| (s.0 + c.0, s.1 + c.1));
+        let has_enough_machines = total.0 >= MIN_MACHINES;
+        let is_uncertain = has_enough_machines && self.is_silent(&self.reports);
         let mut reachability = Reachability {
             is_uncertain,
-            is_isolated: is_uncertain && self.unanswered >= UNANSWERED,
+            is_isolated: is_uncertain && self.unanswered >= MIN_UNANSWERED,
             ..Reachability::default()
         };
         for (name, zone) in &self.zones {
-            let (known, lately) = counts.get(name).copied().unwrap_or((0, 0));
-            if known >= MACHINES_LEAST && self.is_silent(&zone.reports) && zone.unanswered > 0 {
+            let (known, recent) = counts.get(name).copied().unwrap_or((0, 0));
+            if known >= MIN_MACHINES && self.is_silent(&zone.reports) && zone.unanswered > 0 {
                 reachability.partitioned_zones.insert(name.clone());
             }
             // In a zone with few machines, the machines of all zones decide.
-            let (known, lately) = match known < MACHINES_LEAST {
-                true => sum,
-                false => (known, lately),
+            let (known, recent) = match known < MIN_MACHINES {
+                true => total,
+                false => (known, recent),
             };
-            if !is_uncertain && lately * 2 >= known {
+            if !is_uncertain && recent * 2 >= known {
                 reachability.reachable_zones.insert(name.clone());
             }
         }
@@ -229,9 +231,9 @@
     /// Returns the zones that were silent for too long and should be probed; all zones if no
     /// machine is heard at all.
     pub fn silent_zones(&self) -> BTreeSet<Arc<str>> {
-        let all = self.is_silent(&self.reports);
+        let all_silent = self.is_silent(&self.reports);
         let zones = self.zones.iter();
-        let zones = zones.filter(|(_, z)| all || self.is_silent(&z.reports));
+        let zones = zones.filter(|(_, z)| all_silent || self.is_silent(&z.reports));
         zones.map(|(name, _)| name.clone()).collect()
     }
 }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -170,7 +170,7 @@
             let ability = told.and_then(|(ability, _)| ability.as_ref());
             ability.is_none_or(|ability| self.cache.cluster.0.suits(ability))
         };
-        nodes.best_peer_of(now, able).map(|(node, _)| node)
+        nodes.best_peer_among(now, able).map(|(node, _)| node)
     }
 
     pub(super) fn drive_rollout(&mut self) {
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Node, Purpose,
-    membership::nodes::EVERY,
+    membership::nodes::HEARTBEAT_INTERVAL,
     store::{LEADER, STORED_HEARTBEAT, StateRequest, put, when},
 };
 
@@ -32,9 +32,10 @@
 }
 
 /// Minimum interval between two stored heartbeats: two direct heartbeats, one of which may be lost.
-pub const STORED_HEARTBEAT_EVERY: Duration = Duration::from_millis(2 * EVERY.as_millis() as u64);
+pub const STORED_HEARTBEAT_EVERY: Duration =
+    Duration::from_millis(2 * HEARTBEAT_INTERVAL.as_millis() as u64);
 /// Delay before a new leader stores heartbeats, so that its first direct ones are acknowledged.
-const FIRST: Duration = Duration::from_millis(3 * EVERY.as_millis() as u64);
+const FIRST: Duration = Duration::from_millis(3 * HEARTBEAT_INTERVAL.as_millis() as u64);
 
 impl Node {
     pub(super) fn drive_stored_heartbeat(&mut self) {
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -117,7 +117,7 @@
             StateChange::StoredHeartbeat(stored_heartbeat) => self
                 .membership
                 .nodes
-                .stored_heartbeat(stored_heartbeat, now),
+                .record_stored_heartbeat(stored_heartbeat, now),
             StateChange::Types => {
                 if let (Some(cluster), Some(types)) = (&mut self.cluster, &self.cache.types) {
                     cluster.types = types.clone();
