--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -38,34 +38,31 @@
 }
 
 /// Interval between two snapshots from the leader.
-const SEND_EVERY: Duration = Duration::from_secs(5);
+const HANDOVER_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of machines, and of jobs, in a snapshot.
-const ENTRIES_MOST: usize = 8000;
+const MAX_ENTRIES: usize = 8000;
 
 impl HandoverSnapshot {
-    fn of(cluster: &ClusterState, now: Duration) -> Self {
+    fn from_cluster(cluster: &ClusterState, now: Duration) -> Self {
         let faulty = cluster.jobs.iter().filter(|(_, job)| job.faulty());
         let mut handover = Self {
-            faulty: faulty
-                .map(|(id, _)| id.clone())
-                .take(ENTRIES_MOST)
-                .collect(),
+            faulty: faulty.map(|(id, _)| id.clone()).take(MAX_ENTRIES).collect(),
             refused: cluster.provisioning.refusals(now),
             ..Self::default()
         };
-        let up = cluster.machines.values().filter(|m| m.fenced);
-        let workers = up.filter_map(|m| Some((m.id.clone(), (m.addr?, m.session))));
-        handover.workers = workers.take(ENTRIES_MOST).collect();
-        let mut numbers: HashMap<Arc<str>, usize> = HashMap::new();
+        let fenced = cluster.machines.values().filter(|m| m.fenced);
+        let workers = fenced.filter_map(|m| Some((m.id.clone(), (m.addr?, m.session))));
+        handover.workers = workers.take(MAX_ENTRIES).collect();
+        let mut indices: HashMap<Arc<str>, usize> = HashMap::new();
         let machines = cluster.machines.values().filter(|m| !m.images.is_empty());
-        for machine in machines.take(ENTRIES_MOST) {
-            let number = |image: &Arc<str>| {
-                *numbers.entry(image.clone()).or_insert_with(|| {
+        for machine in machines.take(MAX_ENTRIES) {
+            let index = |image: &Arc<str>| {
+                *indices.entry(image.clone()).or_insert_with(|| {
                     handover.images.push(image.clone());
                     handover.images.len() - 1
                 })
             };
-            let images = machine.images.keys().map(number).collect();
+            let images = machine.images.keys().map(index).collect();
             handover.machines.insert(machine.id.clone(), images);
         }
         handover
@@ -73,8 +70,10 @@
 
     /// Moves the state of one machine from the snapshot to the machine.
     fn restore(&mut self, machine: &mut Machine) {
-        let numbers = self.machines.remove(&machine.id).unwrap_or_default();
-        let images = numbers.into_iter().filter_map(|n| self.images.get(n));
+        let indices = self.machines.remove(&machine.id).unwrap_or_default();
+        let images = indices
+            .into_iter()
+            .filter_map(|index| self.images.get(index));
         for image in images {
             machine.images.entry(image.clone()).or_default();
         }
@@ -98,9 +97,9 @@
         if now < self.next_handover || !self.is_leader() {
             return;
         }
-        self.next_handover = now + SEND_EVERY;
+        self.next_handover = now + HANDOVER_INTERVAL;
         let Some(cluster) = &self.cluster else { return };
-        let handover = HandoverSnapshot::of(cluster, now);
+        let handover = HandoverSnapshot::from_cluster(cluster, now);
         for to in self.config.peers.clone() {
             self.out.push(Output::Peer {
                 to,
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -25,40 +25,40 @@
 /// Schedule of the heartbeats and state of the probe of the state service.
 #[derive(Debug, Default)]
 pub struct Heartbeats {
-    next: Duration,
-    probing: bool,
+    next_send: Duration,
+    probe_in_flight: bool,
     /// Leader that is asked to resign once the state service has answered, and its claim.
-    refused: Option<(String, u64)>,
+    refused_leader: Option<(String, u64)>,
 }
 
 /// Time that a worker waits for the answer to a report.
-const WORKER_ANSWER: Duration = Duration::from_secs(4);
+const WORKER_ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 /// Delay before a worker tries another node.
-pub const WORKER_RETRY: Duration = Duration::from_secs(1);
+pub const WORKER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Time within which a redirected worker returns if it gets no answer at the new node.
-pub const WORKER_RETURNS: Duration = WORKER_ANSWER
-    .saturating_add(WORKER_RETRY)
+pub const WORKER_RETURN_TIMEOUT: Duration = WORKER_ANSWER_TIMEOUT
+    .saturating_add(WORKER_RETRY_DELAY)
     .saturating_add(Duration::from_secs(1));
 
 /// Returns the time after a change of the leader within which all workers report to the new one.
-pub fn worker_move_time(report: Duration) -> Duration {
-    report * 5 / 4 + WORKER_ANSWER + WORKER_RETRY
+pub fn worker_move_time(report_interval: Duration) -> Duration {
+    report_interval * 5 / 4 + WORKER_ANSWER_TIMEOUT + WORKER_RETRY_DELAY
 }
 
 /// Time within which a node that was handed the leadership has claimed it.
-const TRANSFER_TIME: Duration = Duration::from_millis(600);
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Returns the silence after which a leader is considered lost. By then all of its workers have
 /// turned to other nodes, and a restarted process is usually back.
 pub fn leader_silence_limit(worker_lease: Duration) -> Duration {
-    let moved = WORKER_ANSWER + WORKER_RETRY + Duration::from_millis(500);
-    worker_lease.mul_f64(0.55).min(moved)
+    let move_time = WORKER_ANSWER_TIMEOUT + WORKER_RETRY_DELAY + Duration::from_millis(500);
+    worker_lease.mul_f64(0.55).min(move_time)
 }
 
 impl Node {
     /// Records whether the state service served a request of this node.
-    pub(super) fn state_answered(&mut self, reply: &StateReply) {
+    pub(super) fn record_state_reply(&mut self, reply: &StateReply) {
         let failed = matches!(
             reply,
             StateReply::Refused { limited: false, .. } | StateReply::Unclear
@@ -100,10 +100,10 @@
         let stored = self.cache.leader.as_ref();
         let stored = stored.map(|(record, version)| (&*record.node, *version));
         let nodes = &self.membership.nodes;
-        let unread =
+        let is_unserved =
             nodes.state_service_silence(self.now()) > STATE_REFUSED_TIMEOUT && !self.is_leader();
-        let told = nodes.newer_claim(stored.map_or(0, |(_, claim)| claim));
-        told.filter(|_| unread).or(stored)
+        let reported = nodes.newer_claim(stored.map_or(0, |(_, claim)| claim));
+        reported.filter(|_| is_unserved).or(stored)
     }
 
     /// Returns another live node that is not the leader.
@@ -116,17 +116,17 @@
         let now = self.now();
         self.membership.detector.tick(now);
         let claim = self.known_leader().map_or(0, |(_, claim)| claim);
-        let own = self.is_leader();
-        self.membership.nodes.set_leader(claim, own, now);
-        if now < self.heartbeats.next {
+        let is_leader = self.is_leader();
+        self.membership.nodes.set_leader(claim, is_leader, now);
+        if now < self.heartbeats.next_send {
             return;
         }
-        self.heartbeats.next = now + HEARTBEAT_INTERVAL;
+        self.heartbeats.next_send = now + HEARTBEAT_INTERVAL;
         let nodes = &self.membership.nodes;
         let heartbeat = NodeHeartbeat {
             claim,
             // Zero is reserved for the leader itself.
-            heard: match own {
+            heard: match is_leader {
                 true => Duration::ZERO,
                 false => nodes.leader_silence(now).max(Duration::from_millis(1)),
             },
@@ -134,28 +134,28 @@
             hears: self.membership.detector.machines_heard(),
             told: self.told(),
         };
-        let silent = heartbeat.state > HEARTBEAT_INTERVAL;
+        let needs_probe = heartbeat.state > HEARTBEAT_INTERVAL;
         for to in self.config.peers.clone() {
             let message = PeerMessage::Heartbeat(heartbeat.clone());
             self.out.push(Output::Peer { to, message });
         }
         // A node without other requests would not learn whether it is served.
-        if silent {
-            self.probe();
+        if needs_probe {
+            self.probe_state_service();
         }
     }
 
-    fn probe(&mut self) {
-        if !self.heartbeats.probing && self.cache.loaded {
-            self.heartbeats.probing = true;
+    fn probe_state_service(&mut self) {
+        if !self.heartbeats.probe_in_flight && self.cache.loaded {
+            self.heartbeats.probe_in_flight = true;
             let key = store::LEADER.to_owned();
             self.call(Purpose::Probe, store::StateRequest::Get { key });
         }
     }
 
-    pub(super) fn probed(&mut self, reply: &StateReply) {
-        self.heartbeats.probing = false;
-        let Some((to, claim)) = self.heartbeats.refused.take() else {
+    pub(super) fn probe_answered(&mut self, reply: &StateReply) {
+        self.heartbeats.probe_in_flight = false;
+        let Some((to, claim)) = self.heartbeats.refused_leader.take() else {
             return;
         };
         if matches!(reply, StateReply::Entry(entry) if entry.version == claim) {
@@ -164,30 +164,30 @@
         }
     }
 
-    pub(super) fn heartbeat(&mut self, from: String, heartbeat: NodeHeartbeat) {
+    pub(super) fn heartbeat_received(&mut self, from: String, heartbeat: NodeHeartbeat) {
         let now = self.now();
         self.membership.nodes.record_peer_claim(&from, &heartbeat);
-        let leads =
+        let is_from_leader =
             heartbeat.heard.is_zero() && self.known_leader() == Some((&from, heartbeat.claim));
-        let served = self.membership.nodes.state_service_silence(now)
+        let is_served = self.membership.nodes.state_service_silence(now)
             < super::membership::nodes::STATE_SERVED_TIMEOUT;
-        if leads && heartbeat.state > STATE_REFUSED_TIMEOUT && served {
+        if is_from_leader && heartbeat.state > STATE_REFUSED_TIMEOUT && is_served {
             // The state service may be down for all nodes by now. If the leader resigned then,
             // nobody could lead until it is back, and the workers would lose their leases. So
             // the leader is asked only after the service has answered this node.
-            self.heartbeats.refused = Some((from.clone(), heartbeat.claim));
-            self.probe();
+            self.heartbeats.refused_leader = Some((from.clone(), heartbeat.claim));
+            self.probe_state_service();
         }
         self.membership
             .nodes
-            .record_heartbeat(from, heartbeat, leads, now);
+            .record_heartbeat(from, heartbeat, is_from_leader, now);
     }
 
     /// Resigns on request of a node that the state service serves, if it refuses this one.
-    pub(super) fn resign(&mut self, from: String, claim: u64) {
-        let refused =
+    pub(super) fn resign_requested(&mut self, from: String, claim: u64) {
+        let is_refused =
             self.membership.nodes.state_service_silence(self.now()) > STATE_REFUSED_TIMEOUT;
-        if !refused
+        if !is_refused
             || !self.is_leader()
             || self.claim() != Some(claim)
             || !self.has_previous_leader_stopped()
@@ -208,8 +208,8 @@
         if record.node == self.config.node || !nodes.is_served(now) {
             return None;
         }
-        let missed = nodes.is_leader_lost(*version, self.config.leader_silence_limit, now);
-        missed.then(|| {
+        let is_lost = nodes.is_leader_lost(*version, self.config.leader_silence_limit, now);
+        is_lost.then(|| {
             info!(leader = %record.node, claim = version, "superseding a leader no node hears");
             PreviousLeader::Superseded
         })
@@ -222,61 +222,64 @@
         let now = self.now();
         let reachability = self.membership.detector.reachability();
         let (is_isolated, is_uncertain) = (reachability.is_isolated, reachability.is_uncertain);
-        let ask = self.membership.detector.silent_zones();
+        let zones_to_probe = self.membership.detector.silent_zones();
         if let Some(cluster) = &mut self.cluster {
             for machine in std::mem::take(&mut cluster.returned_machines) {
                 self.membership.detector.forget(&machine);
             }
-            let before = &cluster.reachability;
+            let previous = &cluster.reachability;
             if (
-                before.is_uncertain,
-                before.is_isolated,
-                &before.partitioned_zones,
+                previous.is_uncertain,
+                previous.is_isolated,
+                &previous.partitioned_zones,
             ) != (is_uncertain, is_isolated, &reachability.partitioned_zones)
             {
                 info!(is_uncertain, is_isolated, partitioned_zones = ?reachability.partitioned_zones, "reachability changed");
                 cluster.requeue();
             }
             cluster.reachability = reachability;
-            cluster.zones_to_probe = ask;
+            cluster.zones_to_probe = zones_to_probe;
         }
         if !self.membership.nodes.is_served(now) || !self.has_previous_leader_stopped() {
             return;
         }
-        let best = self.membership.nodes.best_peer(now);
-        let settled = self.membership.leading_for(now) > worker_move_time(self.config.report);
+        let best_peer = self.membership.nodes.best_peer(now);
+        let has_settled = self.membership.leading_for(now) > worker_move_time(self.config.report);
         // Evaluated only if another node hears machines, as it iterates over all machines.
-        let hears = || {
+        let own_machines = || {
             self.membership
                 .detector
                 .machines_heard()
                 .values()
                 .sum::<u32>()
         };
-        let better = settled
-            && best
+        let is_peer_better = has_settled
+            && best_peer
                 .as_ref()
-                .is_some_and(|(_, machines)| *machines >= 3 && *machines > 2 * hears());
-        if is_isolated || better {
-            self.transfer_leadership(best.map(|(node, _)| node), "it hears few or no workers");
+                .is_some_and(|(_, machines)| *machines >= 3 && *machines > 2 * own_machines());
+        if is_isolated || is_peer_better {
+            self.transfer_leadership(
+                best_peer.map(|(node, _)| node),
+                "it hears few or no workers",
+            );
         }
     }
 
     /// Gives up the leadership, to a given node or to whichever claims it first.
-    pub(super) fn transfer_leadership(&mut self, to: Option<String>, why: &str) {
+    pub(super) fn transfer_leadership(&mut self, to: Option<String>, reason: &str) {
         let Some(claim) = self.claim() else { return };
-        self.drop_leadership(why);
+        self.drop_leadership(reason);
         self.membership.record_step_down(self.now());
-        let wait = match to {
+        let delay = match to {
             Some(to) => {
                 let message = PeerMessage::Resigned { claim };
                 self.out.push(Output::Peer { to, message });
-                TRANSFER_TIME
+                TRANSFER_TIMEOUT
             }
             None => Duration::ZERO,
         };
         // The message may be lost: then the leader key is removed and any node may claim.
-        self.remove_leader_key(claim, wait);
+        self.remove_leader_key(claim, delay);
     }
 
     /// Records a heartbeat of a machine.
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -11,7 +11,7 @@
 
 use super::{
     Answer, Node, Output, RequestId,
-    heartbeat::WORKER_RETURNS,
+    heartbeat::WORKER_RETURN_TIMEOUT,
     job::JobId,
     licences::LicenceView,
     machine::{MachineId, WorkerReport},
@@ -21,76 +21,76 @@
 pub use super::peer_message::PeerMessage;
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingForward {
     request: RequestId,
     machine: MachineId,
-    until: Duration,
+    deadline: Duration,
 }
 
 /// Report that arrived while no leader was heard.
 #[derive(Debug)]
-struct Held {
+struct HeldReport {
     request: RequestId,
     report: WorkerReport,
-    until: Duration,
+    deadline: Duration,
 }
 
 #[derive(Debug, Default)]
-pub struct ForwardedHeartbeats {
+pub struct ForwardedReports {
     /// Last relay number in use. Each process starts at a different one, so that a late answer
     /// to the previous process is not taken for the answer to another worker's report.
-    next: u64,
-    waiting: BTreeMap<u64, Waiting>,
+    last_relay: u64,
+    pending: BTreeMap<u64, PendingForward>,
     /// Held reports in order of their deadline.
-    held: VecDeque<Held>,
+    held: VecDeque<HeldReport>,
     /// Number of tasks listed by the held reports.
     held_tasks: usize,
     /// Workers that were redirected to the leader or came from it, and when.
-    tried: HashMap<MachineId, Duration>,
+    redirected: HashMap<MachineId, Duration>,
     /// Time of the last answer to each worker whose reports are forwarded.
-    answered: HashMap<MachineId, Duration>,
+    answered_at: HashMap<MachineId, Duration>,
     /// Finished and running tasks of each job, from the leader's last digest.
-    digest: HashMap<JobId, (u32, u32)>,
+    task_counts: HashMap<JobId, (u32, u32)>,
     /// Licence usage from the leader's last digest, and the time of its arrival.
     licences: (Vec<LicenceView>, Duration),
     next_digest: Duration,
-    /// Time of the next removal of old entries from `tried` and `answered`.
+    /// Time of the next removal of old entries from `redirected` and `answered_at`.
     next_cleanup: Duration,
 }
 
-impl ForwardedHeartbeats {
+impl ForwardedReports {
     pub fn new(incarnation: u32) -> Self {
         Self {
-            next: u64::from(incarnation) << 32,
+            last_relay: u64::from(incarnation) << 32,
             ..Self::default()
         }
     }
 
     /// Returns the number of finished and of running tasks of a job.
-    pub fn counts(&self, id: &JobId) -> (u32, u32) {
-        self.digest.get(id).copied().unwrap_or((0, 0))
+    pub fn task_counts(&self, id: &JobId) -> (u32, u32) {
+        self.task_counts.get(id).copied().unwrap_or((0, 0))
     }
 }
 
 /// Interval between two digests from the leader.
-const DIGEST_EVERY: Duration = Duration::from_secs(1);
+const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval between removals of old worker entries. Scanning them at each report would take time
 /// quadratic in the size of the fleet.
-const CLEANUP_EVERY: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 /// Time to wait for the leader's answer to a forwarded report.
-const FORWARDED_FOR: Duration = Duration::from_secs(1);
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which a report is held. A worker waits 4 s for its answer.
-const HELD_FOR: Duration = Duration::from_millis(3400);
+const HOLD_TIMEOUT: Duration = Duration::from_millis(3400);
 
 impl Node {
-    pub(super) fn report(&mut self, request: RequestId, report: WorkerReport) {
+    pub(super) fn report_received(&mut self, request: RequestId, report: WorkerReport) {
         if self.is_leader() {
             self.report_to_leader(request, report);
             return;
         }
         let Some((node, claim)) = self.other_leader() else {
             self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
-            self.hold(request, report);
+            self.hold_report(request, report);
             return;
         };
         let now = self.now();
@@ -106,7 +106,7 @@
                 // No node can forward the report, and the leader stays the leader: the worker
                 // tries the other nodes.
                 true => self.answer(request, Answer::Redirect(None)),
-                false => self.hold(request, report),
+                false => self.hold_report(request, report),
             }
             return;
         }
@@ -115,7 +115,9 @@
             return;
         }
         if !is_cut_from_leader {
-            self.forwarded.tried.insert(report.machine.clone(), now);
+            self.forwarded
+                .redirected
+                .insert(report.machine.clone(), now);
             self.answer(request, Answer::Redirect(Some(node)));
             return;
         }
@@ -134,14 +136,14 @@
 
     /// Forwards a report to the leader, and keeps the worker's request open for the answer.
     fn forward_report(&mut self, leader: String, request: RequestId, report: WorkerReport) {
-        self.forwarded.next += 1;
-        let relay = self.forwarded.next;
-        let waiting = Waiting {
+        self.forwarded.last_relay += 1;
+        let relay = self.forwarded.last_relay;
+        let pending = PendingForward {
             request,
             machine: report.machine.clone(),
-            until: self.now() + FORWARDED_FOR,
+            deadline: self.now() + FORWARD_TIMEOUT,
         };
-        self.forwarded.waiting.insert(relay, waiting);
+        self.forwarded.pending.insert(relay, pending);
         self.out.push(Output::Peer {
             to: leader,
             message: PeerMessage::Report { relay, report },
@@ -159,19 +161,21 @@
     /// between them forever.
     fn is_cut_from_leader(&mut self, report: &WorkerReport, claim: u64) -> bool {
         let now = self.now();
-        let knows = report.token >> 16 == claim;
+        let knows_token = report.token >> 16 == claim;
         if !self.hears_leader() && self.leader_stores_heartbeats() {
             // Reports can't be forwarded: the worker is redirected, unless it just was.
-            let tried = self.forwarded.tried.get(&report.machine);
-            return tried.is_some_and(|at| now < *at + WORKER_RETURNS);
+            let redirected_at = self.forwarded.redirected.get(&report.machine);
+            return redirected_at.is_some_and(|at| now < *at + WORKER_RETURN_TIMEOUT);
         }
-        if knows && !self.hears_leader() {
+        if knows_token && !self.hears_leader() {
             return true;
         }
-        match self.forwarded.tried.get(&report.machine) {
+        match self.forwarded.redirected.get(&report.machine) {
             Some(at) => now < *at + self.config.worker_lease_bound * 2,
-            None if knows && self.workers_have_moved(claim) => {
-                self.forwarded.tried.insert(report.machine.clone(), now);
+            None if knows_token && self.workers_have_moved(claim) => {
+                self.forwarded
+                    .redirected
+                    .insert(report.machine.clone(), now);
                 true
             }
             None => false,
@@ -181,30 +185,30 @@
     /// Returns whether no further report may be forwarded. The whole fleet may report here at once;
     /// workers whose lease is half over can't wait and get twice the limit.
     fn is_forwarding_full(&self, machine: &MachineId) -> bool {
-        let half = self.config.worker_lease_bound / 2;
-        let answered = self.forwarded.answered.get(machine);
-        let urgent = answered.is_none_or(|at| self.now() > *at + half);
-        let most = match urgent {
+        let half_lease = self.config.worker_lease_bound / 2;
+        let last_answer = self.forwarded.answered_at.get(machine);
+        let is_urgent = last_answer.is_none_or(|at| self.now() > *at + half_lease);
+        let limit = match is_urgent {
             true => self.config.requests_most * 2,
             false => self.config.requests_most,
         };
-        self.forwarded.waiting.len() >= most
+        self.forwarded.pending.len() >= limit
     }
 
     /// Answers with the licence usage: verified if this node leads, else from the leader's digest.
-    pub(super) fn licences(&mut self, request: RequestId) {
+    pub(super) fn answer_licences(&mut self, request: RequestId) {
         if self.config.options.licences.is_none() {
             self.answer(request, Answer::Licences(Vec::new(), None));
             return;
         }
-        let told = &self.forwarded.licences;
-        let age = self.now().saturating_sub(told.1);
+        let stored = &self.forwarded.licences;
+        let age = self.now().saturating_sub(stored.1);
         let answer = match (&self.cluster, self.is_leader()) {
             (Some(cluster), true) => Answer::Licences(cluster.licence_view(), None),
-            _ if told.0.is_empty() => Answer::Later {
-                retry: DIGEST_EVERY,
+            _ if stored.0.is_empty() => Answer::Later {
+                retry: DIGEST_INTERVAL,
             },
-            _ => Answer::Licences(told.0.clone(), Some(age)),
+            _ => Answer::Licences(stored.0.clone(), Some(age)),
         };
         self.answer(request, answer);
     }
@@ -218,41 +222,41 @@
     /// Holds a report while this node hears no leader, or redirects the worker to a node that does.
     /// Redirected elsewhere, the worker would spend the rest of its lease on a dead node or on
     /// trying the others.
-    fn hold(&mut self, request: RequestId, report: WorkerReport) {
+    fn hold_report(&mut self, request: RequestId, report: WorkerReport) {
         let now = self.now();
         let tasks = report.tasks.len();
-        let full = self.forwarded.held.len() >= self.config.requests_most
+        let is_full = self.forwarded.held.len() >= self.config.requests_most
             || self.forwarded.held_tasks + tasks > self.config.waiting_tasks_most;
         match self.peer_hearing_leader() {
             Some(node) => self.answer(request, Answer::Redirect(Some(node))),
-            None if full => self.answer(request, Answer::Redirect(None)),
+            None if is_full => self.answer(request, Answer::Redirect(None)),
             None => {
                 self.forwarded.held_tasks += tasks;
-                self.forwarded.held.push_back(Held {
+                self.forwarded.held.push_back(HeldReport {
                     request,
                     report,
-                    until: now + HELD_FOR,
+                    deadline: now + HOLD_TIMEOUT,
                 });
             }
         }
     }
 
     /// Handles the held reports once a leader is heard, or their deadline has passed.
-    fn drive_held(&mut self) {
+    fn drive_held_reports(&mut self) {
         let now = self.now();
         let Some(first) = self.forwarded.held.front() else {
             return;
         };
-        let over = now >= first.until;
-        let heard = (self.hears_leader() || self.leader_stores_heartbeats())
+        let is_expired = now >= first.deadline;
+        let hears_leader = (self.hears_leader() || self.leader_stores_heartbeats())
             && self.other_leader().is_some();
-        let on = heard || self.is_leader() || self.peer_hearing_leader().is_some();
-        if !on && !over {
+        let has_route = hears_leader || self.is_leader() || self.peer_hearing_leader().is_some();
+        if !has_route && !is_expired {
             return;
         }
-        for held in self.take_held(on) {
-            if on {
-                self.report(held.request, held.report);
+        for held in self.take_held_reports(has_route) {
+            if has_route {
+                self.report_received(held.request, held.report);
             } else {
                 // The next node in the worker's list may be the dead one, which would cost the
                 // worker most of its lease, so it is redirected to a live node.
@@ -263,20 +267,20 @@
     }
 
     /// Removes all held reports, or only those whose deadline has passed.
-    fn take_held(&mut self, all: bool) -> Vec<Held> {
+    fn take_held_reports(&mut self, all: bool) -> Vec<HeldReport> {
         let now = self.now();
-        let relays = &mut self.forwarded;
+        let forwarded = &mut self.forwarded;
         let due = match all {
-            true => relays.held.len(),
-            false => relays.held.partition_point(|held| now >= held.until),
+            true => forwarded.held.len(),
+            false => forwarded.held.partition_point(|held| now >= held.deadline),
         };
-        let taken: Vec<Held> = relays.held.drain(..due).collect();
-        let tasks: usize = taken.iter().map(|held| held.report.tasks.len()).sum();
-        relays.held_tasks -= tasks;
-        taken
+        let reports: Vec<HeldReport> = forwarded.held.drain(..due).collect();
+        let tasks: usize = reports.iter().map(|held| held.report.tasks.len()).sum();
+        forwarded.held_tasks -= tasks;
+        reports
     }
 
-    pub(super) fn peer_message(&mut self, from: String, message: PeerMessage) {
+    pub(super) fn peer_message_received(&mut self, from: String, message: PeerMessage) {
         match message {
             PeerMessage::Report { relay, report } => {
                 self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Forwarded);
@@ -290,22 +294,22 @@
                 });
             }
             PeerMessage::Reported { relay, answer } => {
-                if let Some(waiting) = self.forwarded.waiting.remove(&relay) {
+                if let Some(pending) = self.forwarded.pending.remove(&relay) {
                     if matches!(answer, Some(Answer::Commands { .. })) {
                         let now = self.now();
-                        self.forwarded.answered.insert(waiting.machine, now);
+                        self.forwarded.answered_at.insert(pending.machine, now);
                     }
                     let answer = answer.unwrap_or(Answer::Redirect(None));
-                    self.answer(waiting.request, answer);
+                    self.answer(pending.request, answer);
                 }
             }
-            PeerMessage::Heartbeat(heartbeat) => self.heartbeat(from, heartbeat),
-            PeerMessage::Resign { claim } => self.resign(from, claim),
+            PeerMessage::Heartbeat(heartbeat) => self.heartbeat_received(from, heartbeat),
+            PeerMessage::Resign { claim } => self.resign_requested(from, claim),
             PeerMessage::Resigned { claim } => self.resignation_received(claim),
             PeerMessage::Handover(handover) => self.handover_received(handover),
             PeerMessage::Digest { jobs, licences } => {
                 self.forwarded.licences = (licences, self.now());
-                self.forwarded.digest = jobs
+                self.forwarded.task_counts = jobs
                     .into_iter()
                     .map(|(id, done, running)| (id, (done, running)))
                     .collect();
@@ -314,26 +318,30 @@
     }
 
     pub(super) fn drive_forwarding(&mut self) {
-        self.drive_held();
+        self.drive_held_reports();
         let now = self.now();
-        while let Some(entry) = self.forwarded.waiting.first_entry() {
-            if now < entry.get().until {
+        while let Some(entry) = self.forwarded.pending.first_entry() {
+            if now < entry.get().deadline {
                 break;
             }
             // This node can't reach the leader either, but another node may.
-            let waiting = entry.remove();
-            self.answer(waiting.request, Answer::Redirect(None));
+            let pending = entry.remove();
+            self.answer(pending.request, Answer::Redirect(None));
         }
-        let keep = self.config.worker_lease_bound * 4;
+        let retention = self.config.worker_lease_bound * 4;
         if now >= self.forwarded.next_cleanup {
-            self.forwarded.next_cleanup = now + CLEANUP_EVERY;
-            self.forwarded.tried.retain(|_, at| now < *at + keep);
-            self.forwarded.answered.retain(|_, at| now < *at + keep);
+            self.forwarded.next_cleanup = now + CLEANUP_INTERVAL;
+            self.forwarded
+                .redirected
+                .retain(|_, at| now < *at + retention);
+            self.forwarded
+                .answered_at
+                .retain(|_, at| now < *at + retention);
         }
         if now < self.forwarded.next_digest || !self.is_leader() {
             return;
         }
-        self.forwarded.next_digest = now + DIGEST_EVERY;
+        self.forwarded.next_digest = now + DIGEST_INTERVAL;
         let Some(cluster) = &self.cluster else { return };
         let jobs: Vec<_> = cluster
             .jobs
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -12,7 +12,7 @@
 use super::phi_accrual::{ArrivalPattern, PhiAccrual};
 use crate::core::{
     machine::MachineId,
-    stored_heartbeat::{STORED_HEARTBEAT_EVERY, StoredHeartbeat},
+    stored_heartbeat::{STORED_HEARTBEAT_INTERVAL, StoredHeartbeat},
 };
 
 /// Heartbeat that a node sends to every other node at a fixed interval.
@@ -206,7 +206,7 @@
     /// Returns whether the leader's stored heartbeat is recent: at most about two intervals old.
     pub fn leader_stores_heartbeats(&self, claim: u64, now: Duration) -> bool {
         let is_recent =
-            |at: Duration| now < at + STORED_HEARTBEAT_EVERY * 2 + LEADER_HEARTBEAT_TIMEOUT / 2;
+            |at: Duration| now < at + STORED_HEARTBEAT_INTERVAL * 2 + LEADER_HEARTBEAT_TIMEOUT / 2;
         self.leader.0 == claim && self.stored_heartbeat_at.is_some_and(is_recent)
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -58,7 +58,7 @@
 use cluster::{ClusterState, Direct};
 use config::Config;
 use election::Election;
-use heartbeat_forwarding::ForwardedHeartbeats;
+use heartbeat_forwarding::ForwardedReports;
 use job::{JobId, TerminalRecord};
 use machine::{DirectReply, MachineType, WorkerReport};
 use membership::{Membership, reachability::HeartbeatPath};
@@ -119,7 +119,7 @@
     dependencies: dependencies::Dependencies,
     /// Terminal states of jobs by range, where they are stored so.
     ranges: terminal_states::TerminalRanges,
-    forwarded: ForwardedHeartbeats,
+    forwarded: ForwardedReports,
     heartbeats: heartbeat::Heartbeats,
     heartbeat_writer: stored_heartbeat::HeartbeatWriter,
     membership: Membership,
@@ -139,7 +139,7 @@
             maintenance: maintenance::Maintenance::default(),
             dependencies: dependencies::Dependencies::default(),
             ranges: terminal_states::TerminalRanges::default(),
-            forwarded: ForwardedHeartbeats::new(config.options.incarnation),
+            forwarded: ForwardedReports::new(config.options.incarnation),
             heartbeats: heartbeat::Heartbeats::default(),
             heartbeat_writer: stored_heartbeat::HeartbeatWriter::default(),
             membership: Membership::new(config.report, config.worker_lease_bound),
@@ -176,15 +176,15 @@
             Input::Status { request, id } => self.queue_question(request, id, Question::Status),
             Input::Withdraw { request, id } => self.queue_question(request, id, Question::Withdraw),
             Input::Ready { request } => self.answer(request, Answer::Ready(self.is_ready())),
-            Input::Licences { request } => self.licences(request),
+            Input::Licences { request } => self.answer_licences(request),
             Input::Rollout { request, ask } => self.rollout_asked(request, ask),
             Input::Maintenance { request, ask } => self.maintenance_asked(request, ask),
             Input::Retire => self.retire(),
-            Input::Report { request, report } => self.report(request, report),
+            Input::Report { request, report } => self.report_received(request, report),
             Input::State { call, reply } => self.state_service_answered(call, reply),
             Input::Cloud { call, reply } => self.cloud_answered(call, reply),
             Input::Direct { call, reply } => self.worker_answered(call, reply),
-            Input::Peer { from, message } => self.peer_message(from, message),
+            Input::Peer { from, message } => self.peer_message_received(from, message),
             Input::Tick => {}
         }
         self.drive();
@@ -386,7 +386,7 @@
 
     /// Hands an answer of the state service to whatever asked for it.
     fn state_reply(&mut self, purpose: Purpose, reply: StateReply) {
-        self.state_answered(&reply);
+        self.record_state_reply(&reply);
         match purpose {
             Purpose::Load { after } => self.loaded(after, reply),
             Purpose::Watch => self.watch_answered(reply),
@@ -399,8 +399,8 @@
                 asked,
             } => self.verification_answered(claim, renewed, asked, reply),
             Purpose::Claim { lease, sent, prior } => self.claim_answered(lease, sent, prior, reply),
-            Purpose::Probe => self.probed(&reply),
-            Purpose::StoredHeartbeat => self.heartbeat_stored(),
+            Purpose::Probe => self.probe_answered(&reply),
+            Purpose::StoredHeartbeat => self.heartbeat_write_answered(),
             Purpose::StoreSettledClaim => self.settled_claim_answered(),
             Purpose::RemoveLeaderKey { claim } => self.key_removal_answered(claim, &reply),
             Purpose::Accept {
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -192,7 +192,7 @@
                 continue;
             }
             match waiting.origin {
-                ReportOrigin::Worker(request) => self.report(request, waiting.report),
+                ReportOrigin::Worker(request) => self.report_received(request, waiting.report),
                 ReportOrigin::Node(to, relay) => {
                     let answer = self.answer_as_leader(&waiting.report);
                     let message = PeerMessage::Reported { relay, answer };
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -12,7 +12,7 @@
 use super::{
     cluster::{ClusterState, Slot},
     config::Config,
-    heartbeat::WORKER_RETRY,
+    heartbeat::WORKER_RETRY_DELAY,
     job::{JobSpec, TaskId},
     machine::{ExitReason, Machine, Standing, TaskPhase},
 };
@@ -36,7 +36,7 @@
     pub fn new(config: &Config, now: Duration) -> Self {
         // A worker whose node is gone tries the next one, and reports at least that often.
         let patience = Patience {
-            most: config.report * 5 / 4 + WORKER_RETRY,
+            most: config.report * 5 / 4 + WORKER_RETRY_DELAY,
             quiet: config.report / 4,
         };
         Self {
@@ -87,7 +87,7 @@
         }
         let lives = |m: &&Machine| matches!(m.standing, Standing::Up | Standing::Leaving);
         if lost > self.machines.values().filter(lives).count() {
-            self.next_pass = now + WORKER_RETRY * 6 / 5;
+            self.next_pass = now + WORKER_RETRY_DELAY * 6 / 5;
         }
         self.requeue();
     }
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -27,29 +27,35 @@
 
 #[derive(Debug, Default)]
 pub struct HeartbeatWriter {
-    writing: bool,
-    next: Duration,
+    write_in_flight: bool,
+    next_write: Duration,
 }
 
 /// Minimum interval between two stored heartbeats: two direct heartbeats, one of which may be lost.
-pub const STORED_HEARTBEAT_EVERY: Duration =
+pub const STORED_HEARTBEAT_INTERVAL: Duration =
     Duration::from_millis(2 * HEARTBEAT_INTERVAL.as_millis() as u64);
 /// Delay before a new leader stores heartbeats, so that its first direct ones are acknowledged.
-const FIRST: Duration = Duration::from_millis(3 * HEARTBEAT_INTERVAL.as_millis() as u64);
+const FIRST_HEARTBEAT_DELAY: Duration =
+    Duration::from_millis(3 * HEARTBEAT_INTERVAL.as_millis() as u64);
 
 impl Node {
     pub(super) fn drive_stored_heartbeat(&mut self) {
         let now = self.now();
-        if self.heartbeat_writer.writing || now < self.heartbeat_writer.next || !self.is_leader() {
+        if self.heartbeat_writer.write_in_flight
+            || now < self.heartbeat_writer.next_write
+            || !self.is_leader()
+        {
             return;
         }
         let Some(claim) = self.claim() else { return };
         let nodes = &self.membership.nodes;
-        let heard = |node: &String| nodes.peer_hears_leader(node, claim, now);
-        if self.membership.leading_for(now) < FIRST || self.config.peers.iter().all(heard) {
+        let hears_leader = |node: &String| nodes.peer_hears_leader(node, claim, now);
+        if self.membership.leading_for(now) < FIRST_HEARTBEAT_DELAY
+            || self.config.peers.iter().all(hears_leader)
+        {
             return;
         }
-        self.heartbeat_writer.writing = true;
+        self.heartbeat_writer.write_in_flight = true;
         self.write_queue.charge(1.0);
         let hears = self.membership.detector.machines_heard().values().sum();
         let changes = vec![put(STORED_HEARTBEAT, &StoredHeartbeat { claim, hears })];
@@ -63,9 +69,9 @@
         );
     }
 
-    pub(super) fn heartbeat_stored(&mut self) {
-        self.heartbeat_writer.writing = false;
-        self.heartbeat_writer.next = self.now() + STORED_HEARTBEAT_EVERY;
+    pub(super) fn heartbeat_write_answered(&mut self) {
+        self.heartbeat_writer.write_in_flight = false;
+        self.heartbeat_writer.next_write = self.now() + STORED_HEARTBEAT_INTERVAL;
     }
 
     /// Returns whether the leader stores heartbeats and no other node is known to hear it. Workers
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -500,7 +500,7 @@
     fn counts(&self, id: &JobId) -> (u32, u32) {
         match &self.cluster {
             Some(cluster) => cluster.job_counts(id).unwrap_or((0, 0)),
-            None => self.forwarded.counts(id),
+            None => self.forwarded.task_counts(id),
         }
     }
 
