--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -422,7 +422,9 @@
             Purpose::StoreDrains { request, drains } => {
                 self.drains_stored(request, drains, &reply);
             }
-            Purpose::StorePartitions { claim, record } => self.zones_stored(claim, record, &reply),
+            Purpose::StorePartitions { claim, record } => {
+                self.partitioned_zones_answered(claim, record, &reply)
+            }
             Purpose::Failover(loading) => self.failover_read_answered(loading, reply),
             Purpose::QueuedWrite(write) => self.write_answered(write, reply),
             Purpose::StoreTypes | Purpose::Cloud(_) | Purpose::Direct(_) => {}
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -52,33 +52,33 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct DeferredReport {
     origin: ReportOrigin,
     report: WorkerReport,
-    until: Duration,
+    deadline: Duration,
 }
 
 #[derive(Debug, Default)]
 pub struct PartitionedZones {
-    /// Time of this node's last answer to a worker of each zone, recorded since `counting_since`.
-    answered: HashMap<Arc<str>, Duration>,
-    counting_since: Option<Duration>,
-    writing: bool,
+    /// Time of this node's last answer to a worker of each zone, recorded since `recording_since`.
+    answered_at: HashMap<Arc<str>, Duration>,
+    recording_since: Option<Duration>,
+    write_in_flight: bool,
     /// Zones that a write lists which is in flight, or whose result is unknown.
-    unsure: BTreeSet<Arc<str>>,
+    unconfirmed: BTreeSet<Arc<str>>,
     /// Listed zones that were heard again and should be removed from the list.
-    heard: BTreeSet<Arc<str>>,
-    waiting: Vec<Waiting>,
+    heard_again: BTreeSet<Arc<str>>,
+    deferred: Vec<DeferredReport>,
     /// Number of tasks listed by the deferred reports.
-    waiting_tasks: usize,
-    retry: Duration,
+    deferred_tasks: usize,
+    retry_at: Duration,
 }
 
 /// Time for which a report waits until its zone is removed from the list: less than the second
 /// that another node waits for a forwarded report, and less than a worker waits.
-const DEFERRED_FOR: Duration = Duration::from_millis(900);
+const DEFER_TIMEOUT: Duration = Duration::from_millis(900);
 /// Delay before a zone that was heard again may be listed again.
-const RELIST_AFTER: Duration = Duration::from_secs(5);
+const RELIST_DELAY: Duration = Duration::from_secs(5);
 
 impl Node {
     /// Returns whether the stored generation includes the list of partitioned zones.
@@ -90,21 +90,21 @@
     fn is_partitioned(&self, zone: &str) -> bool {
         let partitioned_zones = &self.partitioned_zones;
         self.cache.partitioned_zones.0.zones.contains_key(zone)
-            || partitioned_zones.unsure.contains(zone)
+            || partitioned_zones.unconfirmed.contains(zone)
     }
 
     /// Records an answer with status 200 to a worker of a zone.
     pub(super) fn record_zone_answer(&mut self, zone: &Arc<str>) {
-        if self.partitioned_zones.counting_since.is_some() {
+        if self.partitioned_zones.recording_since.is_some() {
             let now = self.now();
-            self.partitioned_zones.answered.insert(zone.clone(), now);
+            self.partitioned_zones.answered_at.insert(zone.clone(), now);
         }
     }
 
     /// Marks a listed zone for removal after a heartbeat from one of its machines.
     pub(super) fn record_zone_heartbeat(&mut self, zone: &Arc<str>) {
         if self.is_partitioned(zone) {
-            self.partitioned_zones.heard.insert(zone.clone());
+            self.partitioned_zones.heard_again.insert(zone.clone());
         }
     }
 
@@ -114,7 +114,7 @@
         request: RequestId,
         report: WorkerReport,
     ) -> Option<WorkerReport> {
-        self.defer(ReportOrigin::Worker(request), report)
+        self.defer_report_from(ReportOrigin::Worker(request), report)
     }
 
     /// Defers a report that another node forwarded; otherwise returns it.
@@ -124,31 +124,35 @@
         relay: u64,
         report: WorkerReport,
     ) -> Option<WorkerReport> {
-        self.defer(ReportOrigin::Node(from.to_owned(), relay), report)
+        self.defer_report_from(ReportOrigin::Node(from.to_owned(), relay), report)
     }
 
-    fn defer(&mut self, origin: ReportOrigin, report: WorkerReport) -> Option<WorkerReport> {
+    fn defer_report_from(
+        &mut self,
+        origin: ReportOrigin,
+        report: WorkerReport,
+    ) -> Option<WorkerReport> {
         if !self.is_leader() || !self.is_partitioned(&report.zone) {
             return Some(report);
         }
-        let waiting = Waiting {
+        let deferred = DeferredReport {
             origin,
-            until: self.now() + DEFERRED_FOR,
+            deadline: self.now() + DEFER_TIMEOUT,
             report,
         };
-        let tasks = self.partitioned_zones.waiting_tasks + waiting.report.tasks.len();
-        let full = self.partitioned_zones.waiting.len() >= self.config.requests_most
+        let tasks = self.partitioned_zones.deferred_tasks + deferred.report.tasks.len();
+        let is_full = self.partitioned_zones.deferred.len() >= self.config.requests_most
             || tasks > self.config.waiting_tasks_most;
-        if full {
-            self.redirect(waiting.origin);
+        if is_full {
+            self.redirect_report(deferred.origin);
             return None;
         }
-        self.partitioned_zones.waiting_tasks = tasks;
-        self.partitioned_zones.waiting.push(waiting);
+        self.partitioned_zones.deferred_tasks = tasks;
+        self.partitioned_zones.deferred.push(deferred);
         None
     }
 
-    fn redirect(&mut self, origin: ReportOrigin) {
+    fn redirect_report(&mut self, origin: ReportOrigin) {
         match origin {
             ReportOrigin::Worker(request) => self.answer(request, Answer::Redirect(None)),
             ReportOrigin::Node(to, relay) => {
@@ -160,41 +164,41 @@
     }
 
     /// Returns whether a deferred report can be answered or has waited too long.
-    fn waiting_due(&self, now: Duration) -> bool {
-        let Some(first) = self.partitioned_zones.waiting.first() else {
+    fn is_deferred_report_due(&self, now: Duration) -> bool {
+        let Some(first) = self.partitioned_zones.deferred.first() else {
             return false;
         };
         // All wait equally long, so the first one expires first.
-        if !self.is_leader() || now >= first.until {
+        if !self.is_leader() || now >= first.deadline {
             return true;
         }
-        let mut waiting = self.partitioned_zones.waiting.iter();
-        waiting.any(|waiting| !self.is_partitioned(&waiting.report.zone))
+        let mut reports = self.partitioned_zones.deferred.iter();
+        reports.any(|deferred| !self.is_partitioned(&deferred.report.zone))
     }
 
     /// Answers the deferred reports whose zone was removed from the list, and redirects those that
     /// waited too long, or all of them if this node no longer leads.
     fn drive_deferred_reports(&mut self) {
         let now = self.now();
-        if !self.waiting_due(now) {
+        if !self.is_deferred_report_due(now) {
             return;
         }
-        self.partitioned_zones.waiting_tasks = 0;
-        for waiting in std::mem::take(&mut self.partitioned_zones.waiting) {
-            let free = self.is_leader() && !self.is_partitioned(&waiting.report.zone);
-            if !free && self.is_leader() && now < waiting.until {
-                self.partitioned_zones.waiting_tasks += waiting.report.tasks.len();
-                self.partitioned_zones.waiting.push(waiting);
+        self.partitioned_zones.deferred_tasks = 0;
+        for deferred in std::mem::take(&mut self.partitioned_zones.deferred) {
+            let can_answer = self.is_leader() && !self.is_partitioned(&deferred.report.zone);
+            if !can_answer && self.is_leader() && now < deferred.deadline {
+                self.partitioned_zones.deferred_tasks += deferred.report.tasks.len();
+                self.partitioned_zones.deferred.push(deferred);
                 continue;
             }
-            if !free {
-                self.redirect(waiting.origin);
+            if !can_answer {
+                self.redirect_report(deferred.origin);
                 continue;
             }
-            match waiting.origin {
-                ReportOrigin::Worker(request) => self.report_received(request, waiting.report),
+            match deferred.origin {
+                ReportOrigin::Worker(request) => self.report_received(request, deferred.report),
                 ReportOrigin::Node(to, relay) => {
-                    let answer = self.answer_as_leader(&waiting.report);
+                    let answer = self.answer_as_leader(&deferred.report);
                     let message = PeerMessage::Reported { relay, answer };
                     self.out.push(Output::Peer { to, message });
                 }
@@ -205,25 +209,25 @@
     pub(super) fn drive_partitions(&mut self) {
         let now = self.now();
         if self.stores_partitioned_zones() {
-            self.partitioned_zones.counting_since.get_or_insert(now);
+            self.partitioned_zones.recording_since.get_or_insert(now);
         }
         self.drive_deferred_reports();
         if self.claim().is_none() {
             // Late writes of a lost claim fail. As long as the claim may become valid again, as
             // after an outage, a write without a reply may still be executed.
-            self.partitioned_zones.unsure.clear();
-            self.partitioned_zones.heard.clear();
+            self.partitioned_zones.unconfirmed.clear();
+            self.partitioned_zones.heard_again.clear();
         }
         if !self.is_leader() {
             return;
         }
         let listed = &self.cache.partitioned_zones.0.zones;
-        let unsure = &self.partitioned_zones.unsure;
+        let unconfirmed = &self.partitioned_zones.unconfirmed;
         let Some(cluster) = &mut self.cluster else {
             return;
         };
-        if !listed.is_empty() || !unsure.is_empty() || !cluster.withheld.is_empty() {
-            let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unsure).cloned().collect();
+        if !listed.is_empty() || !unconfirmed.is_empty() || !cluster.withheld.is_empty() {
+            let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unconfirmed).cloned().collect();
             // The machines of a zone that is no longer withheld may not have changed, so their
             // reports alone would not return the waiting jobs to the heap.
             if withheld != cluster.withheld {
@@ -231,24 +235,24 @@
                 cluster.requeue();
             }
         }
-        if self.partitioned_zones.writing || now < self.partitioned_zones.retry {
+        if self.partitioned_zones.write_in_flight || now < self.partitioned_zones.retry_at {
             return;
         }
         let mut zones = self.cache.partitioned_zones.0.zones.clone();
-        let lists = self.stores_partitioned_zones();
-        zones.retain(|zone, _| lists && !self.partitioned_zones.heard.contains(zone));
-        if lists && self.has_previous_leader_stopped() {
+        let stores_zones = self.stores_partitioned_zones();
+        zones.retain(|zone, _| stores_zones && !self.partitioned_zones.heard_again.contains(zone));
+        if stores_zones && self.has_previous_leader_stopped() {
             for zone in self.newly_partitioned() {
                 let last = self.last_answered(&zone);
-                let ago = now.saturating_sub(last).as_millis() as u64;
-                zones.insert(zone, self.clock.wall_ms.saturating_sub(ago));
+                let elapsed = now.saturating_sub(last).as_millis() as u64;
+                zones.insert(zone, self.clock.wall_ms.saturating_sub(elapsed));
             }
         }
         // The next committed write resolves the unconfirmed zones, whatever it lists.
         if zones != self.cache.partitioned_zones.0.zones
-            || !self.partitioned_zones.unsure.is_empty()
+            || !self.partitioned_zones.unconfirmed.is_empty()
         {
-            self.store_partitions(zones);
+            self.store_partitioned_zones(zones);
         }
     }
 
@@ -262,9 +266,9 @@
         let silence = worker_move_time(self.config.report).min(lease / 3);
         let partitioned_zones = cluster.reachability.partitioned_zones.iter();
         let partitioned_zones = partitioned_zones.filter(|zone| !self.is_partitioned(zone));
-        let silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
+        let is_silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
         partitioned_zones
-            .filter(|zone| silent(zone))
+            .filter(|zone| is_silent(zone))
             .cloned()
             .collect()
     }
@@ -272,20 +276,21 @@
     /// Returns an upper bound of the time of the last answer to a worker of a zone, by this leader
     /// or a previous one.
     fn last_answered(&self, zone: &Arc<str>) -> Duration {
-        let own = self.partitioned_zones.answered.get(zone).copied();
-        let counting = self.partitioned_zones.counting_since.unwrap_or(self.now());
-        own.unwrap_or_default()
-            .max(counting)
+        let own_answer = self.partitioned_zones.answered_at.get(zone).copied();
+        let recording = self.partitioned_zones.recording_since.unwrap_or(self.now());
+        own_answer
+            .unwrap_or_default()
+            .max(recording)
             .max(self.election.previous_leader_stopped_at())
     }
 
-    fn store_partitions(&mut self, zones: BTreeMap<Arc<str>, u64>) {
+    fn store_partitioned_zones(&mut self, zones: BTreeMap<Arc<str>, u64>) {
         let Some(claim) = self.claim() else { return };
         let (record, version) = &self.cache.partitioned_zones;
-        let new = zones
+        let new_zones = zones
             .keys()
             .filter(|zone| !record.zones.contains_key(*zone));
-        let new: BTreeSet<Arc<str>> = new.cloned().collect();
+        let new_zones: BTreeSet<Arc<str>> = new_zones.cloned().collect();
         info!(zones = ?zones.keys().collect::<Vec<_>>(), "storing the list of partitioned zones");
         let conditions = vec![
             when(LEADER, claim),
@@ -295,8 +300,8 @@
         let record = PartitionedZonesRecord { zones };
         let changes = vec![put(PARTITIONED, &record)];
         // New zones count as listed from now on.
-        self.partitioned_zones.unsure.extend(new);
-        self.partitioned_zones.writing = true;
+        self.partitioned_zones.unconfirmed.extend(new_zones);
+        self.partitioned_zones.write_in_flight = true;
         self.call(
             Purpose::StorePartitions { claim, record },
             StateRequest::Txn {
@@ -306,28 +311,28 @@
         );
     }
 
-    pub(super) fn zones_stored(
+    pub(super) fn partitioned_zones_answered(
         &mut self,
         claim: u64,
         record: PartitionedZonesRecord,
         reply: &StateReply,
     ) {
         let now = self.now();
-        self.partitioned_zones.writing = false;
-        self.partitioned_zones.retry = now + BACK_OFF;
+        self.partitioned_zones.write_in_flight = false;
+        self.partitioned_zones.retry_at = now + BACK_OFF;
         if self.claim() != Some(claim) {
             return;
         }
         // A refused write changes nothing, but an earlier write without a reply may still be
         // executed. Only a committed write resolves both.
         if let StateReply::Committed { revision } = reply {
-            let before = &self.cache.partitioned_zones.0.zones;
-            let removed = before.keys().any(|zone| !record.zones.contains_key(zone));
-            if removed {
-                self.partitioned_zones.retry = now + RELIST_AFTER;
+            let previous = &self.cache.partitioned_zones.0.zones;
+            let has_removed = previous.keys().any(|zone| !record.zones.contains_key(zone));
+            if has_removed {
+                self.partitioned_zones.retry_at = now + RELIST_DELAY;
             }
-            self.partitioned_zones.heard.clear();
-            self.partitioned_zones.unsure.clear();
+            self.partitioned_zones.heard_again.clear();
+            self.partitioned_zones.unconfirmed.clear();
             if *revision > self.cache.partitioned_zones.1 {
                 self.cache.partitioned_zones = (record, *revision);
             }
@@ -340,10 +345,10 @@
         // Both ends of the interval were read from clocks that may be off by `wall_error`.
         let lease = self.config.worker_lease_bound + self.config.wall_error * 2;
         let zones = self.cache.partitioned_zones.0.zones.iter();
-        let over = zones.map(|(zone, at)| {
-            let ago = Duration::from_millis(self.clock.wall_ms.saturating_sub(*at));
-            (zone.clone(), now + lease.saturating_sub(ago))
+        let lease_ends = zones.map(|(zone, at)| {
+            let elapsed = Duration::from_millis(self.clock.wall_ms.saturating_sub(*at));
+            (zone.clone(), now + lease.saturating_sub(elapsed))
         });
-        over.collect()
+        lease_ends.collect()
     }
 }
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -17,33 +17,33 @@
 };
 
 /// Maximum number of machines returned by one request.
-const RETURNED_MOST: usize = 100;
+const MAX_RETURNED_MACHINES: usize = 100;
 /// Delay after which an overdue report counts as missed.
-const REPORT_LATE: Duration = Duration::from_secs(1);
+const REPORT_GRACE: Duration = Duration::from_secs(1);
 
 impl Machine {
     /// Returns the number of tasks of services and gangs that run on this machine.
-    fn endless_tasks(&self) -> usize {
-        let endless = self.tasks.values().filter(|p| {
-            let endless = p.spec.as_ref().is_some_and(|s| s.kind != Kind::Array);
-            endless && !p.foreign && !p.exited() && !p.stopping()
+    fn long_running_tasks(&self) -> usize {
+        let tasks = self.tasks.values().filter(|p| {
+            let is_long_running = p.spec.as_ref().is_some_and(|s| s.kind != Kind::Array);
+            is_long_running && !p.foreign && !p.exited() && !p.stopping()
         });
-        endless.count()
+        tasks.count()
     }
 
-    fn is_unheard(&self, time: Duration, now: Duration) -> bool {
+    fn is_silent_for(&self, silence: Duration, now: Duration) -> bool {
         self.standing == Standing::Up
             && self.fenced
-            && self.heard_at.is_some_and(|at| now > at + time)
+            && self.heard_at.is_some_and(|at| now > at + silence)
     }
 }
 
 impl ClusterState {
     /// Returns whether the machine missed a report and should be asked whether it still answers.
     pub(super) fn should_probe(&self, machine: &Machine, now: Duration) -> bool {
-        machine.is_unheard(self.config.report * 3 / 2, now)
+        machine.is_silent_for(self.config.report * 3 / 2, now)
             && !machine.commands_unanswered
-            && machine.endless_tasks() > 0
+            && machine.long_running_tasks() > 0
     }
 
     /// Returns whether the machine is silent and has disappeared from the cloud's list, which means
@@ -51,10 +51,13 @@
     /// one before it by the list lag, so only a list that is newer by more than that counts.
     fn has_vanished(&self, machine: &Machine, now: Duration) -> bool {
         let lag = self.config.list_lag * 2;
-        let since = machine.heard_at.unwrap_or(machine.first_seen);
-        let missed = now > since + self.config.report * 5 / 4 + REPORT_LATE;
-        let (shown, read) = (machine.listed_at, self.provisioning.list_read);
-        missed && shown.zip(read).is_some_and(|(at, read)| read > at + lag)
+        let heard_at = machine.heard_at.unwrap_or(machine.first_seen);
+        let has_missed_report = now > heard_at + self.config.report * 5 / 4 + REPORT_GRACE;
+        let (listed_at, list_read) = (machine.listed_at, self.provisioning.list_read);
+        has_missed_report
+            && listed_at
+                .zip(list_read)
+                .is_some_and(|(at, read)| read > at + lag)
     }
 
     /// Returns the machines to be returned to the cloud so that nothing runs there any more, those
@@ -65,23 +68,24 @@
             return Vec::new();
         }
         let silence = (self.config.report * 2).max(self.config.worker_lease_bound / 3);
-        let mut go: Vec<(Reverse<usize>, MachineId)> = self
+        let mut candidates: Vec<(Reverse<usize>, MachineId)> = self
             .machines
             .values()
             .filter(|m| {
-                let unresponsive =
-                    m.is_unheard(silence, now) && m.commands_unanswered && m.endless_tasks() > 0;
-                unresponsive && self.reachability.reachable_zones.contains(&m.zone)
+                let is_unresponsive = m.is_silent_for(silence, now)
+                    && m.commands_unanswered
+                    && m.long_running_tasks() > 0;
+                is_unresponsive && self.reachability.reachable_zones.contains(&m.zone)
                     || self.has_vanished(m, now)
             })
-            .map(|m| (Reverse(m.endless_tasks()), m.id.clone()))
+            .map(|m| (Reverse(m.long_running_tasks()), m.id.clone()))
             .filter(|(_, id)| !self.provisioning.is_being_returned(id))
             .collect();
-        go.sort();
-        go.truncate(RETURNED_MOST);
-        for (_, machine) in &go {
+        candidates.sort();
+        candidates.truncate(MAX_RETURNED_MACHINES);
+        for (_, machine) in &candidates {
             info!(%machine, "returning an unresponsive machine to free its tasks");
         }
-        go.into_iter().map(|(_, id)| id).collect()
+        candidates.into_iter().map(|(_, id)| id).collect()
     }
 }
--- a/tests/cancelling.rs
+++ b/tests/cancelling.rs
@@ -25,9 +25,9 @@
 }
 
 /// Maximum clock drift per second.
-const DRIFT: f64 = 0.0005;
+const MAX_DRIFT: f64 = 0.0005;
 /// Timeout of a direct command, in seconds.
-const DIRECT: f64 = 1.0;
+const DIRECT_COMMAND_TIMEOUT_S: f64 = 1.0;
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -41,21 +41,21 @@
     /// last answer or command keeps a worker's lease alive. Settings in which the sum exceeds
     /// `cancel_s` are refused with an error that names the field.
     #[test]
-    fn a_term_and_a_lease_end_within_a_cancellation(lease in 1.0..90.0f64, cancel in 1.0..150.0f64) {
+    fn term_and_lease_end_within_cancel_s(lease in 1.0..90.0f64, cancel in 1.0..150.0f64) {
         match settings(lease, cancel) {
             Ok(settings) => {
                 let config = Config::new(&settings, Options::default());
                 let term = config.leader_term.as_secs_f64();
-                let slow = 1.0 + DRIFT;
-                prop_assert!((term + lease) * slow + DIRECT <= cancel);
-                prop_assert!(config.worker_lease_bound.as_secs_f64() >= lease * slow);
+                let clock_factor = 1.0 + MAX_DRIFT;
+                prop_assert!((term + lease) * clock_factor + DIRECT_COMMAND_TIMEOUT_S <= cancel);
+                prop_assert!(config.worker_lease_bound.as_secs_f64() >= lease * clock_factor);
                 prop_assert!(config.leader_term < config.leader_ttl);
                 prop_assert!(config.renew_every * 4 < config.leader_ttl);
                 prop_assert!(config.leader_term > Duration::from_secs(1));
             }
             Err(error) => {
                 prop_assert!(error.to_string().contains("`params.workers.cancel_s`"), "{}", error);
-                prop_assert!(cancel < lease * (1.0 + 5.0 * DRIFT) + 5.5);
+                prop_assert!(cancel < lease * (1.0 + 5.0 * MAX_DRIFT) + 5.5);
             }
         }
     }
