--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -126,15 +126,15 @@
         let heartbeat = NodeHeartbeat {
             claim,
             // Zero is reserved for the leader itself.
-            heard: match is_leader {
+            leader_silence: match is_leader {
                 true => Duration::ZERO,
                 false => nodes.leader_silence(now).max(Duration::from_millis(1)),
             },
-            state: nodes.state_service_silence(now),
-            hears: self.membership.detector.machines_heard(),
+            state_service_silence: nodes.state_service_silence(now),
+            machines_heard: self.membership.detector.machines_heard(),
             told: self.told(),
         };
-        let needs_probe = heartbeat.state > HEARTBEAT_INTERVAL;
+        let needs_probe = heartbeat.state_service_silence > HEARTBEAT_INTERVAL;
         for to in self.config.peers.clone() {
             let message = PeerMessage::Heartbeat(heartbeat.clone());
             self.out.push(Output::Peer { to, message });
@@ -167,11 +167,11 @@
     pub(super) fn heartbeat_received(&mut self, from: String, heartbeat: NodeHeartbeat) {
         let now = self.now();
         self.membership.nodes.record_peer_claim(&from, &heartbeat);
-        let is_from_leader =
-            heartbeat.heard.is_zero() && self.known_leader() == Some((&from, heartbeat.claim));
+        let is_from_leader = heartbeat.leader_silence.is_zero()
+            && self.known_leader() == Some((&from, heartbeat.claim));
         let is_served = self.membership.nodes.state_service_silence(now)
             < super::membership::nodes::STATE_SERVED_TIMEOUT;
-        if is_from_leader && heartbeat.state > STATE_REFUSED_TIMEOUT && is_served {
+        if is_from_leader && heartbeat.state_service_silence > STATE_REFUSED_TIMEOUT && is_served {
             // The state service may be down for all nodes by now. If the leader resigned then,
             // nobody could lead until it is back, and the workers would lose their leases. So
             // the leader is asked only after the service has answered this node.
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -21,12 +21,14 @@
     /// Claim of the leader that the sender knows; 0 if none.
     pub claim: u64,
     /// Time since the sender heard from that leader; zero if it is the leader itself.
-    pub heard: Duration,
+    #[serde(rename = "heard")]
+    pub leader_silence: Duration,
     /// Time since the state service answered the sender.
-    pub state: Duration,
+    #[serde(rename = "state")]
+    pub state_service_silence: Duration,
     /// Number of machines per zone that reported to the sender recently.
-    #[serde(default)]
-    pub hears: BTreeMap<Arc<str>, u32>,
+    #[serde(default, rename = "hears")]
+    pub machines_heard: BTreeMap<Arc<str>, u32>,
     /// Process of the sender and the generation it knows, if rollouts are enabled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub told: Option<Told>,
@@ -34,7 +36,7 @@
 
 impl NodeHeartbeat {
     pub fn machines(&self) -> u32 {
-        self.hears.values().sum()
+        self.machines_heard.values().sum()
     }
 }
 
@@ -155,7 +157,7 @@
     /// Records the claim of a heartbeat if its sender is the leader itself.
     pub fn record_peer_claim(&mut self, from: &str, heartbeat: &NodeHeartbeat) {
         let is_newer = |known: &(String, u64)| heartbeat.claim > known.1;
-        if heartbeat.heard.is_zero() && self.newest_claim.as_ref().is_none_or(is_newer) {
+        if heartbeat.leader_silence.is_zero() && self.newest_claim.as_ref().is_none_or(is_newer) {
             self.newest_claim = Some((from.to_owned(), heartbeat.claim));
         }
     }
@@ -199,7 +201,7 @@
     pub fn record_stored_heartbeat(&mut self, stored_heartbeat: StoredHeartbeat, now: Duration) {
         if stored_heartbeat.claim == self.leader.0 {
             self.stored_heartbeat_at = Some(now);
-            self.leader_machines = stored_heartbeat.hears;
+            self.leader_machines = stored_heartbeat.machines_heard;
         }
     }
 
@@ -213,7 +215,7 @@
     /// Returns whether a node reported recently that it hears the leader of this claim.
     pub fn peer_hears_leader(&self, node: &str, claim: u64, now: Duration) -> bool {
         let hears_leader =
-            |p: &NodeHeartbeat| p.claim == claim && p.heard < LEADER_HEARTBEAT_TIMEOUT;
+            |p: &NodeHeartbeat| p.claim == claim && p.leader_silence < LEADER_HEARTBEAT_TIMEOUT;
         self.live_peers(now)
             .any(|(n, heartbeat)| n == node && hears_leader(heartbeat))
     }
@@ -233,7 +235,7 @@
                 && peer.heartbeat.claim == claim
                 && now
                     < peer.received_at + LEADER_HEARTBEAT_TIMEOUT
-                        - peer.heartbeat.heard.min(LEADER_HEARTBEAT_TIMEOUT)
+                        - peer.heartbeat.leader_silence.min(LEADER_HEARTBEAT_TIMEOUT)
         });
         hearing.map(|(node, _)| node.clone())
     }
@@ -249,7 +251,7 @@
     /// Returns whether the state service serves any other live node.
     pub fn is_any_peer_served(&self, now: Duration) -> bool {
         self.live_peers(now)
-            .any(|(_, heartbeat)| heartbeat.state < STATE_SERVED_TIMEOUT)
+            .any(|(_, heartbeat)| heartbeat.state_service_silence < STATE_SERVED_TIMEOUT)
     }
 
     /// Returns whether a heartbeat of this node arrived recently.
@@ -276,7 +278,7 @@
     ) -> Option<(String, u32)> {
         let served = self
             .live_peers(now)
-            .filter(|(_, heartbeat)| heartbeat.state < STATE_SERVED_TIMEOUT);
+            .filter(|(_, heartbeat)| heartbeat.state_service_silence < STATE_SERVED_TIMEOUT);
         served
             .filter(|(node, _)| is_candidate(node))
             .map(|(node, heartbeat)| (heartbeat.machines(), node))
@@ -300,7 +302,7 @@
             return false;
         }
         // A leader that another node hears still receives the reports which that node forwards.
-        let hears_leader = |p: &NodeHeartbeat| p.claim == claim && p.heard < timeout;
+        let hears_leader = |p: &NodeHeartbeat| p.claim == claim && p.leader_silence < timeout;
         let stranded = self
             .stranded_workers
             .values()
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -22,7 +22,8 @@
 pub struct StoredHeartbeat {
     pub claim: u64,
     /// Number of machines that reported to the leader recently.
-    pub hears: u32,
+    #[serde(rename = "hears")]
+    pub machines_heard: u32,
 }
 
 #[derive(Debug, Default)]
@@ -57,8 +58,14 @@
         }
         self.heartbeat_writer.write_in_flight = true;
         self.write_queue.charge(1.0);
-        let hears = self.membership.detector.machines_heard().values().sum();
-        let changes = vec![put(STORED_HEARTBEAT, &StoredHeartbeat { claim, hears })];
+        let machines_heard = self.membership.detector.machines_heard().values().sum();
+        let changes = vec![put(
+            STORED_HEARTBEAT,
+            &StoredHeartbeat {
+                claim,
+                machines_heard,
+            },
+        )];
         let conditions = vec![when(LEADER, claim)];
         self.call(
             Purpose::StoredHeartbeat,
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -287,7 +287,10 @@
         request,
         report: report_of("vm-1", 9 << 16),
     };
-    let stored_heartbeat = StoredHeartbeat { claim: 9, hears: 5 };
+    let stored_heartbeat = StoredHeartbeat {
+        claim: 9,
+        machines_heard: 5,
+    };
     let reply = StateReply::Events {
         events: vec![Event {
             key: STORED_HEARTBEAT.into(),
