--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -45,7 +45,7 @@
     held: VecDeque<HeldReport>,
     /// Number of tasks listed by the held reports.
     held_tasks: usize,
-    /// Workers that were redirected to the leader or came from it, and when.
+    /// Workers that were redirected to the leader or lost their connection to it, and when.
     redirected: HashMap<MachineId, Duration>,
     /// Time of the last answer to each worker whose reports are forwarded.
     answered_at: HashMap<MachineId, Duration>,
@@ -163,7 +163,7 @@
         let now = self.now();
         let knows_token = report.token >> 16 == claim;
         if !self.hears_leader() && self.leader_stores_heartbeats() {
-            // Reports can't be forwarded: the worker is redirected, unless it just was.
+            // Reports can't be forwarded: the worker is redirected, unless it just returned.
             let redirected_at = self.forwarded.redirected.get(&report.machine);
             return redirected_at.is_some_and(|at| now < *at + WORKER_RETURN_TIMEOUT);
         }
--- a/src/core/membership/phi_accrual.rs
+++ b/src/core/membership/phi_accrual.rs
@@ -9,8 +9,9 @@
 
 use hdrhistogram::Histogram;
 
-/// Resolution of the recorded gaps, of up to ten minutes.
+/// Resolution of the recorded gaps.
 const GAP_RESOLUTION: Duration = Duration::from_micros(100);
+/// Longest recorded gap in units of the resolution: ten minutes.
 const MAX_GAP_STEPS: u64 = 6_000_000;
 /// Size of the sample window; when it is full, the older half is dropped.
 const WINDOW_SIZE: u64 = 2048;
@@ -39,7 +40,7 @@
 
 fn histogram() -> Histogram<u32> {
     let mut histogram =
-        Histogram::new_with_bounds(1, MAX_GAP_STEPS, 2).expect("bounds that are in order");
+        Histogram::new_with_bounds(1, MAX_GAP_STEPS, 2).expect("valid histogram bounds");
     histogram.auto(false);
     histogram
 }
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -1,8 +1,8 @@
 //! Stored list of partitioned zones, which binds this leader and its successors.
 //!
-//! If a leader fails while a zone is partitioned, its successor does not know since when the
-//! workers there were not answered, and would wait for a whole lease again before their tasks
-//! start elsewhere. So the leader stores when it last answered a worker of a partitioned zone.
+//! If a leader fails while a zone is partitioned, its successor does not know when the workers
+//! there were last answered, and would wait for a whole lease again before their tasks start
+//! elsewhere. So the leader stores when it last answered a worker of a partitioned zone.
 //! While a zone is listed, no leader
 //!
 //! - answers a report from that zone with status 200, or
@@ -64,7 +64,7 @@
     answered_at: HashMap<Arc<str>, Duration>,
     recording_since: Option<Duration>,
     write_in_flight: bool,
-    /// Zones that a write lists which is in flight, or whose result is unknown.
+    /// Zones listed by a write that is in flight or whose result is unknown.
     unconfirmed: BTreeSet<Arc<str>>,
     /// Listed zones that were heard again and should be removed from the list.
     heard_again: BTreeSet<Arc<str>>,
@@ -268,7 +268,7 @@
         let partitioned_zones = partitioned_zones.filter(|zone| !self.is_partitioned(zone));
         let is_silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
         partitioned_zones
-            .filter(|zone| is_silent(zone))
+        .filter(|zone| is_silent(zone))
             .cloned()
             .collect()
     }
