--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -126,7 +126,7 @@
     pub(super) fn drive_failover(&mut self) {
         let is_leader = self.is_leader();
         if self.election.loader.is_some() && !is_leader {
-            self.expedite_proof();
+            self.expedite_verification();
         }
         let (Some(loader), Some(claim)) = (&self.election.loader, self.election.claim) else {
             return;
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -48,9 +48,9 @@
     /// belong to the previous process.
     has_requested_claim: bool,
     /// Latest time at which the claim is known to have been valid.
-    proven_at: Duration,
+    verified_at: Duration,
     /// Time at which the last verification was sent.
-    proof_requested_at: Duration,
+    verification_sent_at: Duration,
     /// Time by which the previous leader has stopped acting.
     previous_stopped_at: Duration,
     /// Leader key that this node saw last.
@@ -280,7 +280,7 @@
     fn verify_claim(&mut self) {
         let Some(claim) = self.claim() else { return };
         let (asked, renewed) = (self.now(), self.election.last_renewal_sent);
-        self.election.proof_requested_at = asked;
+        self.election.verification_sent_at = asked;
         self.call_within(
             self.failover_timeout(),
             Purpose::Verify {
@@ -293,14 +293,14 @@
     }
 
     /// Verifies the claim ahead of the next renewal, for work that depends on the result.
-    pub(super) fn expedite_proof(&mut self) {
-        if self.now() > self.election.proof_requested_at + BACK_OFF {
+    pub(super) fn expedite_verification(&mut self) {
+        if self.now() > self.election.verification_sent_at + BACK_OFF {
             self.verify_claim();
         }
     }
 
-    pub(super) fn claim_proven_at(&self) -> Duration {
-        self.election.proven_at
+    pub(super) fn claim_verified_at(&self) -> Duration {
+        self.election.verified_at
     }
 
     /// Handles the reply to a verification. If the claim was valid after `asked`, the cache holds
@@ -317,7 +317,7 @@
         let stored_claim = self.cache.leader.as_ref().map(|(_, version)| *version);
         // A replaced claim was dropped while the events were applied.
         if is_cache_current && self.election.claim == Some(claim) && stored_claim == Some(claim) {
-            self.election.proven_at = self.election.proven_at.max(asked);
+            self.election.verified_at = self.election.verified_at.max(asked);
             let term_end = renewed + self.config.leader_term;
             self.election.valid_until = self.election.valid_until.max(term_end);
         }
@@ -353,7 +353,7 @@
         self.election.claim = Some(claim);
         // The cache may still miss requests that were confirmed before the claim.
         self.election.valid_until = Duration::ZERO;
-        self.election.proven_at = sent;
+        self.election.verified_at = sent;
         self.election.previous_stopped_at = match prior {
             PreviousLeader::SameNode => Duration::ZERO,
             PreviousLeader::LeaseExpired | PreviousLeader::Resigned => now,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -263,7 +263,7 @@
     }
 
     fn run_leader_round(&mut self) {
-        let proven = self.claim_proven_at();
+        let proven = self.claim_verified_at();
         self.schedule_next_round();
         self.update_reachability();
         let Some(work) = self.plan_leader_round(proven) else {
@@ -276,7 +276,7 @@
             self.call_cloud(request);
         }
         if work.needs_proof {
-            self.expedite_proof();
+            self.expedite_verification();
         }
         self.drive_write_queue();
     }
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -268,7 +268,7 @@
         let partitioned_zones = partitioned_zones.filter(|zone| !self.is_partitioned(zone));
         let is_silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
         partitioned_zones
-        .filter(|zone| is_silent(zone))
+            .filter(|zone| is_silent(zone))
             .cloned()
             .collect()
     }
