--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -1,12 +1,11 @@
-//! Whether the leader still serves, and how the leadership changes hands before its
-//! lease ends.
+//! Heartbeats between nodes, and changes of the leadership before the lease expires.
 //!
-//! The lease is long, so that work goes on while the state service is away. A leader
-//! that is partitioned would keep its place as long, and every worker that can't reach it
-//! would lose its tasks. So one that nobody hears is superseded, one that the state
-//! service refuses makes way when asked, and one that hears nobody gives up by itself.
-//! All that decides about service alone: that no task runs twice rests on the claim
-//! and on how long a previous leader may still act, whatever nodes tell one another.
+//! The lease is long, so that work continues during an outage of the state service. A
+//! partitioned leader would keep the leadership for as long, and every worker that can't reach
+//! it would lose its tasks. So a leader that no node hears is superseded, a leader that the state
+//! service refuses resigns on request, and a leader that hears no workers steps down by itself.
+//! All of this affects availability only: that no task runs twice is ensured by the claim and by
+//! the bound on how long a previous leader may act, whatever the heartbeats say.
 
 use std::time::Duration;
 
@@ -16,67 +15,67 @@
     Node, Output, Purpose,
     election::PreviousLeader,
     membership::{
-        nodes::{EVERY, NodeHeartbeat, REFUSED},
+        nodes::{HEARTBEAT_INTERVAL, NodeHeartbeat, STATE_REFUSED_TIMEOUT},
         reachability::HeartbeatPath,
     },
     peer_message::PeerMessage,
     store::{self, StateReply},
 };
 
-/// When the next heartbeat goes out, and whether the state service is being asked.
+/// Schedule of the heartbeats and state of the probe of the state service.
 #[derive(Debug, Default)]
 pub struct Heartbeats {
-    next: Duration,
-    probing: bool,
-    /// The leader that is to make way, and its claim, once the state service has answered.
-    refused: Option<(String, u64)>,
+    next_send: Duration,
+    probe_in_flight: bool,
+    /// Leader that is asked to resign once the state service has answered, and its claim.
+    refused_leader: Option<(String, u64)>,
 }
 
-/// A worker waits this long for an answer, and this long before it tries another node.
-const WORKER_ANSWER: Duration = Duration::from_secs(4);
-pub const WORKER_RETRY: Duration = Duration::from_secs(1);
+/// Time that a worker waits for the answer to a report.
+const WORKER_ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before a worker tries another node.
+pub const WORKER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A worker that was sent to a node and is not answered there is back by then.
-pub const WORKER_RETURNS: Duration = WORKER_ANSWER
-    .saturating_add(WORKER_RETRY)
+/// Time within which a redirected worker returns if it gets no answer at the new node.
+pub const WORKER_RETURN_TIMEOUT: Duration = WORKER_ANSWER_TIMEOUT
+    .saturating_add(WORKER_RETRY_DELAY)
     .saturating_add(Duration::from_secs(1));
 
-/// After a change of the leader, workers that reported to another node have turned to
-/// the new one within this time.
-pub fn worker_move_time(report: Duration) -> Duration {
-    report * 5 / 4 + WORKER_ANSWER + WORKER_RETRY
+/// Returns the time after a change of the leader within which all workers report to the new one.
+pub fn worker_move_time(report_interval: Duration) -> Duration {
+    report_interval * 5 / 4 + WORKER_ANSWER_TIMEOUT + WORKER_RETRY_DELAY
 }
 
-/// By then a node that was handed the leadership has claimed it.
-const TRANSFER_TIME: Duration = Duration::from_millis(600);
+/// Time within which a node that was handed the leadership has claimed it.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A leader that was not heard for so long is missed: by then all its workers have
-/// turned to other nodes, and a process that ended is mostly back.
+/// Returns the silence after which a leader is considered lost. By then all of its workers have
+/// turned to other nodes, and a restarted process is usually back.
 pub fn leader_silence_limit(worker_lease: Duration) -> Duration {
-    let moved = WORKER_ANSWER + WORKER_RETRY + Duration::from_millis(500);
-    worker_lease.mul_f64(0.55).min(moved)
+    let move_time = WORKER_ANSWER_TIMEOUT + WORKER_RETRY_DELAY + Duration::from_millis(500);
+    worker_lease.mul_f64(0.55).min(move_time)
 }
 
 impl Node {
-    /// What an answer tells of whether the state service serves this node.
-    pub(super) fn state_answered(&mut self, reply: &StateReply) {
+    /// Records whether the state service served a request of this node.
+    pub(super) fn record_state_reply(&mut self, reply: &StateReply) {
         let failed = matches!(
             reply,
             StateReply::Refused { limited: false, .. } | StateReply::Unclear
         );
         self.membership
             .nodes
-            .state_answered(self.clock.now, !failed);
+            .record_state_reply(self.clock.now, !failed);
     }
 
-    /// The state service refuses this node, and another one tells that it is
-    /// served: users are better off there.
+    /// Returns whether the state service refuses this node but serves another one, so that users
+    /// should turn to that node.
     pub(super) fn is_refused_alone(&self) -> bool {
         let (nodes, now) = (&self.membership.nodes, self.now());
-        nodes.state_service_silence(now) > REFUSED && nodes.is_any_peer_served(now)
+        nodes.state_service_silence(now) > STATE_REFUSED_TIMEOUT && nodes.is_any_peer_served(now)
     }
 
-    /// The claim has stood long enough for the workers to have turned to the leader.
+    /// Returns whether the claim is old enough for all workers to report to its leader.
     pub(super) fn workers_have_moved(&self, claim: u64) -> bool {
         let since = self.membership.nodes.leader_since(claim);
         since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report))
@@ -86,7 +85,7 @@
         self.membership.nodes.hears_leader(self.now())
     }
 
-    /// Another node that hears the leader, when this one does not.
+    /// Returns another node that hears the leader.
     pub(super) fn peer_hearing_leader(&self) -> Option<String> {
         let (leader, claim) = self.known_leader()?;
         self.membership
@@ -94,19 +93,20 @@
             .peer_hearing_leader(leader, claim, self.now())
     }
 
-    /// Who leads, and under which claim: by what is stored, or, while the state service
-    /// does not answer this node, by what the other nodes say. A node that did not know
-    /// left workers that only it reaches without an answer until their leases ended.
+    /// Returns the leader and its claim: by the stored key, or by the other nodes' heartbeats while
+    /// the state service does not answer this node. Without the latter, workers that reach only
+    /// this node would get no answer until their leases expire.
     pub(super) fn known_leader(&self) -> Option<(&str, u64)> {
         let stored = self.cache.leader.as_ref();
         let stored = stored.map(|(record, version)| (&*record.node, *version));
         let nodes = &self.membership.nodes;
-        let unread = nodes.state_service_silence(self.now()) > REFUSED && !self.is_leader();
-        let told = nodes.claimed_after(stored.map_or(0, |(_, claim)| claim));
-        told.filter(|_| unread).or(stored)
+        let is_unserved =
+            nodes.state_service_silence(self.now()) > STATE_REFUSED_TIMEOUT && !self.is_leader();
+        let reported = nodes.newer_claim(stored.map_or(0, |(_, claim)| claim));
+        reported.filter(|_| is_unserved).or(stored)
     }
 
-    /// Another node that is heard and is not the leader.
+    /// Returns another live node that is not the leader.
     pub(super) fn alive_peer(&self) -> Option<String> {
         let leader = self.known_leader().map(|(node, _)| node);
         self.membership.nodes.alive_peer_besides(leader, self.now())
@@ -116,46 +116,46 @@
         let now = self.now();
         self.membership.detector.tick(now);
         let claim = self.known_leader().map_or(0, |(_, claim)| claim);
-        let own = self.is_leader();
-        self.membership.nodes.leader_is(claim, own, now);
-        if now < self.heartbeats.next {
+        let is_leader = self.is_leader();
+        self.membership.nodes.set_leader(claim, is_leader, now);
+        if now < self.heartbeats.next_send {
             return;
         }
-        self.heartbeats.next = now + EVERY;
+        self.heartbeats.next_send = now + HEARTBEAT_INTERVAL;
         let nodes = &self.membership.nodes;
         let heartbeat = NodeHeartbeat {
             claim,
-            // Only the leader itself says that it was heard this very moment.
-            heard: match own {
+            // Zero is reserved for the leader itself.
+            leader_silence: match is_leader {
                 true => Duration::ZERO,
                 false => nodes.leader_silence(now).max(Duration::from_millis(1)),
             },
-            state: nodes.state_service_silence(now),
-            hears: self.membership.detector.machines_heard(),
+            state_service_silence: nodes.state_service_silence(now),
+            machines_heard: self.membership.detector.machines_heard(),
             told: self.told(),
         };
-        let silent = heartbeat.state > EVERY;
+        let needs_probe = heartbeat.state_service_silence > HEARTBEAT_INTERVAL;
         for to in self.config.peers.clone() {
             let message = PeerMessage::Heartbeat(heartbeat.clone());
             self.out.push(Output::Peer { to, message });
         }
-        // A node that has nothing to ask would not know whether it is served.
-        if silent {
-            self.probe();
+        // A node without other requests would not learn whether it is served.
+        if needs_probe {
+            self.probe_state_service();
         }
     }
 
-    fn probe(&mut self) {
-        if !self.heartbeats.probing && self.cache.loaded {
-            self.heartbeats.probing = true;
+    fn probe_state_service(&mut self) {
+        if !self.heartbeats.probe_in_flight && self.cache.loaded {
+            self.heartbeats.probe_in_flight = true;
             let key = store::LEADER.to_owned();
             self.call(Purpose::Probe, store::StateRequest::Get { key });
         }
     }
 
-    pub(super) fn probed(&mut self, reply: &StateReply) {
-        self.heartbeats.probing = false;
-        let Some((to, claim)) = self.heartbeats.refused.take() else {
+    pub(super) fn probe_answered(&mut self, reply: &StateReply) {
+        self.heartbeats.probe_in_flight = false;
+        let Some((to, claim)) = self.heartbeats.refused_leader.take() else {
             return;
         };
         if matches!(reply, StateReply::Entry(entry) if entry.version == claim) {
@@ -164,119 +164,125 @@
         }
     }
 
-    pub(super) fn heartbeat(&mut self, from: String, heartbeat: NodeHeartbeat) {
+    pub(super) fn heartbeat_received(&mut self, from: String, heartbeat: NodeHeartbeat) {
         let now = self.now();
-        self.membership.nodes.record_claim(&from, &heartbeat);
-        let leads =
-            heartbeat.heard.is_zero() && self.known_leader() == Some((&from, heartbeat.claim));
-        let served =
-            self.membership.nodes.state_service_silence(now) < super::membership::nodes::REACHES;
-        if leads && heartbeat.state > REFUSED && served {
-            // By now it may be away for everybody: a leader that made way then would leave
-            // the place empty until it is back, and its workers without their leases.
-            self.heartbeats.refused = Some((from.clone(), heartbeat.claim));
-            self.probe();
+        self.membership.nodes.record_peer_claim(&from, &heartbeat);
+        let is_from_leader = heartbeat.leader_silence.is_zero()
+            && self.known_leader() == Some((&from, heartbeat.claim));
+        let is_served = self.membership.nodes.state_service_silence(now)
+            < super::membership::nodes::STATE_SERVED_TIMEOUT;
+        if is_from_leader && heartbeat.state_service_silence > STATE_REFUSED_TIMEOUT && is_served {
+            // The state service may be down for all nodes by now. If the leader resigned then,
+            // nobody could lead until it is back, and the workers would lose their leases. So
+            // the leader is asked only after the service has answered this node.
+            self.heartbeats.refused_leader = Some((from.clone(), heartbeat.claim));
+            self.probe_state_service();
         }
-        self.membership.nodes.heartbeat(from, heartbeat, leads, now);
+        self.membership
+            .nodes
+            .record_heartbeat(from, heartbeat, is_from_leader, now);
     }
 
-    /// Another node is served by the state service and asks this one, which is
-    /// not, to make way.
-    pub(super) fn resign(&mut self, from: String, claim: u64) {
-        let refused = self.membership.nodes.state_service_silence(self.now()) > REFUSED;
-        if !refused
+    /// Resigns on request of a node that the state service serves, if it refuses this one.
+    pub(super) fn resign_requested(&mut self, from: String, claim: u64) {
+        let is_refused =
+            self.membership.nodes.state_service_silence(self.now()) > STATE_REFUSED_TIMEOUT;
+        if !is_refused
             || !self.is_leader()
             || self.claim() != Some(claim)
             || !self.has_previous_leader_stopped()
         {
             return;
         }
-        self.drop_leadership("the state service refuses it, but not others");
+        self.drop_leadership("the state service refuses this node but serves others");
         self.out.push(Output::Peer {
             to: from,
             message: PeerMessage::Resigned { claim },
         });
     }
 
-    /// Whether another node's leadership is to be taken before its lease ends.
+    /// Returns `Superseded` if another node's leadership should be taken before its lease expires.
     pub(super) fn leader_to_supersede(&self) -> Option<PreviousLeader> {
         let (record, version) = self.cache.leader.as_ref()?;
         let (nodes, now) = (&self.membership.nodes, self.now());
         if record.node == self.config.node || !nodes.is_served(now) {
             return None;
         }
-        let missed = nodes.leader_missed(*version, self.config.leader_silence_limit, now);
-        missed.then(|| {
-            info!(leader = %record.node, claim = version, "nobody hears the leader");
+        let is_lost = nodes.is_leader_lost(*version, self.config.leader_silence_limit, now);
+        is_lost.then(|| {
+            info!(leader = %record.node, claim = version, "superseding a leader no node hears");
             PreviousLeader::Superseded
         })
     }
 
-    /// What the leader makes of the silence around it. One that hears nobody and gets
-    /// no answer either is itself partitioned, whatever it thinks of its machines: it
-    /// hands over to the node that hears most, or leaves the place empty.
+    /// Updates the leader's view of which machines are reachable. A leader that hears no machine
+    /// and gets no answers is partitioned itself: it hands the leadership over to the node that
+    /// hears the most machines, or releases it.
     pub(super) fn update_reachability(&mut self) {
         let now = self.now();
         let reachability = self.membership.detector.reachability();
         let (is_isolated, is_uncertain) = (reachability.is_isolated, reachability.is_uncertain);
-        let ask = self.membership.detector.silent_zones();
+        let zones_to_probe = self.membership.detector.silent_zones();
         if let Some(cluster) = &mut self.cluster {
             for machine in std::mem::take(&mut cluster.returned_machines) {
                 self.membership.detector.forget(&machine);
             }
-            let before = &cluster.reachability;
+            let previous = &cluster.reachability;
             if (
-                before.is_uncertain,
-                before.is_isolated,
-                &before.partitioned_zones,
+                previous.is_uncertain,
+                previous.is_isolated,
+                &previous.partitioned_zones,
             ) != (is_uncertain, is_isolated, &reachability.partitioned_zones)
             {
-                info!(is_uncertain, is_isolated, partitioned_zones = ?reachability.partitioned_zones, "reachability");
+                info!(is_uncertain, is_isolated, partitioned_zones = ?reachability.partitioned_zones, "reachability changed");
                 cluster.requeue();
             }
             cluster.reachability = reachability;
-            cluster.zones_to_probe = ask;
+            cluster.zones_to_probe = zones_to_probe;
         }
         if !self.membership.nodes.is_served(now) || !self.has_previous_leader_stopped() {
             return;
         }
-        let best = self.membership.nodes.best_peer(now);
-        let settled = self.membership.leading_for(now) > worker_move_time(self.config.report);
-        // Looked up only where another node hears any: that looks at every machine.
-        let hears = || {
+        let best_peer = self.membership.nodes.best_peer(now);
+        let has_settled = self.membership.leading_for(now) > worker_move_time(self.config.report);
+        // Evaluated only if another node hears machines, as it iterates over all machines.
+        let own_machines = || {
             self.membership
                 .detector
                 .machines_heard()
                 .values()
                 .sum::<u32>()
         };
-        let better = settled
-            && best
+        let is_peer_better = has_settled
+            && best_peer
                 .as_ref()
-                .is_some_and(|(_, machines)| *machines >= 3 && *machines > 2 * hears());
-        if is_isolated || better {
-            self.transfer_leadership(best.map(|(node, _)| node), "it hears no workers");
+                .is_some_and(|(_, machines)| *machines >= 3 && *machines > 2 * own_machines());
+        if is_isolated || is_peer_better {
+            self.transfer_leadership(
+                best_peer.map(|(node, _)| node),
+                "it hears few or no workers",
+            );
         }
     }
 
-    /// Gives the leadership away, to another node or to whoever claims it first.
-    pub(super) fn transfer_leadership(&mut self, to: Option<String>, why: &str) {
+    /// Gives up the leadership, to a given node or to whichever claims it first.
+    pub(super) fn transfer_leadership(&mut self, to: Option<String>, reason: &str) {
         let Some(claim) = self.claim() else { return };
-        self.drop_leadership(why);
+        self.drop_leadership(reason);
         self.membership.record_step_down(self.now());
-        let wait = match to {
+        let delay = match to {
             Some(to) => {
                 let message = PeerMessage::Resigned { claim };
                 self.out.push(Output::Peer { to, message });
-                TRANSFER_TIME
+                TRANSFER_TIMEOUT
             }
             None => Duration::ZERO,
         };
-        // It may not have got there: then the place is left to whoever comes first.
-        self.remove_leader_key(claim, wait);
+        // The message may be lost: then the leader key is removed and any node may claim.
+        self.remove_leader_key(claim, delay);
     }
 
-    /// A heartbeat of a machine.
+    /// Records a heartbeat of a machine.
     pub(super) fn record_heartbeat(
         &mut self,
         machine: &super::machine::MachineId,
--- a/src/core/membership/reachability.rs
+++ b/src/core/membership/reachability.rs
@@ -1,10 +1,10 @@
-//! Which machines a node hears, over which way, and what their silence means.
+//! Failure detector for machines: which machines a node hears, and by which path.
 //!
-//! One machine that stops reporting is gone or hangs. Many that stop reporting at once have
-//! one cause, and that is first of all the way between them and this node: it is cut
-//! off itself, or a zone is. What tells them apart is who else is heard over the same
-//! way. So a machine's silence counts against it only while the rest of its zone is
-//! heard, and a node that hears nobody any more doubts itself.
+//! A single machine that stops reporting has failed or hangs. Many that stop at once have a
+//! common cause, most likely the network between them and this node: either this node or a zone
+//! is partitioned. The two are told apart by the other machines on the same path. So a machine's
+//! silence counts against it only while the rest of its zone is heard, and a node that hears no
+//! machine at all suspects itself.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -13,66 +13,68 @@
 };
 
 use super::{
-    attention::Attention,
-    phi_accrual::{PhiAccrual, Source},
+    active_time::ActiveTime,
+    phi_accrual::{ArrivalPattern, PhiAccrual},
 };
 use crate::core::machine::MachineId;
 
-/// The way by which a heartbeat came.
+/// Path by which a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatPath {
-    /// The worker's own report to this node.
+    /// The worker reported to this node directly.
     Report,
-    /// Another node passed the report on.
+    /// Another node forwarded the report.
     Forwarded,
-    /// The worker answered a direct question.
+    /// The worker answered a direct command.
     Reply,
 }
 
-/// A silence less likely than one in a hundred million is none of the usual ones.
-const PHI: f64 = 8.0;
-/// However many report, a silence of the network's own delays says nothing.
-const SILENCE_LEAST: Duration = Duration::from_millis(400);
-/// Questions without an answer that make a node doubt itself, and machines that it
-/// has to have heard for that.
-const UNANSWERED: u32 = 3;
-const MACHINES_LEAST: usize = 3;
+/// Suspicion level of a silence: a probability below one in a hundred million.
+const PHI_THRESHOLD: f64 = 8.0;
+/// Shortest silence that counts, above ordinary network delays even if many machines report.
+const MIN_SILENCE: Duration = Duration::from_millis(400);
+/// Number of unanswered direct commands in a row after which a silent node is isolated.
+const MIN_UNANSWERED: u32 = 3;
+/// Number of known machines needed to judge a node or a zone.
+const MIN_MACHINES: usize = 3;
 
 #[derive(Debug)]
 struct LastHeard {
     zone: Arc<str>,
-    /// When it was heard by any way, and when without another node's help.
-    any: Duration,
-    own: Option<Duration>,
+    /// Time of the last heartbeat by any path.
+    any_path: Duration,
+    /// Time of the last heartbeat that no other node forwarded.
+    direct: Option<Duration>,
 }
 
 #[derive(Debug)]
 struct Zone {
     reports: PhiAccrual,
-    /// Direct questions in a row that were not answered.
+    /// Number of unanswered direct commands in a row.
     unanswered: u32,
 }
 
-/// What a node makes of the silence around it.
+/// Reachability of machines and zones as seen by a node.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Reachability {
-    /// Nobody is heard, and it is not known yet why.
+    /// No machine is heard, and the cause is not known yet.
     pub is_uncertain: bool,
-    /// Nobody is heard and nobody answers: the fault is here.
+    /// No machine is heard and none answers: this node is cut off.
     pub is_isolated: bool,
-    /// Zones of which nobody is heard any more.
+    /// Zones in which no machine is heard any more.
     pub partitioned_zones: BTreeSet<Arc<str>>,
-    /// Zones of which most machines are heard: who is silent there is so by itself.
+    /// Zones in which at least half of the machines are heard, so that a silent machine there has
+    /// failed on its own.
     pub reachable_zones: BTreeSet<Arc<str>>,
 }
 
-/// What a node knows of the machines, whether it leads or not.
+/// Failure detector for the machines, used by leader and followers.
 #[derive(Debug)]
 pub struct FailureDetector {
-    report: Duration,
-    /// After so long a machine that is not heard is forgotten.
-    keep: Duration,
-    attention: Attention,
+    report_interval: Duration,
+    /// Time after which a silent machine is forgotten.
+    retention: Duration,
+    active_time: ActiveTime,
     machines: HashMap<MachineId, LastHeard>,
     zones: BTreeMap<Arc<str>, Zone>,
     reports: PhiAccrual,
@@ -80,61 +82,63 @@
 }
 
 impl FailureDetector {
-    pub fn new(report: Duration, keep: Duration) -> Self {
+    pub fn new(report_interval: Duration, retention: Duration) -> Self {
         Self {
-            report,
-            keep,
-            attention: Attention::default(),
+            report_interval,
+            retention,
+            active_time: ActiveTime::default(),
             machines: HashMap::new(),
             zones: BTreeMap::new(),
-            reports: PhiAccrual::new(Source::Independent),
+            reports: PhiAccrual::new(ArrivalPattern::Independent),
             unanswered: 0,
         }
     }
 
-    /// Time goes on. Whatever is judged here is judged in time during which the
-    /// process attended: one that stood still heard nobody, and nobody is to blame.
+    /// Advances the clock, which counts only the time during which the process was running. After a
+    /// stall, in which it could not receive anything, all silences start again.
     pub fn tick(&mut self, now: Duration) {
-        if self.attention.tick(now) {
-            let at = self.attention.time();
-            self.reports.skip(at);
-            self.zones.values_mut().for_each(|z| z.reports.skip(at));
+        if self.active_time.tick(now) {
+            let at = self.active_time.elapsed();
+            self.reports.restart_silence(at);
+            self.zones
+                .values_mut()
+                .for_each(|z| z.reports.restart_silence(at));
             self.unanswered = 0;
             self.zones.values_mut().for_each(|z| z.unanswered = 0);
         }
     }
 
-    /// This node's part changes, and with it who reports to it.
+    /// Discards the recorded gaps when this node's role changes, and with it which workers report.
     pub fn reset(&mut self) {
-        self.reports = PhiAccrual::new(Source::Independent);
+        self.reports = PhiAccrual::new(ArrivalPattern::Independent);
         self.zones.clear();
         self.unanswered = 0;
     }
 
     pub fn record_heartbeat(&mut self, machine: &MachineId, zone: &Arc<str>, path: HeartbeatPath) {
-        let at = self.attention.time();
-        let own = path != HeartbeatPath::Forwarded;
+        let at = self.active_time.elapsed();
+        let is_direct = path != HeartbeatPath::Forwarded;
         match self.machines.get_mut(machine) {
             Some(last_heard) => {
-                last_heard.any = at;
-                if own {
-                    last_heard.own = Some(at);
+                last_heard.any_path = at;
+                if is_direct {
+                    last_heard.direct = Some(at);
                 }
             }
             None => {
                 let last_heard = LastHeard {
                     zone: zone.clone(),
-                    any: at,
-                    own: own.then_some(at),
+                    any_path: at,
+                    direct: is_direct.then_some(at),
                 };
                 self.machines.insert(machine.clone(), last_heard);
             }
         }
-        if !own {
+        if !is_direct {
             return;
         }
         let entry = self.zones.entry(zone.clone()).or_insert_with(|| Zone {
-            reports: PhiAccrual::new(Source::Independent),
+            reports: PhiAccrual::new(ArrivalPattern::Independent),
             unanswered: 0,
         });
         entry.unanswered = 0;
@@ -145,7 +149,7 @@
         }
     }
 
-    /// A direct question was not answered.
+    /// Records that a machine did not answer a direct command.
     pub fn record_unanswered(&mut self, machine: &MachineId) {
         self.unanswered += 1;
         if let Some(last_heard) = self.machines.get(machine)
@@ -155,12 +159,12 @@
         }
     }
 
-    /// The machine was returned.
+    /// Removes a machine that was returned to the cloud.
     pub fn forget(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 
-    /// Machines by zone that were heard within about a report, without help.
+    /// Returns the number of machines per zone heard directly within 1.5 report intervals.
     pub fn machines_heard(&self) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
         for last_heard in self
@@ -175,46 +179,46 @@
 
     fn is_recent(&self, last_heard: &LastHeard) -> bool {
         last_heard
-            .own
-            .is_some_and(|at| self.attention.time() <= at + self.report * 3 / 2)
+            .direct
+            .is_some_and(|at| self.active_time.elapsed() <= at + self.report_interval * 3 / 2)
     }
 
     fn is_silent(&self, reports: &PhiAccrual) -> bool {
-        let at = self.attention.time();
-        reports.silence(at).is_some_and(|s| s > SILENCE_LEAST) && reports.phi(at) >= PHI
+        let at = self.active_time.elapsed();
+        reports.silence(at).is_some_and(|s| s > MIN_SILENCE) && reports.phi(at) >= PHI_THRESHOLD
     }
 
-    /// What the silence around this node means now.
+    /// Evaluates the current silences.
     pub fn reachability(&mut self) -> Reachability {
-        let at = self.attention.time();
-        let keep = self.keep;
+        let at = self.active_time.elapsed();
+        let retention = self.retention;
         self.machines
-            .retain(|_, last_heard| at <= last_heard.any + keep);
+            .retain(|_, last_heard| at <= last_heard.any_path + retention);
         let mut counts: BTreeMap<&Arc<str>, (usize, usize)> = BTreeMap::new();
         for last_heard in self.machines.values() {
             let count = counts.entry(&last_heard.zone).or_insert((0, 0));
             count.0 += 1;
             count.1 += usize::from(self.is_recent(last_heard));
         }
-        let sum = counts.values().fold((0, 0), |s, c| (s.0 + c.0, s.1 + c.1));
-        let enough = sum.0 >= MACHINES_LEAST;
-        let is_uncertain = enough && self.is_silent(&self.reports);
+        let total = counts.values().fold((0, 0), |s, c| (s.0 + c.0, s.1 + c.1));
+        let has_enough_machines = total.0 >= MIN_MACHINES;
+        let is_uncertain = has_enough_machines && self.is_silent(&self.reports);
         let mut reachability = Reachability {
             is_uncertain,
-            is_isolated: is_uncertain && self.unanswered >= UNANSWERED,
+            is_isolated: is_uncertain && self.unanswered >= MIN_UNANSWERED,
             ..Reachability::default()
         };
         for (name, zone) in &self.zones {
-            let (known, lately) = counts.get(name).copied().unwrap_or((0, 0));
-            if known >= MACHINES_LEAST && self.is_silent(&zone.reports) && zone.unanswered > 0 {
+            let (known, recent) = counts.get(name).copied().unwrap_or((0, 0));
+            if known >= MIN_MACHINES && self.is_silent(&zone.reports) && zone.unanswered > 0 {
                 reachability.partitioned_zones.insert(name.clone());
             }
-            // With few machines in a zone, the others' say is more than its own.
-            let (known, lately) = match known < MACHINES_LEAST {
-                true => sum,
-                false => (known, lately),
+            // In a zone with few machines, the machines of all zones decide.
+            let (known, recent) = match known < MIN_MACHINES {
+                true => total,
+                false => (known, recent),
             };
-            if !is_uncertain && lately * 2 >= known {
+            if !is_uncertain && recent * 2 >= known {
                 reachability.reachable_zones.insert(name.clone());
             }
         }
@@ -224,12 +228,12 @@
         reachability
     }
 
-    /// Zones of which no report came for too long: somebody there is to be asked. Where
-    /// nobody is heard at all, that is everywhere.
+    /// Returns the zones that were silent for too long and should be probed; all zones if no
+    /// machine is heard at all.
     pub fn silent_zones(&self) -> BTreeSet<Arc<str>> {
-        let all = self.is_silent(&self.reports);
+        let all_silent = self.is_silent(&self.reports);
         let zones = self.zones.iter();
-        let zones = zones.filter(|(_, z)| all || self.is_silent(&z.reports));
+        let zones = zones.filter(|(_, z)| all_silent || self.is_silent(&z.reports));
         zones.map(|(name, _)| name.clone()).collect()
     }
 }
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -1,16 +1,16 @@
-//! Zones that are partitioned, as stored: a promise to whoever leads next.
+//! Stored list of partitioned zones, which binds this leader and its successors.
 //!
-//! A leader that ends while a zone is partitioned leaves a successor that does not know since
-//! when the workers there were not answered, and which would wait a whole lease again
-//! before their tasks start elsewhere. So the leader stores, once a zone is apart, when it
-//! answered anybody there last. While that stands,
+//! If a leader fails while a zone is partitioned, its successor does not know when the workers
+//! there were last answered, and would wait for a whole lease again before their tasks start
+//! elsewhere. So the leader stores when it last answered a worker of a partitioned zone.
+//! While a zone is listed, no leader
 //!
-//! - nobody answers a report of that zone with 200, and
-//! - nobody sends a start there,
+//! - answers a report from that zone with status 200, or
+//! - sends a start command there.
 //!
-//! neither this leader nor a later one: whoever wants to removes the zone first, by a write
-//! that depends on its claim and that it has seen committed. So no lease there lasts longer
-//! than one that began at the stored time, and what begins there late ends by then.
+//! A leader that needs to do so first removes the zone, by a write that is conditional on its
+//! claim and that it has seen committed. So no lease in the zone outlasts one that began at the
+//! stored time, and a task that starts there late has stopped by then.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -37,14 +37,14 @@
     forms: &["live/apart"],
 };
 
-/// When workers of these zones were answered last, in milliseconds of the time of day.
+/// Partitioned zones with the time of the last answer to their workers, in Unix milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartitionedZonesRecord {
     pub zones: BTreeMap<Arc<str>, u64>,
 }
 
-/// Where a report came from that has to wait.
+/// Sender of a deferred report: a worker, or a node that forwarded it.
 #[derive(Debug)]
 enum ReportOrigin {
     Worker(RequestId),
@@ -52,102 +52,107 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct DeferredReport {
     origin: ReportOrigin,
     report: WorkerReport,
-    until: Duration,
+    deadline: Duration,
 }
 
 #[derive(Debug, Default)]
 pub struct PartitionedZones {
-    /// When this node answered somebody in a zone last, since it keeps count of it.
-    answered: HashMap<Arc<str>, Duration>,
-    counting_since: Option<Duration>,
-    /// A write is under way, or was and may be done yet, that would list these.
-    writing: bool,
-    unsure: BTreeSet<Arc<str>>,
-    /// Zones that were heard again: they are to be removed.
-    heard: BTreeSet<Arc<str>>,
-    waiting: Vec<Waiting>,
-    /// Tasks that the waiting reports list.
-    waiting_tasks: usize,
-    retry: Duration,
+    /// Time of this node's last answer to a worker of each zone, recorded since `recording_since`.
+    answered_at: HashMap<Arc<str>, Duration>,
+    recording_since: Option<Duration>,
+    write_in_flight: bool,
+    /// Zones listed by a write that is in flight or whose result is unknown.
+    unconfirmed: BTreeSet<Arc<str>>,
+    /// Listed zones that were heard again and should be removed from the list.
+    heard_again: BTreeSet<Arc<str>>,
+    deferred: Vec<DeferredReport>,
+    /// Number of tasks listed by the deferred reports.
+    deferred_tasks: usize,
+    retry_at: Duration,
 }
 
-/// How long a report waits for its zone: less than the second that another node gives a
-/// relay, and than a worker waits.
-const DEFERRED_FOR: Duration = Duration::from_millis(900);
-/// A zone that was heard again is not listed again at once.
-const RELIST_AFTER: Duration = Duration::from_secs(5);
+/// Time for which a report waits until its zone is removed from the list: less than the second
+/// that another node waits for a forwarded report, and less than a worker waits.
+const DEFER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Delay before a zone that was heard again may be listed again.
+const RELIST_DELAY: Duration = Duration::from_secs(5);
 
 impl Node {
+    /// Returns whether the stored generation includes the list of partitioned zones.
     fn stores_partitioned_zones(&self) -> bool {
         self.cache.cluster.0.written() >= PARTITIONED_ZONES_FEATURE.since
     }
 
-    /// Nobody in that zone may be answered, or sent a start.
+    /// Returns whether the zone is or may be listed, so that its workers must not be answered.
     fn is_partitioned(&self, zone: &str) -> bool {
         let partitioned_zones = &self.partitioned_zones;
         self.cache.partitioned_zones.0.zones.contains_key(zone)
-            || partitioned_zones.unsure.contains(zone)
+            || partitioned_zones.unconfirmed.contains(zone)
     }
 
-    /// An answer with 200 was given.
+    /// Records an answer with status 200 to a worker of a zone.
     pub(super) fn record_zone_answer(&mut self, zone: &Arc<str>) {
-        if self.partitioned_zones.counting_since.is_some() {
+        if self.partitioned_zones.recording_since.is_some() {
             let now = self.now();
-            self.partitioned_zones.answered.insert(zone.clone(), now);
+            self.partitioned_zones.answered_at.insert(zone.clone(), now);
         }
     }
 
-    /// A heartbeat: the zone has to be removed before anybody there is answered.
+    /// Marks a listed zone for removal after a heartbeat from one of its machines.
     pub(super) fn record_zone_heartbeat(&mut self, zone: &Arc<str>) {
         if self.is_partitioned(zone) {
-            self.partitioned_zones.heard.insert(zone.clone());
+            self.partitioned_zones.heard_again.insert(zone.clone());
         }
     }
 
-    /// Keeps a report that may not be answered yet; gives it back where it may.
+    /// Defers a report that must not be answered yet; otherwise returns it.
     pub(super) fn defer_report(
         &mut self,
         request: RequestId,
         report: WorkerReport,
     ) -> Option<WorkerReport> {
-        self.defer(ReportOrigin::Worker(request), report)
+        self.defer_report_from(ReportOrigin::Worker(request), report)
     }
 
-    /// The same for one that another node relayed.
+    /// Defers a report that another node forwarded; otherwise returns it.
     pub(super) fn defer_forwarded_report(
         &mut self,
         from: &str,
         relay: u64,
         report: WorkerReport,
     ) -> Option<WorkerReport> {
-        self.defer(ReportOrigin::Node(from.to_owned(), relay), report)
+        self.defer_report_from(ReportOrigin::Node(from.to_owned(), relay), report)
     }
 
-    fn defer(&mut self, origin: ReportOrigin, report: WorkerReport) -> Option<WorkerReport> {
+    fn defer_report_from(
+        &mut self,
+        origin: ReportOrigin,
+        report: WorkerReport,
+    ) -> Option<WorkerReport> {
         if !self.is_leader() || !self.is_partitioned(&report.zone) {
             return Some(report);
         }
-        let waiting = Waiting {
+        let deferred = DeferredReport {
             origin,
-            until: self.now() + DEFERRED_FOR,
+            deadline: self.now() + DEFER_TIMEOUT,
             report,
         };
-        let tasks = self.partitioned_zones.waiting_tasks + waiting.report.tasks.len();
-        let full = self.partitioned_zones.waiting.len() >= self.config.requests_most
+        let tasks = self.partitioned_zones.deferred_tasks + deferred.report.tasks.len();
+        let is_full = self.partitioned_zones.deferred.len() >= self.config.requests_most
             || tasks > self.config.waiting_tasks_most;
-        if full {
-            self.redirect(waiting.origin);
+        if is_full {
+            self.redirect_report(deferred.origin);
             return None;
         }
-        self.partitioned_zones.waiting_tasks = tasks;
-        self.partitioned_zones.waiting.push(waiting);
+        self.partitioned_zones.deferred_tasks = tasks;
+        self.partitioned_zones.deferred.push(deferred);
         None
     }
 
-    fn redirect(&mut self, origin: ReportOrigin) {
+    fn redirect_report(&mut self, origin: ReportOrigin) {
         match origin {
             ReportOrigin::Worker(request) => self.answer(request, Answer::Redirect(None)),
             ReportOrigin::Node(to, relay) => {
@@ -158,42 +163,42 @@
         }
     }
 
-    /// Whether a waiting report can be answered or has waited too long.
-    fn waiting_due(&self, now: Duration) -> bool {
-        let Some(first) = self.partitioned_zones.waiting.first() else {
+    /// Returns whether a deferred report can be answered or has waited too long.
+    fn is_deferred_report_due(&self, now: Duration) -> bool {
+        let Some(first) = self.partitioned_zones.deferred.first() else {
             return false;
         };
-        // They wait equally long, so the first is over before the others.
-        if !self.is_leader() || now >= first.until {
+        // All wait equally long, so the first one expires first.
+        if !self.is_leader() || now >= first.deadline {
             return true;
         }
-        let mut waiting = self.partitioned_zones.waiting.iter();
-        waiting.any(|waiting| !self.is_partitioned(&waiting.report.zone))
+        let mut reports = self.partitioned_zones.deferred.iter();
+        reports.any(|deferred| !self.is_partitioned(&deferred.report.zone))
     }
 
-    /// Reports whose zone was removed are answered; those that waited too long, or whose
-    /// node leads no more, are sent on.
+    /// Answers the deferred reports whose zone was removed from the list, and redirects those that
+    /// waited too long, or all of them if this node no longer leads.
     fn drive_deferred_reports(&mut self) {
         let now = self.now();
-        if !self.waiting_due(now) {
+        if !self.is_deferred_report_due(now) {
             return;
         }
-        self.partitioned_zones.waiting_tasks = 0;
-        for waiting in std::mem::take(&mut self.partitioned_zones.waiting) {
-            let free = self.is_leader() && !self.is_partitioned(&waiting.report.zone);
-            if !free && self.is_leader() && now < waiting.until {
-                self.partitioned_zones.waiting_tasks += waiting.report.tasks.len();
-                self.partitioned_zones.waiting.push(waiting);
+        self.partitioned_zones.deferred_tasks = 0;
+        for deferred in std::mem::take(&mut self.partitioned_zones.deferred) {
+            let can_answer = self.is_leader() && !self.is_partitioned(&deferred.report.zone);
+            if !can_answer && self.is_leader() && now < deferred.deadline {
+                self.partitioned_zones.deferred_tasks += deferred.report.tasks.len();
+                self.partitioned_zones.deferred.push(deferred);
                 continue;
             }
-            if !free {
-                self.redirect(waiting.origin);
+            if !can_answer {
+                self.redirect_report(deferred.origin);
                 continue;
             }
-            match waiting.origin {
-                ReportOrigin::Worker(request) => self.report(request, waiting.report),
+            match deferred.origin {
+                ReportOrigin::Worker(request) => self.report_received(request, deferred.report),
                 ReportOrigin::Node(to, relay) => {
-                    let answer = self.answer_as_leader(&waiting.report);
+                    let answer = self.answer_as_leader(&deferred.report);
                     let message = PeerMessage::Reported { relay, answer };
                     self.out.push(Output::Peer { to, message });
                 }
@@ -204,55 +209,55 @@
     pub(super) fn drive_partitions(&mut self) {
         let now = self.now();
         if self.stores_partitioned_zones() {
-            self.partitioned_zones.counting_since.get_or_insert(now);
+            self.partitioned_zones.recording_since.get_or_insert(now);
         }
         self.drive_deferred_reports();
         if self.claim().is_none() {
-            // A write of that claim that comes late fails. While the claim may stand again,
-            // as after an outage, one that was not answered may still be done.
-            self.partitioned_zones.unsure.clear();
-            self.partitioned_zones.heard.clear();
+            // Late writes of a lost claim fail. As long as the claim may become valid again, as
+            // after an outage, a write without a reply may still be executed.
+            self.partitioned_zones.unconfirmed.clear();
+            self.partitioned_zones.heard_again.clear();
         }
         if !self.is_leader() {
             return;
         }
         let listed = &self.cache.partitioned_zones.0.zones;
-        let unsure = &self.partitioned_zones.unsure;
+        let unconfirmed = &self.partitioned_zones.unconfirmed;
         let Some(cluster) = &mut self.cluster else {
             return;
         };
-        if !listed.is_empty() || !unsure.is_empty() || !cluster.withheld.is_empty() {
-            let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unsure).cloned().collect();
-            // The machines of a zone that was reopened have not changed: none of their
-            // reports would bring the waiting jobs back to the heap.
+        if !listed.is_empty() || !unconfirmed.is_empty() || !cluster.withheld.is_empty() {
+            let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unconfirmed).cloned().collect();
+            // The machines of a zone that is no longer withheld may not have changed, so their
+            // reports alone would not return the waiting jobs to the heap.
             if withheld != cluster.withheld {
                 cluster.withheld = withheld;
                 cluster.requeue();
             }
         }
-        if self.partitioned_zones.writing || now < self.partitioned_zones.retry {
+        if self.partitioned_zones.write_in_flight || now < self.partitioned_zones.retry_at {
             return;
         }
         let mut zones = self.cache.partitioned_zones.0.zones.clone();
-        let lists = self.stores_partitioned_zones();
-        zones.retain(|zone, _| lists && !self.partitioned_zones.heard.contains(zone));
-        if lists && self.has_previous_leader_stopped() {
+        let stores_zones = self.stores_partitioned_zones();
+        zones.retain(|zone, _| stores_zones && !self.partitioned_zones.heard_again.contains(zone));
+        if stores_zones && self.has_previous_leader_stopped() {
             for zone in self.newly_partitioned() {
                 let last = self.last_answered(&zone);
-                let ago = now.saturating_sub(last).as_millis() as u64;
-                zones.insert(zone, self.clock.wall_ms.saturating_sub(ago));
+                let elapsed = now.saturating_sub(last).as_millis() as u64;
+                zones.insert(zone, self.clock.wall_ms.saturating_sub(elapsed));
             }
         }
-        // One that may have been listed is settled by the next write, whatever it says.
+        // The next committed write resolves the unconfirmed zones, whatever it lists.
         if zones != self.cache.partitioned_zones.0.zones
-            || !self.partitioned_zones.unsure.is_empty()
+            || !self.partitioned_zones.unconfirmed.is_empty()
         {
-            self.store_partitions(zones);
+            self.store_partitioned_zones(zones);
         }
     }
 
-    /// Zones that are apart now, whose workers were answered some time ago, and that are
-    /// not listed.
+    /// Returns the partitioned zones that are not listed and whose workers were not answered
+    /// recently.
     fn newly_partitioned(&self) -> Vec<Arc<str>> {
         let Some(cluster) = &self.cluster else {
             return Vec::new();
@@ -261,30 +266,32 @@
         let silence = worker_move_time(self.config.report).min(lease / 3);
         let partitioned_zones = cluster.reachability.partitioned_zones.iter();
         let partitioned_zones = partitioned_zones.filter(|zone| !self.is_partitioned(zone));
-        let silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
+        let is_silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
         partitioned_zones
-            .filter(|zone| silent(zone))
+            .filter(|zone| is_silent(zone))
             .cloned()
             .collect()
     }
 
-    /// By then anybody in a zone was answered last, by this leader or one before it.
+    /// Returns an upper bound of the time of the last answer to a worker of a zone, by this leader
+    /// or a previous one.
     fn last_answered(&self, zone: &Arc<str>) -> Duration {
-        let own = self.partitioned_zones.answered.get(zone).copied();
-        let counting = self.partitioned_zones.counting_since.unwrap_or(self.now());
-        own.unwrap_or_default()
-            .max(counting)
+        let own_answer = self.partitioned_zones.answered_at.get(zone).copied();
+        let recording = self.partitioned_zones.recording_since.unwrap_or(self.now());
+        own_answer
+            .unwrap_or_default()
+            .max(recording)
             .max(self.election.previous_leader_stopped_at())
     }
 
-    fn store_partitions(&mut self, zones: BTreeMap<Arc<str>, u64>) {
+    fn store_partitioned_zones(&mut self, zones: BTreeMap<Arc<str>, u64>) {
         let Some(claim) = self.claim() else { return };
         let (record, version) = &self.cache.partitioned_zones;
-        let new = zones
+        let new_zones = zones
             .keys()
             .filter(|zone| !record.zones.contains_key(*zone));
-        let new: BTreeSet<Arc<str>> = new.cloned().collect();
-        info!(zones = ?zones.keys().collect::<Vec<_>>(), "partitioned zones");
+        let new_zones: BTreeSet<Arc<str>> = new_zones.cloned().collect();
+        info!(zones = ?zones.keys().collect::<Vec<_>>(), "storing the list of partitioned zones");
         let conditions = vec![
             when(LEADER, claim),
             when(PARTITIONED, *version),
@@ -292,9 +299,9 @@
         ];
         let record = PartitionedZonesRecord { zones };
         let changes = vec![put(PARTITIONED, &record)];
-        // It counts as listed from now on.
-        self.partitioned_zones.unsure.extend(new);
-        self.partitioned_zones.writing = true;
+        // New zones count as listed from now on.
+        self.partitioned_zones.unconfirmed.extend(new_zones);
+        self.partitioned_zones.write_in_flight = true;
         self.call(
             Purpose::StorePartitions { claim, record },
             StateRequest::Txn {
@@ -304,44 +311,44 @@
         );
     }
 
-    pub(super) fn zones_stored(
+    pub(super) fn partitioned_zones_answered(
         &mut self,
         claim: u64,
         record: PartitionedZonesRecord,
         reply: &StateReply,
     ) {
         let now = self.now();
-        self.partitioned_zones.writing = false;
-        self.partitioned_zones.retry = now + BACK_OFF;
+        self.partitioned_zones.write_in_flight = false;
+        self.partitioned_zones.retry_at = now + BACK_OFF;
         if self.claim() != Some(claim) {
             return;
         }
-        // A write that was refused changes nothing, but one before it may not have been
-        // answered: only one that is known to be in settles both.
+        // A refused write changes nothing, but an earlier write without a reply may still be
+        // executed. Only a committed write resolves both.
         if let StateReply::Committed { revision } = reply {
-            let before = &self.cache.partitioned_zones.0.zones;
-            let removed = before.keys().any(|zone| !record.zones.contains_key(zone));
-            if removed {
-                self.partitioned_zones.retry = now + RELIST_AFTER;
+            let previous = &self.cache.partitioned_zones.0.zones;
+            let has_removed = previous.keys().any(|zone| !record.zones.contains_key(zone));
+            if has_removed {
+                self.partitioned_zones.retry_at = now + RELIST_DELAY;
             }
-            self.partitioned_zones.heard.clear();
-            self.partitioned_zones.unsure.clear();
+            self.partitioned_zones.heard_again.clear();
+            self.partitioned_zones.unconfirmed.clear();
             if *revision > self.cache.partitioned_zones.1 {
                 self.cache.partitioned_zones = (record, *revision);
             }
         }
     }
 
-    /// When the leases in each listed zone are over, for a new leader.
+    /// Returns the time by which the leases in each listed zone have expired, for a new leader.
     pub(super) fn zone_lease_ends(&self) -> BTreeMap<Arc<str>, Duration> {
         let now = self.now();
-        // Both ends of the span were read from clocks that may be off.
+        // Both ends of the interval were read from clocks that may be off by `wall_error`.
         let lease = self.config.worker_lease_bound + self.config.wall_error * 2;
         let zones = self.cache.partitioned_zones.0.zones.iter();
-        let over = zones.map(|(zone, at)| {
-            let ago = Duration::from_millis(self.clock.wall_ms.saturating_sub(*at));
-            (zone.clone(), now + lease.saturating_sub(ago))
+        let lease_ends = zones.map(|(zone, at)| {
+            let elapsed = Duration::from_millis(self.clock.wall_ms.saturating_sub(*at));
+            (zone.clone(), now + lease.saturating_sub(elapsed))
         });
-        over.collect()
+        lease_ends.collect()
     }
 }
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -1,10 +1,10 @@
-//! The leader's heartbeats in the state service, for nodes that its heartbeats don't reach.
+//! Leader heartbeats stored in the state service, for nodes that the direct ones don't reach.
 //!
-//! A node that hears neither the leader nor another one that does can't tell one that is
-//! gone from one whose connections are refused. The state service answers both, so a leader
-//! that some other node may not hear writes there now and then that it is alive, and how
-//! many machines it hears. Written only then, it costs nothing on other days; it is no
-//! claim, and what rests on it is service alone.
+//! A node that hears neither the leader nor a node that does can't tell a dead leader from one
+//! whose connections are refused. The node and a live leader both reach the state service, so
+//! a leader that some node may not hear periodically stores there that it is alive and how many
+//! machines it hears. The writes are made only in that case and cost nothing otherwise. A stored
+//! heartbeat is not a claim and affects availability only.
 
 use std::time::Duration;
 
@@ -12,46 +12,60 @@
 
 use super::{
     Node, Purpose,
-    membership::nodes::EVERY,
+    membership::nodes::HEARTBEAT_INTERVAL,
     store::{LEADER, STORED_HEARTBEAT, StateRequest, put, when},
 };
 
-/// What the leader writes.
+/// Record that the leader stores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredHeartbeat {
     pub claim: u64,
-    /// Machines that reported to it lately.
-    pub hears: u32,
+    /// Number of machines that reported to the leader recently.
+    #[serde(rename = "hears")]
+    pub machines_heard: u32,
 }
 
 #[derive(Debug, Default)]
 pub struct HeartbeatWriter {
-    writing: bool,
-    next: Duration,
+    write_in_flight: bool,
+    next_write: Duration,
 }
 
-/// The least time between two stored heartbeats: as often as a heartbeat that may be missed once.
-pub const STORED_HEARTBEAT_EVERY: Duration = Duration::from_millis(2 * EVERY.as_millis() as u64);
-/// A new leader's first heartbeats get this time to be heard, and to be told of.
-const FIRST: Duration = Duration::from_millis(3 * EVERY.as_millis() as u64);
+/// Minimum interval between two stored heartbeats: two direct heartbeats, one of which may be lost.
+pub const STORED_HEARTBEAT_INTERVAL: Duration =
+    Duration::from_millis(2 * HEARTBEAT_INTERVAL.as_millis() as u64);
+/// Delay before a new leader stores heartbeats, so that its first direct ones are acknowledged.
+const FIRST_HEARTBEAT_DELAY: Duration =
+    Duration::from_millis(3 * HEARTBEAT_INTERVAL.as_millis() as u64);
 
 impl Node {
     pub(super) fn drive_stored_heartbeat(&mut self) {
         let now = self.now();
-        if self.heartbeat_writer.writing || now < self.heartbeat_writer.next || !self.is_leader() {
+        if self.heartbeat_writer.write_in_flight
+            || now < self.heartbeat_writer.next_write
+            || !self.is_leader()
+        {
             return;
         }
         let Some(claim) = self.claim() else { return };
         let nodes = &self.membership.nodes;
-        let heard = |node: &String| nodes.peer_hears_leader(node, claim, now);
-        if self.membership.leading_for(now) < FIRST || self.config.peers.iter().all(heard) {
+        let hears_leader = |node: &String| nodes.peer_hears_leader(node, claim, now);
+        if self.membership.leading_for(now) < FIRST_HEARTBEAT_DELAY
+            || self.config.peers.iter().all(hears_leader)
+        {
             return;
         }
-        self.heartbeat_writer.writing = true;
+        self.heartbeat_writer.write_in_flight = true;
         self.write_queue.charge(1.0);
-        let hears = self.membership.detector.machines_heard().values().sum();
-        let changes = vec![put(STORED_HEARTBEAT, &StoredHeartbeat { claim, hears })];
+        let machines_heard = self.membership.detector.machines_heard().values().sum();
+        let changes = vec![put(
+            STORED_HEARTBEAT,
+            &StoredHeartbeat {
+                claim,
+                machines_heard,
+            },
+        )];
         let conditions = vec![when(LEADER, claim)];
         self.call(
             Purpose::StoredHeartbeat,
@@ -62,13 +76,13 @@
         );
     }
 
-    pub(super) fn heartbeat_stored(&mut self) {
-        self.heartbeat_writer.writing = false;
-        self.heartbeat_writer.next = self.now() + STORED_HEARTBEAT_EVERY;
+    pub(super) fn heartbeat_write_answered(&mut self) {
+        self.heartbeat_writer.write_in_flight = false;
+        self.heartbeat_writer.next_write = self.now() + STORED_HEARTBEAT_INTERVAL;
     }
 
-    /// The leader is not heard, nor known to be by another node, but it lives. Where another
-    /// node hears it, workers are better off there: it relays for those that can't reach it.
+    /// Returns whether the leader stores heartbeats and no other node is known to hear it. Workers
+    /// should turn to a node that hears the leader, if there is one: it forwards their reports.
     pub(super) fn leader_stores_heartbeats(&self) -> bool {
         let leader = self.cache.leader.as_ref();
         self.peer_hearing_leader().is_none()
