--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to other services, why they were made, and what waits for their answers.
+//! Calls to other services, with the purpose of each, until they are answered.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
     terminal_states, user_requests, write_queue,
 };
 
-/// Why a call was made.
+/// Purpose of a call.
 #[derive(Debug)]
 pub(super) enum Purpose {
     Load {
@@ -26,7 +26,7 @@
     Renew {
         sent: Duration,
     },
-    /// Proves the claim and the cache after a renewal that was asked for at `renewed`.
+    /// Proves the claim and the cache after a renewal that was sent at `renewed`.
     Verify {
         claim: u64,
         renewed: Duration,
@@ -55,7 +55,7 @@
         ends: Option<(terminal_states::Range, terminal_states::TerminalStates)>,
     },
     ReadTerminalState(Box<user_requests::TerminalRead>),
-    /// Reads whether a job that a submission names is active.
+    /// Reads whether a job that a submission depends on is active.
     ReadNeed(Box<user_requests::NeedsCheck>),
     ReadRange {
         request: RequestId,
@@ -83,11 +83,11 @@
     Direct(Direct),
 }
 
-/// A call that waits for its answer.
+/// Call in flight.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) purpose: Purpose,
-    /// How large it is, where it changes what is stored.
+    /// Size of the write, if the call is one.
     pub(super) write: Option<WriteSize>,
 }
 
@@ -133,7 +133,7 @@
         });
     }
 
-    /// Sends commands straight to a worker.
+    /// Sends commands directly to a worker.
     pub(super) fn call_worker(&mut self, direct: Direct) {
         self.next_call += 1;
         let call = self.next_call;
@@ -142,12 +142,12 @@
         self.out.push(Output::Direct { call, direct });
     }
 
-    /// Why a call was made whose answer has come.
+    /// Removes an answered call and returns its purpose.
     pub(super) fn purpose_of(&mut self, call: CallId) -> Option<Purpose> {
         self.calls.remove(&call).map(|call| call.purpose)
     }
 
-    /// What an answer to a write teaches of the limits, before anything follows from it.
+    /// Updates the limits in use from the reply to a write, before the reply is handled.
     pub(super) fn note_write_reply(&mut self, write: Option<&WriteSize>, reply: &StateReply) {
         let now = self.now();
         match (write, reply) {
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -1,4 +1,4 @@
-//! What the core needs of the settings, in its own terms.
+//! Configuration of the core, derived from the settings and the command-line options.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,42 +10,42 @@
 
 use crate::settings::{DRIFT, MARGIN, Settings, Team, seconds};
 
-/// Of the requests that the state service takes, all nodes' proofs together use
-/// one in so many, and so do the followers' watches.
+/// Divisors of the state service's request rate: the proofs of all nodes together use one request
+/// in six, and the followers' watches one in five.
 const PROOF_SHARE: f64 = 6.0;
 const WATCH_SHARE: f64 = 5.0;
-/// Of the changes that the state service takes, the leader plans with so many.
+/// Share of the state service's change rate that the leader plans with.
 const WRITE_SHARE: f64 = 0.9;
-/// A round looks at every machine. It takes the same part of the processor however
-/// many there are: for each this time of a whole core, and a larger share of one
-/// allows for more rounds.
+/// Pause between two leader rounds per machine, on a whole core; longer with a smaller CPU share.
+/// A round visits every machine, so this keeps its CPU usage independent of the fleet's size.
 const ROUND_PER_MACHINE: Duration = Duration::from_micros(18);
-/// A leader's lease lasts no longer, however much time a cancellation has.
+/// Maximum duration of a leader's lease, even if cancellations may take longer.
 const TTL_MOST: Duration = Duration::from_secs(30);
 
-/// Machines of a fleet that may all report to one node at once, on however small a box.
+/// Minimum number of concurrent requests per node: all machines of a fleet may report to one node
+/// at once, even on a small host.
 const FLEET_LEAST: usize = 4096;
-/// Tasks that reports which wait at a node may list in all: they take memory, which a box
-/// with more sockets has more of.
+/// Limits on the tasks listed in all waiting reports of a node. They take memory, and a host that
+/// allows more sockets has more of it.
 const WAITING_TASKS_LEAST: usize = 20_000;
 const WAITING_TASKS_PER_SOCKET: usize = 10;
 
-/// Choices of the operators.
+/// Operators' options.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// How long a machine may be idle, in times of what another takes to boot.
+    /// Maximum idle time of a machine, as a multiple of the boot time.
     pub idle_boots: f64,
     pub grace: Duration,
     pub disruption_budget: u32,
-    /// A gang that has waited for so long keeps what room there is for it from its equals.
+    /// Waiting time after which a gang reserves free capacity ahead of jobs of the same priority.
     pub gather_after: Duration,
-    /// Licences with counted seats, if there are any.
+    /// Licences with counted seats, if any are configured.
     pub licences: Option<Arc<kiteyard_licences::config::Config>>,
-    /// How changes of the stored state are rolled out, if they are.
+    /// Rollouts of changes of the stored state, if enabled.
     pub rollout: Option<Arc<kiteyard_rollout::config::Config>>,
-    /// Budgets of disruption, where machines may be emptied.
+    /// Disruption budgets, if machines may be drained.
     pub maintenance: Option<Arc<kiteyard_maintenance::config::Config>>,
-    /// A number that no other process of this node has, as far as chance goes.
+    /// Random number that distinguishes this process from others of the same node.
     pub incarnation: u32,
 }
 
@@ -69,53 +69,53 @@
     pub node: String,
     pub nodes: usize,
     pub peers: Vec<String>,
-    /// Where the nodes are.
+    /// Zone of each node.
     pub zones: BTreeMap<String, String>,
-    /// The stored forms that this process reads and writes.
+    /// Generations of stored records that this process reads and writes.
     pub ability: Ability,
     pub teams: HashMap<Arc<str>, Team>,
     pub objectives: Vec<crate::settings::Objective>,
     pub report: Duration,
     pub gang_wait: Duration,
-    /// By then a worker's lease is over, counted from when it was last answered.
+    /// Time after the last answer to a worker by which its lease has certainly expired.
     pub worker_lease_bound: Duration,
-    /// How long the leader's own lease lasts.
+    /// Duration of the leader's own lease.
     pub leader_ttl: Duration,
-    /// How long the leader may act, counted from when it asked for the renewal.
+    /// Time for which the leader may act after it sent a renewal.
     pub leader_term: Duration,
     pub renew_every: Duration,
-    /// What each machine adds to the time between two of the leader's rounds.
+    /// Time that each machine adds to the pause between two leader rounds.
     pub round_per_machine: Duration,
-    /// A leader that was not heard for so long is missed. A process that ended is
-    /// mostly back by then and knows more than any other node; in the time that is
-    /// left of a worker's lease another one has to take over and answer it.
+    /// Time without a heartbeat after which the leader is considered failed. A restarted process
+    /// is mostly back before that, with more state than any other node. The rest of a worker's
+    /// lease has to suffice for another node to take over and answer the worker.
     pub leader_silence_limit: Duration,
-    /// Least time between two requests that prove this node's cache.
+    /// Minimum time between two requests that prove this node's cache.
     pub sync_every: Duration,
-    /// Least time between two watches of a follower; the leader's follow at once.
+    /// Minimum time between two watches of a follower. The leader does not pause between watches.
     pub watch_every: Duration,
-    /// Changes a second for everything, users' submissions first.
+    /// Rate of all writes in changes per second; users' submissions come first.
     pub writes: f64,
-    /// The same once the state service's limits have fallen, where that is to come.
+    /// The same after the announced reduction of the state service's limits, if there is one.
     pub writes_next: Option<f64>,
-    /// Changes in a transaction, now and once the limits have fallen.
+    /// Maximum changes per transaction, within present and announced limits.
     pub txn_ops: usize,
-    /// Bytes that a stored value may have, now and once the limits have fallen.
+    /// Maximum size of a stored value in bytes, within present and announced limits.
     pub value_most: usize,
     pub cloud_every: Duration,
     pub list_lag: Duration,
-    /// The time of day may be off by so much.
+    /// Maximum error of the wall clock.
     pub wall_error: Duration,
-    /// Requests that wait for an answer at a time. Each has a connection, so the sockets
-    /// bound them on a small box.
+    /// Maximum number of requests waiting for an answer. Each one has a connection, so on a small
+    /// host the sockets are the limit.
     pub requests_most: usize,
-    /// Tasks that all reports which wait for a leader, or for their zone, may list.
+    /// Maximum number of tasks listed in all reports that wait for a leader or for their zone.
     pub waiting_tasks_most: usize,
     pub options: Options,
 }
 
 impl Config {
-    /// What may be taken down on purpose.
+    /// Disruption budgets for voluntary disruptions.
     pub fn budgets(&self) -> kiteyard_maintenance::config::Config {
         match &self.options.maintenance {
             Some(config) => (**config).clone(),
@@ -161,7 +161,7 @@
             writes_next: next_writes.map(|rate| rate * WRITE_SHARE),
             txn_ops: params.state.lowest_txn_ops(),
             value_most: (params.state.lowest_value_kb() * 1024.0) as usize,
-            // Nearly all calls are the leader's; the rest is for lists of types.
+            // Nearly all calls are the leader's. The rest is for lists of machine types.
             cloud_every: seconds(1.25 / params.cloud.rps),
             wall_error: seconds(params.time_bound_ms / 1000.0),
             list_lag: seconds(params.cloud.list_lag_s),
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -1,7 +1,7 @@
-//! The messages of a node: what goes into a step, what comes out, and the answers to users.
+//! Messages of a node: inputs and outputs of a step, and answers to users.
 //!
-//! Owns only their forms. Nothing here decides anything but what becomes of an output that
-//! could not go out inside the leader's term.
+//! The only logic here is the treatment of outputs that could not be sent within the leader's
+//! term.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,20 +22,20 @@
 /// Time as a step sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// Steady time since the process began.
+    /// Monotonic time since the process started.
     pub now: Duration,
-    /// The time of day, in milliseconds.
+    /// Wall-clock time since the Unix epoch in milliseconds.
     pub wall_ms: u64,
 }
 
-/// Names a request that waits for its answer.
+/// Identifies a request that waits for its answer.
 pub type RequestId = u64;
-/// The node's own requests have this name: nobody waits for their answers.
+/// Identifier of the node's own requests, whose answers are dropped.
 pub const INTERNAL: RequestId = RequestId::MAX;
-/// Names a call to another service.
+/// Identifies a call to another service.
 pub type CallId = u64;
 
-/// What a step takes in: a request, an answer of another service, or news of a peer.
+/// Input of a step: a request, an answer of another service, or a message of a peer.
 #[derive(Debug)]
 pub enum Input {
     Submit {
@@ -64,7 +64,7 @@
         request: RequestId,
         ask: maintenance::Ask,
     },
-    /// The process is about to end.
+    /// The process is shutting down.
     Retire,
     Report {
         request: RequestId,
@@ -89,7 +89,7 @@
     Tick,
 }
 
-/// What a step wants to be sent.
+/// Output of a step, to be sent by the caller.
 #[derive(Debug)]
 pub enum Output {
     Answer {
@@ -105,7 +105,7 @@
         call: CallId,
         request: CloudRequest,
     },
-    /// Commands straight to a worker.
+    /// Sends commands directly to a worker.
     Direct {
         call: CallId,
         direct: Direct,
@@ -117,11 +117,11 @@
 }
 
 impl Output {
-    /// What becomes of this when the leader's term was over before it could go out:
-    /// it may be sent all the same, changed, or turns into news for the node.
+    /// Converts an output that was not sent before the leader's term ended: it is sent as it is,
+    /// replaced, or turned into an input of the node.
     ///
-    /// A process that stood still in the middle of a step goes on as if no time had
-    /// passed. Writes depend on the claim and may go out; commands may not.
+    /// A process that is suspended during a step continues as if no time had passed. Writes are
+    /// conditional on the claim and may still be sent; commands may not.
     pub fn withheld(self) -> Result<Output, Box<Input>> {
         match self {
             Output::Answer {
@@ -150,24 +150,24 @@
     }
 }
 
-/// What a request is answered with.
+/// Answer to a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     Accepted(JobId),
-    /// Known already: its state now.
+    /// The job is already known; its present state.
     Known(JobId, JobState),
     Status(JobId, JobState, u32, u32),
-    /// It is pending until these jobs are done.
+    /// The job is pending until these jobs are done.
     Waiting(JobId, Vec<JobId>),
     NotFound,
-    /// It can never run.
+    /// The request can never succeed, for this reason.
     Impossible(String),
-    /// Undecidable now.
+    /// The request can't be decided now.
     Later {
         retry: Duration,
     },
     Ready(bool),
-    /// How licences stand, and how old that is where this node does not lead.
+    /// Licence usage, and its age if this node does not lead.
     Licences(Vec<LicenceView>, Option<Duration>),
     Rollout(Box<kiteyard_rollout::view::Status>),
     Drains(Vec<maintenance::MachineView>),
@@ -175,6 +175,6 @@
         token: u64,
         commands: Vec<Command>,
     },
-    /// Another node leads, or none is known.
+    /// Name of another node that may lead, or `None` if none is known.
     Redirect(Option<String>),
 }
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -1,10 +1,10 @@
-//! Rewriting old records in the form of the new generation: the leader's work, as slow as
-//! its share of the state service's changes, and behind everything else that it writes.
+//! Migration of old records to the form of the new generation. The leader does it within a
+//! configured share of the state service's change rate, after all its other writes.
 //!
-//! Nothing is remembered of how far it is: what is left is what a listing still finds. So
-//! it goes on after a failover as after a pause, and it is over when a listing that began
-//! after the new form was switched on finds nothing. Nobody writes the old form after that
-//! switch, since every such write depends on the generation's record.
+//! No progress is stored: a listing finds the records that are left. So the migration continues
+//! in the same way after a failover and after a pause, and it is finished when a listing that
+//! began after the switch to the new form finds nothing. Nobody writes the old form after the
+//! switch, since every such write is conditional on the generation's record.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -20,7 +20,7 @@
 };
 use kiteyard_rollout::generation::Stage;
 
-/// Records of one range that are still in the old form.
+/// Records of one range in the old form.
 #[derive(Debug)]
 enum Work {
     Pack(Range, VecDeque<(JobId, TerminalRecord, u64)>),
@@ -37,27 +37,27 @@
 
 #[derive(Debug, Default)]
 pub struct Migration {
-    /// The revision of the generation's record that this is about, and the claim.
+    /// Revision of the generation's record, and the claim, that this migration belongs to.
     about: (u64, u64),
-    /// Where the listing goes on.
+    /// Last key of the previous page, if the listing continues.
     after: Option<String>,
     queue: VecDeque<Work>,
-    /// Records that this listing found, and those of them that were rewritten.
+    /// Records that the present listing found, and how many of them were rewritten.
     found: u64,
     rewritten: u64,
     listed: bool,
     clean: bool,
-    /// A request is under way.
+    /// A request is in flight.
     busy: bool,
     retry: Duration,
-    /// Changes that may be made now.
+    /// Number of changes that the budget allows now.
     allowance: f64,
     refilled: Duration,
     moved: u64,
 }
 
 impl Migration {
-    /// Nothing old is left, under the record of that revision.
+    /// Returns whether no old records are left under the generation's record of that revision.
     pub fn clean(&self, revision: u64) -> bool {
         self.clean && self.about.0 == revision
     }
@@ -66,12 +66,12 @@
         self.moved
     }
 
-    /// Records found and not yet rewritten; none before any listing.
+    /// Number of records found and not yet rewritten, or `None` before the first listing.
     pub fn left(&self) -> Option<u64> {
         (self.listed || self.found > 0).then(|| self.found.saturating_sub(self.rewritten))
     }
 
-    /// From the beginning: what failed is found again.
+    /// Restarts the listing, which finds the records whose rewrite failed.
     fn again(&mut self) {
         self.after = None;
         self.queue.clear();
@@ -79,7 +79,7 @@
     }
 }
 
-/// What a request of the migration was.
+/// Request that the migration sent.
 #[derive(Debug)]
 pub enum MigrationRequest {
     List,
@@ -88,7 +88,7 @@
 }
 
 impl Node {
-    /// Does the next bit, after all else that the leader had to write.
+    /// Sends the next request of the migration, after all other writes of the leader.
     pub(super) fn drive_migration(&mut self) {
         let now = self.now();
         let (cluster, revision) = self.cache.cluster;
@@ -138,7 +138,7 @@
             return;
         };
         let range = work.range().clone();
-        // Whoever waits for a change comes first, and so do the terminal states of jobs.
+        // Writes that someone waits for come first, and so do terminal states of jobs.
         if migration.allowance < 1.0
             || !self.write_queue.has_spare_budget()
             || !self.ranges.free(&range, now)
@@ -204,7 +204,7 @@
         if let MigrationRequest::Rewrite(range, ends, _) = &step {
             match &reply {
                 StateReply::Committed { revision } => {
-                    // Emptied, it was removed.
+                    // An empty range is stored by deleting its key.
                     let known = terminal_states::KnownRange {
                         version: if ends.is_empty() { 0 } else { *revision },
                         ends: ends.clone(),
@@ -239,7 +239,7 @@
                     migration.queue.pop_front();
                 }
             }
-            // It may have been done, or something came between: listed again.
+            // The outcome is unknown, or another write came in between: list again.
             _ => {
                 let migration = &mut self.rollout.migration;
                 migration.again();
@@ -248,7 +248,7 @@
         }
     }
 
-    /// A page of records in the old form.
+    /// Queues a page of records in the old form.
     fn old_records(&mut self, entries: &[Entry], more: bool) {
         let mut unread = None;
         let migration = &mut self.rollout.migration;
@@ -275,7 +275,7 @@
             };
             match read {
                 Some(records) => migration.found += records,
-                // It stays, and keeps the rollout where it is.
+                // An unreadable record stays and blocks the rollout.
                 None => {
                     migration.found += 1;
                     unread = Some(entry.key.clone());
@@ -286,7 +286,10 @@
         migration.after = entries.last().map(|e| e.key.clone()).filter(|_| more);
         if !more && migration.found == 0 {
             migration.clean = true;
-            info!(moved = migration.moved, "nothing old is left");
+            info!(
+                moved = migration.moved,
+                "migration finished, no old records are left"
+            );
         } else if !more && migration.queue.is_empty() {
             migration.again();
             migration.retry = self.clock.now + BACK_OFF * 10;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! The service as a state machine: inputs go in, and what to send, write and
-//! answer comes out. Nothing here reads a clock or touches a socket.
+//! The service as a state machine: it takes inputs and returns what to send, write and answer.
+//! Nothing here reads a clock or uses a socket.
 
 pub mod active_job;
 pub mod admission;
@@ -72,27 +72,26 @@
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 const BACK_OFF: Duration = Duration::from_millis(300);
-/// The least time between two rounds of what the leader does by itself.
+/// Minimum time between two periodic rounds of the leader.
 const ROUND: Duration = Duration::from_millis(20);
-/// Final states kept in memory, so that polls for them need no request.
+/// Number of terminal states kept in memory, so that polls for them need no request.
 const TERMINAL_CACHE_MOST: usize = 4096;
 
-/// What a round of the leader has found to be done by others.
+/// Requests that result from a round of the leader.
 struct RoundWork {
-    /// Something waits for a fresh proof of the claim.
+    /// A decision waits for a new proof of the claim.
     needs_proof: bool,
     directs: Vec<Direct>,
     cloud: Option<CloudRequest>,
 }
 
-/// Schedules what waits, where that is due.
+/// Runs a scheduling pass if one is due.
 fn run_due_pass(cluster: &mut ClusterState, now: Duration) {
     if cluster.queue.dirty && now >= cluster.next_pass {
         cluster.pass(now);
     }
 }
 
-/// One controller node.
 pub struct Node {
     config: Arc<Config>,
     clock: Clock,
@@ -117,13 +116,13 @@
     partitioned_zones: partitioned_zones::PartitionedZones,
     maintenance: maintenance::Maintenance,
     dependencies: dependencies::Dependencies,
-    /// Terminal states of jobs by range, where they are stored so.
+    /// Terminal states of jobs by range, if they are stored that way.
     ranges: terminal_states::TerminalRanges,
     forwarded: ForwardedHeartbeats,
     heartbeats: heartbeat::Heartbeats,
     heartbeat_writer: stored_heartbeat::HeartbeatWriter,
     membership: Membership,
-    /// What the leader told for the next one.
+    /// Snapshot that the leader sent for its successor.
     handover: handover::HandoverSnapshot,
     next_handover: Duration,
 }
@@ -168,7 +167,7 @@
         }
     }
 
-    /// Takes one input and returns everything that follows from it.
+    /// Handles one input and returns the resulting outputs.
     pub fn step(&mut self, clock: Clock, input: Input) -> Vec<Output> {
         self.clock = clock;
         match input {
@@ -191,17 +190,17 @@
         std::mem::take(&mut self.out)
     }
 
-    /// It leads and has taken over.
+    /// Returns whether this node leads and has completed the failover.
     pub fn places(&self) -> bool {
         self.cluster.is_some() && self.is_leader()
     }
 
-    /// There are machines whose tasks it does not know yet.
+    /// Returns whether there are machines whose tasks are not known yet.
     pub fn unresolved(&self) -> bool {
         self.cluster.as_ref().is_some_and(ClusterState::unresolved)
     }
 
-    /// Until then what a step has decided as the leader may go out.
+    /// Time until which outputs that a step decided as the leader may be sent.
     pub fn may_act_until(&self) -> Duration {
         self.election.may_act_until()
     }
@@ -224,7 +223,7 @@
         self.out.push(Output::Answer { request, answer });
     }
 
-    /// Whatever is due now.
+    /// Runs everything that is due now.
     fn drive(&mut self) {
         self.drive_watch();
         self.drive_types();
@@ -241,7 +240,7 @@
         self.drive_leader();
     }
 
-    /// What a leader does by itself once it has taken over.
+    /// Runs the leader's periodic work once the failover is complete.
     fn drive_leader(&mut self) {
         let now = self.now();
         if !self.is_leader() {
@@ -251,13 +250,13 @@
             return;
         };
         cluster.wall_ms = self.clock.wall_ms;
-        // A round looks at every machine, and reports come by the hundred a second: it is
-        // done for all that came meanwhile.
+        // A round visits every machine, and hundreds of reports arrive each second, so one
+        // round serves all reports since the last one.
         if now >= cluster.next_round {
             self.run_leader_round();
         } else if self.write_queue.has_news {
-            // Writes do not wait for the round, or the larger the fleet the fewer would
-            // go out.
+            // Writes do not wait for the round: rounds are rarer in a larger fleet, and fewer
+            // writes would be sent.
             self.drive_write_queue();
         }
     }
@@ -281,7 +280,7 @@
         self.drive_write_queue();
     }
 
-    /// The larger the fleet, the longer the pause between two rounds.
+    /// Schedules the next round. The pause grows with the number of machines.
     fn schedule_next_round(&mut self) {
         let now = self.now();
         if let Some(cluster) = &mut self.cluster {
@@ -290,7 +289,7 @@
         }
     }
 
-    /// Decides what is to be sent; none where this node has just stopped leading.
+    /// Plans a round. Returns `None` if this node has just stopped leading.
     fn plan_leader_round(&mut self, proven: Duration) -> Option<RoundWork> {
         let now = self.now();
         let cluster = self.cluster.as_mut()?;
@@ -320,7 +319,8 @@
         }
     }
 
-    /// Machine types are stored, so that a restart in a cloud outage can judge jobs.
+    /// Fetches the machine types if none are stored. They are stored so that a node restarted in
+    /// a cloud outage can decide whether a job can run.
     fn drive_types(&mut self) {
         let now = self.now();
         if self.cache.loaded
@@ -334,11 +334,14 @@
         }
     }
 
-    /// Stores the machine types; where they are too large for that, this process keeps them.
+    /// Stores the machine types, or keeps them in this process only if they are too large.
     fn store_types(&mut self, types: &[MachineType]) {
         let (bytes, most) = (store::encoded_len(&types), self.limits.value_bytes);
         if bytes > most {
-            warn!(bytes, most, "machine types are not stored: too large");
+            warn!(
+                bytes,
+                most, "machine types exceed the value limit and are kept in memory only"
+            );
             self.cache.types = Some(Arc::new(types.to_vec()));
             return;
         }
@@ -384,7 +387,7 @@
         }
     }
 
-    /// Hands an answer of the state service to whatever asked for it.
+    /// Passes a reply of the state service to the code that sent the request.
     fn state_reply(&mut self, purpose: Purpose, reply: StateReply) {
         self.state_answered(&reply);
         match purpose {
@@ -431,9 +434,10 @@
 
     fn watch_answered(&mut self, reply: StateReply) {
         self.watching = false;
-        // Each change ends the watch of every node, and all of them ask again: with many
-        // small jobs that alone was more than the state service takes, and submissions were
-        // refused. Events gather, but for the leader: what it learns late starts late.
+        // Each change ends the watch of every node, and each node sends another one. With many
+        // small jobs, these alone exceeded the state service's request limit, and submissions
+        // were refused. So followers pause to batch events. The leader does not, since a delay
+        // would postpone the start of jobs.
         let pause = match (self.take_events(reply), self.is_leader()) {
             (false, _) => BACK_OFF,
             (true, true) => Duration::ZERO,
@@ -459,8 +463,8 @@
         }
     }
 
-    /// What the leader answers to a report, whichever way it came; none where
-    /// this node does not lead.
+    /// Answers a report, whether it was received directly or forwarded. Returns `None` if this
+    /// node does not lead.
     fn answer_as_leader(&mut self, report: &WorkerReport) -> Option<Answer> {
         let answer = self.answer_report(report);
         if let Some(Answer::Commands { .. }) = answer {
@@ -478,7 +482,7 @@
             return self.keep_lease_alive(report);
         };
         if report.token >> 16 > cluster.claim {
-            // Somebody with a later claim has commanded it.
+            // The worker has received commands under a later claim.
             self.drop_leadership("a worker knows a higher token");
             return None;
         }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -1,6 +1,6 @@
-//! A node's part in rolling out a change of the stored state: what it says of itself, what
-//! it does when it can't read what is stored, operators' orders, and, where it leads, the
-//! steps of the cluster's generation.
+//! A node's part in rolling out a change of the stored state: announcing its abilities, refusing
+//! to act on records that it can't read, handling operators' orders and, as the leader, advancing
+//! the cluster's generation.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,45 +20,45 @@
     terminal_states::PACKED_TERMINAL_STATES,
 };
 
-/// All changes of the stored state that this build knows.
+/// All changes of the stored state that this build supports.
 pub const FEATURES: &[Feature] = &[PACKED_TERMINAL_STATES, PARTITIONED_ZONES_FEATURE, DRAINS];
 
-/// Jobs that need others: no generation of its own, since the records of all other jobs keep
-/// their form. A build that does not know it can't read such a job and stays a standby.
+/// Feature name of jobs that depend on others. It has no generation of its own, since the records
+/// of all other jobs keep their form. A build without it can't read such a job and stays a standby.
 pub const JOB_DEPENDENCIES: &str = "job-dependencies";
 
-/// What operators ask of a node.
+/// Operator's request to a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Ask {
     Status,
     Order(Order),
-    /// Gives the leadership away.
+    /// Transfers the leadership to another node.
     StepDown,
 }
 
 #[derive(Debug, Default)]
 pub struct Rollout {
-    /// Where rollouts are on.
+    /// State machine of the generation, or `None` if rollouts are off.
     machine: Option<Machine>,
-    /// The revision of this process's own record; 0: it is not stored yet.
+    /// Revision of this process's own record; 0 if it is not stored yet.
     started: u64,
     announcing: bool,
     retry: Duration,
-    /// A step of the generation is on its way.
+    /// The write of a new generation record is in flight.
     storing: bool,
     next: Duration,
-    /// Why this node does not act, as it was logged.
+    /// Reason why this node does not act, as last logged.
     refused: Option<String>,
-    /// It gave the leadership away by itself, and until then does not claim it.
+    /// Time until which this node does not claim the leadership, after it gave it away.
     blocked: Duration,
-    /// The last key that could not be read where it is not watched.
+    /// Last key outside the watched prefix whose value could not be parsed.
     unread: Option<String>,
-    /// The process is about to end.
+    /// The process is shutting down.
     retiring: bool,
     pub(super) migration: Migration,
 }
 
-/// How often the leader looks whether the generation can move.
+/// Interval at which the leader checks whether the generation can advance.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
 
 impl Rollout {
@@ -70,7 +70,7 @@
     }
 }
 
-/// What this process is able to: what its build is, less what its operators hold back.
+/// Returns the abilities of this process: those of its build, within the operators' limits.
 pub fn ability(config: Option<&kiteyard_rollout::config::Config>) -> Ability {
     let newest = FEATURES.iter().map(|f| f.since).max().unwrap_or(OLDEST);
     let most = config
@@ -90,14 +90,14 @@
 }
 
 impl Node {
-    /// The stored forms are of a generation that this process can't read, or that it
-    /// can't tell: it can prove nothing about jobs.
+    /// Returns whether the stored records are of a generation that is unknown or that this
+    /// process can't read. If so, it can't prove anything about jobs.
     pub(super) fn cannot_read_state(&self) -> bool {
         !self.cache.cluster.0.suits(&self.config.ability)
             || self.cache.unreadable.contains_key(GENERATION)
     }
 
-    /// Why this node takes no requests and does not lead, if so.
+    /// Reason why this node accepts no requests and does not lead, if there is one.
     pub(super) fn refusal_reason(&self) -> Option<String> {
         if let Some(key) = self.cache.unreadable.keys().next() {
             return Some(format!("{key} can't be read, a newer build is needed"));
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Whether this node may claim the leadership, as far as stored forms go.
+    /// Returns whether the stored records and the process's state allow a claim of the leadership.
     pub(super) fn may_claim(&self) -> bool {
         !self.rollout.retiring
             && self.now() >= self.rollout.blocked
@@ -122,8 +122,8 @@
         !self.rollout.retiring && self.refusal_reason().is_none()
     }
 
-    /// Every node said that it knows jobs that need others. Where rollouts are off nobody says
-    /// anything, and operators answer for it.
+    /// Returns whether every node announced support for job dependencies. While rollouts are off
+    /// nodes announce nothing, and operators have to ensure it.
     pub(super) fn all_know_dependencies(&self) -> bool {
         let gone = &self.cache.orders.0.gone;
         let mut nodes = self.configured().filter(|node| !gone.contains(*node));
@@ -134,7 +134,7 @@
         self.rollout.machine.is_none() || nodes.all(knows)
     }
 
-    /// A record outside of what is watched can't be read.
+    /// Logs, once in a row, a key outside the watched prefix whose value can't be parsed.
     pub(super) fn report_unreadable(&mut self, key: &str) {
         if self.rollout.unread.as_deref() != Some(key) {
             error!(key, "a record can't be read, a newer build is needed");
@@ -142,16 +142,16 @@
         }
     }
 
-    /// The failover found a record that it can't read: what it says may be that a task
-    /// runs, so nobody starts anything here. Another node may be able to.
+    /// Gives up a failover that found a record it can't parse. The record may say that a task is
+    /// running, so starting tasks is unsafe. Another node may be able to parse it.
     pub(super) fn abort_failover(&mut self, key: &str) {
         self.report_unreadable(key);
         self.step_down("a stored record can't be read");
     }
 
-    /// Hands over, or where a previous leader may still act, only leaves the place. For a
-    /// leader's lease it does not take it again: workers go on coming here until they
-    /// have found the next one.
+    /// Transfers the leadership to a successor, or only gives it up if a previous leader may still
+    /// act. This node does not claim it again for the duration of a leader's lease, since workers
+    /// keep reporting here until they have found the next leader.
     fn step_down(&mut self, why: &str) {
         self.rollout.blocked = self.now() + self.config.leader_ttl;
         let to = match self.has_previous_leader_stopped() {
@@ -161,8 +161,8 @@
         self.transfer_leadership(to, why);
     }
 
-    /// The node that should lead next: one that is served and able to, and of those
-    /// the one that hears most workers.
+    /// Returns the node that should lead next: of those that the state service answers and that
+    /// can read the stored records, the one that hears from most workers.
     fn successor(&self) -> Option<String> {
         let (nodes, now) = (&self.membership.nodes, self.now());
         let able = |node: &String| {
@@ -180,13 +180,13 @@
         let refuses = self.refusal_reason();
         if refuses != self.rollout.refused {
             match &refuses {
-                Some(why) => error!(why, "refuses"),
-                None => info!("serves again"),
+                Some(why) => error!(why, "refuses to serve and to lead"),
+                None => info!("serves requests again"),
             }
             self.rollout.refused = refuses;
         }
         if self.rollout.refused.is_some() && self.claim().is_some() {
-            self.step_down("it can't read what is stored");
+            self.step_down("it can't read the stored state");
         }
         if self.rollout.machine.is_none() {
             return;
@@ -208,16 +208,22 @@
         };
         for step in steps {
             match step {
-                Step::SoakBegins => info!(generation = before.to, "soak begins"),
+                Step::SoakBegins => info!(generation = before.to, "soak period started"),
                 Step::SoakBeginsAgain(why) => {
-                    info!(generation = before.to, why, "soak begins again");
+                    info!(generation = before.to, why, "soak period restarted");
                 }
                 Step::Store {
                     cluster,
                     why,
                     nodes,
                 } => {
-                    info!(from = before.from, to = cluster.to, stage = %cluster.stage, why, "generation");
+                    info!(
+                        from = before.from,
+                        to = cluster.to,
+                        stage = %cluster.stage,
+                        why,
+                        "storing the next step of the cluster's generation"
+                    );
                     self.rollout.storing = true;
                     let mut conditions = vec![when(LEADER, claim), when(GENERATION, view.revision)];
                     let seen = nodes.iter();
@@ -234,15 +240,15 @@
         }
     }
 
-    /// Says in the state service what this process is able to: once, when it starts, so
-    /// that a step which counted on the process before it fails.
+    /// Stores this process's abilities once, when it starts. This makes a step fail that relied on
+    /// the abilities of the node's previous process.
     fn announce(&mut self) {
         let (now, node) = (self.now(), self.config.node.clone());
         let stored = self.cache.nodes.get(&node).map_or(0, |(_, at)| *at);
         let rollout = &mut self.rollout;
         if rollout.started > 0 && self.cache.cursor >= rollout.started && stored != rollout.started
         {
-            // A write of the process before came late.
+            // A late write of the previous process replaced this one's record.
             rollout.started = 0;
         }
         if rollout.started > 0 || rollout.announcing || now < rollout.retry {
@@ -269,7 +275,7 @@
         }
     }
 
-    /// What a heartbeat tells of this process.
+    /// Returns what a heartbeat says about this process's rollout state.
     pub(super) fn told(&self) -> Option<Told> {
         let started = self.rollout.started;
         (started > 0).then_some(Told {
@@ -280,7 +286,8 @@
 
     pub(super) fn generation_stored(&mut self, reply: &StateReply) {
         self.rollout.storing = false;
-        // The watch brings it; until then the next look would ask for the same again.
+        // Waits for the watch to deliver the record; before that, the next check would store the
+        // same step again.
         let wait = match reply {
             StateReply::Committed { .. } => BACK_OFF,
             _ => BACK_OFF * 3,
@@ -288,7 +295,7 @@
         self.rollout.next = self.now() + wait;
     }
 
-    /// No record is left of what a generation that is being left has stored.
+    /// Returns whether no record is left of the features that the written generation lacks.
     fn nothing_left(&self) -> bool {
         let written = self.cache.cluster.0.written();
         let no_zones = written >= PARTITIONED_ZONES_FEATURE.since
@@ -355,12 +362,12 @@
         }
     }
 
-    /// The process is about to end: it takes no more requests and gives the leadership
-    /// away first.
+    /// Prepares the end of the process: it accepts no more requests and transfers the
+    /// leadership.
     pub(super) fn retire(&mut self) {
         self.rollout.retiring = true;
         if self.claim().is_some() && self.has_previous_leader_stopped() {
-            self.step_down("it is about to end");
+            self.step_down("the process is shutting down");
         }
     }
 
@@ -377,7 +384,7 @@
         let (mut orders, revision) = self.cache.orders.clone();
         let config = self.config.options.rollout.as_ref();
         match (order, config) {
-            // By hand, the newest has to be named.
+            // Without automatic rollouts, the newest generation has to be an explicit target.
             (Order::Newest, Some(config)) if !config.automatic => {
                 let newest = ability(None).most;
                 let newest = config.held_to(FEATURES).unwrap_or(newest);
@@ -394,7 +401,7 @@
         );
     }
 
-    /// What is wrong with an order, if anything.
+    /// Reason why an order is invalid, if it is.
     fn objection(&self, order: &Order) -> Option<String> {
         match order {
             Order::Forget(node) if !self.configured().any(|known| known == node) => {
@@ -402,7 +409,7 @@
                 Some(format!("no node {node}, there are: {}", nodes.join(", ")))
             }
             Order::Forget(node) if self.is_alive(node) => {
-                Some(format!("{node} is here: end it before it is forgotten"))
+                Some(format!("{node} is running: stop it before it is forgotten"))
             }
             Order::Target(target) => {
                 let (oldest, newest) = (OLDEST, ability(None).most);
@@ -415,7 +422,7 @@
                     .iter()
                     .filter(|f| *target < f.since && f.since <= now);
                 let stuck = left.find(|f| !f.way_back)?;
-                Some(format!("{} has no way back", stuck.name))
+                Some(format!("{} can't be downgraded", stuck.name))
             }
             _ => None,
         }
@@ -435,8 +442,8 @@
         self.answer(request, answer);
     }
 
-    /// Seconds to the end of what is under way, as far as that can be told: the rest of the
-    /// soak, or of the records found so far at the share that the file allows.
+    /// Estimated seconds until the present stage ends, if known: the rest of the soak, or the time
+    /// to rewrite the records found so far at the configured share of the change rate.
     fn rest_of_the_move(&self, soaked: Duration) -> Option<f64> {
         let config = self.config.options.rollout.as_ref()?;
         match self.cache.cluster.0.stage {
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -1,7 +1,7 @@
 //! A node's cache of the live keys, kept current by watching the state service.
 //!
-//! A watch that does not wait proves the cache as new as the moment it was sent,
-//! so one such request serves every poll that came before it.
+//! The reply to a watch with a zero wait proves that the cache is as recent as the moment the
+//! watch was sent, so one such request serves every poll received before it.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -20,12 +20,12 @@
     stored_heartbeat::StoredHeartbeat,
 };
 
-/// Who leads, in the leader key.
+/// Value of the leader key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaderRecord {
     pub node: String,
-    /// It took the place of one that may act for another term.
+    /// The leader replaced one whose term may not have ended yet.
     pub superseded: bool,
 }
 
@@ -38,34 +38,34 @@
 #[derive(Debug, Default)]
 pub struct StateCache {
     pub loaded: bool,
-    /// Every change up to this revision is in the cache.
+    /// Revision up to which all changes are in the cache.
     pub cursor: u64,
     pub leader: Option<(LeaderRecord, u64)>,
-    /// Revision of the last claim, whoever made it.
+    /// Revision of the last claim by any node.
     pub claims: u64,
-    /// The last claim that is settled.
+    /// Revision of the last settled claim.
     pub settled: u64,
     pub types: Option<Arc<Vec<MachineType>>>,
     pub jobs: BTreeMap<JobId, LiveJob>,
-    /// Jobs that this node has ended, and the revision, until the watch has come that far:
-    /// an older change that arrives meanwhile must not bring one back.
+    /// Jobs that this node has ended, with the revision of the end, until the cursor reaches it:
+    /// an older change that arrives in between must not restore the job.
     ended: BTreeMap<JobId, u64>,
-    /// The generation of the stored forms, and the revision of its key; 0: there is none.
+    /// Generation of the stored records, and the revision of its key; 0 if the key is missing.
     pub cluster: (Cluster, u64),
     pub orders: (Orders, u64),
-    /// Zones that are partitioned, and the revision; 0: there is no such key.
+    /// Partitioned zones, and the revision of the key; 0 if the key is missing.
     pub partitioned_zones: (PartitionedZonesRecord, u64),
-    /// Machines that are to be emptied, and the revision; 0: there is no such key.
+    /// Machines to be drained, and the revision of the key; 0 if the key is missing.
     pub drains: (Drains, u64),
-    /// What nodes' processes said they are able to, and the revision; none where this one
-    /// can't read it.
+    /// Abilities announced by each node's process, and the revision of the record. `None` if
+    /// this build can't parse the record.
     pub nodes: BTreeMap<String, (Option<Ability>, u64)>,
-    /// Keys that are there and can't be read. What they say is not known, so nothing may
-    /// be done as if they were not there.
+    /// Keys whose values can't be parsed, with their revisions. Such a key must not be treated
+    /// as missing, since its content is unknown.
     pub unreadable: BTreeMap<String, u64>,
 }
 
-/// What a change means to the node.
+/// Change of the cache that the node reacts to.
 #[derive(Debug, PartialEq)]
 pub enum StateChange {
     JobAdded(JobId),
@@ -77,12 +77,12 @@
 }
 
 impl StateCache {
-    /// Whether what is stored of this job can't be read.
+    /// Returns whether the job's stored record can't be parsed.
     pub fn is_unreadable(&self, id: &JobId) -> bool {
         !self.unreadable.is_empty() && self.unreadable.contains_key(&job_key(id))
     }
 
-    /// The leader took the place of one that may still act.
+    /// Returns whether the leader replaced one that may still act.
     pub fn unsettled(&self) -> bool {
         let leader = self.leader.as_ref();
         leader.is_some_and(|(record, version)| record.superseded && self.settled != *version)
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes in the events of a watch. Those seen already are passed over.
+    /// Applies the events of a watch and skips those already seen.
     pub fn advance(&mut self, events: &[Event], revision: u64) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let cursor = self.cursor;
@@ -111,7 +111,8 @@
         changes
     }
 
-    /// What a key holds now; none where it is gone, or can't be read, which is kept in mind.
+    /// Parses the new value of a key. Returns `None` if the key was deleted, or if its value
+    /// can't be parsed, in which case the key is recorded as unreadable.
     fn read<T: DeserializeOwned>(&mut self, event: &Event) -> Option<T> {
         let value = event.value.as_ref();
         let read = value.map(|value| serde_json::from_str(value.get()));
@@ -135,7 +136,7 @@
                 return Some(StateChange::LeaderKey);
             }
             CLAIMS => self.claims = if event.value.is_some() { revision } else { 0 },
-            // One that can't be read leaves a claim unsettled, which is the careful side.
+            // An unreadable value leaves the claim unsettled, which is the safe side.
             SETTLED => self.settled = self.read(event).unwrap_or_default(),
             TYPES => {
                 self.types = self.read(event).map(Arc::new);
@@ -163,7 +164,7 @@
                 let revision = if event.value.is_some() { revision } else { 0 };
                 self.drains = (self.read(event).unwrap_or_default(), revision);
             }
-            // It decides nothing that is stored: one that can't be read is just no heartbeat.
+            // No stored record depends on this key, so an unreadable value is ignored.
             STORED_HEARTBEAT => {
                 let stored_heartbeat = event.value.as_ref()?;
                 return serde_json::from_str(stored_heartbeat.get())
@@ -196,7 +197,7 @@
             Some(record) => self
                 .add_job(id.clone(), record, event.revision)
                 .then_some(StateChange::JobAdded(id)),
-            // What was known of it before may not be what it is now.
+            // The record is unreadable, so what the cache holds may be outdated.
             None if event.value.is_some() => None,
             None => self
                 .jobs
@@ -215,7 +216,7 @@
         !known
     }
 
-    /// The end of a job that this node has stored, known before the watch brings it.
+    /// Applies the end of a job that this node has stored, before the watch delivers it.
     pub fn committed_end(&mut self, id: &JobId, revision: u64) {
         if revision > self.cursor {
             self.jobs.remove(id);
@@ -223,9 +224,9 @@
         }
     }
 
-    /// A change of this node's own, known before the watch brings it. One that
-    /// the watch has brought already may be outdated, so it is passed over. So is one that
-    /// comes while everything is read again: the job may be over before the first page.
+    /// Applies a job record that this node has stored, before the watch delivers it. Skips a
+    /// record that the watch has already delivered, since it may be outdated. Also skips any
+    /// record during a reload: the job may have ended before the first page was listed.
     pub fn committed_job(&mut self, id: &JobId, record: JobRecord, version: u64) -> bool {
         self.loaded && version > self.cursor && self.add_job(id.clone(), record, version)
     }
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -1,4 +1,4 @@
-//! What the core asks of the state service, what it hears back, and the keys it uses.
+//! Requests to the state service, its replies, and the keys in use.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 
 use super::{job::JobId, results::ChunkPart};
 
-/// Everything a follower has to keep in sight: the leader, machine types and active jobs.
+/// Key prefix of everything a follower watches, such as the leader, machine types and active jobs.
 pub const LIVE: &str = "live/";
 pub const LEADER: &str = "live/leader";
-/// Changed by each claim, and by nothing else: the leader key comes and goes, so its absence
-/// alone does not tell a claim that is applied late that others have led meanwhile.
+/// Key changed by each claim and by nothing else. The leader key expires, so its absence does not
+/// show a claim that is applied late that another node has led in between.
 pub const CLAIMS: &str = "live/claims";
-/// The last claim whose holder knows that whoever led before has stopped acting.
+/// Key of the last claim whose holder knows that the previous leader has stopped acting.
 pub const SETTLED: &str = "live/settled";
 pub const TYPES: &str = "live/types";
-/// The generation of the stored forms, and what operators want of it.
+/// Keys of the generation of the stored records, and of the operators' orders about it.
 pub const GENERATION: &str = "live/generation";
 pub const ORDERS: &str = "live/orders";
-/// Machines that operators want emptied.
+/// Key of the machines that operators want drained.
 pub const DRAINS: &str = "live/drains";
-/// Zones that are partitioned, and since when nobody there was answered.
+/// Key of the partitioned zones, with the time since when no worker there got an answer.
 pub const PARTITIONED: &str = "live/apart";
-/// The leader's last heartbeat, while some node may not hear it.
+/// Key of the leader's last heartbeat, stored while some node may not receive heartbeats.
 pub const STORED_HEARTBEAT: &str = "live/sign";
-/// What each node's process is able to.
+/// Key prefix of the abilities of each node's process.
 pub const NODES: &str = "live/node/";
 pub const JOBS: &str = "live/job/";
-/// Terminal states of jobs, one a key, and packed by range.
+/// Key prefixes of terminal states: one job per key, and packed by range.
 pub const TERMINAL_STATES: &str = "final/";
 pub const TERMINAL_RANGES: &str = "ends/";
 pub const PROGRESS: &str = "progress/";
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Condition {
     pub key: String,
-    /// Revision of the key's last change; 0: the key does not exist.
+    /// Revision of the key's last change; 0 if the key must not exist.
     pub version: u64,
 }
 
@@ -80,7 +80,7 @@
     },
 }
 
-/// Bytes that a value takes.
+/// Size of the encoded value in bytes.
 pub fn encoded_len(value: &impl Serialize) -> usize {
     serde_json::to_string(value).map_or(usize::MAX, |text| text.len())
 }
@@ -137,7 +137,7 @@
 #[derive(Debug, Clone)]
 pub struct Event {
     pub key: String,
-    /// The new value, or none where the key was removed.
+    /// New value, or `None` if the key was deleted.
     pub value: Option<Box<RawValue>>,
     pub revision: u64,
 }
@@ -165,14 +165,14 @@
         revision: u64,
     },
     TooOld,
-    /// Not executed, and the same request never will be: it is larger than the service takes
-    /// now, or malformed.
+    /// Not executed, and retrying the same request won't help: it exceeds the service's present
+    /// size limits or is malformed.
     Rejected,
-    /// Not executed: over a limit of requests, or in an outage.
+    /// Not executed because of a rate limit or an outage.
     Refused {
         retry: Option<Duration>,
         limited: bool,
     },
-    /// No answer: the request may have been executed, or may be later.
+    /// No reply: the request may have been executed, or may still be.
     Unclear,
 }
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -1,4 +1,4 @@
-//! Reading what is stored, once and then by watching, and what each change means here.
+//! Loads the live keys from the state service, watches them, and applies each change to the node.
 
 use std::time::Duration;
 
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Asks for what is not in the cache yet. One that does not wait proves the cache.
+    /// Request for the changes after the cursor. With a zero wait, its reply proves that the
+    /// cache is current.
     pub(super) fn watch(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
             prefix: LIVE.into(),
@@ -52,8 +53,8 @@
             self.retry_load = self.now() + BACK_OFF;
             return;
         };
-        // Pages are read one after another; the watch from the first page's
-        // revision on brings whatever changed meanwhile.
+        // Pages are read one after another. The watch starts at the revision of the first page,
+        // so it delivers every change made while the others were read.
         if !after {
             self.cache.cursor = revision;
         }
@@ -75,11 +76,11 @@
         }
     }
 
-    /// Takes in the events of a watch; says whether the cache is proven.
+    /// Applies the reply to a watch. Returns whether it proves the cache.
     ///
-    /// While everything is read again there is no copy that events could continue: what is
-    /// set before the first page and deleted before it as well would stay for ever, and an
-    /// empty copy is no proof that a job is unknown.
+    /// Events are ignored during a reload: a key set and deleted before the first page was
+    /// listed would stay in the cache for good. An incomplete cache also does not prove that a
+    /// job is unknown.
     pub(super) fn take_events(&mut self, reply: StateReply) -> bool {
         if !self.cache.loaded {
             return false;
@@ -92,9 +93,9 @@
                 true
             }
             StateReply::TooOld => {
-                // Too much was missed: everything is read again.
+                // The state service no longer has the changes after the cursor: reload all keys.
                 self.cache.loaded = false;
-                self.drop_leadership("fell behind the state service");
+                self.drop_leadership("the watch fell behind the state service's history");
                 false
             }
             _ => false,
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -1,5 +1,5 @@
-//! What the leader writes: the assignment index, results, and terminal states of jobs. Every write
-//! depends on its claim, so one that is applied late changes nothing.
+//! The leader's writes: the assignment index, results, and terminal states of jobs. Every write is
+//! conditional on the leader's claim, so one that is applied late changes nothing.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
         claim: u64,
         listings: Vec<ShardWrite>,
     },
-    /// Reads a shard of the assignment index again whose write was not answered.
+    /// Rereads a shard of the assignment index after a write with an unknown outcome.
     Reread {
         claim: u64,
         shard: u32,
@@ -37,7 +37,7 @@
         set: TaskSet,
         chunks: Vec<ChunkPart>,
     },
-    /// Reads results of a job again whose write was not answered.
+    /// Rereads results of a job after a write with an unknown outcome.
     RereadProgress {
         claim: u64,
         id: JobId,
@@ -46,11 +46,11 @@
     Finish {
         claim: u64,
         ended: Vec<(JobId, TerminalRecord)>,
-        /// Their range as it will be, where they are stored so.
+        /// The jobs' range with its new content, if terminal states are stored by range.
         ends: Option<(Range, TerminalStates)>,
         keys: Vec<String>,
     },
-    /// Reads a range of ends that is to be written.
+    /// Reads a range of terminal states before it is written.
     ReadRange {
         claim: u64,
         range: Range,
@@ -61,37 +61,37 @@
     },
 }
 
-/// How many writes are out, and what the budget allows.
+/// Writes in flight, and the write budget.
 #[derive(Debug)]
 pub struct WriteQueue {
-    /// Changes a second, now.
+    /// Present rate in changes per second.
     rate: f64,
     rates: WriteRate,
-    /// Writes in a row that were rejected and could not be made smaller.
+    /// Consecutive writes that were rejected and can't be made smaller.
     stuck: u32,
     allowance: f64,
     refilled: Duration,
     in_flight: u32,
     retry: Duration,
-    /// A write was answered: what waited for it goes out at once.
+    /// A write was answered, so writes that depend on it can be sent at once.
     pub(super) has_news: bool,
 }
 
 const IN_FLIGHT: u32 = 6;
-/// How often the pause doubles while a rejected write can't be made smaller.
+/// Maximum number of times the pause doubles while a rejected write can't be made smaller.
 const STUCK_DOUBLES: u32 = 4;
-/// Results are stored together with those that follow within this time.
+/// Time for which results are collected before they are written together.
 const GATHER: Duration = Duration::from_millis(1500);
 
-/// After a write, a range of ends is left alone for so long: submissions in the same range
-/// depend on it. The protocol allows a late `done` by 3 s.
+/// Minimum time between two writes of a range of terminal states. Concurrent
+/// submissions in the range are conditional on its key. The protocol allows `done` to be 3 s late.
 const RANGE_RESTS: Duration = Duration::from_secs(1);
 
-/// A write, and what it depends on and changes.
+/// Write with its conditions and changes.
 type PreparedWrite = (QueuedWrite, Vec<super::store::Condition>, Vec<Change>);
 
 impl ClusterState {
-    /// Stores the results of the job whose oldest one came first, if that was before.
+    /// Prepares a write for the job with the oldest unsaved result, if that arrived by `before`.
     fn next_progress_write(
         &mut self,
         before: Duration,
@@ -125,7 +125,7 @@
         Some((write, conditions, changes))
     }
 
-    /// What came of a write of results.
+    /// Handles the reply to a write of results.
     fn progress_saved(
         &mut self,
         id: &JobId,
@@ -140,7 +140,7 @@
         job.saving = false;
         match reply {
             StateReply::Committed { revision } => job.saved.written(set, chunks, *revision),
-            // It changed nothing and never will.
+            // The write was not executed and never will be.
             StateReply::Refused { .. } | StateReply::Rejected => {}
             _ => job.saved.unclear(chunks),
         }
@@ -149,8 +149,8 @@
         }
     }
 
-    /// What is stored of a job's results, as read after an unclear write; false where that
-    /// is still not known.
+    /// Handles the reply to a reread of a job's results. Returns whether their stored state is
+    /// known now.
     fn progress_reread(&mut self, id: &JobId, chunk: ChunkPart, reply: &StateReply) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             return true;
@@ -195,12 +195,12 @@
         self.allowance = (self.allowance + passed * self.rate).min(self.rate);
     }
 
-    /// A write was refused for the rate.
+    /// Handles a write that was refused because of the rate limit.
     pub fn limited(&mut self, now: Duration) {
         self.rates.limited(now);
     }
 
-    /// A write was rejected; it will be made smaller, or can't be.
+    /// Handles a rejected write; `smaller` tells whether the next one will be smaller.
     pub fn rejected(&mut self, smaller: bool) {
         self.stuck = match smaller {
             true => 0,
@@ -208,25 +208,25 @@
         };
     }
 
-    /// How long writes pause after one that failed.
+    /// Delay before the next write after a failed one.
     fn pause(&self) -> Duration {
         BACK_OFF * 2_u32.pow(self.stuck.min(STUCK_DOUBLES))
     }
 
-    /// There is room beside what has to be written.
+    /// Returns whether the budget has room for optional writes.
     pub fn has_spare_budget(&self) -> bool {
         self.allowance > self.rate / 4.0
     }
 
-    /// Changes that users' requests caused, on any node: they come first, and the
-    /// leader makes do with the rest.
+    /// Charges the budget for changes outside the queue, mostly users' requests at any node:
+    /// those come first, and the leader's own writes use the rest.
     pub fn charge(&mut self, changes: f64) {
         self.allowance = (self.allowance - changes).max(-self.rate);
     }
 }
 
 impl Node {
-    /// What has to be written goes out, and then old records are rewritten.
+    /// Sends pending writes, then continues the migration of old records.
     pub(super) fn drive_write_queue(&mut self) {
         self.send_writes();
         self.drive_migration();
@@ -242,7 +242,7 @@
                 .limit_values(self.limits.value_bytes);
         }
         while self.write_queue.in_flight < IN_FLIGHT && now >= self.write_queue.retry {
-            // One change has to be affordable; a larger transaction borrows.
+            // The allowance has to cover one change; a larger transaction overdraws it.
             if self.write_queue.allowance < 1.0 {
                 return;
             }
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Reads one shard of the assignment index again whose write was not answered.
+    /// Rereads one shard of the assignment index after a write with an unknown outcome.
     fn reread_shard(&mut self, claim: u64) -> bool {
         let unsure = self
             .cluster
@@ -283,8 +283,8 @@
         true
     }
 
-    /// Reads results again whose write was not answered. An end of the job stores what
-    /// matters and takes them away, so it does not wait for that.
+    /// Rereads results after a write with an unknown outcome. The write that ends a job does not
+    /// wait for this, since it stores the terminal state and deletes the results.
     fn reread_progress(&mut self, claim: u64) -> bool {
         let Some(cluster) = self.cluster.as_mut() else {
             return false;
@@ -306,7 +306,7 @@
         true
     }
 
-    /// The job whose end is to be stored next, of those whose range may be written.
+    /// Returns the next complete job to store as ended, among those whose range may be written.
     fn complete_job(&self, now: Duration) -> Option<&JobId> {
         let packed = self.packs_terminal_states();
         let cluster = self.cluster.as_ref()?;
@@ -318,12 +318,12 @@
             .map(|(id, _)| id)
     }
 
-    /// Terminal states of jobs are stored by range.
+    /// Returns whether terminal states of jobs are stored by range.
     fn packs_terminal_states(&self) -> bool {
         terminal_states::place(self.cache.cluster.0.written()) == Place::Packed
     }
 
-    /// Reads the range where the next end of a job goes, if it is not known.
+    /// Reads the range that the next terminal state belongs to, if its content is unknown.
     fn read_range_to_write(&mut self, now: Duration, claim: u64) -> bool {
         if !self.packs_terminal_states() {
             return false;
@@ -342,8 +342,8 @@
         true
     }
 
-    /// Stores the end of a job that is complete, and with it those of others in the same
-    /// range, which cost one change less each.
+    /// Prepares the write that ends a complete job, together with other complete jobs in the
+    /// same range, which cost one change less each.
     fn next_finish_write(&mut self, now: Duration, claim: u64) -> Option<PreparedWrite> {
         let most = self.limits.txn_ops;
         let (cluster, generation) = self.cache.cluster;
@@ -377,7 +377,7 @@
         let terminal_write = terminal_states::terminal_write(&cluster, &ended, &self.ranges)?;
         conditions.extend(terminal_write.conditions);
         changes.extend(terminal_write.changes);
-        // What does not fit into this transaction goes with a later one.
+        // Keys that do not fit into this transaction are deleted by a later one.
         let rest = keys.split_off(keys.len().min(most.saturating_sub(changes.len())));
         changes.extend(keys.into_iter().map(delete));
         for (id, _) in &ended {
@@ -404,7 +404,7 @@
         }
 
         let cluster = self.cluster.as_mut()?;
-        // Starts wait for their job to be listed with their machine.
+        // Tasks start only after the assignment index lists their job for the machine.
         if let Some((listings, conditions, changes)) = cluster.assignment_index_write(true, most) {
             return Some((
                 QueuedWrite::AssignmentIndex { claim, listings },
@@ -424,7 +424,7 @@
                 changes,
             ));
         }
-        // Removing what is left over waits until there is plenty of room.
+        // Leftover keys are deleted only while at least half of the budget is free.
         if !cluster.garbage.is_empty() && self.write_queue.allowance > self.write_queue.rate / 2.0 {
             let count = cluster.garbage.len().min(most / 4);
             let keys: Vec<String> = cluster.garbage.drain(..count).collect();
@@ -508,7 +508,7 @@
                         job.saving = false;
                     }
                     if committed {
-                        info!(job = %id, "job done");
+                        info!(job = %id, "job completed");
                         cluster.remove_job(id, now);
                     }
                 }
