--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -1,6 +1,6 @@
-//! Every stored form and peer message of every generation, kept as files: one that changes
-//! without a new generation fails here. And what is read of a form that is not quite one of
-//! these: the same meaning or nothing, never a guess.
+//! Golden files with every stored record and peer message of every generation: a form that changes
+//! without a new generation fails here. An unknown form must be rejected or read with the same
+//! meaning.
 
 use kiteyard::{
     core::{
@@ -24,7 +24,7 @@
 const SECOND: &str = include_str!("forms/generation-2.jsonl");
 const THIRD: &str = include_str!("forms/generation-3.jsonl");
 const FOURTH: &str = include_str!("forms/generation-4.jsonl");
-/// What job dependencies add: left out where there are none.
+/// Records with job dependencies, whose fields are omitted if there are none.
 const DEPENDENCIES: &str = include_str!("forms/dependencies.jsonl");
 const PEERS: &str = include_str!("forms/peers.jsonl");
 
@@ -44,9 +44,9 @@
     serde_json::to_string(&ShardRecord::parse(text)?).ok()
 }
 
-/// What the service reads of a stored value, written again.
+/// Parses a stored value as the service does and encodes it again.
 fn read(key: &str, text: &str) -> Option<String> {
-    let (first, rest) = key.split_once('/').expect("a key with a prefix");
+    let (first, rest) = key.split_once('/').expect("key with a prefix");
     match (first, rest) {
         ("live", "leader") => again::<LeaderRecord>(text),
         ("live", "settled") => again::<u64>(text),
@@ -95,7 +95,7 @@
     }
 }
 
-/// A record of a job that needs no other reads as it did before there were dependencies.
+/// The record of a job without dependencies has the same form as before dependencies were added.
 #[test]
 fn a_job_without_needs_keeps_its_bytes() {
     let with_needs = DEPENDENCIES
@@ -105,7 +105,7 @@
     for line in with_needs {
         let mut line: Value = serde_json::from_str(line).expect("JSON");
         let spec = line["value"]["spec"].as_object_mut().expect("a job");
-        spec.remove("needs").expect("what it needs");
+        spec.remove("needs").expect("needs field");
         let plain = line["value"].to_string();
         let record: JobRecord = serde_json::from_str(&plain).expect("a job");
         assert!(record.spec.needs.is_empty());
@@ -149,8 +149,8 @@
     }
 }
 
-/// The smallest value that a state service takes holds the ends of a whole range; the times go
-/// first, never an end.
+/// The terminal states of a whole range fit into the smallest value limit of a state service. Their
+/// times may be dropped for this, but never a terminal state.
 #[test]
 fn a_full_range_fits_into_the_smallest_value() {
     let mut ends = TerminalStates::default();
@@ -179,7 +179,7 @@
     }
 }
 
-/// What a later form may do to a value, somewhere in it.
+/// Change that a later form may make somewhere in a value.
 #[derive(Debug, Clone)]
 enum Change {
     Remove,
@@ -207,7 +207,7 @@
     ]
 }
 
-/// Changes the place that `path` leads to.
+/// Applies a change to the element at `path`.
 fn apply(value: &mut Value, path: &[usize], change: &Change) {
     let deeper = match (&mut *value, path) {
         (Value::Object(fields), [at, ..]) if !fields.is_empty() => {
@@ -259,7 +259,7 @@
     }
 }
 
-/// Everything that `said` says was `read`, and nothing but emptiness was added.
+/// Returns whether `read` has everything in `said` and adds nothing but empty values.
 fn same(said: &Value, read: &Value) -> bool {
     let empty = |value: &Value| match value {
         Value::Null => true,
@@ -282,7 +282,7 @@
     }
 }
 
-/// Texts with a form of their own: nothing of them was passed over.
+/// Returns whether nothing in a text of a special format was ignored.
 fn same_text(key: &str, said: &str, read: &str) -> bool {
     let entries = |text: &str| text.split(',').filter(|e| !e.is_empty()).count();
     let bits = |text: &str| -> Option<u32> {
@@ -320,11 +320,11 @@
             let told = match (&said, &read) {
                 (Value::String(said), Value::String(read)) if key == "live/claims" => said == read,
                 (Value::String(said), Value::String(read)) => same_text(key, said, read),
-                // What a later build says beside what it is able to is its own affair.
+                // A later build may add fields to its abilities.
                 _ if key.starts_with("live/node/") => true,
                 _ => same(&said, &read),
             };
-            prop_assert!(told, "{key}: {said} was read as {read}");
+            prop_assert!(told, "{key}: {said} was parsed as {read}");
         }
     }
 
@@ -337,12 +337,12 @@
         let all: Vec<&str> = PEERS.lines().collect();
         let mut said: Value = serde_json::from_str(all[which.index(all.len())]).expect("JSON");
         apply(&mut said, &path, &change);
-        // Unknown fields are ignored between nodes, as the protocol has it for all.
+        // The protocol requires that unknown fields are ignored between nodes.
         let adds = matches!(change, Change::Add | Change::Rename)
             || said.to_string().contains(r#""form":9"#);
         if let Some(read) = again::<Line>(&said.to_string()) {
             let read: Value = serde_json::from_str(&read).expect("JSON");
-            prop_assert!(adds || same(&said, &read), "{said} was read as {read}");
+            prop_assert!(adds || same(&said, &read), "{said} was parsed as {read}");
         }
     }
 }
--- a/tests/next_limits.rs
+++ b/tests/next_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the state service that the settings announce.
+//! Limits of the state service announced in the settings.
 
 mod node_settings;
 
@@ -22,7 +22,7 @@
     assert_eq!((lower.value_most, lower.txn_ops), (2048, 5));
     assert_eq!(
         lower.writes, 27.0,
-        "the rate of today is used until it falls"
+        "the present rate is used until it falls"
     );
     assert_eq!(lower.writes_next, Some(13.5));
 
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -1,6 +1,6 @@
-//! Real processes of two builds, rolled forth and back under load. The old build is this
-//! one with `reads_most = 1`, or the program that `KITEYARD_OLD_BUILD` names
-//! (`scripts/roll-two-builds` makes one from the history).
+//! Upgrades and downgrades real processes between two builds under load. The old build is this one
+//! with `reads_most = 1`, or the program in `KITEYARD_OLD_BUILD` (`scripts/roll-two-builds` builds
+//! one from the history).
 
 use std::{
     path::PathBuf,
@@ -22,7 +22,7 @@
 use standins::{call, submission};
 
 const NODES: usize = 3;
-/// The generation that the new build goes to.
+/// Newest generation of the new build.
 const NEWEST: u64 = 4;
 
 fn number(variable: &str, otherwise: usize) -> usize {
@@ -47,7 +47,7 @@
     format!("run-{number:06}")
 }
 
-/// Ends a process as an operator would; it hands over first.
+/// Stops a process with SIGTERM, on which it transfers the leadership first.
 async fn end(site: &mut Site, node: usize) {
     let Some(mut child) = site.running[node].take() else {
         return;
@@ -62,7 +62,7 @@
     }
     let _ = child.kill();
     let _ = child.wait();
-    panic!("node {node} does not end when it is asked to");
+    panic!("node {node} did not exit after SIGTERM");
 }
 
 async fn roll(site: &mut Site, to: &Build, crash: Option<usize>) {
@@ -88,8 +88,8 @@
     }
 }
 
-/// Every job that was accepted is over and stays so, at every node, and asked for again
-/// it is known.
+/// Waits until every accepted job is done at some node and another node recognizes it when it is
+/// submitted again.
 async fn all_done(site: &Site, jobs: std::ops::Range<usize>) {
     for job in jobs {
         let body = site.becomes(job % NODES, &id(job), "done").await;
@@ -116,7 +116,7 @@
     };
     let mut site = Site::of("roll", vec![old.clone(); NODES]).await;
 
-    // Jobs come all the time, each asked for until it is accepted.
+    // Submits jobs continuously and retries each one until it is accepted.
     let (addrs, most) = (site.nodes.clone(), number("KITEYARD_ROLL_JOBS", 60));
     let (stop, accepted) = (
         Arc::new(AtomicBool::new(false)),
@@ -157,7 +157,7 @@
             .await;
         settled(&site, 1).await;
         roll(&mut site, &old, None).await;
-        // The next turn goes forth again.
+        // Upgrades again for the next turn.
         roll(&mut site, &new, None).await;
         site.until(2, Method::POST, "/rollout/newest", None, order)
             .await;
--- a/tests/state_answers.rs
+++ b/tests/state_answers.rs
@@ -1,4 +1,4 @@
-//! What the answers of the state service mean: above all which ones are final.
+//! Meaning of the state service's answers, in particular which ones are final.
 
 use std::time::Duration;
 
--- a/tests/structure.rs
+++ b/tests/structure.rs
@@ -1,5 +1,5 @@
-//! Bounds on the core's structure, so that it only gets simpler: how many of its modules import
-//! one another in a circle, and which layers a layer may import.
+//! Bounds on the source's structure: the number of core modules in an import cycle, and the layers
+//! that each layer may import.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,10 +7,10 @@
     path::{Path, PathBuf},
 };
 
-/// Modules that reach one another by their imports. Lower it with each module that leaves.
+/// Maximum number of modules in an import cycle. Lower it when a module leaves the cycle.
 const LARGEST_CIRCLE: usize = 20;
 
-/// The layers of the program, the lowest first: one imports only those before it.
+/// Layers of the program from lowest to highest. A layer may import only lower ones.
 const LAYERS: [&str; 5] = ["settings", "core", "wire", "io", "cli"];
 
 type Imports = BTreeMap<String, BTreeSet<String>>;
@@ -19,12 +19,12 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src/core")
 }
 
-/// Every source file below the core, named by its path.
+/// Returns the path and text of every source file of the core.
 fn core_files() -> Vec<(String, String)> {
     source_files(&core_folder())
 }
 
-/// Every source file below a folder, named by its path there.
+/// Returns the relative path and text of every source file below a folder.
 fn source_files(top: &Path) -> Vec<(String, String)> {
     let mut files = Vec::new();
     let mut folders = vec![top.to_owned()];
@@ -43,13 +43,13 @@
     files
 }
 
-/// The module of the core that a file belongs to: its own name, or its folder's.
+/// Returns the core module that a file belongs to, by the file's name or its top folder's.
 fn module_of(file: &str) -> String {
     let first = file.split('/').next().unwrap_or(file);
     first.trim_end_matches(".rs").to_owned()
 }
 
-/// Names that follow the prefix in an import: `a::b` and each of `{a, b::{c, d}}`.
+/// Returns the module names after a prefix in an import such as `a::b` or `{a, b::{c, d}}`.
 fn names_after(import: &str, prefix: &str) -> BTreeSet<String> {
     let Some(at) = import.find(prefix) else {
         return BTreeSet::new();
@@ -73,7 +73,7 @@
     names.iter().map(module).collect()
 }
 
-/// Which modules of the core a file imports.
+/// Returns the names of the core modules that a file imports.
 fn imports_of(file: &str, text: &str) -> BTreeSet<String> {
     let depth = file.matches('/').count() + usize::from(!file.ends_with("mod.rs"));
     let parent = format!("{}::", vec!["super"; depth.max(1)].join("::"));
@@ -117,7 +117,7 @@
     reached
 }
 
-/// The largest set of modules each of which reaches all others of the set.
+/// Returns the largest set of modules that all import one another, directly or indirectly.
 fn largest_circle(imports: &Imports) -> BTreeSet<String> {
     let reached: BTreeMap<&String, BTreeSet<String>> = imports
         .keys()
@@ -157,14 +157,14 @@
     assert_eq!(names_after(import, "super::"), set(&["", "job", "leader"]));
 }
 
-/// The layer of a source file, by its path below `src`; none for the program itself.
+/// Returns the layer of a source file by its path below `src`, or `None` for other files.
 fn layer_of(path: &str) -> Option<usize> {
     let first = path.split('/').next().unwrap_or(path);
     let module = first.trim_end_matches(".rs");
     LAYERS.iter().position(|layer| *layer == module)
 }
 
-/// The layers that a text names by `crate::`, in imports and elsewhere.
+/// Returns the layers that a text names by `crate::`, in imports and elsewhere.
 fn layers_named(text: &str) -> BTreeSet<usize> {
     let line = text.split_whitespace().collect::<Vec<_>>().join(" ");
     let named = line.split("crate::").skip(1).flat_map(|rest| {
@@ -193,7 +193,7 @@
         assert_eq!(
             above.map(|named| LAYERS[named]),
             None,
-            "{file} names a layer above it"
+            "{file} names a higher layer"
         );
     }
     assert!(looked_at > 40, "only {looked_at} files were found");
--- a/tests/value_limits.rs
+++ b/tests/value_limits.rs
@@ -1,4 +1,4 @@
-//! Records that are larger than a value of the state service may be.
+//! Records that exceed the state service's value limit.
 
 mod node_settings;
 
@@ -50,7 +50,7 @@
     )
 }
 
-/// A node that has read an empty state and so many machine types.
+/// Returns a node that has loaded an empty state and `types` machine types.
 fn loaded(types: usize) -> (Node, Vec<Output>) {
     let mut node = node();
     let outputs = step(&mut node, 1, Input::Tick);
@@ -60,7 +60,7 @@
         more: false,
         revision: 5,
     };
-    let call = load.expect("it reads what is stored");
+    let call = load.expect("a request to list the live keys");
     let outputs = step(&mut node, 2, Input::State { call, reply });
     let call = outputs.iter().find_map(|output| match output {
         Output::Cloud { call, .. } => Some(*call),
@@ -76,7 +76,7 @@
     let request = kiteyard::core::provisioning::CloudRequest::Types;
     let reply = wire::cloud::decode(&request, 200, body.as_bytes());
     assert!(matches!(reply, CloudReply::Types(_)));
-    let call = call.expect("it asks for machine types");
+    let call = call.expect("a request for machine types");
     let outputs = step(&mut node, 3, Input::Cloud { call, reply });
     (node, outputs)
 }
@@ -109,17 +109,17 @@
     let (mut node, _) = loaded(30);
     let outputs = step(&mut node, 10, submission(&"x".repeat(200)));
     assert!(!writes(&outputs, "live/job/"));
-    // Not before it is known that it was never accepted.
+    // The job may have been accepted earlier, which has to be ruled out before the refusal.
     assert_eq!(answer(&outputs), None);
     let proof = |r: &StateRequest| matches!(r, StateRequest::Watch { wait, .. } if wait.is_zero());
-    let call = state_call(&outputs, proof).expect("a proof of the copy");
+    let call = state_call(&outputs, proof).expect("a request that proves the cache");
     let reply = StateReply::Events {
         events: Vec::new(),
         revision: 5,
     };
     let outputs = step(&mut node, 11, Input::State { call, reply });
     let end = |r: &StateRequest| matches!(r, StateRequest::Get { key } if key.contains("run-"));
-    let call = state_call(&outputs, end).expect("it looks for its end");
+    let call = state_call(&outputs, end).expect("a read of the job's terminal state");
     let reply = StateReply::Missing;
     let outputs = step(&mut node, 12, Input::State { call, reply });
     let Some(Answer::Impossible(why)) = answer(&outputs) else {
--- a/tests/write_limits.rs
+++ b/tests/write_limits.rs
@@ -1,4 +1,4 @@
-//! What rejected and refused writes teach of the state service's limits.
+//! Limits of the state service as learned from rejected and refused writes.
 
 mod node_settings;
 
@@ -34,7 +34,7 @@
         conditions,
         changes,
     };
-    let size = WriteSize::of(&request).expect("it writes");
+    let size = WriteSize::of(&request).expect("a write");
     assert_eq!((&*size.key, size.value_bytes, size.changes), ("b", 10, 3));
     let read = StateRequest::Get { key: "b".into() };
     assert_eq!(WriteSize::of(&read), None);
@@ -55,7 +55,7 @@
     assert!(!limits.rejected(&size(100, 1), S(1)), "nothing to split");
 }
 
-/// The answers to writes that were under way together lower a limit but once.
+/// Rejections of several writes in flight lower a limit only once.
 #[test]
 fn rejections_of_one_size_lower_a_limit_once() {
     let mut limits = limits();
@@ -82,7 +82,7 @@
     rate.limited(S(100));
     rate.limited(S(101));
     assert_eq!((rate.at(S(109)), rate.at(S(110))), (13.5, 27.0));
-    // Refused again soon after: twice as long, up to five minutes.
+    // Another refusal soon after doubles the time, up to five minutes.
     let (mut at, mut longest) = (110, 0);
     for _ in 0..8 {
         rate.limited(S(at));
@@ -90,7 +90,7 @@
         (longest, at) = (back - at, back);
     }
     assert_eq!(longest, 300);
-    // After a long quiet time it begins with the short one.
+    // After a long time without refusals, the shortest time applies again.
     rate.limited(S(at + 1000));
     assert_eq!(rate.at(S(at + 1011)), 27.0);
 }
