--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -12,22 +12,22 @@
 
 /// Divisors of the state service's request rate: the proofs of all nodes together use one request
 /// in six, and the followers' watches one in five.
-const PROOF_SHARE: f64 = 6.0;
-const WATCH_SHARE: f64 = 5.0;
+const PROOF_RATE_DIVISOR: f64 = 6.0;
+const WATCH_RATE_DIVISOR: f64 = 5.0;
 /// Share of the state service's change rate that the leader plans with.
 const WRITE_SHARE: f64 = 0.9;
 /// Pause between two leader rounds per machine, on a whole core; longer with a smaller CPU share.
 /// A round visits every machine, so this keeps its CPU usage independent of the fleet's size.
-const ROUND_PER_MACHINE: Duration = Duration::from_micros(18);
+const ROUND_PAUSE_PER_MACHINE: Duration = Duration::from_micros(18);
 /// Maximum duration of a leader's lease, even if cancellations may take longer.
-const TTL_MOST: Duration = Duration::from_secs(30);
+const MAX_LEADER_TTL: Duration = Duration::from_secs(30);
 
 /// Minimum number of concurrent requests per node: all machines of a fleet may report to one node
 /// at once, even on a small host.
-const FLEET_LEAST: usize = 4096;
+const MIN_WAITING_REQUESTS: usize = 4096;
 /// Limits on the tasks listed in all waiting reports of a node. They take memory, and a host that
 /// allows more sockets has more of it.
-const WAITING_TASKS_LEAST: usize = 20_000;
+const MIN_WAITING_TASKS: usize = 20_000;
 const WAITING_TASKS_PER_SOCKET: usize = 10;
 
 /// Operators' options.
@@ -128,7 +128,7 @@
         let workers = &params.workers;
         let nodes = settings.nodes();
         let next_writes = params.state.next.as_ref().and_then(|next| next.write_rps);
-        let leader_ttl = workers.left_to_cancel().min(TTL_MOST);
+        let leader_ttl = workers.left_to_cancel().min(MAX_LEADER_TTL);
         Self {
             node: settings.node.clone(),
             nodes,
@@ -152,11 +152,11 @@
             leader_ttl,
             leader_term: leader_ttl.mul_f64(1.0 - 2.0 * DRIFT).saturating_sub(MARGIN),
             leader_silence_limit: super::heartbeat::leader_silence_limit(seconds(workers.lease_s)),
-            round_per_machine: ROUND_PER_MACHINE
+            round_per_machine: ROUND_PAUSE_PER_MACHINE
                 .div_f64(params.resources.cpu_share.clamp(0.05, 1.0)),
             renew_every: (leader_ttl / 8).min(Duration::from_millis(1500)),
-            sync_every: seconds(PROOF_SHARE * nodes as f64 / params.state.rps),
-            watch_every: seconds(WATCH_SHARE * nodes as f64 / params.state.rps),
+            sync_every: seconds(PROOF_RATE_DIVISOR * nodes as f64 / params.state.rps),
+            watch_every: seconds(WATCH_RATE_DIVISOR * nodes as f64 / params.state.rps),
             writes: params.state.write_rps * WRITE_SHARE,
             writes_next: next_writes.map(|rate| rate * WRITE_SHARE),
             txn_ops: params.state.lowest_txn_ops(),
@@ -165,9 +165,9 @@
             cloud_every: seconds(1.25 / params.cloud.rps),
             wall_error: seconds(params.time_bound_ms / 1000.0),
             list_lag: seconds(params.cloud.list_lag_s),
-            requests_most: params.resources.sockets.max(FLEET_LEAST),
+            requests_most: params.resources.sockets.max(MIN_WAITING_REQUESTS),
             waiting_tasks_most: (params.resources.sockets * WAITING_TASKS_PER_SOCKET)
-                .max(WAITING_TASKS_LEAST),
+                .max(MIN_WAITING_TASKS),
             options,
         }
     }
--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::super::{
-    BACK_OFF, Node, Purpose, STATE_TIMEOUT,
+    Node, Purpose, RETRY_DELAY, STATE_TIMEOUT,
     assignment_index::ShardRecord,
     cluster::{ClusterState, StoredClusterState},
     job::JobId,
@@ -60,7 +60,7 @@
         self.in_flight -= 1;
         self.started = false;
         self.again = true;
-        self.retry = if lost { now } else { now + BACK_OFF };
+        self.retry = if lost { now } else { now + RETRY_DELAY };
     }
 
     /// Takes a page in; the key of the first entry that can't be read, where there is one.
--- a/src/core/election/key_removal.rs
+++ b/src/core/election/key_removal.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::super::{
-    BACK_OFF, Node, Purpose,
+    Node, Purpose, RETRY_DELAY,
     store::{LEADER, StateReply, StateRequest, delete, when},
 };
 
@@ -60,7 +60,7 @@
     }
 
     pub(in crate::core) fn leader_key_removed(&mut self, claim: u64, reply: &StateReply) {
-        let retry = self.now() + BACK_OFF;
+        let retry = self.now() + RETRY_DELAY;
         match reply {
             StateReply::Committed { .. } | StateReply::Conflict => {
                 self.election.key_removal.take_if(|v| v.claim == claim);
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -17,7 +17,7 @@
 use tracing::info;
 
 use super::{
-    BACK_OFF, Node, Purpose,
+    Node, Purpose, RETRY_DELAY,
     state_cache::LeaderRecord,
     store::{
         CLAIMS, GENERATION, LEADER, PARTITIONED, SETTLED, StateReply, StateRequest, put,
@@ -248,7 +248,7 @@
                 // The claim follows at once; a renewal fixes the start of the term.
                 self.election.next_renewal = self.now();
             }
-            _ => self.election.retry = self.now() + BACK_OFF,
+            _ => self.election.retry = self.now() + RETRY_DELAY,
         }
     }
 
@@ -266,7 +266,7 @@
                 self.election.valid_until = Duration::ZERO;
                 self.drop_leadership("its lease is gone");
             }
-            _ => self.election.next_renewal = self.now() + BACK_OFF,
+            _ => self.election.next_renewal = self.now() + RETRY_DELAY,
         }
     }
 
@@ -290,7 +290,7 @@
 
     /// What rests on the claim must not wait for the next renewal.
     pub(super) fn expedite_proof(&mut self) {
-        if self.now() > self.election.proof_asked + BACK_OFF {
+        if self.now() > self.election.proof_asked + RETRY_DELAY {
             self.verify_claim();
         }
     }
@@ -337,7 +337,7 @@
             }
             // Unclear: the watch shows whether the claim stands; if it does, it
             // is taken again as one of this node's own.
-            _ => self.election.retry = now + BACK_OFF,
+            _ => self.election.retry = now + RETRY_DELAY,
         }
     }
 
@@ -411,7 +411,7 @@
             || !self.is_leader()
             || !self.has_previous_leader_stopped()
             || self.election.storing_settled
-            || now < self.election.settled_at + BACK_OFF
+            || now < self.election.settled_at + RETRY_DELAY
         {
             return;
         }
@@ -428,6 +428,6 @@
 
     pub(super) fn settled_claim_stored(&mut self) {
         self.election.storing_settled = false;
-        self.election.settled_at = self.now() + BACK_OFF;
+        self.election.settled_at = self.now() + RETRY_DELAY;
     }
 }
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -11,7 +11,7 @@
 use tracing::info;
 
 use super::{
-    Answer, BACK_OFF, Node, Purpose, RequestId,
+    Answer, Node, Purpose, RETRY_DELAY, RequestId,
     drain::DRAINS,
     job::Kind,
     store::{DRAINS as KEY, GENERATION, LEADER, StateReply, StateRequest, put, when},
@@ -232,7 +232,7 @@
         reply: &StateReply,
     ) {
         self.maintenance.storing = false;
-        self.maintenance.retry = self.now() + BACK_OFF;
+        self.maintenance.retry = self.now() + RETRY_DELAY;
         let committed = match reply {
             StateReply::Committed { revision } => {
                 if *revision > self.cache.drains.1 {
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -11,7 +11,7 @@
 use tracing::info;
 
 use super::{
-    BACK_OFF, Node, Purpose,
+    Node, Purpose, RETRY_DELAY,
     job::{JobId, TerminalRecord},
     store::{
         Entry, GENERATION, LEADER, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, when,
@@ -226,7 +226,7 @@
             }
             (MigrationRequest::Read(range), reply) => {
                 if self.learn_range(&range, &reply).is_none() {
-                    self.rollout.migration.retry = now + BACK_OFF * 4;
+                    self.rollout.migration.retry = now + RETRY_DELAY * 4;
                 }
             }
             (MigrationRequest::Rewrite(range, ends, records), StateReply::Committed { .. }) => {
@@ -243,7 +243,7 @@
             _ => {
                 let migration = &mut self.rollout.migration;
                 migration.again();
-                migration.retry = now + BACK_OFF;
+                migration.retry = now + RETRY_DELAY;
             }
         }
     }
@@ -292,7 +292,7 @@
             );
         } else if !more && migration.queue.is_empty() {
             migration.again();
-            migration.retry = self.clock.now + BACK_OFF * 10;
+            migration.retry = self.clock.now + RETRY_DELAY * 10;
         }
         if let Some(key) = unread {
             self.report_unreadable(&key);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -71,11 +71,11 @@
 
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-const BACK_OFF: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Minimum time between two periodic rounds of the leader.
-const ROUND: Duration = Duration::from_millis(20);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of terminal states kept in memory, so that polls for them need no request.
-const TERMINAL_CACHE_MOST: usize = 4096;
+const MAX_CACHED_TERMINAL_STATES: usize = 4096;
 
 /// Requests that result from a round of the leader.
 struct RoundWork {
@@ -285,7 +285,7 @@
         let now = self.now();
         if let Some(cluster) = &mut self.cluster {
             let pause = self.config.round_per_machine * cluster.machines.len() as u32;
-            cluster.next_round = now + ROUND + pause;
+            cluster.next_round = now + MIN_ROUND_INTERVAL + pause;
         }
     }
 
@@ -439,7 +439,7 @@
         // were refused. So followers pause to batch events. The leader does not, since a delay
         // would postpone the start of jobs.
         let pause = match (self.take_events(reply), self.is_leader()) {
-            (false, _) => BACK_OFF,
+            (false, _) => RETRY_DELAY,
             (true, true) => Duration::ZERO,
             (true, false) => self.config.watch_every,
         };
@@ -455,7 +455,7 @@
         self.end_in_graph(&id, record);
         if self.terminal_cache.insert(id.clone(), record).is_none() {
             self.terminal_cache_order.push_back(id);
-            if self.terminal_cache_order.len() > TERMINAL_CACHE_MOST
+            if self.terminal_cache_order.len() > MAX_CACHED_TERMINAL_STATES
                 && let Some(oldest) = self.terminal_cache_order.pop_front()
             {
                 self.terminal_cache.remove(&oldest);
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -23,7 +23,7 @@
 use tracing::info;
 
 use super::{
-    Answer, BACK_OFF, Node, Output, Purpose, RequestId,
+    Answer, Node, Output, Purpose, RETRY_DELAY, RequestId,
     heartbeat::worker_move_time,
     machine::WorkerReport,
     peer_message::PeerMessage,
@@ -312,7 +312,7 @@
     ) {
         let now = self.now();
         self.partitioned_zones.writing = false;
-        self.partitioned_zones.retry = now + BACK_OFF;
+        self.partitioned_zones.retry = now + RETRY_DELAY;
         if self.claim() != Some(claim) {
             return;
         }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -12,7 +12,7 @@
 use tracing::{error, info};
 
 use super::{
-    Answer, BACK_OFF, Node, Purpose, RequestId,
+    Answer, Node, Purpose, RETRY_DELAY, RequestId,
     drain::DRAINS,
     migrate::Migration,
     partitioned_zones::PARTITIONED_ZONES_FEATURE,
@@ -59,7 +59,7 @@
 }
 
 /// Interval at which the leader checks whether the generation can advance.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Rollout {
     pub fn new(config: Option<&kiteyard_rollout::config::Config>) -> Self {
@@ -196,7 +196,7 @@
         if now < self.rollout.next || self.rollout.storing || !self.is_leader() {
             return;
         }
-        self.rollout.next = now + LOOK_EVERY;
+        self.rollout.next = now + STEP_INTERVAL;
         let Some(claim) = self.cluster.as_ref().map(|cluster| cluster.claim) else {
             return;
         };
@@ -269,7 +269,7 @@
 
     pub(super) fn announced(&mut self, reply: &StateReply) {
         self.rollout.announcing = false;
-        self.rollout.retry = self.now() + BACK_OFF;
+        self.rollout.retry = self.now() + RETRY_DELAY;
         if let StateReply::Committed { revision } = reply {
             self.rollout.started = *revision;
         }
@@ -289,8 +289,8 @@
         // Waits for the watch to deliver the record; before that, the next check would store the
         // same step again.
         let wait = match reply {
-            StateReply::Committed { .. } => BACK_OFF,
-            _ => BACK_OFF * 3,
+            StateReply::Committed { .. } => RETRY_DELAY,
+            _ => RETRY_DELAY * 3,
         };
         self.rollout.next = self.now() + wait;
     }
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{
-    BACK_OFF, Node, Purpose, WATCH_WAIT,
+    Node, Purpose, RETRY_DELAY, WATCH_WAIT,
     job::JobId,
     results::Results,
     state_cache::{StateCache, StateChange},
@@ -50,7 +50,7 @@
         } = reply
         else {
             self.loading = false;
-            self.retry_load = self.now() + BACK_OFF;
+            self.retry_load = self.now() + RETRY_DELAY;
             return;
         };
         // Pages are read one after another. The watch starts at the revision of the first page,
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -6,7 +6,7 @@
 use tracing::info;
 
 use super::{
-    BACK_OFF, Node, Purpose,
+    Node, Purpose, RETRY_DELAY,
     assignment_index::ShardWrite,
     cluster::{ClusterState, Job},
     config::Config,
@@ -77,15 +77,15 @@
     pub(super) has_news: bool,
 }
 
-const IN_FLIGHT: u32 = 6;
+const MAX_WRITES_IN_FLIGHT: u32 = 6;
 /// Maximum number of times the pause doubles while a rejected write can't be made smaller.
-const STUCK_DOUBLES: u32 = 4;
+const MAX_PAUSE_DOUBLINGS: u32 = 4;
 /// Time for which results are collected before they are written together.
-const GATHER: Duration = Duration::from_millis(1500);
+const PROGRESS_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
 /// Minimum time between two writes of a range of terminal states. Concurrent
 /// submissions in the range are conditional on its key. The protocol allows `done` to be 3 s late.
-const RANGE_RESTS: Duration = Duration::from_secs(1);
+const RANGE_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Write with its conditions and changes.
 type PreparedWrite = (QueuedWrite, Vec<super::store::Condition>, Vec<Change>);
@@ -210,7 +210,7 @@
 
     /// Delay before the next write after a failed one.
     fn pause(&self) -> Duration {
-        BACK_OFF * 2_u32.pow(self.stuck.min(STUCK_DOUBLES))
+        RETRY_DELAY * 2_u32.pow(self.stuck.min(MAX_PAUSE_DOUBLINGS))
     }
 
     /// Returns whether the budget has room for optional writes.
@@ -241,7 +241,7 @@
                 .assignment_index
                 .limit_values(self.limits.value_bytes);
         }
-        while self.write_queue.in_flight < IN_FLIGHT && now >= self.write_queue.retry {
+        while self.write_queue.in_flight < MAX_WRITES_IN_FLIGHT && now >= self.write_queue.retry {
             // The allowance has to cover one change; a larger transaction overdraws it.
             if self.write_queue.allowance < 1.0 {
                 return;
@@ -413,7 +413,9 @@
             ));
         }
 
-        if let Some(write) = cluster.next_progress_write(now.saturating_sub(GATHER), &self.limits) {
+        if let Some(write) =
+            cluster.next_progress_write(now.saturating_sub(PROGRESS_WRITE_DELAY), &self.limits)
+        {
             return Some(write);
         }
 
@@ -456,14 +458,18 @@
                     self.cache.committed_end(id, revision);
                 }
                 if let Some((range, _)) = ends {
-                    let rest = if committed { RANGE_RESTS } else { BACK_OFF };
+                    let rest = if committed {
+                        RANGE_WRITE_INTERVAL
+                    } else {
+                        RETRY_DELAY
+                    };
                     self.ranges.release(range, now + rest, now);
                 }
                 self.range_written(&ended[0].0, ends.clone(), &reply);
             }
             QueuedWrite::ReadRange { range, .. } => {
                 let read = self.learn_range(range, &reply).is_some();
-                let rest = if read { Duration::ZERO } else { BACK_OFF };
+                let rest = if read { Duration::ZERO } else { RETRY_DELAY };
                 self.ranges.release(range, now + rest, now);
             }
             _ => {}
@@ -499,7 +505,7 @@
             } => cluster.progress_saved(&id, &set, &chunks, &reply, now),
             QueuedWrite::RereadProgress { id, chunk, .. } => {
                 if !cluster.progress_reread(&id, chunk, &reply) {
-                    self.write_queue.retry = now + BACK_OFF;
+                    self.write_queue.retry = now + RETRY_DELAY;
                 }
             }
             QueuedWrite::Finish { ended, keys, .. } => {
