--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -12,7 +12,7 @@
     cluster::{ClusterState, StoredClusterState},
     job::JobId,
     results::{ChunkPart, Results},
-    store::{ASSIGNMENTS, Entry, PROGRESS, StateReply, StateRequest},
+    store::{ASSIGNMENTS_PREFIX, Entry, PROGRESS_PREFIX, StateReply, StateRequest},
 };
 
 /// What a new leader reads before it acts.
@@ -90,7 +90,7 @@
 
     /// Takes a shard of the assignment index in; none where it can't be read.
     fn add_shard(&mut self, entry: &Entry) -> Option<()> {
-        let shard = entry.key.strip_prefix(ASSIGNMENTS)?.parse().ok()?;
+        let shard = entry.key.strip_prefix(ASSIGNMENTS_PREFIX)?.parse().ok()?;
         let record = ShardRecord::parse(entry.value.get())?;
         self.index_so_far.push((shard, record, entry.version));
         Some(())
@@ -98,7 +98,7 @@
 
     /// The same for done tasks of an array.
     fn add_progress(&mut self, entry: &Entry) -> Option<()> {
-        let (id, chunk) = entry.key.strip_prefix(PROGRESS)?.split_once('/')?;
+        let (id, chunk) = entry.key.strip_prefix(PROGRESS_PREFIX)?.split_once('/')?;
         let (id, chunk) = (JobId::parse(id)?, ChunkPart::parse(chunk)?);
         let text: String = serde_json::from_str(entry.value.get()).ok()?;
         let results = self.progress_so_far.entry(id).or_default();
@@ -181,8 +181,8 @@
 
     fn read_failover_page(&mut self, loading: FailoverRead, after: Option<String>) {
         let prefix = match loading {
-            FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS,
-            FailoverRead::Progress { .. } => PROGRESS,
+            FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS_PREFIX,
+            FailoverRead::Progress { .. } => PROGRESS_PREFIX,
         };
         self.call_within(
             self.failover_timeout(),
--- a/src/core/election/key_removal.rs
+++ b/src/core/election/key_removal.rs
@@ -8,7 +8,7 @@
 
 use super::super::{
     Node, Purpose, RETRY_DELAY,
-    store::{LEADER, StateReply, StateRequest, delete, when},
+    store::{LEADER_KEY, StateReply, StateRequest, delete, when},
 };
 
 #[derive(Debug)]
@@ -53,8 +53,8 @@
         self.call(
             Purpose::RemoveLeaderKey { claim },
             StateRequest::Txn {
-                conditions: vec![when(LEADER, claim)],
-                changes: vec![delete(LEADER)],
+                conditions: vec![when(LEADER_KEY, claim)],
+                changes: vec![delete(LEADER_KEY)],
             },
         );
     }
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -20,8 +20,8 @@
     Node, Purpose, RETRY_DELAY,
     state_cache::LeaderRecord,
     store::{
-        CLAIMS, GENERATION, LEADER, PARTITIONED, SETTLED, StateReply, StateRequest, put,
-        put_leased, when,
+        CLAIMS_KEY, GENERATION_KEY, LEADER_KEY, PARTITIONED_ZONES_KEY, SETTLED_CLAIM_KEY,
+        StateReply, StateRequest, put, put_leased, when,
     },
 };
 use failover::FailoverLoader;
@@ -186,14 +186,14 @@
             // A process that does not know how the records are written now can't claim, nor
             // one that does not know whom it may not answer.
             conditions: vec![
-                when(LEADER, version),
-                when(CLAIMS, self.cache.claims),
-                when(GENERATION, self.cache.cluster.1),
-                when(PARTITIONED, self.cache.partitioned_zones.1),
+                when(LEADER_KEY, version),
+                when(CLAIMS_KEY, self.cache.claims),
+                when(GENERATION_KEY, self.cache.cluster.1),
+                when(PARTITIONED_ZONES_KEY, self.cache.partitioned_zones.1),
             ],
             changes: vec![
-                put_leased(LEADER, &record, Some(lease)),
-                put(CLAIMS, &self.config.node),
+                put_leased(LEADER_KEY, &record, Some(lease)),
+                put(CLAIMS_KEY, &self.config.node),
             ],
         }
     }
@@ -420,8 +420,8 @@
         self.call(
             Purpose::StoreSettledClaim,
             StateRequest::Txn {
-                conditions: vec![when(LEADER, claim)],
-                changes: vec![put(SETTLED, &claim)],
+                conditions: vec![when(LEADER_KEY, claim)],
+                changes: vec![put(SETTLED_CLAIM_KEY, &claim)],
             },
         );
     }
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -148,7 +148,7 @@
     fn probe(&mut self) {
         if !self.heartbeats.probing && self.cache.loaded {
             self.heartbeats.probing = true;
-            let key = store::LEADER.to_owned();
+            let key = store::LEADER_KEY.to_owned();
             self.call(Purpose::Probe, store::StateRequest::Get { key });
         }
     }
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -14,7 +14,7 @@
     Answer, Node, Purpose, RETRY_DELAY, RequestId,
     drain::DRAINS,
     job::Kind,
-    store::{DRAINS as KEY, GENERATION, LEADER, StateReply, StateRequest, put, when},
+    store::{DRAINS_KEY as KEY, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, put, when},
 };
 
 #[derive(Debug, Clone, PartialEq)]
@@ -211,9 +211,9 @@
         let Some(claim) = self.claim() else { return };
         self.maintenance.storing = true;
         let conditions = vec![
-            when(LEADER, claim),
+            when(LEADER_KEY, claim),
             when(KEY, self.cache.drains.1),
-            when(GENERATION, self.cache.cluster.1),
+            when(GENERATION_KEY, self.cache.cluster.1),
         ];
         let changes = vec![put(KEY, &drains)];
         self.call(
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -14,7 +14,8 @@
     Node, Purpose, RETRY_DELAY,
     job::{JobId, TerminalRecord},
     store::{
-        Entry, GENERATION, LEADER, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, when,
+        Entry, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, TERMINAL_RANGES_PREFIX,
+        TERMINAL_STATES_PREFIX, when,
     },
     terminal_states::{self, Place, Range, Rewrite},
 };
@@ -124,8 +125,8 @@
         let Some(work) = migration.queue.front() else {
             migration.busy = true;
             let prefix = match terminal_states::place(cluster.from) {
-                Place::Single => TERMINAL_STATES,
-                Place::Packed => TERMINAL_RANGES,
+                Place::Single => TERMINAL_STATES_PREFIX,
+                Place::Packed => TERMINAL_RANGES_PREFIX,
             };
             let after = migration.after.clone();
             self.call(
@@ -179,8 +180,8 @@
             ends,
             records,
         } = rewrite;
-        conditions.push(when(GENERATION, revision));
-        conditions.push(when(LEADER, claim));
+        conditions.push(when(GENERATION_KEY, revision));
+        conditions.push(when(LEADER_KEY, claim));
         migration.allowance -= changes.len() as f64;
         self.write_queue.charge(changes.len() as f64);
         self.ranges.take(&range);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -325,7 +325,7 @@
         let now = self.now();
         if self.cache.loaded
             && self.cache.types.is_none()
-            && !self.cache.unreadable.contains_key(store::TYPES)
+            && !self.cache.unreadable.contains_key(store::MACHINE_TYPES_KEY)
             && !self.types_call
             && now >= self.retry_types
         {
@@ -346,8 +346,8 @@
             return;
         }
         let request = StateRequest::Txn {
-            conditions: vec![store::when(store::TYPES, 0)],
-            changes: vec![store::put(store::TYPES, &types)],
+            conditions: vec![store::when(store::MACHINE_TYPES_KEY, 0)],
+            changes: vec![store::put(store::MACHINE_TYPES_KEY, &types)],
         };
         self.call(Purpose::StoreTypes, request);
     }
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -27,7 +27,9 @@
     heartbeat::worker_move_time,
     machine::WorkerReport,
     peer_message::PeerMessage,
-    store::{GENERATION, LEADER, PARTITIONED, StateReply, StateRequest, put, when},
+    store::{
+        GENERATION_KEY, LEADER_KEY, PARTITIONED_ZONES_KEY, StateReply, StateRequest, put, when,
+    },
 };
 
 pub const PARTITIONED_ZONES_FEATURE: Feature = Feature {
@@ -286,12 +288,12 @@
         let new: BTreeSet<Arc<str>> = new.cloned().collect();
         info!(zones = ?zones.keys().collect::<Vec<_>>(), "partitioned zones");
         let conditions = vec![
-            when(LEADER, claim),
-            when(PARTITIONED, *version),
-            when(GENERATION, self.cache.cluster.1),
+            when(LEADER_KEY, claim),
+            when(PARTITIONED_ZONES_KEY, *version),
+            when(GENERATION_KEY, self.cache.cluster.1),
         ];
         let record = PartitionedZonesRecord { zones };
-        let changes = vec![put(PARTITIONED, &record)];
+        let changes = vec![put(PARTITIONED_ZONES_KEY, &record)];
         // It counts as listed from now on.
         self.partitioned_zones.unsure.extend(new);
         self.partitioned_zones.writing = true;
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -16,7 +16,9 @@
     drain::DRAINS,
     migrate::Migration,
     partitioned_zones::PARTITIONED_ZONES_FEATURE,
-    store::{GENERATION, LEADER, ORDERS, StateReply, StateRequest, node_key, put, when},
+    store::{
+        GENERATION_KEY, LEADER_KEY, ORDERS_KEY, StateReply, StateRequest, node_key, put, when,
+    },
     terminal_states::PACKED_TERMINAL_STATES,
 };
 
@@ -94,7 +96,7 @@
     /// process can't read. If so, it can't prove anything about jobs.
     pub(super) fn cannot_read_state(&self) -> bool {
         !self.cache.cluster.0.suits(&self.config.ability)
-            || self.cache.unreadable.contains_key(GENERATION)
+            || self.cache.unreadable.contains_key(GENERATION_KEY)
     }
 
     /// Reason why this node accepts no requests and does not lead, if there is one.
@@ -225,14 +227,15 @@
                         "storing the next step of the cluster's generation"
                     );
                     self.rollout.storing = true;
-                    let mut conditions = vec![when(LEADER, claim), when(GENERATION, view.revision)];
+                    let mut conditions =
+                        vec![when(LEADER_KEY, claim), when(GENERATION_KEY, view.revision)];
                     let seen = nodes.iter();
                     conditions.extend(seen.map(|(node, at)| when(node_key(node), *at)));
                     self.call(
                         Purpose::StoreGeneration,
                         StateRequest::Txn {
                             conditions,
-                            changes: vec![put(GENERATION, &cluster)],
+                            changes: vec![put(GENERATION_KEY, &cluster)],
                         },
                     );
                 }
@@ -395,8 +398,8 @@
         self.call(
             Purpose::Order { request },
             StateRequest::Txn {
-                conditions: vec![when(ORDERS, revision)],
-                changes: vec![put(ORDERS, &orders)],
+                conditions: vec![when(ORDERS_KEY, revision)],
+                changes: vec![put(ORDERS_KEY, &orders)],
             },
         );
     }
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -14,8 +14,9 @@
     machine::MachineType,
     partitioned_zones::PartitionedZonesRecord,
     store::{
-        CLAIMS, DRAINS, Entry, Event, GENERATION, JOBS, LEADER, NODES, ORDERS, PARTITIONED,
-        SETTLED, STORED_HEARTBEAT, TYPES, job_key,
+        CLAIMS_KEY, DRAINS_KEY, Entry, Event, GENERATION_KEY, JOBS_PREFIX, LEADER_KEY,
+        MACHINE_TYPES_KEY, NODES_PREFIX, ORDERS_KEY, PARTITIONED_ZONES_KEY, SETTLED_CLAIM_KEY,
+        STORED_HEARTBEAT_KEY, job_key,
     },
     stored_heartbeat::StoredHeartbeat,
 };
@@ -131,18 +132,18 @@
     fn apply(&mut self, event: &Event) -> Option<StateChange> {
         let revision = event.revision;
         match event.key.as_str() {
-            LEADER => {
+            LEADER_KEY => {
                 self.leader = self.read(event).map(|record| (record, revision));
                 return Some(StateChange::LeaderKey);
             }
-            CLAIMS => self.claims = if event.value.is_some() { revision } else { 0 },
+            CLAIMS_KEY => self.claims = if event.value.is_some() { revision } else { 0 },
             // An unreadable value leaves the claim unsettled, which is the safe side.
-            SETTLED => self.settled = self.read(event).unwrap_or_default(),
-            TYPES => {
+            SETTLED_CLAIM_KEY => self.settled = self.read(event).unwrap_or_default(),
+            MACHINE_TYPES_KEY => {
                 self.types = self.read(event).map(Arc::new);
                 return Some(StateChange::Types);
             }
-            GENERATION => {
+            GENERATION_KEY => {
                 let there = event.value.is_some();
                 let cluster = self.read(event).filter(Cluster::holds);
                 if there && cluster.is_none() {
@@ -152,26 +153,26 @@
                 self.cluster = (cluster.unwrap_or_default(), revision);
                 return Some(StateChange::Cluster);
             }
-            ORDERS => {
+            ORDERS_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
                 self.orders = (self.read(event).unwrap_or_default(), revision);
             }
-            PARTITIONED => {
+            PARTITIONED_ZONES_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
                 self.partitioned_zones = (self.read(event).unwrap_or_default(), revision);
             }
-            DRAINS => {
+            DRAINS_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
                 self.drains = (self.read(event).unwrap_or_default(), revision);
             }
             // No stored record depends on this key, so an unreadable value is ignored.
-            STORED_HEARTBEAT => {
+            STORED_HEARTBEAT_KEY => {
                 let stored_heartbeat = event.value.as_ref()?;
                 return serde_json::from_str(stored_heartbeat.get())
                     .ok()
                     .map(StateChange::StoredHeartbeat);
             }
-            key => match key.strip_prefix(NODES) {
+            key => match key.strip_prefix(NODES_PREFIX) {
                 Some(node) => self.node_told(node.to_owned(), event),
                 None => return self.apply_job(event),
             },
@@ -192,7 +193,7 @@
     }
 
     fn apply_job(&mut self, event: &Event) -> Option<StateChange> {
-        let id = JobId::parse(event.key.strip_prefix(JOBS)?)?;
+        let id = JobId::parse(event.key.strip_prefix(JOBS_PREFIX)?)?;
         match self.read(event) {
             Some(record) => self
                 .add_job(id.clone(), record, event.revision)
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -8,50 +8,50 @@
 use super::{job::JobId, results::ChunkPart};
 
 /// Key prefix of everything a follower watches, such as the leader, machine types and active jobs.
-pub const LIVE: &str = "live/";
-pub const LEADER: &str = "live/leader";
+pub const LIVE_PREFIX: &str = "live/";
+pub const LEADER_KEY: &str = "live/leader";
 /// Key changed by each claim and by nothing else. The leader key expires, so its absence does not
 /// show a claim that is applied late that another node has led in between.
-pub const CLAIMS: &str = "live/claims";
+pub const CLAIMS_KEY: &str = "live/claims";
 /// Key of the last claim whose holder knows that the previous leader has stopped acting.
-pub const SETTLED: &str = "live/settled";
-pub const TYPES: &str = "live/types";
+pub const SETTLED_CLAIM_KEY: &str = "live/settled";
+pub const MACHINE_TYPES_KEY: &str = "live/types";
 /// Keys of the generation of the stored records, and of the operators' orders about it.
-pub const GENERATION: &str = "live/generation";
-pub const ORDERS: &str = "live/orders";
+pub const GENERATION_KEY: &str = "live/generation";
+pub const ORDERS_KEY: &str = "live/orders";
 /// Key of the machines that operators want drained.
-pub const DRAINS: &str = "live/drains";
+pub const DRAINS_KEY: &str = "live/drains";
 /// Key of the partitioned zones, with the time since when no worker there got an answer.
-pub const PARTITIONED: &str = "live/apart";
+pub const PARTITIONED_ZONES_KEY: &str = "live/apart";
 /// Key of the leader's last heartbeat, stored while some node may not receive heartbeats.
-pub const STORED_HEARTBEAT: &str = "live/sign";
+pub const STORED_HEARTBEAT_KEY: &str = "live/sign";
 /// Key prefix of the abilities of each node's process.
-pub const NODES: &str = "live/node/";
-pub const JOBS: &str = "live/job/";
+pub const NODES_PREFIX: &str = "live/node/";
+pub const JOBS_PREFIX: &str = "live/job/";
 /// Key prefixes of terminal states: one job per key, and packed by range.
-pub const TERMINAL_STATES: &str = "final/";
-pub const TERMINAL_RANGES: &str = "ends/";
-pub const PROGRESS: &str = "progress/";
-pub const ASSIGNMENTS: &str = "roster/";
+pub const TERMINAL_STATES_PREFIX: &str = "final/";
+pub const TERMINAL_RANGES_PREFIX: &str = "ends/";
+pub const PROGRESS_PREFIX: &str = "progress/";
+pub const ASSIGNMENTS_PREFIX: &str = "roster/";
 
 pub fn job_key(id: &JobId) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOBS_PREFIX}{id}")
 }
 
 pub fn terminal_key(id: &JobId) -> String {
-    format!("{TERMINAL_STATES}{id}")
+    format!("{TERMINAL_STATES_PREFIX}{id}")
 }
 
 pub fn node_key(node: &str) -> String {
-    format!("{NODES}{node}")
+    format!("{NODES_PREFIX}{node}")
 }
 
 pub fn progress_key(id: &JobId, part: ChunkPart) -> String {
-    format!("{PROGRESS}{id}/{}", part.name())
+    format!("{PROGRESS_PREFIX}{id}/{}", part.name())
 }
 
 pub fn shard_key(shard: u32) -> String {
-    format!("{ASSIGNMENTS}{shard}")
+    format!("{ASSIGNMENTS_PREFIX}{shard}")
 }
 
 #[derive(Debug, Clone, PartialEq)]
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -13,7 +13,7 @@
 use super::{
     Node, Purpose,
     membership::nodes::EVERY,
-    store::{LEADER, STORED_HEARTBEAT, StateRequest, put, when},
+    store::{LEADER_KEY, STORED_HEARTBEAT_KEY, StateRequest, put, when},
 };
 
 /// What the leader writes.
@@ -51,8 +51,8 @@
         self.heartbeat_writer.writing = true;
         self.write_queue.charge(1.0);
         let hears = self.membership.detector.machines_heard().values().sum();
-        let changes = vec![put(STORED_HEARTBEAT, &StoredHeartbeat { claim, hears })];
-        let conditions = vec![when(LEADER, claim)];
+        let changes = vec![put(STORED_HEARTBEAT_KEY, &StoredHeartbeat { claim, hears })];
+        let conditions = vec![when(LEADER_KEY, claim)];
         self.call(
             Purpose::StoredHeartbeat,
             StateRequest::Txn {
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -15,7 +15,10 @@
 
 use super::{
     job::{JobId, JobState, TerminalRecord},
-    store::{Change, Condition, TERMINAL_RANGES, TERMINAL_STATES, delete, put, terminal_key, when},
+    store::{
+        Change, Condition, TERMINAL_RANGES_PREFIX, TERMINAL_STATES_PREFIX, delete, put,
+        terminal_key, when,
+    },
 };
 
 pub const PACKED_TERMINAL_STATES: Feature = Feature {
@@ -63,14 +66,14 @@
     }
 
     pub fn of_key(key: &str) -> Option<Self> {
-        let range = key.strip_prefix(TERMINAL_RANGES)?;
+        let range = key.strip_prefix(TERMINAL_RANGES_PREFIX)?;
         // Any id in it would do.
         let id = JobId::parse(&format!("{range}00"))?;
         (Self::of(&id).0.0 == range).then(|| Self(range.to_owned()))
     }
 
     pub fn key(&self) -> String {
-        format!("{TERMINAL_RANGES}{}", self.0)
+        format!("{TERMINAL_RANGES_PREFIX}{}", self.0)
     }
 
     pub fn id(&self, name: &str) -> Option<JobId> {
@@ -201,7 +204,7 @@
 
 /// The id that a key of its own speaks of.
 pub fn single_id(key: &str) -> Option<JobId> {
-    JobId::parse(key.strip_prefix(TERMINAL_STATES)?)
+    JobId::parse(key.strip_prefix(TERMINAL_STATES_PREFIX)?)
 }
 
 /// A range as it was read or written last; version 0: there is none.
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -11,7 +11,8 @@
     job::{JobId, JobRecord, JobSpec, JobState, Kind, Resources, TerminalRecord},
     machine::MachineType,
     store::{
-        GENERATION, StateReply, StateRequest, delete, encoded_len, job_key, put, terminal_key, when,
+        GENERATION_KEY, StateReply, StateRequest, delete, encoded_len, job_key, put, terminal_key,
+        when,
     },
     terminal_states::{self, KnownRange, Place, Range},
 };
@@ -212,7 +213,7 @@
             spec: spec.clone(),
             accepted_ms,
         };
-        let mut conditions = vec![when(job_key(&id), 0), when(GENERATION, generation)];
+        let mut conditions = vec![when(job_key(&id), 0), when(GENERATION_KEY, generation)];
         conditions.extend(absence);
         self.call(
             Purpose::Accept {
@@ -480,7 +481,7 @@
             self.read_range(request, id, AfterRangeRead::Cancel);
             return;
         };
-        let mut conditions = vec![job, when(GENERATION, generation)];
+        let mut conditions = vec![job, when(GENERATION_KEY, generation)];
         conditions.extend(terminal_write.conditions);
         let mut changes = vec![delete(job_key(&id))];
         changes.extend(terminal_write.changes);
@@ -556,7 +557,7 @@
             },
             // It was nowhere. That says something only if nothing moved meanwhile.
             None => StateRequest::Txn {
-                conditions: vec![when(GENERATION, read.generation)],
+                conditions: vec![when(GENERATION_KEY, read.generation)],
                 changes: Vec::new(),
             },
         };
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -7,7 +7,7 @@
     job::JobId,
     results::Results,
     state_cache::{StateCache, StateChange},
-    store::{LIVE, StateReply, StateRequest},
+    store::{LIVE_PREFIX, StateReply, StateRequest},
 };
 
 impl Node {
@@ -20,7 +20,7 @@
                 self.call(
                     Purpose::Load { after: false },
                     StateRequest::List {
-                        prefix: LIVE.into(),
+                        prefix: LIVE_PREFIX.into(),
                         after: None,
                     },
                 );
@@ -36,7 +36,7 @@
     /// cache is current.
     pub(super) fn watch(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
-            prefix: LIVE.into(),
+            prefix: LIVE_PREFIX.into(),
             after: self.cache.cursor,
             wait,
         }
@@ -64,7 +64,7 @@
             self.call(
                 Purpose::Load { after: true },
                 StateRequest::List {
-                    prefix: LIVE.into(),
+                    prefix: LIVE_PREFIX.into(),
                     after: Some(last),
                 },
             );
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -14,8 +14,8 @@
     limits::{WriteLimits, WriteRate},
     results::{self, ChunkPart},
     store::{
-        Change, GENERATION, LEADER, StateReply, StateRequest, delete, job_key, progress_key, put,
-        shard_key, when,
+        Change, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, delete, job_key,
+        progress_key, put, shard_key, when,
     },
     terminal_states::{self, Place, Range, TerminalStates},
 };
@@ -256,7 +256,7 @@
             let Some((write, mut conditions, changes)) = self.next_write(now) else {
                 return;
             };
-            conditions.push(when(LEADER, claim));
+            conditions.push(when(LEADER_KEY, claim));
             self.write_queue.allowance -= changes.len() as f64;
             self.write_queue.in_flight += 1;
             self.call(
@@ -358,7 +358,7 @@
             ids.extend(also.map(|(id, _)| id.clone()).take(most.saturating_sub(2)));
         }
         let leader = self.cluster.as_mut()?;
-        let (mut ended, mut conditions) = (Vec::new(), vec![when(GENERATION, generation)]);
+        let (mut ended, mut conditions) = (Vec::new(), vec![when(GENERATION_KEY, generation)]);
         let (mut changes, mut keys) = (Vec::new(), Vec::new());
         for id in ids {
             let job = leader.jobs.get_mut(&id)?;
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -17,7 +17,7 @@
         membership::nodes::NodeHeartbeat,
         provisioning::CloudReply,
         state_cache::LeaderRecord,
-        store::{Entry, Event, LEADER, STORED_HEARTBEAT, StateReply, StateRequest},
+        store::{Entry, Event, LEADER_KEY, STORED_HEARTBEAT_KEY, StateReply, StateRequest},
         stored_heartbeat::StoredHeartbeat,
     },
     wire,
@@ -226,7 +226,7 @@
 
 fn led_by_n1() -> Vec<Entry> {
     vec![Entry {
-        key: LEADER.into(),
+        key: LEADER_KEY.into(),
         value: leads("n1"),
         version: 9,
     }]
@@ -290,7 +290,7 @@
     let stored_heartbeat = StoredHeartbeat { claim: 9, hears: 5 };
     let reply = StateReply::Events {
         events: vec![Event {
-            key: STORED_HEARTBEAT.into(),
+            key: STORED_HEARTBEAT_KEY.into(),
             value: Some(
                 serde_json::value::to_raw_value(&stored_heartbeat).expect("a stored heartbeat"),
             ),
@@ -345,7 +345,7 @@
     assert_eq!(answered(&step(&mut node, 7_000, at(2))), None);
     let reply = StateReply::Events {
         events: vec![Event {
-            key: LEADER.into(),
+            key: LEADER_KEY.into(),
             value: Some(leads("n2")),
             revision: 12,
         }],
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -15,7 +15,8 @@
         membership::nodes::NodeHeartbeat,
         state_cache::LeaderRecord,
         store::{
-            Change, Entry, Event, GENERATION, LEADER, PARTITIONED, StateReply, StateRequest, TYPES,
+            Change, Entry, Event, GENERATION_KEY, LEADER_KEY, MACHINE_TYPES_KEY,
+            PARTITIONED_ZONES_KEY, StateReply, StateRequest,
         },
     },
     settings::Settings,
@@ -65,7 +66,7 @@
     let call = call.expect("the live keys are read");
     let reply = StateReply::Entries {
         entries: vec![Entry {
-            key: LEADER.into(),
+            key: LEADER_KEY.into(),
             value: leads("n1"),
             version: CLAIM,
         }],
@@ -102,7 +103,7 @@
 fn new_leader(node: &mut Node, ms: u64, watch: CallId) -> Vec<Output> {
     let reply = StateReply::Events {
         events: vec![Event {
-            key: LEADER.into(),
+            key: LEADER_KEY.into(),
             value: Some(leads("n2")),
             revision: 12,
         }],
@@ -233,8 +234,11 @@
 
 impl LeadingNode {
     fn new(settings: &Settings, mut live: Vec<Entry>) -> Self {
-        live.push(entry(TYPES, TYPE));
-        live.push(entry(GENERATION, r#"{"from":4,"to":4,"stage":"settled"}"#));
+        live.push(entry(MACHINE_TYPES_KEY, TYPE));
+        live.push(entry(
+            GENERATION_KEY,
+            r#"{"from":4,"to":4,"stage":"settled"}"#,
+        ));
         let options = Options {
             maintenance: Some(Arc::new(kiteyard_maintenance::config::Config::plain(1))),
             ..Options::default()
@@ -288,7 +292,7 @@
             }
             StateRequest::Get { .. } => StateReply::Missing,
             StateRequest::Txn { changes, .. } => {
-                let is_apart = |change: &Change| matches!(change, Change::Put { key, .. } if key == PARTITIONED);
+                let is_apart = |change: &Change| matches!(change, Change::Put { key, .. } if key == PARTITIONED_ZONES_KEY);
                 if changes.iter().any(is_apart) {
                     self.apart = Some(call);
                     return None;
@@ -327,7 +331,7 @@
 #[test]
 fn every_report_of_a_zone_that_was_apart_waits_until_it_is_taken_in() {
     for (machines, sockets) in FLEETS {
-        let apart = entry(PARTITIONED, r#"{"zones":{"a":0}}"#);
+        let apart = entry(PARTITIONED_ZONES_KEY, r#"{"zones":{"a":0}}"#);
         let mut leading = LeadingNode::new(&settings(sockets), vec![apart]);
         let mut outputs = Vec::new();
         for machine in 0..machines {
--- a/tests/unreadable.rs
+++ b/tests/unreadable.rs
@@ -9,8 +9,9 @@
     config::{Config, Options},
     job::JobId,
     store::{
-        ASSIGNMENTS, Change, DRAINS, Entry, Event, GENERATION, LEADER, ORDERS, PARTITIONED,
-        PROGRESS, SETTLED, StateReply, StateRequest, TYPES,
+        ASSIGNMENTS_PREFIX, Change, DRAINS_KEY, Entry, Event, GENERATION_KEY, LEADER_KEY,
+        MACHINE_TYPES_KEY, ORDERS_KEY, PARTITIONED_ZONES_KEY, PROGRESS_PREFIX, SETTLED_CLAIM_KEY,
+        StateReply, StateRequest,
     },
 };
 use serde_json::value::RawValue;
@@ -45,8 +46,8 @@
 
 impl Bench {
     fn new(mut live: Vec<Entry>, others: Vec<Entry>) -> Self {
-        if live.iter().all(|entry| entry.key != TYPES) {
-            live.push(entry(TYPES, TYPE));
+        if live.iter().all(|entry| entry.key != MACHINE_TYPES_KEY) {
+            live.push(entry(MACHINE_TYPES_KEY, TYPE));
         }
         let settings = node_settings::with_peers(1);
         let mut bench = Self {
@@ -107,8 +108,8 @@
             StateRequest::Txn { changes, .. } => {
                 for change in changes {
                     match change {
-                        Change::Put { key, .. } if key == LEADER => self.claims += 1,
-                        Change::Delete { key } if key == LEADER => self.gave_up = true,
+                        Change::Put { key, .. } if key == LEADER_KEY => self.claims += 1,
+                        Change::Delete { key } if key == LEADER_KEY => self.gave_up = true,
                         _ => {}
                     }
                 }
@@ -159,13 +160,13 @@
 #[test]
 fn a_watched_key_that_cannot_be_read_keeps_the_node_from_leading() {
     let keys = [
-        LEADER,
-        GENERATION,
-        ORDERS,
-        PARTITIONED,
-        DRAINS,
-        SETTLED,
-        TYPES,
+        LEADER_KEY,
+        GENERATION_KEY,
+        ORDERS_KEY,
+        PARTITIONED_ZONES_KEY,
+        DRAINS_KEY,
+        SETTLED_CLAIM_KEY,
+        MACHINE_TYPES_KEY,
         "live/job/run-000001",
     ];
     for key in keys {
@@ -178,10 +179,10 @@
     assert!(is_later(&bench.status("run-000001")));
     assert_eq!(bench.status("run-000002"), Answer::NotFound);
     // Where the forms themselves are not known, nothing at all.
-    let mut bench = Bench::new(vec![entry(GENERATION, NEWER)], Vec::new());
+    let mut bench = Bench::new(vec![entry(GENERATION_KEY, NEWER)], Vec::new());
     assert!(is_later(&bench.status("run-000002")));
     let later = r#"{"from":8,"to":9,"stage":"migrating"}"#;
-    let mut bench = Bench::new(vec![entry(GENERATION, later)], Vec::new());
+    let mut bench = Bench::new(vec![entry(GENERATION_KEY, later)], Vec::new());
     assert!(is_later(&bench.status("run-000002")) && !bench.ready() && bench.claims == 0);
 }
 
@@ -203,7 +204,7 @@
         (Some(settled), "ends/run-0000", r#""01d3,02c0""#, false),
     ];
     for (generation, key, value, later) in cases {
-        let live = generation.map(|text| entry(GENERATION, text));
+        let live = generation.map(|text| entry(GENERATION_KEY, text));
         let mut bench = Bench::new(live.into_iter().collect(), vec![entry(key, value)]);
         let answer = bench.status("run-000001");
         match later {
@@ -216,8 +217,8 @@
 /// A shard taken for no machines let tasks start that ran there.
 #[test]
 fn a_take_over_stops_at_a_record_that_cannot_be_read() {
-    let assignment_index = format!("{ASSIGNMENTS}0");
-    let progress = format!("{PROGRESS}run-000001/0");
+    let assignment_index = format!("{ASSIGNMENTS_PREFIX}0");
+    let progress = format!("{PROGRESS_PREFIX}run-000001/0");
     let beyond = r#"{"kinds":[["m","a",false]],"jobs":[],"machines":[["vm-1",0,[0]]]}"#;
     let cases = [
         (&assignment_index, NEWER),
--- a/tests/world/absences.rs
+++ b/tests/world/absences.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use kiteyard::core::store::{Change, LEADER};
+use kiteyard::core::store::{Change, LEADER_KEY};
 use rand::RngExt;
 
 use crate::{
@@ -51,7 +51,7 @@
     }
 
     pub fn absences_meet_claim(&mut self, changes: &[Change]) {
-        let claims = |c: &Change| matches!(c, Change::Put { key, .. } if key == LEADER);
+        let claims = |c: &Change| matches!(c, Change::Put { key, .. } if key == LEADER_KEY);
         if !changes.iter().any(claims) {
             return;
         }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -1,7 +1,7 @@
 //! The state service lowers its limits in the middle of everything: nothing is lost, no rule
 //! is broken, work goes on and there is no storm of requests.
 
-use kiteyard::core::store::ASSIGNMENTS;
+use kiteyard::core::store::ASSIGNMENTS_PREFIX;
 
 use crate::{
     cases::{Case, WITHIN_LEASE},
@@ -99,11 +99,11 @@
             let what = format!("seed {seed}, {case:?}");
             let length = std::mem::replace(&mut world.scale.length, ms(20 * S));
             world.run();
-            let before = world.state.largest_value(ASSIGNMENTS);
+            let before = world.state.largest_value(ASSIGNMENTS_PREFIX);
             assert!(before > VALUE_BYTES, "{what}: only {before} bytes");
             world.scale.length = length;
             let world = goes_on_after(world, fall, &what);
-            let largest = world.state.largest_value(ASSIGNMENTS);
+            let largest = world.state.largest_value(ASSIGNMENTS_PREFIX);
             assert!(largest <= VALUE_BYTES, "{what}: a shard of {largest} bytes");
             assert_eq!(world.state.rejected(), 0, "{what}");
         }
--- a/tests/world/meetings.rs
+++ b/tests/world/meetings.rs
@@ -7,14 +7,14 @@
 
 use kiteyard::core::{
     job::TaskSet,
-    store::{Change, LEADER, PROGRESS, StateReply, StateRequest},
+    store::{Change, LEADER_KEY, PROGRESS_PREFIX, StateReply, StateRequest},
 };
 use rand::RngExt;
 
 use crate::sim::{Event, NODES, Sabotage, World, ms};
 
 fn claims(change: &Change) -> bool {
-    matches!(change, Change::Put { key, .. } if key == LEADER)
+    matches!(change, Change::Put { key, .. } if key == LEADER_KEY)
 }
 
 #[derive(Default)]
@@ -113,7 +113,7 @@
         let vacate = StateRequest::Txn {
             conditions: Vec::new(),
             changes: vec![Change::Delete {
-                key: LEADER.to_owned(),
+                key: LEADER_KEY.to_owned(),
             }],
         };
         self.state.call(self.now, &vacate);
@@ -135,8 +135,9 @@
     fn look_at_progress(&mut self, changes: &[Change]) {
         for change in changes {
             if let Change::Put { key, value, .. } = change
-                && let Some((id, chunk)) =
-                    key.strip_prefix(PROGRESS).and_then(|k| k.split_once('/'))
+                && let Some((id, chunk)) = key
+                    .strip_prefix(PROGRESS_PREFIX)
+                    .and_then(|k| k.split_once('/'))
             {
                 let chunk = chunk.parse().expect("the number of a chunk");
                 let text: String = serde_json::from_str(value.get()).expect("a stored set");
--- a/tests/world/old_reports.rs
+++ b/tests/world/old_reports.rs
@@ -6,7 +6,7 @@
 use kiteyard::core::{
     Answer, Input, Output,
     machine::{Command, WorkerReport},
-    store::{Change, LEADER},
+    store::{Change, LEADER_KEY},
 };
 use rand::RngExt;
 
@@ -73,7 +73,7 @@
 
     /// A claim was committed: what was kept reaches every node as the leader begins.
     pub fn old_reports_meet_claim(&mut self, changes: &[Change], claim: u64) {
-        let claims = |c: &Change| matches!(c, Change::Put { key, .. } if key == LEADER);
+        let claims = |c: &Change| matches!(c, Change::Put { key, .. } if key == LEADER_KEY);
         if !changes.iter().any(claims) {
             return;
         }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use kiteyard::core::store::TERMINAL_RANGES;
+use kiteyard::core::store::TERMINAL_RANGES_PREFIX;
 
 use crate::{
     cases::Case,
@@ -37,7 +37,7 @@
 fn packed(seed: u64, sabotage: Sabotage, troubles: Troubles) -> World {
     let world = World::sized(PIPELINES, seed, sabotage).quick();
     let mut world = run(world.packs_ends(), troubles);
-    assert!(sabotage != Sabotage::None || world.keys(TERMINAL_RANGES) > 0);
+    assert!(sabotage != Sabotage::None || world.keys(TERMINAL_RANGES_PREFIX) > 0);
     world
 }
 
@@ -234,7 +234,7 @@
         let world = run(world, &[]);
         let mut world = checked(world, seed, &[]);
         assert!(
-            world.keys(TERMINAL_RANGES) > 0,
+            world.keys(TERMINAL_RANGES_PREFIX) > 0,
             "seed {seed}: never switched"
         );
     }
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kiteyard::core::store::{TERMINAL_RANGES, TERMINAL_STATES};
+use kiteyard::core::store::{TERMINAL_RANGES_PREFIX, TERMINAL_STATES_PREFIX};
 use kiteyard_rollout::generation::{Cluster, Order, Stage};
 
 use crate::{
@@ -38,7 +38,10 @@
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
     assert!(world.observer.finished > 6, "{what}: finished too little");
     assert_eq!(world.cluster(), end, "{what}: {:?}", world.roll.seen);
-    let (alone, packed) = (world.keys(TERMINAL_STATES), world.keys(TERMINAL_RANGES));
+    let (alone, packed) = (
+        world.keys(TERMINAL_STATES_PREFIX),
+        world.keys(TERMINAL_RANGES_PREFIX),
+    );
     match end.from {
         1 => assert_eq!((packed, alone > 6), (0, true), "{what}"),
         _ => assert_eq!((alone, packed > 0), (0, true), "{what}"),
@@ -129,7 +132,7 @@
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
     assert!(world.observer.finished > 6, "{what}: finished too little");
     let back = troubles.iter().any(|(case, _)| *case == Case::GoBack);
-    let (end, alone) = (world.cluster(), world.keys(TERMINAL_STATES));
+    let (end, alone) = (world.cluster(), world.keys(TERMINAL_STATES_PREFIX));
     match back {
         true => assert!(end.to == 1, "{what}: {end:?}"),
         false => assert_eq!((end, alone), (Cluster::settled(to), 0), "{what}"),
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -11,8 +11,8 @@
     rollout::Ask,
     rollout::FEATURES,
     store::{
-        ASSIGNMENTS, Change, DRAINS, GENERATION, JOBS, PARTITIONED, StateReply, StateRequest,
-        TERMINAL_RANGES,
+        ASSIGNMENTS_PREFIX, Change, DRAINS_KEY, GENERATION_KEY, JOBS_PREFIX, PARTITIONED_ZONES_KEY,
+        StateReply, StateRequest, TERMINAL_RANGES_PREFIX,
     },
 };
 use kiteyard_rollout::{
@@ -102,7 +102,9 @@
     };
     changes.iter().any(|change| match change {
         Change::Put { key, .. } | Change::Delete { key } => {
-            key.starts_with(TERMINAL_RANGES) || key == GENERATION || key == PARTITIONED
+            key.starts_with(TERMINAL_RANGES_PREFIX)
+                || key == GENERATION_KEY
+                || key == PARTITIONED_ZONES_KEY
         }
     })
 }
@@ -159,7 +161,7 @@
     }
 
     pub fn cluster(&mut self) -> Cluster {
-        self.stored(GENERATION).unwrap_or_default()
+        self.stored(GENERATION_KEY).unwrap_or_default()
     }
 
     /// Keys of a prefix.
@@ -224,7 +226,8 @@
         let StateRequest::Txn { changes, .. } = request else {
             return None;
         };
-        let accepts = matches!(&changes[..], [Change::Put { key, .. }] if key.starts_with(JOBS));
+        let accepts =
+            matches!(&changes[..], [Change::Put { key, .. }] if key.starts_with(JOBS_PREFIX));
         (accepts && self.rng.random_bool(0.15)).then_some(held)
     }
 
@@ -339,7 +342,7 @@
         ) = (blind, &mut request)
             && !changes.is_empty()
         {
-            conditions.retain(|c| c.key != GENERATION);
+            conditions.retain(|c| c.key != GENERATION_KEY);
         }
         request
     }
@@ -351,7 +354,7 @@
         };
         let removes = |change: &Change| match change {
             Change::Put { key, value, .. } => {
-                key == PARTITIONED && value.get() == r#"{"zones":{}}"#
+                key == PARTITIONED_ZONES_KEY && value.get() == r#"{"zones":{}}"#
             }
             Change::Delete { .. } => false,
         };
@@ -362,15 +365,15 @@
     pub fn tamper_reply(&self, node: usize, reply: &mut StateReply) {
         if self.roll.before[node] {
             match reply {
-                StateReply::Entries { entries, .. } => entries.retain(|e| e.key != GENERATION),
-                StateReply::Events { events, .. } => events.retain(|e| e.key != GENERATION),
+                StateReply::Entries { entries, .. } => entries.retain(|e| e.key != GENERATION_KEY),
+                StateReply::Events { events, .. } => events.retain(|e| e.key != GENERATION_KEY),
                 _ => {}
             }
         }
         if self.sabotage == Sabotage::ForgetsDrains {
             match reply {
-                StateReply::Entries { entries, .. } => entries.retain(|e| e.key != DRAINS),
-                StateReply::Events { events, .. } => events.retain(|e| e.key != DRAINS),
+                StateReply::Entries { entries, .. } => entries.retain(|e| e.key != DRAINS_KEY),
+                StateReply::Events { events, .. } => events.retain(|e| e.key != DRAINS_KEY),
                 _ => {}
             }
         }
@@ -380,7 +383,7 @@
         if self.roll.garbled == Some(node) {
             let second = |key: &str| {
                 let shard = key
-                    .strip_prefix(ASSIGNMENTS)
+                    .strip_prefix(ASSIGNMENTS_PREFIX)
                     .and_then(|s| s.parse::<u32>().ok());
                 shard.is_some_and(|shard| shard % 2 == 1)
             };
@@ -404,7 +407,7 @@
             }
             return message;
         }
-        let key = GENERATION.to_owned();
+        let key = GENERATION_KEY.to_owned();
         let reply = self.state.call(self.now, &StateRequest::Get { key });
         let knows = match reply {
             Some(StateReply::Entry(entry)) => entry.version,
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -10,7 +10,10 @@
 use kiteyard::core::{
     Answer, Input,
     job::{JobId, JobSpec, JobState, Kind, TerminalRecord},
-    store::{Change, GENERATION, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, put},
+    store::{
+        Change, GENERATION_KEY, StateReply, StateRequest, TERMINAL_RANGES_PREFIX,
+        TERMINAL_STATES_PREFIX, put,
+    },
     terminal_states::{Range, TerminalStates, parse_single},
 };
 use kiteyard_rollout::generation::{Cluster, Stage};
@@ -106,7 +109,7 @@
         };
         let request = StateRequest::Txn {
             conditions: Vec::new(),
-            changes: vec![put(GENERATION, &cluster)],
+            changes: vec![put(GENERATION_KEY, &cluster)],
         };
         self.state.call(self.now, &request);
         self
@@ -346,7 +349,8 @@
             let Change::Put { key, value, .. } = change else {
                 continue;
             };
-            let is_end = key.starts_with(TERMINAL_STATES) || key.starts_with(TERMINAL_RANGES);
+            let is_end =
+                key.starts_with(TERMINAL_STATES_PREFIX) || key.starts_with(TERMINAL_RANGES_PREFIX);
             for number in 0..self.jobs.len() * usize::from(is_end) {
                 let id = self.jobs[number].spec.id.clone();
                 if let Some(record) = stored_end(&id, key, value.get())
@@ -386,16 +390,17 @@
         }
         match reply {
             StateReply::Entry(entry)
-                if key.starts_with(TERMINAL_STATES) || key.starts_with(TERMINAL_RANGES) =>
+                if key.starts_with(TERMINAL_STATES_PREFIX)
+                    || key.starts_with(TERMINAL_RANGES_PREFIX) =>
             {
                 let text = entry.value.get().replace("cancelled", "done");
-                let text = match key.starts_with(TERMINAL_RANGES) {
+                let text = match key.starts_with(TERMINAL_RANGES_PREFIX) {
                     true => text.replace('c', "d"),
                     false => text,
                 };
                 entry.value = serde_json::value::RawValue::from_string(text).expect("JSON");
             }
-            StateReply::Missing if key.starts_with(TERMINAL_STATES) => {
+            StateReply::Missing if key.starts_with(TERMINAL_STATES_PREFIX) => {
                 let record = TerminalRecord {
                     state: JobState::Done,
                     done: 1,
@@ -420,7 +425,7 @@
 
 /// The end of this job, if it is what is stored under this key.
 fn stored_end(id: &JobId, key: &str, text: &str) -> Option<TerminalRecord> {
-    if key.strip_prefix(TERMINAL_STATES) == Some(id.as_str()) {
+    if key.strip_prefix(TERMINAL_STATES_PREFIX) == Some(id.as_str()) {
         return parse_single(text);
     }
     let (range, name) = Range::of(id);
@@ -437,11 +442,11 @@
         let Change::Put { key, value, .. } = change else {
             continue;
         };
-        let text = if key.starts_with(TERMINAL_STATES) {
+        let text = if key.starts_with(TERMINAL_STATES_PREFIX) {
             let mut record: TerminalRecord = serde_json::from_str(value.get()).expect("an end");
             record.ended_ms = None;
             serde_json::to_string(&record).expect("an end")
-        } else if key.starts_with(TERMINAL_RANGES) {
+        } else if key.starts_with(TERMINAL_RANGES_PREFIX) {
             let text: String = serde_json::from_str(value.get()).expect("ends");
             let entries = text.split(',').map(|e| e.split('t').next().unwrap_or(e));
             serde_json::Value::from(entries.collect::<Vec<_>>().join(",")).to_string()
--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -14,7 +14,8 @@
     job::{JobId, JobRecord, JobSpec, JobState, Kind, TaskId},
     machine::Command,
     store::{
-        self, Change, JOBS, LEADER, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES,
+        self, Change, JOBS_PREFIX, LEADER_KEY, StateReply, StateRequest, TERMINAL_RANGES_PREFIX,
+        TERMINAL_STATES_PREFIX,
     },
 };
 use rand::RngExt;
@@ -137,7 +138,8 @@
         else {
             return;
         };
-        let claims = |change: &Change| matches!(change, Change::Put { key, .. } if key == LEADER);
+        let claims =
+            |change: &Change| matches!(change, Change::Put { key, .. } if key == LEADER_KEY);
         if changes.iter().any(claims) {
             self.requests.claims.insert(*revision, node);
             self.pipelines_meet_claim();
@@ -369,8 +371,9 @@
         };
         let ends = changes
             .iter()
-            .any(|change| matches!(change, Change::Put { key, .. } if key.starts_with(TERMINAL_STATES) || key.starts_with(TERMINAL_RANGES)));
-        let about = |key: &str| key.starts_with(JOBS) || key.starts_with(TERMINAL_STATES);
+            .any(|change| matches!(change, Change::Put { key, .. } if key.starts_with(TERMINAL_STATES_PREFIX) || key.starts_with(TERMINAL_RANGES_PREFIX)));
+        let about =
+            |key: &str| key.starts_with(JOBS_PREFIX) || key.starts_with(TERMINAL_STATES_PREFIX);
         match self.sabotage {
             Sabotage::AcceptsWhateverIsStored => {
                 conditions.retain(|c| c.version > 0 || !about(&c.key));
@@ -383,7 +386,7 @@
     /// Events that tell of a job's end tell of the job instead.
     pub(super) fn ends_look_new(&self, events: &mut [store::Event]) {
         for event in events.iter_mut().filter(|event| event.value.is_none()) {
-            let id = event.key.strip_prefix(JOBS).and_then(JobId::parse);
+            let id = event.key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse);
             let job = id.and_then(|id| self.jobs.iter().find(|job| job.spec.id == id));
             if let Some(job) = job {
                 let record = JobRecord {
--- a/tests/world/sim/state_service.rs
+++ b/tests/world/sim/state_service.rs
@@ -2,7 +2,7 @@
 
 use kiteyard::core::{
     CallId, Input,
-    store::{ASSIGNMENTS, CLAIMS, Change, PROGRESS, StateReply, StateRequest},
+    store::{ASSIGNMENTS_PREFIX, CLAIMS_KEY, Change, PROGRESS_PREFIX, StateReply, StateRequest},
 };
 use rand::RngExt;
 
@@ -141,7 +141,7 @@
         }
         for entry in entries
             .iter_mut()
-            .filter(|e| e.key.starts_with(ASSIGNMENTS))
+            .filter(|e| e.key.starts_with(ASSIGNMENTS_PREFIX))
         {
             let mut shard: serde_json::Value =
                 serde_json::from_str(entry.value.get()).expect("a shard of the assignment index");
@@ -166,8 +166,8 @@
             without_end_times(changes);
         }
         let dropped = match self.sabotage {
-            Sabotage::ResultsByKeyAlone => PROGRESS,
-            Sabotage::ClaimsByKeyAlone => CLAIMS,
+            Sabotage::ResultsByKeyAlone => PROGRESS_PREFIX,
+            Sabotage::ClaimsByKeyAlone => CLAIMS_KEY,
             _ => return request,
         };
         if let StateRequest::Txn { conditions, .. } = &mut request {
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -8,7 +8,7 @@
     cluster::Direct,
     job::{JobId, JobState, Kind, TaskId},
     machine::{Command, DirectReply, ExitReason, ReportedTask, TaskPhase, WorkerReport},
-    store::{ASSIGNMENTS, Entry},
+    store::{ASSIGNMENTS_PREFIX, Entry},
 };
 use rand::RngExt;
 
@@ -511,7 +511,7 @@
     /// A next leader trusts the assignment index on which jobs an unresponsive machine may hold.
     fn check_listed(&mut self, name: &str, task: &TaskId) {
         let holds = |entry: &&Entry| entry.value.get().contains(name);
-        let mut shards = self.state.entries(ASSIGNMENTS);
+        let mut shards = self.state.entries(ASSIGNMENTS_PREFIX);
         shards.retain(|entry| holds(&entry));
         let mut listed = false;
         for entry in shards {
