--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -19,7 +19,7 @@
     cluster::ClusterState,
     job::JobId,
     machine::{Machine, MachineId, Standing},
-    store::{Change, Condition, StateReply, delete, encoded_len, put, shard_key, when},
+    store::{Change, Condition, StateReply, delete, encoded_len, if_version, put, shard_key},
 };
 
 pub use record::{AssignedMachine, ShardRecord};
@@ -326,7 +326,7 @@
             }
             shard.writing = true;
             let key = shard_key(id);
-            conditions.push(when(&key, shard.version));
+            conditions.push(if_version(&key, shard.version));
             changes.push(match listing.empty {
                 true => delete(key),
                 false => put(key, &record),
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -29,8 +29,8 @@
     /// Proves the claim and the cache after a renewal that was sent at `renewed`.
     Verify {
         claim: u64,
-        renewed: Duration,
-        asked: Duration,
+        renewal_sent: Duration,
+        sent: Duration,
     },
     Claim {
         lease: u64,
@@ -56,7 +56,7 @@
     },
     ReadTerminalState(Box<user_requests::TerminalRead>),
     /// Reads whether a job that a submission depends on is active.
-    ReadNeed(Box<user_requests::NeedsCheck>),
+    ReadDependency(Box<user_requests::NeedsCheck>),
     ReadRange {
         request: RequestId,
         id: JobId,
@@ -88,13 +88,16 @@
 pub(super) struct Call {
     pub(super) purpose: Purpose,
     /// Size of the write, if the call is one.
-    pub(super) write: Option<WriteSize>,
+    pub(super) write_size: Option<WriteSize>,
 }
 
 impl From<Purpose> for Call {
     fn from(purpose: Purpose) -> Self {
-        let write = None;
-        Self { purpose, write }
+        let write_size = None;
+        Self {
+            purpose,
+            write_size,
+        }
     }
 }
 
@@ -104,53 +107,63 @@
             StateRequest::Watch { wait, .. } => *wait + STATE_TIMEOUT,
             _ => STATE_TIMEOUT,
         };
-        self.call_within(timeout, purpose, request);
+        self.call_with_timeout(timeout, purpose, request);
     }
 
-    pub(super) fn call_within(
+    pub(super) fn call_with_timeout(
         &mut self,
         timeout: Duration,
         purpose: Purpose,
         request: StateRequest,
     ) {
-        self.next_call += 1;
-        let write = WriteSize::of(&request);
-        self.calls.insert(self.next_call, Call { purpose, write });
-        self.out.push(Output::State {
-            call: self.next_call,
+        self.last_call += 1;
+        let write_size = WriteSize::of(&request);
+        self.calls.insert(
+            self.last_call,
+            Call {
+                purpose,
+                write_size,
+            },
+        );
+        self.outputs.push(Output::State {
+            call: self.last_call,
             request,
             timeout,
         });
     }
 
     pub(super) fn call_cloud(&mut self, request: CloudRequest) {
-        self.next_call += 1;
+        self.last_call += 1;
         self.calls
-            .insert(self.next_call, Purpose::Cloud(request.clone()).into());
-        self.out.push(Output::Cloud {
-            call: self.next_call,
+            .insert(self.last_call, Purpose::Cloud(request.clone()).into());
+        self.outputs.push(Output::Cloud {
+            call: self.last_call,
             request,
         });
     }
 
     /// Sends commands directly to a worker.
     pub(super) fn call_worker(&mut self, direct: Direct) {
-        self.next_call += 1;
-        let call = self.next_call;
+        self.last_call += 1;
+        let call = self.last_call;
         self.calls
             .insert(call, Purpose::Direct(direct.clone()).into());
-        self.out.push(Output::Direct { call, direct });
+        self.outputs.push(Output::Direct { call, direct });
     }
 
     /// Removes an answered call and returns its purpose.
-    pub(super) fn purpose_of(&mut self, call: CallId) -> Option<Purpose> {
+    pub(super) fn take_purpose(&mut self, call: CallId) -> Option<Purpose> {
         self.calls.remove(&call).map(|call| call.purpose)
     }
 
     /// Updates the limits in use from the reply to a write, before the reply is handled.
-    pub(super) fn note_write_reply(&mut self, write: Option<&WriteSize>, reply: &StateReply) {
+    pub(super) fn update_write_limits(
+        &mut self,
+        write_size: Option<&WriteSize>,
+        reply: &StateReply,
+    ) {
         let now = self.now();
-        match (write, reply) {
+        match (write_size, reply) {
             (Some(size), StateReply::Rejected) => {
                 let lowered = self.limits.rejected(size, now);
                 self.write_queue.rejected(lowered);
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -247,7 +247,7 @@
 
     /// Looks for the stored end of a job that is not active.
     pub(super) fn look_for_end(&mut self, request: RequestId, id: JobId, question: Question) {
-        let read = TerminalRead::new(request, id, question, &self.cache.cluster);
+        let read = TerminalRead::new(request, id, question, &self.cache.generation);
         self.read_terminal_state(read);
     }
 }
--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -153,7 +153,7 @@
     /// Makes the cluster state of the new term from what was read.
     fn take_over(&mut self, claim: u64) {
         let now = self.now();
-        let Some(types) = self.cache.types.clone() else {
+        let Some(types) = self.cache.machine_types.clone() else {
             return;
         };
         let Some(loader) = self.election.loader.take() else {
@@ -184,7 +184,7 @@
             FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS_PREFIX,
             FailoverRead::Progress { .. } => PROGRESS_PREFIX,
         };
-        self.call_within(
+        self.call_with_timeout(
             self.failover_timeout(),
             Purpose::Failover(loading),
             StateRequest::List {
--- a/src/core/election/key_removal.rs
+++ b/src/core/election/key_removal.rs
@@ -8,7 +8,7 @@
 
 use super::super::{
     Node, Purpose, RETRY_DELAY,
-    store::{LEADER_KEY, StateReply, StateRequest, delete, when},
+    store::{LEADER_KEY, StateReply, StateRequest, delete, if_version},
 };
 
 #[derive(Debug)]
@@ -53,7 +53,7 @@
         self.call(
             Purpose::RemoveLeaderKey { claim },
             StateRequest::Txn {
-                conditions: vec![when(LEADER_KEY, claim)],
+                conditions: vec![if_version(LEADER_KEY, claim)],
                 changes: vec![delete(LEADER_KEY)],
             },
         );
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -21,7 +21,7 @@
     state_cache::LeaderRecord,
     store::{
         CLAIMS_KEY, GENERATION_KEY, LEADER_KEY, PARTITIONED_ZONES_KEY, SETTLED_CLAIM_KEY,
-        StateReply, StateRequest, put, put_leased, when,
+        StateReply, StateRequest, if_version, put, put_leased,
     },
 };
 use failover::FailoverLoader;
@@ -186,10 +186,10 @@
             // A process that does not know how the records are written now can't claim, nor
             // one that does not know whom it may not answer.
             conditions: vec![
-                when(LEADER_KEY, version),
-                when(CLAIMS_KEY, self.cache.claims),
-                when(GENERATION_KEY, self.cache.cluster.1),
-                when(PARTITIONED_ZONES_KEY, self.cache.partitioned_zones.1),
+                if_version(LEADER_KEY, version),
+                if_version(CLAIMS_KEY, self.cache.last_claim),
+                if_version(GENERATION_KEY, self.cache.generation.1),
+                if_version(PARTITIONED_ZONES_KEY, self.cache.partitioned_zones.1),
             ],
             changes: vec![
                 put_leased(LEADER_KEY, &record, Some(lease)),
@@ -205,7 +205,7 @@
             // one that still acts, and one that was never seen may have, too.
             let ended = self.election.observed.as_ref().is_some_and(|observed| {
                 !observed.superseded
-                    || self.cache.settled == observed.version
+                    || self.cache.settled_claim == observed.version
                     || self.now() > observed.since + self.config.leader_ttl
             });
             return Some(match ended {
@@ -217,11 +217,13 @@
             // A process that ended never acts again: its successor on the same
             // node need not wait for the end of its lease. One that itself took
             // another's place may have ended before that one's term.
-            return Some(match (self.cache.unsettled(), self.election.requested) {
-                (true, _) => PreviousLeader::Superseded,
-                (false, false) => PreviousLeader::SameNode,
-                (false, true) => PreviousLeader::LeaseExpired,
-            });
+            return Some(
+                match (self.cache.has_unsettled_claim(), self.election.requested) {
+                    (true, _) => PreviousLeader::Superseded,
+                    (false, false) => PreviousLeader::SameNode,
+                    (false, true) => PreviousLeader::LeaseExpired,
+                },
+            );
         }
         if self.election.resigned == Some(*version) {
             return Some(PreviousLeader::Resigned);
@@ -277,14 +279,14 @@
         let Some(claim) = self.claim() else { return };
         let (asked, renewed) = (self.now(), self.election.renewed);
         self.election.proof_asked = asked;
-        self.call_within(
+        self.call_with_timeout(
             self.failover_timeout(),
             Purpose::Verify {
                 claim,
-                renewed,
-                asked,
+                renewal_sent: renewed,
+                sent: asked,
             },
-            self.watch(Duration::ZERO),
+            self.watch_request(Duration::ZERO),
         );
     }
 
@@ -308,7 +310,7 @@
         asked: Duration,
         reply: StateReply,
     ) {
-        let copied = self.take_events(reply);
+        let copied = self.apply_watch_reply(reply);
         let standing = self.cache.leader.as_ref().map(|(_, version)| *version);
         // A claim that has gone was dropped with the events.
         if copied && self.election.claim == Some(claim) && standing == Some(claim) {
@@ -407,7 +409,7 @@
     /// of this process need not wait for it any more.
     fn store_settled_claim(&mut self) {
         let now = self.now();
-        if !self.cache.unsettled()
+        if !self.cache.has_unsettled_claim()
             || !self.is_leader()
             || !self.has_previous_leader_stopped()
             || self.election.storing_settled
@@ -420,7 +422,7 @@
         self.call(
             Purpose::StoreSettledClaim,
             StateRequest::Txn {
-                conditions: vec![when(LEADER_KEY, claim)],
+                conditions: vec![if_version(LEADER_KEY, claim)],
                 changes: vec![put(SETTLED_CLAIM_KEY, &claim)],
             },
         );
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -103,7 +103,7 @@
         let Some(cluster) = &self.cluster else { return };
         let handover = HandoverSnapshot::of(cluster, now);
         for to in self.config.peers.clone() {
-            self.out.push(Output::Peer {
+            self.outputs.push(Output::Peer {
                 to,
                 message: PeerMessage::Handover(handover.clone()),
             });
@@ -124,7 +124,7 @@
             && record.node != self.config.node
             && !self.handover.is_empty()
         {
-            self.out.push(Output::Peer {
+            self.outputs.push(Output::Peer {
                 to: record.node.clone(),
                 message: PeerMessage::Handover(self.handover.clone()),
             });
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -137,7 +137,7 @@
         let silent = heartbeat.state > EVERY;
         for to in self.config.peers.clone() {
             let message = PeerMessage::Heartbeat(heartbeat.clone());
-            self.out.push(Output::Peer { to, message });
+            self.outputs.push(Output::Peer { to, message });
         }
         // A node that has nothing to ask would not know whether it is served.
         if silent {
@@ -160,7 +160,7 @@
         };
         if matches!(reply, StateReply::Entry(entry) if entry.version == claim) {
             let message = PeerMessage::Resign { claim };
-            self.out.push(Output::Peer { to, message });
+            self.outputs.push(Output::Peer { to, message });
         }
     }
 
@@ -192,7 +192,7 @@
             return;
         }
         self.drop_leadership("the state service refuses it, but not others");
-        self.out.push(Output::Peer {
+        self.outputs.push(Output::Peer {
             to: from,
             message: PeerMessage::Resigned { claim },
         });
@@ -267,7 +267,7 @@
         let wait = match to {
             Some(to) => {
                 let message = PeerMessage::Resigned { claim };
-                self.out.push(Output::Peer { to, message });
+                self.outputs.push(Output::Peer { to, message });
                 TRANSFER_TIME
             }
             None => Duration::ZERO,
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -140,7 +140,7 @@
             until: self.now() + FORWARDED_FOR,
         };
         self.forwarded.waiting.insert(relay, waiting);
-        self.out.push(Output::Peer {
+        self.outputs.push(Output::Peer {
             to: leader,
             message: PeerMessage::Report { relay, report },
         });
@@ -282,7 +282,7 @@
                     return;
                 };
                 let answer = self.answer_as_leader(&report);
-                self.out.push(Output::Peer {
+                self.outputs.push(Output::Peer {
                     to: from,
                     message: PeerMessage::Reported { relay, answer },
                 });
@@ -342,7 +342,7 @@
         let licences = cluster.licence_view();
         for to in self.config.peers.clone() {
             let (jobs, licences) = (jobs.clone(), licences.clone());
-            self.out.push(Output::Peer {
+            self.outputs.push(Output::Peer {
                 to,
                 message: PeerMessage::Digest { jobs, licences },
             });
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -14,7 +14,9 @@
     Answer, Node, Purpose, RETRY_DELAY, RequestId,
     drain::DRAINS,
     job::Kind,
-    store::{DRAINS_KEY as KEY, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, put, when},
+    store::{
+        DRAINS_KEY as KEY, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, if_version, put,
+    },
 };
 
 #[derive(Debug, Clone, PartialEq)]
@@ -61,7 +63,7 @@
             self.answer(request, Answer::Impossible(why.into()));
             return;
         }
-        if !self.places() || !self.has_previous_leader_stopped() {
+        if !self.has_taken_over() || !self.has_previous_leader_stopped() {
             // Only the leader knows the machines, and one before it may still start
             // something there.
             self.answer(request, Answer::Later { retry: RETRY });
@@ -113,7 +115,7 @@
     /// What is in the way of emptying these machines, said when it is asked for.
     fn objection_to_drain(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
         let cluster = self.cluster.as_ref()?;
-        if self.cache.cluster.0.written() < DRAINS.since {
+        if self.cache.generation.0.written() < DRAINS.since {
             let needs = DRAINS.since;
             return Some(format!(
                 "generation {needs} is not in use, see rollout status"
@@ -211,9 +213,9 @@
         let Some(claim) = self.claim() else { return };
         self.maintenance.storing = true;
         let conditions = vec![
-            when(LEADER_KEY, claim),
-            when(KEY, self.cache.drains.1),
-            when(GENERATION_KEY, self.cache.cluster.1),
+            if_version(LEADER_KEY, claim),
+            if_version(KEY, self.cache.drains.1),
+            if_version(GENERATION_KEY, self.cache.generation.1),
         ];
         let changes = vec![put(KEY, &drains)];
         self.call(
@@ -245,7 +247,7 @@
         // Nothing is started there from this answer on.
         self.cordon();
         let Some(request) = request else { return };
-        match committed && self.places() {
+        match committed && self.has_taken_over() {
             true => self.answer_drains(request, None),
             false => self.answer(request, Answer::Later { retry: RETRY }),
         }
@@ -261,12 +263,12 @@
     /// Follows the stored list, and strikes off machines that are gone.
     pub(super) fn drive_maintenance(&mut self) {
         let now = self.now();
-        if self.cache.drains.1 == 0 || !self.places() {
+        if self.cache.drains.1 == 0 || !self.has_taken_over() {
             return;
         }
         self.cordon();
-        let moves = self.cache.cluster.0.stage != Stage::Settled;
-        let off = self.cache.cluster.0.written() < DRAINS.since;
+        let moves = self.cache.generation.0.stage != Stage::Settled;
+        let off = self.cache.generation.0.written() < DRAINS.since;
         let Some(cluster) = &mut self.cluster else {
             return;
         };
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -58,14 +58,14 @@
     },
     Rollout {
         request: RequestId,
-        ask: rollout::Ask,
+        action: rollout::RolloutAction,
     },
     Maintenance {
         request: RequestId,
-        ask: maintenance::Ask,
+        action: maintenance::Ask,
     },
     /// The process is shutting down.
-    Retire,
+    Shutdown,
     Report {
         request: RequestId,
         report: WorkerReport,
@@ -122,7 +122,7 @@
     ///
     /// A process that is suspended during a step continues as if no time had passed. Writes are
     /// conditional on the claim and may still be sent; commands may not.
-    pub fn withheld(self) -> Result<Output, Box<Input>> {
+    pub fn after_term_expired(self) -> Result<Output, Box<Input>> {
         match self {
             Output::Answer {
                 request,
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -15,7 +15,7 @@
     job::{JobId, TerminalRecord},
     store::{
         Entry, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, TERMINAL_RANGES_PREFIX,
-        TERMINAL_STATES_PREFIX, when,
+        TERMINAL_STATES_PREFIX, if_version,
     },
     terminal_states::{self, Place, Range, Rewrite},
 };
@@ -92,7 +92,7 @@
     /// Sends the next request of the migration, after all other writes of the leader.
     pub(super) fn drive_migration(&mut self) {
         let now = self.now();
-        let (cluster, revision) = self.cache.cluster;
+        let (cluster, revision) = self.cache.generation;
         let Some(config) = self.config.options.rollout.clone() else {
             return;
         };
@@ -180,8 +180,8 @@
             ends,
             records,
         } = rewrite;
-        conditions.push(when(GENERATION_KEY, revision));
-        conditions.push(when(LEADER_KEY, claim));
+        conditions.push(if_version(GENERATION_KEY, revision));
+        conditions.push(if_version(LEADER_KEY, claim));
         migration.allowance -= changes.len() as f64;
         self.write_queue.charge(changes.len() as f64);
         self.ranges.take(&range);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -81,8 +81,8 @@
 struct RoundWork {
     /// A decision waits for a new proof of the claim.
     needs_proof: bool,
-    directs: Vec<Direct>,
-    cloud: Option<CloudRequest>,
+    direct_commands: Vec<Direct>,
+    cloud_request: Option<CloudRequest>,
 }
 
 /// Runs a scheduling pass if one is due.
@@ -95,22 +95,22 @@
 pub struct Node {
     config: Arc<Config>,
     clock: Clock,
-    out: Vec<Output>,
-    next_call: CallId,
+    outputs: Vec<Output>,
+    last_call: CallId,
     calls: HashMap<CallId, Call>,
     limits: limits::WriteLimits,
     cache: StateCache,
     loading: bool,
-    retry_load: Duration,
+    load_retry_at: Duration,
     watching: bool,
-    retry_watch: Duration,
+    watch_retry_at: Duration,
     user_requests: UserRequests,
     terminal_cache: HashMap<JobId, TerminalRecord>,
     terminal_cache_order: VecDeque<JobId>,
     election: Election,
     cluster: Option<ClusterState>,
-    types_call: bool,
-    retry_types: Duration,
+    types_requested: bool,
+    types_retry_at: Duration,
     write_queue: write_queue::WriteQueue,
     rollout: rollout::Rollout,
     partitioned_zones: partitioned_zones::PartitionedZones,
@@ -147,14 +147,14 @@
                 now: Duration::ZERO,
                 wall_ms: 0,
             },
-            out: Vec::new(),
-            next_call: 0,
+            outputs: Vec::new(),
+            last_call: 0,
             calls: HashMap::new(),
             cache: StateCache::default(),
             loading: false,
-            retry_load: Duration::ZERO,
+            load_retry_at: Duration::ZERO,
             watching: false,
-            retry_watch: Duration::ZERO,
+            watch_retry_at: Duration::ZERO,
             user_requests: UserRequests::default(),
             terminal_cache: HashMap::new(),
             terminal_cache_order: VecDeque::new(),
@@ -162,8 +162,8 @@
             cluster: None,
             handover: handover::HandoverSnapshot::default(),
             next_handover: Duration::ZERO,
-            types_call: false,
-            retry_types: Duration::ZERO,
+            types_requested: false,
+            types_retry_at: Duration::ZERO,
         }
     }
 
@@ -176,9 +176,9 @@
             Input::Withdraw { request, id } => self.queue_question(request, id, Question::Withdraw),
             Input::Ready { request } => self.answer(request, Answer::Ready(self.is_ready())),
             Input::Licences { request } => self.licences(request),
-            Input::Rollout { request, ask } => self.rollout_asked(request, ask),
-            Input::Maintenance { request, ask } => self.maintenance_asked(request, ask),
-            Input::Retire => self.retire(),
+            Input::Rollout { request, action } => self.handle_rollout_action(request, action),
+            Input::Maintenance { request, action } => self.maintenance_asked(request, action),
+            Input::Shutdown => self.retire(),
             Input::Report { request, report } => self.report(request, report),
             Input::State { call, reply } => self.state_service_answered(call, reply),
             Input::Cloud { call, reply } => self.cloud_answered(call, reply),
@@ -187,16 +187,16 @@
             Input::Tick => {}
         }
         self.drive();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// Returns whether this node leads and has completed the failover.
-    pub fn places(&self) -> bool {
+    pub fn has_taken_over(&self) -> bool {
         self.cluster.is_some() && self.is_leader()
     }
 
     /// Returns whether there are machines whose tasks are not known yet.
-    pub fn unresolved(&self) -> bool {
+    pub fn has_unresolved_machines(&self) -> bool {
         self.cluster.as_ref().is_some_and(ClusterState::unresolved)
     }
 
@@ -207,7 +207,7 @@
 
     fn is_ready(&self) -> bool {
         self.cache.loaded
-            && self.cache.types.is_some()
+            && self.cache.machine_types.is_some()
             && !self.is_refused_alone()
             && self.accepts_requests()
     }
@@ -220,7 +220,7 @@
         if request == INTERNAL {
             return;
         }
-        self.out.push(Output::Answer { request, answer });
+        self.outputs.push(Output::Answer { request, answer });
     }
 
     /// Runs everything that is due now.
@@ -268,10 +268,10 @@
         let Some(work) = self.plan_leader_round(proven) else {
             return;
         };
-        for direct in work.directs {
+        for direct in work.direct_commands {
             self.call_worker(direct);
         }
-        if let Some(request) = work.cloud {
+        if let Some(request) = work.cloud_request {
             self.call_cloud(request);
         }
         if work.needs_proof {
@@ -299,8 +299,8 @@
         run_due_pass(cluster, now);
         Some(RoundWork {
             needs_proof,
-            directs: cluster.direct_commands(now),
-            cloud: cluster.cloud_work(now),
+            direct_commands: cluster.direct_commands(now),
+            cloud_request: cluster.cloud_work(now),
         })
     }
 
@@ -324,12 +324,12 @@
     fn drive_types(&mut self) {
         let now = self.now();
         if self.cache.loaded
-            && self.cache.types.is_none()
+            && self.cache.machine_types.is_none()
             && !self.cache.unreadable.contains_key(store::MACHINE_TYPES_KEY)
-            && !self.types_call
-            && now >= self.retry_types
+            && !self.types_requested
+            && now >= self.types_retry_at
         {
-            self.types_call = true;
+            self.types_requested = true;
             self.call_cloud(CloudRequest::Types);
         }
     }
@@ -342,11 +342,11 @@
                 bytes,
                 most, "machine types exceed the value limit and are kept in memory only"
             );
-            self.cache.types = Some(Arc::new(types.to_vec()));
+            self.cache.machine_types = Some(Arc::new(types.to_vec()));
             return;
         }
         let request = StateRequest::Txn {
-            conditions: vec![store::when(store::MACHINE_TYPES_KEY, 0)],
+            conditions: vec![store::if_version(store::MACHINE_TYPES_KEY, 0)],
             changes: vec![store::put(store::MACHINE_TYPES_KEY, &types)],
         };
         self.call(Purpose::StoreTypes, request);
@@ -355,9 +355,9 @@
     fn cloud_reply(&mut self, request: &CloudRequest, reply: CloudReply) {
         let now = self.now();
         if let CloudRequest::Types = request {
-            self.types_call = false;
-            self.retry_types = now + Duration::from_secs(2);
-            if let (CloudReply::Types(types), None) = (&reply, &self.cache.types) {
+            self.types_requested = false;
+            self.types_retry_at = now + Duration::from_secs(2);
+            if let (CloudReply::Types(types), None) = (&reply, &self.cache.machine_types) {
                 self.store_types(types);
             }
         }
@@ -370,19 +370,19 @@
 
     fn state_service_answered(&mut self, call: CallId, reply: StateReply) {
         if let Some(call) = self.calls.remove(&call) {
-            self.note_write_reply(call.write.as_ref(), &reply);
+            self.update_write_limits(call.write_size.as_ref(), &reply);
             self.state_reply(call.purpose, reply);
         }
     }
 
     fn cloud_answered(&mut self, call: CallId, reply: CloudReply) {
-        if let Some(Purpose::Cloud(request)) = self.purpose_of(call) {
+        if let Some(Purpose::Cloud(request)) = self.take_purpose(call) {
             self.cloud_reply(&request, reply);
         }
     }
 
     fn worker_answered(&mut self, call: CallId, reply: DirectReply) {
-        if let Some(Purpose::Direct(direct)) = self.purpose_of(call) {
+        if let Some(Purpose::Direct(direct)) = self.take_purpose(call) {
             self.direct_reply(&direct, reply);
         }
     }
@@ -391,16 +391,16 @@
     fn state_reply(&mut self, purpose: Purpose, reply: StateReply) {
         self.state_answered(&reply);
         match purpose {
-            Purpose::Load { after } => self.loaded(after, reply),
+            Purpose::Load { after } => self.load_answered(after, reply),
             Purpose::Watch => self.watch_answered(reply),
             Purpose::Sync => self.sync_answered(reply),
             Purpose::Grant => self.granted(reply),
             Purpose::Renew { sent } => self.renewed(sent, reply),
             Purpose::Verify {
                 claim,
-                renewed,
-                asked,
-            } => self.verified(claim, renewed, asked, reply),
+                renewal_sent,
+                sent,
+            } => self.verified(claim, renewal_sent, sent, reply),
             Purpose::Claim { lease, sent, prior } => self.claimed(lease, sent, prior, reply),
             Purpose::Probe => self.probed(&reply),
             Purpose::StoredHeartbeat => self.heartbeat_stored(),
@@ -414,7 +414,7 @@
             } => self.accepted(request, spec, accepted_ms, tries, reply),
             Purpose::Cancel { request, id, ends } => self.cancelled(request, id, ends, reply),
             Purpose::ReadTerminalState(read) => self.terminal_state_read(*read, reply),
-            Purpose::ReadNeed(check) => self.need_read(*check, &reply),
+            Purpose::ReadDependency(check) => self.need_read(*check, &reply),
             Purpose::ReadRange { request, id, then } => {
                 self.range_read(request, id, then, &reply);
             }
@@ -438,16 +438,16 @@
         // small jobs, these alone exceeded the state service's request limit, and submissions
         // were refused. So followers pause to batch events. The leader does not, since a delay
         // would postpone the start of jobs.
-        let pause = match (self.take_events(reply), self.is_leader()) {
+        let pause = match (self.apply_watch_reply(reply), self.is_leader()) {
             (false, _) => RETRY_DELAY,
             (true, true) => Duration::ZERO,
             (true, false) => self.config.watch_every,
         };
-        self.retry_watch = self.now() + pause;
+        self.watch_retry_at = self.now() + pause;
     }
 
     fn sync_answered(&mut self, reply: StateReply) {
-        let proven = self.take_events(reply);
+        let proven = self.apply_watch_reply(reply);
         self.synced(proven);
     }
 
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -28,7 +28,8 @@
     machine::WorkerReport,
     peer_message::PeerMessage,
     store::{
-        GENERATION_KEY, LEADER_KEY, PARTITIONED_ZONES_KEY, StateReply, StateRequest, put, when,
+        GENERATION_KEY, LEADER_KEY, PARTITIONED_ZONES_KEY, StateReply, StateRequest, if_version,
+        put,
     },
 };
 
@@ -84,7 +85,7 @@
 
 impl Node {
     fn stores_partitioned_zones(&self) -> bool {
-        self.cache.cluster.0.written() >= PARTITIONED_ZONES_FEATURE.since
+        self.cache.generation.0.written() >= PARTITIONED_ZONES_FEATURE.since
     }
 
     /// Nobody in that zone may be answered, or sent a start.
@@ -155,7 +156,7 @@
             ReportOrigin::Node(to, relay) => {
                 let answer = None;
                 let message = PeerMessage::Reported { relay, answer };
-                self.out.push(Output::Peer { to, message });
+                self.outputs.push(Output::Peer { to, message });
             }
         }
     }
@@ -197,7 +198,7 @@
                 ReportOrigin::Node(to, relay) => {
                     let answer = self.answer_as_leader(&waiting.report);
                     let message = PeerMessage::Reported { relay, answer };
-                    self.out.push(Output::Peer { to, message });
+                    self.outputs.push(Output::Peer { to, message });
                 }
             }
         }
@@ -288,9 +289,9 @@
         let new: BTreeSet<Arc<str>> = new.cloned().collect();
         info!(zones = ?zones.keys().collect::<Vec<_>>(), "partitioned zones");
         let conditions = vec![
-            when(LEADER_KEY, claim),
-            when(PARTITIONED_ZONES_KEY, *version),
-            when(GENERATION_KEY, self.cache.cluster.1),
+            if_version(LEADER_KEY, claim),
+            if_version(PARTITIONED_ZONES_KEY, *version),
+            if_version(GENERATION_KEY, self.cache.generation.1),
         ];
         let record = PartitionedZonesRecord { zones };
         let changes = vec![put(PARTITIONED_ZONES_KEY, &record)];
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -17,7 +17,7 @@
     migrate::Migration,
     partitioned_zones::PARTITIONED_ZONES_FEATURE,
     store::{
-        GENERATION_KEY, LEADER_KEY, ORDERS_KEY, StateReply, StateRequest, node_key, put, when,
+        GENERATION_KEY, LEADER_KEY, ORDERS_KEY, StateReply, StateRequest, if_version, node_key, put,
     },
     terminal_states::PACKED_TERMINAL_STATES,
 };
@@ -31,7 +31,7 @@
 
 /// Operator's request to a node.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum RolloutAction {
     Status,
     Order(Order),
     /// Transfers the leadership to another node.
@@ -95,7 +95,7 @@
     /// Returns whether the stored records are of a generation that is unknown or that this
     /// process can't read. If so, it can't prove anything about jobs.
     pub(super) fn cannot_read_state(&self) -> bool {
-        !self.cache.cluster.0.suits(&self.config.ability)
+        !self.cache.generation.0.suits(&self.config.ability)
             || self.cache.unreadable.contains_key(GENERATION_KEY)
     }
 
@@ -104,7 +104,7 @@
         if let Some(key) = self.cache.unreadable.keys().next() {
             return Some(format!("{key} can't be read, a newer build is needed"));
         }
-        let cluster = &self.cache.cluster.0;
+        let cluster = &self.cache.generation.0;
         let needs = cluster.needs();
         let ability = &self.config.ability;
         (!cluster.suits(ability)).then(|| {
@@ -170,7 +170,7 @@
         let able = |node: &String| {
             let told = self.cache.nodes.get(node);
             let ability = told.and_then(|(ability, _)| ability.as_ref());
-            ability.is_none_or(|ability| self.cache.cluster.0.suits(ability))
+            ability.is_none_or(|ability| self.cache.generation.0.suits(ability))
         };
         nodes.best_peer_of(now, able).map(|(node, _)| node)
     }
@@ -227,10 +227,12 @@
                         "storing the next step of the cluster's generation"
                     );
                     self.rollout.storing = true;
-                    let mut conditions =
-                        vec![when(LEADER_KEY, claim), when(GENERATION_KEY, view.revision)];
+                    let mut conditions = vec![
+                        if_version(LEADER_KEY, claim),
+                        if_version(GENERATION_KEY, view.revision),
+                    ];
                     let seen = nodes.iter();
-                    conditions.extend(seen.map(|(node, at)| when(node_key(node), *at)));
+                    conditions.extend(seen.map(|(node, at)| if_version(node_key(node), *at)));
                     self.call(
                         Purpose::StoreGeneration,
                         StateRequest::Txn {
@@ -259,7 +261,7 @@
         }
         rollout.announcing = true;
         let key = node_key(&node);
-        let conditions = vec![when(&key, stored)];
+        let conditions = vec![if_version(&key, stored)];
         let changes = vec![put(key, &self.config.ability)];
         self.call(
             Purpose::Announce,
@@ -283,7 +285,7 @@
         let started = self.rollout.started;
         (started > 0).then_some(Told {
             started,
-            knows: self.cache.cluster.1,
+            knows: self.cache.generation.1,
         })
     }
 
@@ -300,7 +302,7 @@
 
     /// Returns whether no record is left of the features that the written generation lacks.
     fn nothing_left(&self) -> bool {
-        let written = self.cache.cluster.0.written();
+        let written = self.cache.generation.0.written();
         let no_zones = written >= PARTITIONED_ZONES_FEATURE.since
             || self.cache.partitioned_zones.0.zones.is_empty();
         no_zones && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
@@ -312,7 +314,7 @@
 
     fn rollout_view(&self) -> View {
         let now = self.now();
-        let (cluster, revision) = self.cache.cluster;
+        let (cluster, revision) = self.cache.generation;
         let seen = |node: &String| {
             let (ability, started) = match self.cache.nodes.get(node) {
                 Some((ability, started)) => (ability.clone(), *started),
@@ -338,9 +340,9 @@
         }
     }
 
-    pub(super) fn rollout_asked(&mut self, request: RequestId, ask: Ask) {
-        match ask {
-            Ask::Status => {
+    pub(super) fn handle_rollout_action(&mut self, request: RequestId, action: RolloutAction) {
+        match action {
+            RolloutAction::Status => {
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
@@ -348,16 +350,18 @@
                 let why = "rollouts are off: start the nodes with --rollout FILE";
                 self.answer(request, Answer::Impossible(why.into()));
             }
-            Ask::Order(order) => self.ordered(request, &order),
-            Ask::StepDown if self.claim().is_none() => {
+            RolloutAction::Order(order) => self.ordered(request, &order),
+            RolloutAction::StepDown if self.claim().is_none() => {
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
-            Ask::StepDown if !self.has_previous_leader_stopped() || self.successor().is_none() => {
+            RolloutAction::StepDown
+                if !self.has_previous_leader_stopped() || self.successor().is_none() =>
+            {
                 let retry = self.config.leader_term;
                 self.answer(request, Answer::Later { retry });
             }
-            Ask::StepDown => {
+            RolloutAction::StepDown => {
                 self.step_down("an operator asked it to step down");
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
@@ -398,7 +402,7 @@
         self.call(
             Purpose::Order { request },
             StateRequest::Txn {
-                conditions: vec![when(ORDERS_KEY, revision)],
+                conditions: vec![if_version(ORDERS_KEY, revision)],
                 changes: vec![put(ORDERS_KEY, &orders)],
             },
         );
@@ -419,7 +423,7 @@
                 if !(oldest..=newest).contains(target) {
                     return Some(format!("generation: must be {oldest} to {newest}"));
                 }
-                let cluster = self.cache.cluster.0;
+                let cluster = self.cache.generation.0;
                 let now = cluster.from.max(cluster.written());
                 let mut left = FEATURES
                     .iter()
@@ -449,7 +453,7 @@
     /// to rewrite the records found so far at the configured share of the change rate.
     fn rest_of_the_move(&self, soaked: Duration) -> Option<f64> {
         let config = self.config.options.rollout.as_ref()?;
-        match self.cache.cluster.0.stage {
+        match self.cache.generation.0.stage {
             Stage::Settled => None,
             Stage::Prepared | Stage::Soaking => {
                 Some(config.soak.saturating_sub(soaked).as_secs_f64())
@@ -464,7 +468,7 @@
 
     fn rollout_status(&self) -> Status {
         let now = self.now();
-        let cluster = self.cache.cluster.0;
+        let cluster = self.cache.generation.0;
         let orders = &self.cache.orders.0;
         let leader = self.cache.leader.as_ref().map(|(record, _)| &record.node);
         let nodes = self.configured().map(|node| {
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -43,16 +43,16 @@
     pub cursor: u64,
     pub leader: Option<(LeaderRecord, u64)>,
     /// Revision of the last claim by any node.
-    pub claims: u64,
+    pub last_claim: u64,
     /// Revision of the last settled claim.
-    pub settled: u64,
-    pub types: Option<Arc<Vec<MachineType>>>,
+    pub settled_claim: u64,
+    pub machine_types: Option<Arc<Vec<MachineType>>>,
     pub jobs: BTreeMap<JobId, LiveJob>,
     /// Jobs that this node has ended, with the revision of the end, until the cursor reaches it:
     /// an older change that arrives in between must not restore the job.
-    ended: BTreeMap<JobId, u64>,
+    ended_jobs: BTreeMap<JobId, u64>,
     /// Generation of the stored records, and the revision of its key; 0 if the key is missing.
-    pub cluster: (Cluster, u64),
+    pub generation: (Cluster, u64),
     pub orders: (Orders, u64),
     /// Partitioned zones, and the revision of the key; 0 if the key is missing.
     pub partitioned_zones: (PartitionedZonesRecord, u64),
@@ -72,8 +72,8 @@
     JobAdded(JobId),
     JobRemoved(JobId),
     LeaderKey,
-    Types,
-    Cluster,
+    MachineTypes,
+    Generation,
     StoredHeartbeat(StoredHeartbeat),
 }
 
@@ -84,12 +84,12 @@
     }
 
     /// Returns whether the leader replaced one that may still act.
-    pub fn unsettled(&self) -> bool {
+    pub fn has_unsettled_claim(&self) -> bool {
         let leader = self.leader.as_ref();
-        leader.is_some_and(|(record, version)| record.superseded && self.settled != *version)
+        leader.is_some_and(|(record, version)| record.superseded && self.settled_claim != *version)
     }
 
-    pub fn load(&mut self, entries: Vec<Entry>) {
+    pub fn apply_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             self.apply(&Event {
                 key: entry.key,
@@ -100,7 +100,7 @@
     }
 
     /// Applies the events of a watch and skips those already seen.
-    pub fn advance(&mut self, events: &[Event], revision: u64) -> Vec<StateChange> {
+    pub fn apply_events(&mut self, events: &[Event], revision: u64) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let cursor = self.cursor;
         for event in events.iter().filter(|e| e.revision > cursor) {
@@ -108,13 +108,13 @@
         }
         self.cursor = self.cursor.max(revision);
         let cursor = self.cursor;
-        self.ended.retain(|_, ended| *ended > cursor);
+        self.ended_jobs.retain(|_, ended| *ended > cursor);
         changes
     }
 
     /// Parses the new value of a key. Returns `None` if the key was deleted, or if its value
     /// can't be parsed, in which case the key is recorded as unreadable.
-    fn read<T: DeserializeOwned>(&mut self, event: &Event) -> Option<T> {
+    fn parse_value<T: DeserializeOwned>(&mut self, event: &Event) -> Option<T> {
         let value = event.value.as_ref();
         let read = value.map(|value| serde_json::from_str(value.get()));
         match read {
@@ -133,37 +133,37 @@
         let revision = event.revision;
         match event.key.as_str() {
             LEADER_KEY => {
-                self.leader = self.read(event).map(|record| (record, revision));
+                self.leader = self.parse_value(event).map(|record| (record, revision));
                 return Some(StateChange::LeaderKey);
             }
-            CLAIMS_KEY => self.claims = if event.value.is_some() { revision } else { 0 },
+            CLAIMS_KEY => self.last_claim = if event.value.is_some() { revision } else { 0 },
             // An unreadable value leaves the claim unsettled, which is the safe side.
-            SETTLED_CLAIM_KEY => self.settled = self.read(event).unwrap_or_default(),
+            SETTLED_CLAIM_KEY => self.settled_claim = self.parse_value(event).unwrap_or_default(),
             MACHINE_TYPES_KEY => {
-                self.types = self.read(event).map(Arc::new);
-                return Some(StateChange::Types);
+                self.machine_types = self.parse_value(event).map(Arc::new);
+                return Some(StateChange::MachineTypes);
             }
             GENERATION_KEY => {
                 let there = event.value.is_some();
-                let cluster = self.read(event).filter(Cluster::holds);
+                let cluster = self.parse_value(event).filter(Cluster::holds);
                 if there && cluster.is_none() {
                     self.unreadable.insert(event.key.clone(), revision);
                 }
                 let revision = if there { revision } else { 0 };
-                self.cluster = (cluster.unwrap_or_default(), revision);
-                return Some(StateChange::Cluster);
+                self.generation = (cluster.unwrap_or_default(), revision);
+                return Some(StateChange::Generation);
             }
             ORDERS_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
-                self.orders = (self.read(event).unwrap_or_default(), revision);
+                self.orders = (self.parse_value(event).unwrap_or_default(), revision);
             }
             PARTITIONED_ZONES_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
-                self.partitioned_zones = (self.read(event).unwrap_or_default(), revision);
+                self.partitioned_zones = (self.parse_value(event).unwrap_or_default(), revision);
             }
             DRAINS_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
-                self.drains = (self.read(event).unwrap_or_default(), revision);
+                self.drains = (self.parse_value(event).unwrap_or_default(), revision);
             }
             // No stored record depends on this key, so an unreadable value is ignored.
             STORED_HEARTBEAT_KEY => {
@@ -173,14 +173,14 @@
                     .map(StateChange::StoredHeartbeat);
             }
             key => match key.strip_prefix(NODES_PREFIX) {
-                Some(node) => self.node_told(node.to_owned(), event),
+                Some(node) => self.update_node(node.to_owned(), event),
                 None => return self.apply_job(event),
             },
         }
         None
     }
 
-    fn node_told(&mut self, node: String, event: &Event) {
+    fn update_node(&mut self, node: String, event: &Event) {
         match &event.value {
             Some(value) => {
                 let ability = serde_json::from_str(value.get()).ok();
@@ -194,7 +194,7 @@
 
     fn apply_job(&mut self, event: &Event) -> Option<StateChange> {
         let id = JobId::parse(event.key.strip_prefix(JOBS_PREFIX)?)?;
-        match self.read(event) {
+        match self.parse_value(event) {
             Some(record) => self
                 .add_job(id.clone(), record, event.revision)
                 .then_some(StateChange::JobAdded(id)),
@@ -210,7 +210,10 @@
 
     fn add_job(&mut self, id: JobId, record: JobRecord, version: u64) -> bool {
         let known = self.jobs.get(&id).is_some_and(|j| j.version >= version)
-            || self.ended.get(&id).is_some_and(|ended| *ended >= version);
+            || self
+                .ended_jobs
+                .get(&id)
+                .is_some_and(|ended| *ended >= version);
         if !known {
             self.jobs.insert(id, LiveJob { record, version });
         }
@@ -218,17 +221,17 @@
     }
 
     /// Applies the end of a job that this node has stored, before the watch delivers it.
-    pub fn committed_end(&mut self, id: &JobId, revision: u64) {
+    pub fn job_end_committed(&mut self, id: &JobId, revision: u64) {
         if revision > self.cursor {
             self.jobs.remove(id);
-            self.ended.insert(id.clone(), revision);
+            self.ended_jobs.insert(id.clone(), revision);
         }
     }
 
     /// Applies a job record that this node has stored, before the watch delivers it. Skips a
     /// record that the watch has already delivered, since it may be outdated. Also skips any
     /// record during a reload: the job may have ended before the first page was listed.
-    pub fn committed_job(&mut self, id: &JobId, record: JobRecord, version: u64) -> bool {
+    pub fn job_committed(&mut self, id: &JobId, record: JobRecord, version: u64) -> bool {
         self.loaded && version > self.cursor && self.add_job(id.clone(), record, version)
     }
 }
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -61,7 +61,7 @@
     pub version: u64,
 }
 
-pub fn when(key: impl Into<String>, version: u64) -> Condition {
+pub fn if_version(key: impl Into<String>, version: u64) -> Condition {
     Condition {
         key: key.into(),
         version,
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -13,7 +13,7 @@
 use super::{
     Node, Purpose,
     membership::nodes::EVERY,
-    store::{LEADER_KEY, STORED_HEARTBEAT_KEY, StateRequest, put, when},
+    store::{LEADER_KEY, STORED_HEARTBEAT_KEY, StateRequest, if_version, put},
 };
 
 /// What the leader writes.
@@ -52,7 +52,7 @@
         self.write_queue.charge(1.0);
         let hears = self.membership.detector.machines_heard().values().sum();
         let changes = vec![put(STORED_HEARTBEAT_KEY, &StoredHeartbeat { claim, hears })];
-        let conditions = vec![when(LEADER_KEY, claim)];
+        let conditions = vec![if_version(LEADER_KEY, claim)];
         self.call(
             Purpose::StoredHeartbeat,
             StateRequest::Txn {
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -16,8 +16,8 @@
 use super::{
     job::{JobId, JobState, TerminalRecord},
     store::{
-        Change, Condition, TERMINAL_RANGES_PREFIX, TERMINAL_STATES_PREFIX, delete, put,
-        terminal_key, when,
+        Change, Condition, TERMINAL_RANGES_PREFIX, TERMINAL_STATES_PREFIX, delete, if_version, put,
+        terminal_key,
     },
 };
 
@@ -284,14 +284,14 @@
     let mut conditions = Vec::new();
     for place in places(cluster) {
         conditions.push(match place {
-            Place::Single => when(terminal_key(id), 0),
+            Place::Single => if_version(terminal_key(id), 0),
             Place::Packed => {
                 let (range, name) = Range::of(id);
                 let known = ranges.get(&range)?;
                 if known.ends.get(name).is_some() {
                     return None;
                 }
-                when(range.key(), known.version)
+                if_version(range.key(), known.version)
             }
         });
     }
@@ -329,7 +329,7 @@
                 ends.insert(Range::of(id).1, *record);
             }
             Some(TerminalWrite {
-                conditions: vec![when(range.key(), known.version)],
+                conditions: vec![if_version(range.key(), known.version)],
                 changes: vec![put(range.key(), &ends)],
                 ends: Some((range, ends)),
             })
@@ -349,11 +349,11 @@
 /// From keys of their own into the range. As many as a transaction has room for.
 pub fn pack(range: &Range, alone: &[(JobId, TerminalRecord, u64)], known: &KnownRange) -> Rewrite {
     let mut ends = known.ends.clone();
-    let mut conditions = vec![when(range.key(), known.version)];
+    let mut conditions = vec![if_version(range.key(), known.version)];
     let mut deletes = Vec::new();
     for (id, record, version) in alone {
         ends.insert(Range::of(id).1, *record);
-        conditions.push(when(terminal_key(id), *version));
+        conditions.push(if_version(terminal_key(id), *version));
         deletes.push(delete(terminal_key(id)));
     }
     let mut changes = vec![put(range.key(), &ends)];
@@ -371,7 +371,7 @@
 pub fn unpack(range: &Range, known: &KnownRange, most: usize) -> Option<Rewrite> {
     let mut ends = known.ends.clone();
     let taken = ends.split_off(most.saturating_sub(1).max(1));
-    let mut conditions = vec![when(range.key(), known.version)];
+    let mut conditions = vec![if_version(range.key(), known.version)];
     let mut changes = vec![match ends.is_empty() {
         true => delete(range.key()),
         false => put(range.key(), &ends),
@@ -379,7 +379,7 @@
     let records = taken.len();
     for (name, record) in taken {
         let key = terminal_key(&range.id(&name)?);
-        conditions.push(when(&key, 0));
+        conditions.push(if_version(&key, 0));
         changes.push(put(key, &record));
     }
     Some(Rewrite {
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -11,8 +11,8 @@
     job::{JobId, JobRecord, JobSpec, JobState, Kind, Resources, TerminalRecord},
     machine::MachineType,
     store::{
-        GENERATION_KEY, StateReply, StateRequest, delete, encoded_len, job_key, put, terminal_key,
-        when,
+        GENERATION_KEY, StateReply, StateRequest, delete, encoded_len, if_version, job_key, put,
+        terminal_key,
     },
     terminal_states::{self, KnownRange, Place, Range},
 };
@@ -103,7 +103,7 @@
 impl Node {
     pub(super) fn submit(&mut self, request: RequestId, spec: Arc<JobSpec>) {
         let able = self.cache.loaded && !self.cannot_read_state();
-        let Some(types) = self.cache.types.clone().filter(|_| able) else {
+        let Some(types) = self.cache.machine_types.clone().filter(|_| able) else {
             self.answer(request, Answer::Later { retry: RETRY });
             return;
         };
@@ -144,7 +144,7 @@
             } else if !self.terminal_cache.contains_key(need) {
                 let key = job_key(need);
                 self.call(
-                    Purpose::ReadNeed(Box::new(check)),
+                    Purpose::ReadDependency(Box::new(check)),
                     StateRequest::Get { key },
                 );
                 return;
@@ -198,7 +198,7 @@
     /// generation that this node knows, or the write fails.
     fn accept(&mut self, request: RequestId, spec: Arc<JobSpec>, tries: u8) {
         let id = spec.id.clone();
-        let (cluster, generation) = self.cache.cluster;
+        let (cluster, generation) = self.cache.generation;
         let Some(absence) = terminal_states::absence_conditions(&cluster, &id, &self.ranges) else {
             let range = Range::of(&id).0;
             match self.ranges.get(&range).is_some() {
@@ -213,7 +213,10 @@
             spec: spec.clone(),
             accepted_ms,
         };
-        let mut conditions = vec![when(job_key(&id), 0), when(GENERATION_KEY, generation)];
+        let mut conditions = vec![
+            if_version(job_key(&id), 0),
+            if_version(GENERATION_KEY, generation),
+        ];
         conditions.extend(absence);
         self.call(
             Purpose::Accept {
@@ -331,7 +334,7 @@
         match reply {
             StateReply::Committed { revision } => {
                 let record = JobRecord { spec, accepted_ms };
-                if self.cache.committed_job(&id, record, revision) {
+                if self.cache.job_committed(&id, record, revision) {
                     self.job_added(&id);
                 }
                 self.answer(request, Answer::Accepted(id));
@@ -382,7 +385,7 @@
         self.user_requests.in_flight = true;
         self.user_requests.next_sync = now + self.config.sync_every;
         self.user_requests.proving = std::mem::take(&mut self.user_requests.unproven);
-        let watch = self.watch(Duration::ZERO);
+        let watch = self.watch_request(Duration::ZERO);
         self.call(Purpose::Sync, watch);
     }
 
@@ -472,8 +475,8 @@
             self.queue_question(request, id, Question::Withdraw);
             return;
         };
-        let job = when(job_key(&id), job.version);
-        let (cluster, generation) = self.cache.cluster;
+        let job = if_version(job_key(&id), job.version);
+        let (cluster, generation) = self.cache.generation;
         let record = TerminalRecord::cancelled(self.counts(&id).0);
         let ended = [(id.clone(), record)];
         let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges)
@@ -481,7 +484,7 @@
             self.read_range(request, id, AfterRangeRead::Cancel);
             return;
         };
-        let mut conditions = vec![job, when(GENERATION_KEY, generation)];
+        let mut conditions = vec![job, if_version(GENERATION_KEY, generation)];
         conditions.extend(terminal_write.conditions);
         let mut changes = vec![delete(job_key(&id))];
         changes.extend(terminal_write.changes);
@@ -517,7 +520,7 @@
         match reply {
             StateReply::Committed { revision } => {
                 self.cache_terminal_state(id.clone(), TerminalRecord::cancelled(0));
-                self.cache.committed_end(&id, revision);
+                self.cache.job_end_committed(&id, revision);
                 if let Some(cluster) = &mut self.cluster {
                     cluster.remove_job(&id, now);
                 }
@@ -557,7 +560,7 @@
             },
             // It was nowhere. That says something only if nothing moved meanwhile.
             None => StateRequest::Txn {
-                conditions: vec![when(GENERATION_KEY, read.generation)],
+                conditions: vec![if_version(GENERATION_KEY, read.generation)],
                 changes: Vec::new(),
             },
         };
@@ -618,7 +621,7 @@
     fn end_read(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
         let now = self.now();
         self.cache_terminal_state(id.clone(), record);
-        self.cache.committed_end(id, revision);
+        self.cache.job_end_committed(id, revision);
         if let Some(cluster) = &mut self.cluster {
             cluster.remove_job(id, now);
         }
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -14,7 +14,7 @@
     pub(super) fn drive_watch(&mut self) {
         let now = self.now();
         if !self.cache.loaded {
-            if !self.loading && now >= self.retry_load {
+            if !self.loading && now >= self.load_retry_at {
                 self.loading = true;
                 self.cache = StateCache::default();
                 self.call(
@@ -25,16 +25,16 @@
                     },
                 );
             }
-        } else if !self.watching && now >= self.retry_watch {
+        } else if !self.watching && now >= self.watch_retry_at {
             self.watching = true;
-            let watch = self.watch(WATCH_WAIT);
+            let watch = self.watch_request(WATCH_WAIT);
             self.call(Purpose::Watch, watch);
         }
     }
 
     /// Request for the changes after the cursor. With a zero wait, its reply proves that the
     /// cache is current.
-    pub(super) fn watch(&self, wait: Duration) -> StateRequest {
+    pub(super) fn watch_request(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
             prefix: LIVE_PREFIX.into(),
             after: self.cache.cursor,
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(super) fn loaded(&mut self, after: bool, reply: StateReply) {
+    pub(super) fn load_answered(&mut self, after: bool, reply: StateReply) {
         let StateReply::Entries {
             entries,
             more,
@@ -50,7 +50,7 @@
         } = reply
         else {
             self.loading = false;
-            self.retry_load = self.now() + RETRY_DELAY;
+            self.load_retry_at = self.now() + RETRY_DELAY;
             return;
         };
         // Pages are read one after another. The watch starts at the revision of the first page,
@@ -59,7 +59,7 @@
             self.cache.cursor = revision;
         }
         let last = entries.last().map(|e| e.key.clone());
-        self.cache.load(entries);
+        self.cache.apply_entries(entries);
         if let (true, Some(last)) = (more, last) {
             self.call(
                 Purpose::Load { after: true },
@@ -81,13 +81,13 @@
     /// Events are ignored during a reload: a key set and deleted before the first page was
     /// listed would stay in the cache for good. An incomplete cache also does not prove that a
     /// job is unknown.
-    pub(super) fn take_events(&mut self, reply: StateReply) -> bool {
+    pub(super) fn apply_watch_reply(&mut self, reply: StateReply) -> bool {
         if !self.cache.loaded {
             return false;
         }
         match reply {
             StateReply::Events { events, revision } => {
-                for change in self.cache.advance(&events, revision) {
+                for change in self.cache.apply_events(&events, revision) {
                     self.apply_change(change);
                 }
                 true
@@ -114,13 +114,14 @@
                 }
             }
             StateChange::LeaderKey => self.leader_changed(),
-            StateChange::Cluster => {}
+            StateChange::Generation => {}
             StateChange::StoredHeartbeat(stored_heartbeat) => self
                 .membership
                 .nodes
                 .stored_heartbeat(stored_heartbeat, now),
-            StateChange::Types => {
-                if let (Some(cluster), Some(types)) = (&mut self.cluster, &self.cache.types) {
+            StateChange::MachineTypes => {
+                if let (Some(cluster), Some(types)) = (&mut self.cluster, &self.cache.machine_types)
+                {
                     cluster.types = types.clone();
                 }
             }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -14,8 +14,8 @@
     limits::{WriteLimits, WriteRate},
     results::{self, ChunkPart},
     store::{
-        Change, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, delete, job_key,
-        progress_key, put, shard_key, when,
+        Change, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, delete, if_version, job_key,
+        progress_key, put, shard_key,
     },
     terminal_states::{self, Place, Range, TerminalStates},
 };
@@ -109,11 +109,11 @@
         let set = job.done.clone();
         let mut chunks = results::unsaved(&set, job.saved.stored(), limits.value_bytes);
         chunks.truncate(limits.txn_ops);
-        let mut conditions = vec![when(job_key(id), job.version)];
+        let mut conditions = vec![if_version(job_key(id), job.version)];
         let mut changes = Vec::new();
         for chunk in &chunks {
             let key = progress_key(id, *chunk);
-            conditions.push(when(&key, job.saved.version(*chunk)));
+            conditions.push(if_version(&key, job.saved.version(*chunk)));
             changes.push(put(key, &chunk.encode(&set)));
         }
         let write = QueuedWrite::Progress {
@@ -256,7 +256,7 @@
             let Some((write, mut conditions, changes)) = self.next_write(now) else {
                 return;
             };
-            conditions.push(when(LEADER_KEY, claim));
+            conditions.push(if_version(LEADER_KEY, claim));
             self.write_queue.allowance -= changes.len() as f64;
             self.write_queue.in_flight += 1;
             self.call(
@@ -320,7 +320,7 @@
 
     /// Returns whether terminal states of jobs are stored by range.
     fn packs_terminal_states(&self) -> bool {
-        terminal_states::place(self.cache.cluster.0.written()) == Place::Packed
+        terminal_states::place(self.cache.generation.0.written()) == Place::Packed
     }
 
     /// Reads the range that the next terminal state belongs to, if its content is unknown.
@@ -346,7 +346,7 @@
     /// same range, which cost one change less each.
     fn next_finish_write(&mut self, now: Duration, claim: u64) -> Option<PreparedWrite> {
         let most = self.limits.txn_ops;
-        let (cluster, generation) = self.cache.cluster;
+        let (cluster, generation) = self.cache.generation;
         let first = self.complete_job(now)?.clone();
         let mut ids = vec![first.clone()];
         if self.packs_terminal_states() {
@@ -358,11 +358,12 @@
             ids.extend(also.map(|(id, _)| id.clone()).take(most.saturating_sub(2)));
         }
         let leader = self.cluster.as_mut()?;
-        let (mut ended, mut conditions) = (Vec::new(), vec![when(GENERATION_KEY, generation)]);
+        let (mut ended, mut conditions) =
+            (Vec::new(), vec![if_version(GENERATION_KEY, generation)]);
         let (mut changes, mut keys) = (Vec::new(), Vec::new());
         for id in ids {
             let job = leader.jobs.get_mut(&id)?;
-            conditions.push(when(job_key(&id), job.version));
+            conditions.push(if_version(job_key(&id), job.version));
             changes.push(delete(job_key(&id)));
             let chunks = job.saved.chunks().into_iter();
             keys.extend(chunks.map(|chunk| progress_key(&id, chunk)));
@@ -455,7 +456,7 @@
             QueuedWrite::Finish { ended, ends, .. } => {
                 for (id, record) in ended.iter().filter(|_| committed) {
                     self.cache_terminal_state(id.clone(), *record);
-                    self.cache.committed_end(id, revision);
+                    self.cache.job_end_committed(id, revision);
                 }
                 if let Some((range, _)) = ends {
                     let rest = if committed {
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -81,7 +81,7 @@
                     _ = tick.tick() => {
                         if asked_to_end.load(Ordering::Relaxed) {
                             let at = *retired.get_or_insert_with(|| {
-                                driver.step(Input::Retire);
+                                driver.step(Input::Shutdown);
                                 Instant::now()
                             });
                             if at.elapsed() > RETIRES {
@@ -125,7 +125,7 @@
             // Time is looked at again: the process may have stood still meanwhile.
             let late = clock.now < until && self.started.elapsed() >= until;
             let output = match late {
-                true => output.withheld(),
+                true => output.after_term_expired(),
                 false => Ok(output),
             };
             let output = match output {
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -21,7 +21,7 @@
 
 use super::Call;
 use crate::{
-    core::{Answer, Input, RequestId, job::JobId, maintenance, rollout::Ask},
+    core::{Answer, Input, RequestId, job::JobId, maintenance, rollout::RolloutAction},
     wire,
 };
 
@@ -159,7 +159,7 @@
             }
             Handle::Ready => self.api.ask(|request| Input::Ready { request }).await,
             Handle::Licences => self.api.ask(|request| Input::Licences { request }).await,
-            Handle::Rollout => self.rollout(Ask::Status).await,
+            Handle::Rollout => self.rollout(RolloutAction::Status).await,
             Handle::Drains => self.maintenance(maintenance::Ask::Status).await,
             Handle::Drain => {
                 let order = request.path_params::<String>().unwrap_or_default();
@@ -206,13 +206,19 @@
 
     async fn maintenance(&self, ask: maintenance::Ask) -> Response {
         self.api
-            .ask(move |request| Input::Maintenance { request, ask })
+            .ask(move |request| Input::Maintenance {
+                request,
+                action: ask,
+            })
             .await
     }
 
-    async fn rollout(&self, ask: Ask) -> Response {
+    async fn rollout(&self, ask: RolloutAction) -> Response {
         self.api
-            .ask(move |request| Input::Rollout { request, ask })
+            .ask(move |request| Input::Rollout {
+                request,
+                action: ask,
+            })
             .await
     }
 
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -14,7 +14,7 @@
     job::{JobId, JobSpec, JobState, Kind, Priority, Resources},
     licences::LicenceView,
     maintenance::{self, MachineView},
-    rollout::Ask,
+    rollout::RolloutAction,
 };
 
 #[derive(Debug, Deserialize)]
@@ -277,13 +277,13 @@
 }
 
 /// What an operator orders, from the rest of the path after `/rollout/`.
-pub fn parse_order(path: &str) -> Result<Ask, String> {
+pub fn parse_order(path: &str) -> Result<RolloutAction, String> {
     let (order, what) = path.split_once('/').unwrap_or((path, ""));
     let order = match (order, what) {
         ("pause", "") => Order::Pause,
         ("resume", "") => Order::Resume,
         ("newest", "") => Order::Newest,
-        ("step-down", "") => return Ok(Ask::StepDown),
+        ("step-down", "") => return Ok(RolloutAction::StepDown),
         ("forget", node) if !node.is_empty() => Order::Forget(node.to_owned()),
         ("target", generation) => {
             let generation = generation.parse();
@@ -291,7 +291,7 @@
         }
         _ => return Err(format!("no order {path}")),
     };
-    Ok(Ask::Order(order))
+    Ok(RolloutAction::Order(order))
 }
 
 pub fn error_answer(message: &str) -> String {
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -363,7 +363,8 @@
         commands: Vec::new(),
     };
     let answer = |answer| Output::Answer { request: 7, answer };
-    let Ok(Output::Answer { answer: sent, .. }) = answer(commands.clone()).withheld() else {
+    let Ok(Output::Answer { answer: sent, .. }) = answer(commands.clone()).after_term_expired()
+    else {
         panic!("the worker is answered");
     };
     assert_eq!(sent, Answer::Redirect(None));
@@ -373,7 +374,8 @@
     };
     let to = "n1".to_owned();
     let message = relayed;
-    let Ok(Output::Peer { message, .. }) = (Output::Peer { to, message }).withheld() else {
+    let Ok(Output::Peer { message, .. }) = (Output::Peer { to, message }).after_term_expired()
+    else {
         panic!("the other node is answered");
     };
     assert!(matches!(
@@ -390,7 +392,7 @@
         session: 1,
         commands: Vec::new(),
     };
-    let withheld = Output::Direct { call: 4, direct }.withheld();
+    let withheld = Output::Direct { call: 4, direct }.after_term_expired();
     let unclear = |input: Box<Input>| {
         let reply = DirectReply::Unclear;
         format!("{input:?}") == format!("{:?}", Input::Direct { call: 4, reply })
@@ -400,6 +402,6 @@
     assert!(is_later(&[answer(Answer::Later {
         retry: Duration::from_secs(1)
     })
-    .withheld()
+    .after_term_expired()
     .expect("an answer")]));
 }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -369,7 +369,10 @@
         for _ in 0..3_000 {
             leading.run(Input::Tick);
         }
-        let outputs = leading.run(Input::Maintenance { request: 7, ask });
+        let outputs = leading.run(Input::Maintenance {
+            request: 7,
+            action: ask,
+        });
         match answers(&outputs)[..] {
             [Answer::Impossible(why)] => why.clone(),
             ref other => panic!("{other:?}"),
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -620,10 +620,13 @@
         revision,
     };
     let mut copy = StateCache::default();
-    copy.advance(&[], 10);
-    copy.committed_end(&id(), 13);
-    assert_eq!(copy.advance(&[change(Some(entry(12).value), 12)], 12), []);
+    copy.apply_events(&[], 10);
+    copy.job_end_committed(&id(), 13);
+    assert_eq!(
+        copy.apply_events(&[change(Some(entry(12).value), 12)], 12),
+        []
+    );
     assert!(copy.jobs.is_empty());
-    assert_eq!(copy.advance(&[change(None, 13)], 13), []);
+    assert_eq!(copy.apply_events(&[change(None, 13)], 13), []);
     assert!(copy.jobs.is_empty());
 }
--- a/tests/state_answers.rs
+++ b/tests/state_answers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kiteyard::{
-    core::store::{StateReply, StateRequest, delete, put, put_leased, when},
+    core::store::{StateReply, StateRequest, delete, if_version, put, put_leased},
     wire::state::decode,
 };
 
@@ -11,7 +11,7 @@
 
 fn transaction(lease: Option<u64>) -> StateRequest {
     StateRequest::Txn {
-        conditions: vec![when("live/leader", 4)],
+        conditions: vec![if_version("live/leader", 4)],
         changes: vec![put_leased("live/leader", &"n0", lease), delete("roster/1")],
     }
 }
--- a/tests/unreadable.rs
+++ b/tests/unreadable.rs
@@ -229,6 +229,9 @@
     for (key, value) in cases {
         let bench = Bench::new(Vec::new(), vec![entry(key, value)]);
         assert!(bench.claims > 0, "{key}");
-        assert!(bench.gave_up && !bench.node.places(), "{key}: {value}");
+        assert!(
+            bench.gave_up && !bench.node.has_taken_over(),
+            "{key}: {value}"
+        );
     }
 }
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -8,8 +8,8 @@
     heartbeat_forwarding::PeerMessage,
     machine::Command,
     maintenance,
-    rollout::Ask,
     rollout::FEATURES,
+    rollout::RolloutAction,
     store::{
         ASSIGNMENTS_PREFIX, Change, DRAINS_KEY, GENERATION_KEY, JOBS_PREFIX, PARTITIONED_ZONES_KEY,
         StateReply, StateRequest, TERMINAL_RANGES_PREFIX,
@@ -136,8 +136,14 @@
         let node = self.rng.random_range(0..NODES);
         self.next_request += 1;
         let request = self.next_request;
-        let ask = Ask::Order(order.clone());
-        self.step(node, Input::Rollout { request, ask });
+        let ask = RolloutAction::Order(order.clone());
+        self.step(
+            node,
+            Input::Rollout {
+                request,
+                action: ask,
+            },
+        );
         // The answer may be that it can't be taken now: asked again, until it stands.
         if self.orders_lack(&order) {
             self.push(self.now + ms(1000), Event::Order(order));
@@ -207,7 +213,11 @@
     }
 
     pub fn look_at_placement(&mut self) {
-        let places = self.nodes.iter().flatten().any(|node| node.places());
+        let places = self
+            .nodes
+            .iter()
+            .flatten()
+            .any(|node| node.has_taken_over());
         if !places && self.now > self.roll.gap_from {
             let since = self.roll.placed.max(self.roll.gap_from);
             self.roll.gap = self.roll.gap.max(self.now - since);
@@ -215,7 +225,8 @@
         if places {
             self.roll.placed = self.now;
         }
-        let unresolved = |node: &kiteyard::core::Node| node.places() && node.unresolved();
+        let unresolved =
+            |node: &kiteyard::core::Node| node.has_taken_over() && node.has_unresolved_machines();
         if self.nodes.iter().flatten().any(unresolved) {
             self.roll.unresolved = self.now;
         }
@@ -276,7 +287,7 @@
             node,
             Input::Maintenance {
                 request: DRAIN,
-                ask,
+                action: ask,
             },
         );
         self.push(self.now + ms(700), Event::Drain(machines));
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -24,7 +24,7 @@
     job::{JobId, JobState, TaskId},
     machine::DirectReply,
     provisioning::{CloudReply, CloudRequest},
-    rollout::Ask,
+    rollout::RolloutAction,
     store::{StateReply, StateRequest},
 };
 use kiteyard_rollout::generation::Order;
@@ -502,8 +502,14 @@
             Event::StepDown => {
                 let node = self.leading();
                 self.roll.asked = Some(node);
-                let (request, ask) = (u64::MAX, Ask::StepDown);
-                self.step(node, Input::Rollout { request, ask });
+                let (request, ask) = (u64::MAX, RolloutAction::StepDown);
+                self.step(
+                    node,
+                    Input::Rollout {
+                        request,
+                        action: ask,
+                    },
+                );
             }
             Event::OutageBegins => self.outage = true,
             Event::OutageEnds => {
