--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(super) enum Purpose {
     Load {
-        after: bool,
+        is_next_page: bool,
     },
     Watch,
     Sync,
@@ -168,7 +168,12 @@
                 let lowered = self.limits.rejected(size, now);
                 self.write_queue.rejected(lowered);
             }
-            (Some(_), StateReply::Refused { limited: true, .. }) => self.write_queue.limited(now),
+            (
+                Some(_),
+                StateReply::Refused {
+                    rate_limited: true, ..
+                },
+            ) => self.write_queue.rate_limited(now),
             _ => {}
         }
     }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -55,7 +55,7 @@
             .filter(|m| matches!(m.standing, Standing::Up | Standing::Leaving))
             .filter(|m| {
                 let silence = now.saturating_sub(m.heard_at.unwrap_or_default());
-                let silent = m.heard_at.is_none() || silence > self.config.report * 2;
+                let silent = m.heard_at.is_none() || silence > self.config.report_interval * 2;
                 (!silent && (!m.fenced || m.urgent()))
                     || self.should_probe(m, now)
                     || machines_to_probe.contains(&m.id)
@@ -144,12 +144,12 @@
                     machine.token += 1;
                 }
                 machine.commands_unanswered = true;
-                machine.direct_retry = now + self.config.report * 2;
+                machine.direct_retry = now + self.config.report_interval * 2;
                 return;
             }
         };
         if !executed {
-            machine.direct_retry = now + self.config.report;
+            machine.direct_retry = now + self.config.report_interval;
         }
         if not_heard {
             // Another session, or another leader: where it is now is known at least.
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct Config {
     pub node: String,
-    pub nodes: usize,
+    pub node_count: usize,
     pub peers: Vec<String>,
     /// Zone of each node.
     pub zones: BTreeMap<String, String>,
@@ -75,7 +75,7 @@
     pub ability: Ability,
     pub teams: HashMap<Arc<str>, Team>,
     pub objectives: Vec<crate::settings::Objective>,
-    pub report: Duration,
+    pub report_interval: Duration,
     pub gang_wait: Duration,
     /// Time after the last answer to a worker by which its lease has certainly expired.
     pub worker_lease_bound: Duration,
@@ -83,34 +83,34 @@
     pub leader_ttl: Duration,
     /// Time for which the leader may act after it sent a renewal.
     pub leader_term: Duration,
-    pub renew_every: Duration,
+    pub renew_interval: Duration,
     /// Time that each machine adds to the pause between two leader rounds.
-    pub round_per_machine: Duration,
+    pub round_pause_per_machine: Duration,
     /// Time without a heartbeat after which the leader is considered failed. A restarted process
     /// is mostly back before that, with more state than any other node. The rest of a worker's
     /// lease has to suffice for another node to take over and answer the worker.
     pub leader_silence_limit: Duration,
     /// Minimum time between two requests that prove this node's cache.
-    pub sync_every: Duration,
+    pub sync_interval: Duration,
     /// Minimum time between two watches of a follower. The leader does not pause between watches.
-    pub watch_every: Duration,
+    pub watch_interval: Duration,
     /// Rate of all writes in changes per second; users' submissions come first.
-    pub writes: f64,
+    pub write_rate: f64,
     /// The same after the announced reduction of the state service's limits, if there is one.
-    pub writes_next: Option<f64>,
+    pub announced_write_rate: Option<f64>,
     /// Maximum changes per transaction, within present and announced limits.
-    pub txn_ops: usize,
+    pub max_txn_ops: usize,
     /// Maximum size of a stored value in bytes, within present and announced limits.
-    pub value_most: usize,
-    pub cloud_every: Duration,
+    pub max_value_bytes: usize,
+    pub cloud_request_interval: Duration,
     pub list_lag: Duration,
     /// Maximum error of the wall clock.
-    pub wall_error: Duration,
+    pub max_wall_clock_error: Duration,
     /// Maximum number of requests waiting for an answer. Each one has a connection, so on a small
     /// host the sockets are the limit.
-    pub requests_most: usize,
+    pub max_waiting_requests: usize,
     /// Maximum number of tasks listed in all reports that wait for a leader or for their zone.
-    pub waiting_tasks_most: usize,
+    pub max_waiting_tasks: usize,
     pub options: Options,
 }
 
@@ -126,12 +126,12 @@
     pub fn new(settings: &Settings, options: Options) -> Self {
         let params = &settings.params;
         let workers = &params.workers;
-        let nodes = settings.nodes();
-        let next_writes = params.state.next.as_ref().and_then(|next| next.write_rps);
+        let node_count = settings.nodes();
+        let announced_rps = params.state.next.as_ref().and_then(|next| next.write_rps);
         let leader_ttl = workers.left_to_cancel().min(MAX_LEADER_TTL);
         Self {
             node: settings.node.clone(),
-            nodes,
+            node_count,
             peers: settings.peers.iter().map(|p| p.node.clone()).collect(),
             zones: settings
                 .peers
@@ -146,27 +146,27 @@
                 .map(|t| (Arc::from(t.name.as_str()), t.clone()))
                 .collect(),
             objectives: params.objectives.clone(),
-            report: seconds(workers.report_s),
+            report_interval: seconds(workers.report_s),
             gang_wait: seconds(workers.gang_wait_s),
             worker_lease_bound: workers.lease_bound(),
             leader_ttl,
             leader_term: leader_ttl.mul_f64(1.0 - 2.0 * DRIFT).saturating_sub(MARGIN),
             leader_silence_limit: super::heartbeat::leader_silence_limit(seconds(workers.lease_s)),
-            round_per_machine: ROUND_PAUSE_PER_MACHINE
+            round_pause_per_machine: ROUND_PAUSE_PER_MACHINE
                 .div_f64(params.resources.cpu_share.clamp(0.05, 1.0)),
-            renew_every: (leader_ttl / 8).min(Duration::from_millis(1500)),
-            sync_every: seconds(PROOF_RATE_DIVISOR * nodes as f64 / params.state.rps),
-            watch_every: seconds(WATCH_RATE_DIVISOR * nodes as f64 / params.state.rps),
-            writes: params.state.write_rps * WRITE_SHARE,
-            writes_next: next_writes.map(|rate| rate * WRITE_SHARE),
-            txn_ops: params.state.lowest_txn_ops(),
-            value_most: (params.state.lowest_value_kb() * 1024.0) as usize,
+            renew_interval: (leader_ttl / 8).min(Duration::from_millis(1500)),
+            sync_interval: seconds(PROOF_RATE_DIVISOR * node_count as f64 / params.state.rps),
+            watch_interval: seconds(WATCH_RATE_DIVISOR * node_count as f64 / params.state.rps),
+            write_rate: params.state.write_rps * WRITE_SHARE,
+            announced_write_rate: announced_rps.map(|rate| rate * WRITE_SHARE),
+            max_txn_ops: params.state.lowest_txn_ops(),
+            max_value_bytes: (params.state.lowest_value_kb() * 1024.0) as usize,
             // Nearly all calls are the leader's. The rest is for lists of machine types.
-            cloud_every: seconds(1.25 / params.cloud.rps),
-            wall_error: seconds(params.time_bound_ms / 1000.0),
+            cloud_request_interval: seconds(1.25 / params.cloud.rps),
+            max_wall_clock_error: seconds(params.time_bound_ms / 1000.0),
             list_lag: seconds(params.cloud.list_lag_s),
-            requests_most: params.resources.sockets.max(MIN_WAITING_REQUESTS),
-            waiting_tasks_most: (params.resources.sockets * WAITING_TASKS_PER_SOCKET)
+            max_waiting_requests: params.resources.sockets.max(MIN_WAITING_REQUESTS),
+            max_waiting_tasks: (params.resources.sockets * WAITING_TASKS_PER_SOCKET)
                 .max(MIN_WAITING_TASKS),
             options,
         }
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -138,7 +138,7 @@
             && now >= self.election.next_renewal
         {
             self.election.renewing = true;
-            self.election.next_renewal = now + self.config.renew_every;
+            self.election.next_renewal = now + self.config.renew_interval;
             self.call(Purpose::Renew { sent: now }, StateRequest::Renew { lease });
         }
     }
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -86,7 +86,7 @@
             return;
         };
         if matches!(why, Some(ExitReason::Unknown | ExitReason::Busy)) {
-            job.retry_at = now + self.config.report * 2;
+            job.retry_at = now + self.config.report_interval * 2;
         }
         if job.spec.kind == Kind::Gang {
             let id = task.job.clone();
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -62,7 +62,10 @@
     pub(super) fn state_answered(&mut self, reply: &StateReply) {
         let failed = matches!(
             reply,
-            StateReply::Refused { limited: false, .. } | StateReply::Unclear
+            StateReply::Refused {
+                rate_limited: false,
+                ..
+            } | StateReply::Unclear
         );
         self.membership
             .nodes
@@ -79,7 +82,7 @@
     /// The claim has stood long enough for the workers to have turned to the leader.
     pub(super) fn workers_have_moved(&self, claim: u64) -> bool {
         let since = self.membership.nodes.leader_since(claim);
-        since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report))
+        since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report_interval))
     }
 
     pub(super) fn hears_leader(&self) -> bool {
@@ -132,7 +135,7 @@
             },
             state: nodes.state_service_silence(now),
             hears: self.membership.detector.machines_heard(),
-            told: self.told(),
+            told: self.announced_state(),
         };
         let silent = heartbeat.state > EVERY;
         for to in self.config.peers.clone() {
@@ -241,7 +244,8 @@
             return;
         }
         let best = self.membership.nodes.best_peer(now);
-        let settled = self.membership.leading_for(now) > worker_move_time(self.config.report);
+        let settled =
+            self.membership.leading_for(now) > worker_move_time(self.config.report_interval);
         // Looked up only where another node hears any: that looks at every machine.
         let hears = || {
             self.membership
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -183,8 +183,8 @@
         let answered = self.forwarded.answered.get(machine);
         let urgent = answered.is_none_or(|at| self.now() > *at + half);
         let most = match urgent {
-            true => self.config.requests_most * 2,
-            false => self.config.requests_most,
+            true => self.config.max_waiting_requests * 2,
+            false => self.config.max_waiting_requests,
         };
         self.forwarded.waiting.len() >= most
     }
@@ -219,8 +219,8 @@
     fn hold(&mut self, request: RequestId, report: WorkerReport) {
         let now = self.now();
         let tasks = report.tasks.len();
-        let full = self.forwarded.held.len() >= self.config.requests_most
-            || self.forwarded.held_tasks + tasks > self.config.waiting_tasks_most;
+        let full = self.forwarded.held.len() >= self.config.max_waiting_requests
+            || self.forwarded.held_tasks + tasks > self.config.max_waiting_tasks;
         match self.peer_hearing_leader() {
             Some(node) => self.answer(request, Answer::Redirect(Some(node))),
             None if full => self.answer(request, Answer::Redirect(None)),
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -62,8 +62,8 @@
 impl WriteLimits {
     pub fn new(config: &Config) -> Self {
         Self {
-            value_bytes: config.value_most,
-            txn_ops: config.txn_ops,
+            value_bytes: config.max_value_bytes,
+            txn_ops: config.max_txn_ops,
             warned: HashMap::new(),
         }
     }
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -23,15 +23,15 @@
 
 /// Records of one range in the old form.
 #[derive(Debug)]
-enum Work {
+enum PendingRange {
     Pack(Range, VecDeque<(JobId, TerminalRecord, u64)>),
     Unpack(Range),
 }
 
-impl Work {
+impl PendingRange {
     fn range(&self) -> &Range {
         match self {
-            Work::Pack(range, _) | Work::Unpack(range) => range,
+            PendingRange::Pack(range, _) | PendingRange::Unpack(range) => range,
         }
     }
 }
@@ -39,42 +39,42 @@
 #[derive(Debug, Default)]
 pub struct Migration {
     /// Revision of the generation's record, and the claim, that this migration belongs to.
-    about: (u64, u64),
+    scope: (u64, u64),
     /// Last key of the previous page, if the listing continues.
-    after: Option<String>,
-    queue: VecDeque<Work>,
+    list_after: Option<String>,
+    queue: VecDeque<PendingRange>,
     /// Records that the present listing found, and how many of them were rewritten.
     found: u64,
     rewritten: u64,
     listed: bool,
-    clean: bool,
+    is_finished: bool,
     /// A request is in flight.
-    busy: bool,
-    retry: Duration,
+    request_in_flight: bool,
+    retry_at: Duration,
     /// Number of changes that the budget allows now.
     allowance: f64,
-    refilled: Duration,
-    moved: u64,
+    refilled_at: Duration,
+    total_rewritten: u64,
 }
 
 impl Migration {
     /// Returns whether no old records are left under the generation's record of that revision.
-    pub fn clean(&self, revision: u64) -> bool {
-        self.clean && self.about.0 == revision
+    pub fn is_finished(&self, revision: u64) -> bool {
+        self.is_finished && self.scope.0 == revision
     }
 
-    pub fn moved(&self) -> u64 {
-        self.moved
+    pub fn total_rewritten(&self) -> u64 {
+        self.total_rewritten
     }
 
     /// Number of records found and not yet rewritten, or `None` before the first listing.
-    pub fn left(&self) -> Option<u64> {
+    pub fn remaining(&self) -> Option<u64> {
         (self.listed || self.found > 0).then(|| self.found.saturating_sub(self.rewritten))
     }
 
     /// Restarts the listing, which finds the records whose rewrite failed.
-    fn again(&mut self) {
-        self.after = None;
+    fn restart(&mut self) {
+        self.list_after = None;
         self.queue.clear();
         (self.found, self.rewritten) = (0, 0);
     }
@@ -102,33 +102,33 @@
         if cluster.stage != Stage::Migrating || self.cache.orders.0.paused {
             return;
         }
-        let rate = self.config.writes * config.share;
+        let rate = self.config.write_rate * config.share;
         let most = self.limits.txn_ops;
         let migration = &mut self.rollout.migration;
-        if migration.about != (revision, claim) {
+        if migration.scope != (revision, claim) {
             *migration = Migration {
-                about: (revision, claim),
-                moved: migration.moved,
-                refilled: now,
+                scope: (revision, claim),
+                total_rewritten: migration.total_rewritten,
+                refilled_at: now,
                 ..Migration::default()
             };
         }
         if terminal_states::place(cluster.from) == terminal_states::place(cluster.to) {
-            migration.clean = true;
+            migration.is_finished = true;
         }
-        let passed = now.saturating_sub(migration.refilled).as_secs_f64();
-        migration.refilled = now;
+        let passed = now.saturating_sub(migration.refilled_at).as_secs_f64();
+        migration.refilled_at = now;
         migration.allowance = (migration.allowance + passed * rate).min(most as f64);
-        if migration.busy || migration.clean || now < migration.retry {
+        if migration.request_in_flight || migration.is_finished || now < migration.retry_at {
             return;
         }
         let Some(work) = migration.queue.front() else {
-            migration.busy = true;
+            migration.request_in_flight = true;
             let prefix = match terminal_states::place(cluster.from) {
                 Place::Single => TERMINAL_STATES_PREFIX,
                 Place::Packed => TERMINAL_RANGES_PREFIX,
             };
-            let after = migration.after.clone();
+            let after = migration.list_after.clone();
             self.call(
                 Purpose::Migrate((revision, claim), MigrationRequest::List),
                 StateRequest::List {
@@ -147,7 +147,7 @@
             return;
         }
         let Some(known) = self.ranges.get(&range) else {
-            migration.busy = true;
+            migration.request_in_flight = true;
             let key = range.key();
             self.call(
                 Purpose::Migrate((revision, claim), MigrationRequest::Read(range)),
@@ -156,7 +156,7 @@
             return;
         };
         let rewrite = match migration.queue.front_mut() {
-            Some(Work::Pack(range, alone)) => {
+            Some(PendingRange::Pack(range, alone)) => {
                 let count = alone.len().min(most - 1);
                 let some: Vec<_> = alone.drain(..count).collect();
                 let rewrite = terminal_states::pack(range, &some, known);
@@ -165,14 +165,14 @@
                 }
                 Some(rewrite)
             }
-            Some(Work::Unpack(range)) => terminal_states::unpack(range, known, most),
+            Some(PendingRange::Unpack(range)) => terminal_states::unpack(range, known, most),
             None => None,
         };
         let Some(rewrite) = rewrite.filter(|rewrite| rewrite.records > 0) else {
             migration.queue.pop_front();
             return;
         };
-        migration.busy = true;
+        migration.request_in_flight = true;
         let Rewrite {
             mut conditions,
             changes,
@@ -195,9 +195,9 @@
         );
     }
 
-    pub(super) fn migrated(
+    pub(super) fn migration_answered(
         &mut self,
-        about: (u64, u64),
+        scope: (u64, u64),
         step: MigrationRequest,
         reply: StateReply,
     ) {
@@ -217,40 +217,40 @@
             }
             self.ranges.release(range, now, now);
         }
-        if self.rollout.migration.about != about {
+        if self.rollout.migration.scope != scope {
             return;
         }
-        self.rollout.migration.busy = false;
+        self.rollout.migration.request_in_flight = false;
         match (step, reply) {
             (MigrationRequest::List, StateReply::Entries { entries, more, .. }) => {
-                self.old_records(&entries, more);
+                self.queue_old_records(&entries, more);
             }
             (MigrationRequest::Read(range), reply) => {
                 if self.learn_range(&range, &reply).is_none() {
-                    self.rollout.migration.retry = now + RETRY_DELAY * 4;
+                    self.rollout.migration.retry_at = now + RETRY_DELAY * 4;
                 }
             }
             (MigrationRequest::Rewrite(range, ends, records), StateReply::Committed { .. }) => {
                 let migration = &mut self.rollout.migration;
-                migration.moved += records;
+                migration.total_rewritten += records;
                 migration.rewritten += records;
                 let over = ends.is_empty();
                 let front = migration.queue.front();
-                if matches!(front, Some(Work::Unpack(r)) if *r == range && over) {
+                if matches!(front, Some(PendingRange::Unpack(r)) if *r == range && over) {
                     migration.queue.pop_front();
                 }
             }
             // The outcome is unknown, or another write came in between: list again.
             _ => {
                 let migration = &mut self.rollout.migration;
-                migration.again();
-                migration.retry = now + RETRY_DELAY;
+                migration.restart();
+                migration.retry_at = now + RETRY_DELAY;
             }
         }
     }
 
     /// Queues a page of records in the old form.
-    fn old_records(&mut self, entries: &[Entry], more: bool) {
+    fn queue_old_records(&mut self, entries: &[Entry], more: bool) {
         let mut unread = None;
         let migration = &mut self.rollout.migration;
         for entry in entries {
@@ -261,16 +261,18 @@
                     let range = Range::of(&id).0;
                     let record = (id, record, entry.version);
                     match migration.queue.back_mut() {
-                        Some(Work::Pack(last, alone)) if *last == range => alone.push_back(record),
+                        Some(PendingRange::Pack(last, alone)) if *last == range => {
+                            alone.push_back(record)
+                        }
                         _ => migration
                             .queue
-                            .push_back(Work::Pack(range, [record].into())),
+                            .push_back(PendingRange::Pack(range, [record].into())),
                     }
                     1
                 }),
                 None => Range::of_key(&entry.key).and_then(|range| {
                     let ends: terminal_states::TerminalStates = serde_json::from_str(text).ok()?;
-                    migration.queue.push_back(Work::Unpack(range));
+                    migration.queue.push_back(PendingRange::Unpack(range));
                     Some(ends.len() as u64)
                 }),
             };
@@ -284,16 +286,16 @@
             }
         }
         migration.listed |= !more;
-        migration.after = entries.last().map(|e| e.key.clone()).filter(|_| more);
+        migration.list_after = entries.last().map(|e| e.key.clone()).filter(|_| more);
         if !more && migration.found == 0 {
-            migration.clean = true;
+            migration.is_finished = true;
             info!(
-                moved = migration.moved,
+                moved = migration.total_rewritten,
                 "migration finished, no old records are left"
             );
         } else if !more && migration.queue.is_empty() {
-            migration.again();
-            migration.retry = self.clock.now + RETRY_DELAY * 10;
+            migration.restart();
+            migration.retry_at = self.clock.now + RETRY_DELAY * 10;
         }
         if let Some(key) = unread {
             self.report_unreadable(&key);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -141,7 +141,7 @@
             forwarded: ForwardedHeartbeats::new(config.options.incarnation),
             heartbeats: heartbeat::Heartbeats::default(),
             heartbeat_writer: stored_heartbeat::HeartbeatWriter::default(),
-            membership: Membership::new(config.report, config.worker_lease_bound),
+            membership: Membership::new(config.report_interval, config.worker_lease_bound),
             config,
             clock: Clock {
                 now: Duration::ZERO,
@@ -178,7 +178,7 @@
             Input::Licences { request } => self.licences(request),
             Input::Rollout { request, action } => self.handle_rollout_action(request, action),
             Input::Maintenance { request, action } => self.maintenance_asked(request, action),
-            Input::Shutdown => self.retire(),
+            Input::Shutdown => self.begin_shutdown(),
             Input::Report { request, report } => self.report(request, report),
             Input::State { call, reply } => self.state_service_answered(call, reply),
             Input::Cloud { call, reply } => self.cloud_answered(call, reply),
@@ -254,7 +254,7 @@
         // round serves all reports since the last one.
         if now >= cluster.next_round {
             self.run_leader_round();
-        } else if self.write_queue.has_news {
+        } else if self.write_queue.has_new_replies {
             // Writes do not wait for the round: rounds are rarer in a larger fleet, and fewer
             // writes would be sent.
             self.drive_write_queue();
@@ -284,7 +284,7 @@
     fn schedule_next_round(&mut self) {
         let now = self.now();
         if let Some(cluster) = &mut self.cluster {
-            let pause = self.config.round_per_machine * cluster.machines.len() as u32;
+            let pause = self.config.round_pause_per_machine * cluster.machines.len() as u32;
             cluster.next_round = now + MIN_ROUND_INTERVAL + pause;
         }
     }
@@ -391,7 +391,7 @@
     fn state_reply(&mut self, purpose: Purpose, reply: StateReply) {
         self.state_answered(&reply);
         match purpose {
-            Purpose::Load { after } => self.load_answered(after, reply),
+            Purpose::Load { is_next_page } => self.load_answered(is_next_page, reply),
             Purpose::Watch => self.watch_answered(reply),
             Purpose::Sync => self.sync_answered(reply),
             Purpose::Grant => self.granted(reply),
@@ -421,7 +421,7 @@
             Purpose::Announce => self.announced(&reply),
             Purpose::StoreGeneration => self.generation_stored(&reply),
             Purpose::Order { request } => self.order_stored(request, &reply),
-            Purpose::Migrate(about, asked) => self.migrated(about, asked, reply),
+            Purpose::Migrate(scope, step) => self.migration_answered(scope, step, reply),
             Purpose::StoreDrains { request, drains } => {
                 self.drains_stored(request, drains, &reply);
             }
@@ -441,7 +441,7 @@
         let pause = match (self.apply_watch_reply(reply), self.is_leader()) {
             (false, _) => RETRY_DELAY,
             (true, true) => Duration::ZERO,
-            (true, false) => self.config.watch_every,
+            (true, false) => self.config.watch_interval,
         };
         self.watch_retry_at = self.now() + pause;
     }
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -139,8 +139,8 @@
             report,
         };
         let tasks = self.partitioned_zones.waiting_tasks + waiting.report.tasks.len();
-        let full = self.partitioned_zones.waiting.len() >= self.config.requests_most
-            || tasks > self.config.waiting_tasks_most;
+        let full = self.partitioned_zones.waiting.len() >= self.config.max_waiting_requests
+            || tasks > self.config.max_waiting_tasks;
         if full {
             self.redirect(waiting.origin);
             return None;
@@ -261,7 +261,7 @@
             return Vec::new();
         };
         let lease = self.config.worker_lease_bound;
-        let silence = worker_move_time(self.config.report).min(lease / 3);
+        let silence = worker_move_time(self.config.report_interval).min(lease / 3);
         let partitioned_zones = cluster.reachability.partitioned_zones.iter();
         let partitioned_zones = partitioned_zones.filter(|zone| !self.is_partitioned(zone));
         let silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
@@ -339,7 +339,7 @@
     pub(super) fn zone_lease_ends(&self) -> BTreeMap<Arc<str>, Duration> {
         let now = self.now();
         // Both ends of the span were read from clocks that may be off.
-        let lease = self.config.worker_lease_bound + self.config.wall_error * 2;
+        let lease = self.config.worker_lease_bound + self.config.max_wall_clock_error * 2;
         let zones = self.cache.partitioned_zones.0.zones.iter();
         let over = zones.map(|(zone, at)| {
             let ago = Duration::from_millis(self.clock.wall_ms.saturating_sub(*at));
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -186,7 +186,7 @@
             return None;
         }
         let request = self.next_cloud_request(now)?;
-        self.provisioning.next_call = now + self.config.cloud_every;
+        self.provisioning.next_call = now + self.config.cloud_request_interval;
         Some(request)
     }
 
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -36,8 +36,8 @@
     pub fn new(config: &Config, now: Duration) -> Self {
         // A worker whose node is gone tries the next one, and reports at least that often.
         let patience = Patience {
-            most: config.report * 5 / 4 + WORKER_RETRY,
-            quiet: config.report / 4,
+            most: config.report_interval * 5 / 4 + WORKER_RETRY,
+            quiet: config.report_interval / 4,
         };
         Self {
             reconciliation: Reconciliation::new(patience, now),
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -41,22 +41,22 @@
 #[derive(Debug, Default)]
 pub struct Rollout {
     /// State machine of the generation, or `None` if rollouts are off.
-    machine: Option<Machine>,
+    state_machine: Option<Machine>,
     /// Revision of this process's own record; 0 if it is not stored yet.
-    started: u64,
+    announced_revision: u64,
     announcing: bool,
-    retry: Duration,
+    announce_retry_at: Duration,
     /// The write of a new generation record is in flight.
-    storing: bool,
-    next: Duration,
+    step_in_flight: bool,
+    next_step_at: Duration,
     /// Reason why this node does not act, as last logged.
-    refused: Option<String>,
+    logged_refusal: Option<String>,
     /// Time until which this node does not claim the leadership, after it gave it away.
-    blocked: Duration,
+    claim_blocked_until: Duration,
     /// Last key outside the watched prefix whose value could not be parsed.
-    unread: Option<String>,
+    last_unreadable_key: Option<String>,
     /// The process is shutting down.
-    retiring: bool,
+    is_shutting_down: bool,
     pub(super) migration: Migration,
 }
 
@@ -66,7 +66,7 @@
 impl Rollout {
     pub fn new(config: Option<&kiteyard_rollout::config::Config>) -> Self {
         Self {
-            machine: config.map(|config| Machine::new(config.clone(), FEATURES)),
+            state_machine: config.map(|config| Machine::new(config.clone(), FEATURES)),
             ..Self::default()
         }
     }
@@ -115,32 +115,32 @@
 
     /// Returns whether the stored records and the process's state allow a claim of the leadership.
     pub(super) fn may_claim(&self) -> bool {
-        !self.rollout.retiring
-            && self.now() >= self.rollout.blocked
+        !self.rollout.is_shutting_down
+            && self.now() >= self.rollout.claim_blocked_until
             && self.refusal_reason().is_none()
     }
 
     pub(super) fn accepts_requests(&self) -> bool {
-        !self.rollout.retiring && self.refusal_reason().is_none()
+        !self.rollout.is_shutting_down && self.refusal_reason().is_none()
     }
 
     /// Returns whether every node announced support for job dependencies. While rollouts are off
     /// nodes announce nothing, and operators have to ensure it.
-    pub(super) fn all_know_dependencies(&self) -> bool {
+    pub(super) fn all_support_dependencies(&self) -> bool {
         let gone = &self.cache.orders.0.gone;
-        let mut nodes = self.configured().filter(|node| !gone.contains(*node));
+        let mut nodes = self.configured_nodes().filter(|node| !gone.contains(*node));
         let knows = |node: &String| {
             let ability = self.cache.nodes.get(node).and_then(|(a, _)| a.as_ref());
             ability.is_some_and(|a| a.features.iter().any(|name| name == JOB_DEPENDENCIES))
         };
-        self.rollout.machine.is_none() || nodes.all(knows)
+        self.rollout.state_machine.is_none() || nodes.all(knows)
     }
 
     /// Logs, once in a row, a key outside the watched prefix whose value can't be parsed.
     pub(super) fn report_unreadable(&mut self, key: &str) {
-        if self.rollout.unread.as_deref() != Some(key) {
+        if self.rollout.last_unreadable_key.as_deref() != Some(key) {
             error!(key, "a record can't be read, a newer build is needed");
-            self.rollout.unread = Some(key.to_owned());
+            self.rollout.last_unreadable_key = Some(key.to_owned());
         }
     }
 
@@ -155,7 +155,7 @@
     /// act. This node does not claim it again for the duration of a leader's lease, since workers
     /// keep reporting here until they have found the next leader.
     fn step_down(&mut self, why: &str) {
-        self.rollout.blocked = self.now() + self.config.leader_ttl;
+        self.rollout.claim_blocked_until = self.now() + self.config.leader_ttl;
         let to = match self.has_previous_leader_stopped() {
             true => self.successor(),
             false => None,
@@ -180,31 +180,31 @@
             return;
         }
         let refuses = self.refusal_reason();
-        if refuses != self.rollout.refused {
+        if refuses != self.rollout.logged_refusal {
             match &refuses {
                 Some(why) => error!(why, "refuses to serve and to lead"),
                 None => info!("serves requests again"),
             }
-            self.rollout.refused = refuses;
+            self.rollout.logged_refusal = refuses;
         }
-        if self.rollout.refused.is_some() && self.claim().is_some() {
+        if self.rollout.logged_refusal.is_some() && self.claim().is_some() {
             self.step_down("it can't read the stored state");
         }
-        if self.rollout.machine.is_none() {
+        if self.rollout.state_machine.is_none() {
             return;
         }
         self.announce();
         let now = self.now();
-        if now < self.rollout.next || self.rollout.storing || !self.is_leader() {
+        if now < self.rollout.next_step_at || self.rollout.step_in_flight || !self.is_leader() {
             return;
         }
-        self.rollout.next = now + STEP_INTERVAL;
+        self.rollout.next_step_at = now + STEP_INTERVAL;
         let Some(claim) = self.cluster.as_ref().map(|cluster| cluster.claim) else {
             return;
         };
         let view = self.rollout_view();
         let before = view.cluster;
-        let steps = match &mut self.rollout.machine {
+        let steps = match &mut self.rollout.state_machine {
             Some(machine) => machine.step(now, &view),
             None => return,
         };
@@ -226,7 +226,7 @@
                         why,
                         "storing the next step of the cluster's generation"
                     );
-                    self.rollout.storing = true;
+                    self.rollout.step_in_flight = true;
                     let mut conditions = vec![
                         if_version(LEADER_KEY, claim),
                         if_version(GENERATION_KEY, view.revision),
@@ -251,12 +251,14 @@
         let (now, node) = (self.now(), self.config.node.clone());
         let stored = self.cache.nodes.get(&node).map_or(0, |(_, at)| *at);
         let rollout = &mut self.rollout;
-        if rollout.started > 0 && self.cache.cursor >= rollout.started && stored != rollout.started
+        if rollout.announced_revision > 0
+            && self.cache.cursor >= rollout.announced_revision
+            && stored != rollout.announced_revision
         {
             // A late write of the previous process replaced this one's record.
-            rollout.started = 0;
+            rollout.announced_revision = 0;
         }
-        if rollout.started > 0 || rollout.announcing || now < rollout.retry {
+        if rollout.announced_revision > 0 || rollout.announcing || now < rollout.announce_retry_at {
             return;
         }
         rollout.announcing = true;
@@ -274,15 +276,15 @@
 
     pub(super) fn announced(&mut self, reply: &StateReply) {
         self.rollout.announcing = false;
-        self.rollout.retry = self.now() + RETRY_DELAY;
+        self.rollout.announce_retry_at = self.now() + RETRY_DELAY;
         if let StateReply::Committed { revision } = reply {
-            self.rollout.started = *revision;
+            self.rollout.announced_revision = *revision;
         }
     }
 
     /// Returns what a heartbeat says about this process's rollout state.
-    pub(super) fn told(&self) -> Option<Told> {
-        let started = self.rollout.started;
+    pub(super) fn announced_state(&self) -> Option<Told> {
+        let started = self.rollout.announced_revision;
         (started > 0).then_some(Told {
             started,
             knows: self.cache.generation.1,
@@ -290,25 +292,25 @@
     }
 
     pub(super) fn generation_stored(&mut self, reply: &StateReply) {
-        self.rollout.storing = false;
+        self.rollout.step_in_flight = false;
         // Waits for the watch to deliver the record; before that, the next check would store the
         // same step again.
         let wait = match reply {
             StateReply::Committed { .. } => RETRY_DELAY,
             _ => RETRY_DELAY * 3,
         };
-        self.rollout.next = self.now() + wait;
+        self.rollout.next_step_at = self.now() + wait;
     }
 
     /// Returns whether no record is left of the features that the written generation lacks.
-    fn nothing_left(&self) -> bool {
+    fn has_no_newer_records(&self) -> bool {
         let written = self.cache.generation.0.written();
         let no_zones = written >= PARTITIONED_ZONES_FEATURE.since
             || self.cache.partitioned_zones.0.zones.is_empty();
         no_zones && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
     }
 
-    fn configured(&self) -> impl Iterator<Item = &String> {
+    fn configured_nodes(&self) -> impl Iterator<Item = &String> {
         self.config.peers.iter().chain([&self.config.node])
     }
 
@@ -321,7 +323,7 @@
                 None => (None, 0),
             };
             let told = match *node == self.config.node {
-                true => self.told(),
+                true => self.announced_state(),
                 false => self.membership.nodes.told(node, now),
             };
             let seen = Seen {
@@ -335,8 +337,11 @@
             cluster,
             revision,
             orders: self.cache.orders.0.clone(),
-            nodes: self.configured().map(seen).collect::<BTreeMap<_, _>>(),
-            clean: self.rollout.migration.clean(revision) && self.nothing_left(),
+            nodes: self
+                .configured_nodes()
+                .map(seen)
+                .collect::<BTreeMap<_, _>>(),
+            clean: self.rollout.migration.is_finished(revision) && self.has_no_newer_records(),
         }
     }
 
@@ -346,11 +351,11 @@
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
-            _ if self.rollout.machine.is_none() => {
+            _ if self.rollout.state_machine.is_none() => {
                 let why = "rollouts are off: start the nodes with --rollout FILE";
                 self.answer(request, Answer::Impossible(why.into()));
             }
-            RolloutAction::Order(order) => self.ordered(request, &order),
+            RolloutAction::Order(order) => self.handle_rollout_order(request, &order),
             RolloutAction::StepDown if self.claim().is_none() => {
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
@@ -371,15 +376,15 @@
 
     /// Prepares the end of the process: it accepts no more requests and transfers the
     /// leadership.
-    pub(super) fn retire(&mut self) {
-        self.rollout.retiring = true;
+    pub(super) fn begin_shutdown(&mut self) {
+        self.rollout.is_shutting_down = true;
         if self.claim().is_some() && self.has_previous_leader_stopped() {
             self.step_down("the process is shutting down");
         }
     }
 
-    fn ordered(&mut self, request: RequestId, order: &Order) {
-        if let Some(why) = self.objection(order) {
+    fn handle_rollout_order(&mut self, request: RequestId, order: &Order) {
+        if let Some(why) = self.order_error(order) {
             self.answer(request, Answer::Impossible(why));
             return;
         }
@@ -409,10 +414,10 @@
     }
 
     /// Reason why an order is invalid, if it is.
-    fn objection(&self, order: &Order) -> Option<String> {
+    fn order_error(&self, order: &Order) -> Option<String> {
         match order {
-            Order::Forget(node) if !self.configured().any(|known| known == node) => {
-                let nodes: Vec<&str> = self.configured().map(String::as_str).collect();
+            Order::Forget(node) if !self.configured_nodes().any(|known| known == node) => {
+                let nodes: Vec<&str> = self.configured_nodes().map(String::as_str).collect();
                 Some(format!("no node {node}, there are: {}", nodes.join(", ")))
             }
             Order::Forget(node) if self.is_alive(node) => {
@@ -451,7 +456,7 @@
 
     /// Estimated seconds until the present stage ends, if known: the rest of the soak, or the time
     /// to rewrite the records found so far at the configured share of the change rate.
-    fn rest_of_the_move(&self, soaked: Duration) -> Option<f64> {
+    fn estimated_remaining_s(&self, soaked: Duration) -> Option<f64> {
         let config = self.config.options.rollout.as_ref()?;
         match self.cache.generation.0.stage {
             Stage::Settled => None,
@@ -459,8 +464,8 @@
                 Some(config.soak.saturating_sub(soaked).as_secs_f64())
             }
             Stage::Active | Stage::Migrating => {
-                let left = self.rollout.migration.left()? as f64;
-                let rate = self.config.writes * config.share;
+                let left = self.rollout.migration.remaining()? as f64;
+                let rate = self.config.write_rate * config.share;
                 (rate > 0.0).then(|| left / rate)
             }
         }
@@ -471,7 +476,7 @@
         let cluster = self.cache.generation.0;
         let orders = &self.cache.orders.0;
         let leader = self.cache.leader.as_ref().map(|(record, _)| &record.node);
-        let nodes = self.configured().map(|node| {
+        let nodes = self.configured_nodes().map(|node| {
             let told = self.cache.nodes.get(node);
             let ability = told.and_then(|(ability, _)| ability.clone());
             NodeStatus {
@@ -489,12 +494,12 @@
         let mut nodes: Vec<NodeStatus> = nodes.collect();
         nodes.sort_by(|a, b| a.node.cmp(&b.node));
         let leads = self.cluster.is_some() && self.is_leader();
-        let machine = self.rollout.machine.as_ref().filter(|_| leads);
+        let machine = self.rollout.state_machine.as_ref().filter(|_| leads);
         let millis = |time: Duration| time.as_millis() as u64;
         let reachability = self.cluster.as_ref().map(|cluster| &cluster.reachability);
         Status {
             node: self.config.node.clone(),
-            enabled: self.rollout.machine.is_some(),
+            enabled: self.rollout.state_machine.is_some(),
             from: cluster.from,
             to: cluster.to,
             stage: cluster.stage,
@@ -505,9 +510,9 @@
             soaked_ms: machine.map(|m| millis(m.soaked(now))),
             soak_ms: self.config.options.rollout.as_ref().map(|c| millis(c.soak)),
             held: machine.map(|m| m.held.to_string()),
-            migrated: machine.map(|_| self.rollout.migration.moved()),
-            left: machine.and_then(|_| self.rollout.migration.left()),
-            estimate_s: machine.and_then(|m| self.rest_of_the_move(m.soaked(now))),
+            migrated: machine.map(|_| self.rollout.migration.total_rewritten()),
+            left: machine.and_then(|_| self.rollout.migration.remaining()),
+            estimate_s: machine.and_then(|m| self.estimated_remaining_s(m.soaked(now))),
             refuses: self.refusal_reason(),
             clear: reachability
                 .filter(|_| leads)
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -67,9 +67,9 @@
             && machine.notice_at.is_none()
             && !self.cordoned(&machine.id)
             && self.reaches(&machine.zone)
-            && machine
-                .heard_at
-                .is_some_and(|at| now < at + self.config.report * 2 + Duration::from_millis(700))
+            && machine.heard_at.is_some_and(|at| {
+                now < at + self.config.report_interval * 2 + Duration::from_millis(700)
+            })
     }
 
     /// Nothing is started that can't be delivered, and nobody stopped for it.
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -170,8 +170,8 @@
     Rejected,
     /// Not executed because of a rate limit or an outage.
     Refused {
-        retry: Option<Duration>,
-        limited: bool,
+        retry_after: Option<Duration>,
+        rate_limited: bool,
     },
     /// No reply: the request may have been executed, or may still be.
     Unclear,
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -41,7 +41,7 @@
 impl ClusterState {
     /// The machine missed a report: it is asked whether it still answers.
     pub(super) fn should_probe(&self, machine: &Machine, now: Duration) -> bool {
-        machine.is_unheard(self.config.report * 3 / 2, now)
+        machine.is_unheard(self.config.report_interval * 3 / 2, now)
             && !machine.commands_unanswered
             && machine.endless_tasks() > 0
     }
@@ -52,7 +52,7 @@
     fn has_vanished(&self, machine: &Machine, now: Duration) -> bool {
         let lag = self.config.list_lag * 2;
         let since = machine.heard_at.unwrap_or(machine.first_seen);
-        let missed = now > since + self.config.report * 5 / 4 + REPORT_LATE;
+        let missed = now > since + self.config.report_interval * 5 / 4 + REPORT_LATE;
         let (shown, read) = (machine.listed_at, self.provisioning.list_read);
         missed && shown.zip(read).is_some_and(|(at, read)| read > at + lag)
     }
@@ -61,10 +61,10 @@
     /// with the most replicas first.
     pub(super) fn plan_unresponsive_returns(&mut self, now: Duration) -> Vec<MachineId> {
         // One that does not know that it still leads may be the one partitioned.
-        if now > self.proven + self.config.renew_every * 2 || self.reachability.is_uncertain {
+        if now > self.proven + self.config.renew_interval * 2 || self.reachability.is_uncertain {
             return Vec::new();
         }
-        let silence = (self.config.report * 2).max(self.config.worker_lease_bound / 3);
+        let silence = (self.config.report_interval * 2).max(self.config.worker_lease_bound / 3);
         let mut go: Vec<(Reverse<usize>, MachineId)> = self
             .machines
             .values()
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -117,7 +117,7 @@
             self.queue_question(request, id, Question::Reject(reason));
             return;
         }
-        if !spec.needs.is_empty() && !self.all_know_dependencies() {
+        if !spec.needs.is_empty() && !self.all_support_dependencies() {
             self.answer(request, Answer::Later { retry: RETRY });
             return;
         }
@@ -344,7 +344,9 @@
                 self.ranges.forget(&Range::of(&id).0);
                 self.queue_question(request, id, Question::Repeat(spec, tries + 1));
             }
-            StateReply::Refused { retry, .. } => {
+            StateReply::Refused {
+                retry_after: retry, ..
+            } => {
                 let retry = retry.unwrap_or(RETRY);
                 self.answer(request, Answer::Later { retry });
             }
@@ -357,7 +359,7 @@
             self.answer_terminal_state(request, &id, &question, record);
         } else if !self.cache.loaded
             || self.cannot_read_state()
-            || self.user_requests.unproven.len() >= self.config.requests_most
+            || self.user_requests.unproven.len() >= self.config.max_waiting_requests
         {
             self.answer(request, Answer::Later { retry: RETRY });
         } else {
@@ -383,7 +385,7 @@
             return;
         }
         self.user_requests.in_flight = true;
-        self.user_requests.next_sync = now + self.config.sync_every;
+        self.user_requests.next_sync = now + self.config.sync_interval;
         self.user_requests.proving = std::mem::take(&mut self.user_requests.unproven);
         let watch = self.watch_request(Duration::ZERO);
         self.call(Purpose::Sync, watch);
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -18,7 +18,9 @@
                 self.loading = true;
                 self.cache = StateCache::default();
                 self.call(
-                    Purpose::Load { after: false },
+                    Purpose::Load {
+                        is_next_page: false,
+                    },
                     StateRequest::List {
                         prefix: LIVE_PREFIX.into(),
                         after: None,
@@ -42,7 +44,7 @@
         }
     }
 
-    pub(super) fn load_answered(&mut self, after: bool, reply: StateReply) {
+    pub(super) fn load_answered(&mut self, is_next_page: bool, reply: StateReply) {
         let StateReply::Entries {
             entries,
             more,
@@ -55,14 +57,14 @@
         };
         // Pages are read one after another. The watch starts at the revision of the first page,
         // so it delivers every change made while the others were read.
-        if !after {
+        if !is_next_page {
             self.cache.cursor = revision;
         }
         let last = entries.last().map(|e| e.key.clone());
         self.cache.apply_entries(entries);
         if let (true, Some(last)) = (more, last) {
             self.call(
-                Purpose::Load { after: true },
+                Purpose::Load { is_next_page: true },
                 StateRequest::List {
                     prefix: LIVE_PREFIX.into(),
                     after: Some(last),
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -24,10 +24,10 @@
 pub enum QueuedWrite {
     AssignmentIndex {
         claim: u64,
-        listings: Vec<ShardWrite>,
+        shard_writes: Vec<ShardWrite>,
     },
     /// Rereads a shard of the assignment index after a write with an unknown outcome.
-    Reread {
+    RereadShard {
         claim: u64,
         shard: u32,
     },
@@ -55,7 +55,7 @@
         claim: u64,
         range: Range,
     },
-    Collect {
+    DeleteGarbage {
         claim: u64,
         keys: Vec<String>,
     },
@@ -66,15 +66,15 @@
 pub struct WriteQueue {
     /// Present rate in changes per second.
     rate: f64,
-    rates: WriteRate,
+    write_rate: WriteRate,
     /// Consecutive writes that were rejected and can't be made smaller.
-    stuck: u32,
+    unsplittable_rejections: u32,
     allowance: f64,
-    refilled: Duration,
+    refilled_at: Duration,
     in_flight: u32,
-    retry: Duration,
+    retry_at: Duration,
     /// A write was answered, so writes that depend on it can be sent at once.
-    pub(super) has_news: bool,
+    pub(super) has_new_replies: bool,
 }
 
 const MAX_WRITES_IN_FLIGHT: u32 = 6;
@@ -173,14 +173,14 @@
 impl WriteQueue {
     pub fn new(config: &Config) -> Self {
         Self {
-            rate: config.writes,
-            rates: WriteRate::new(config.writes, config.writes_next),
-            stuck: 0,
-            allowance: config.writes,
-            refilled: Duration::ZERO,
+            rate: config.write_rate,
+            write_rate: WriteRate::new(config.write_rate, config.announced_write_rate),
+            unsplittable_rejections: 0,
+            allowance: config.write_rate,
+            refilled_at: Duration::ZERO,
             in_flight: 0,
-            retry: Duration::ZERO,
-            has_news: false,
+            retry_at: Duration::ZERO,
+            has_new_replies: false,
         }
     }
 
@@ -189,28 +189,28 @@
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.refilled).as_secs_f64();
-        self.refilled = now;
-        self.rate = self.rates.at(now);
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.rate = self.write_rate.at(now);
         self.allowance = (self.allowance + passed * self.rate).min(self.rate);
     }
 
     /// Handles a write that was refused because of the rate limit.
-    pub fn limited(&mut self, now: Duration) {
-        self.rates.limited(now);
+    pub fn rate_limited(&mut self, now: Duration) {
+        self.write_rate.limited(now);
     }
 
     /// Handles a rejected write; `smaller` tells whether the next one will be smaller.
     pub fn rejected(&mut self, smaller: bool) {
-        self.stuck = match smaller {
+        self.unsplittable_rejections = match smaller {
             true => 0,
-            false => self.stuck + 1,
+            false => self.unsplittable_rejections + 1,
         };
     }
 
     /// Delay before the next write after a failed one.
     fn pause(&self) -> Duration {
-        RETRY_DELAY * 2_u32.pow(self.stuck.min(MAX_PAUSE_DOUBLINGS))
+        RETRY_DELAY * 2_u32.pow(self.unsplittable_rejections.min(MAX_PAUSE_DOUBLINGS))
     }
 
     /// Returns whether the budget has room for optional writes.
@@ -235,13 +235,14 @@
     fn send_writes(&mut self) {
         let now = self.now();
         self.write_queue.refill(now);
-        self.write_queue.has_news = false;
+        self.write_queue.has_new_replies = false;
         if let Some(cluster) = &mut self.cluster {
             cluster
                 .assignment_index
                 .limit_values(self.limits.value_bytes);
         }
-        while self.write_queue.in_flight < MAX_WRITES_IN_FLIGHT && now >= self.write_queue.retry {
+        while self.write_queue.in_flight < MAX_WRITES_IN_FLIGHT && now >= self.write_queue.retry_at
+        {
             // The allowance has to cover one change; a larger transaction overdraws it.
             if self.write_queue.allowance < 1.0 {
                 return;
@@ -249,7 +250,7 @@
             let Some(claim) = self.claim() else { return };
             if self.reread_shard(claim)
                 || self.reread_progress(claim)
-                || self.read_range_to_write(now, claim)
+                || self.read_range_before_write(now, claim)
             {
                 continue;
             }
@@ -278,7 +279,7 @@
         let Some(shard) = unsure else { return false };
         let key = shard_key(shard);
         self.write_queue.in_flight += 1;
-        let write = Purpose::QueuedWrite(QueuedWrite::Reread { claim, shard });
+        let write = Purpose::QueuedWrite(QueuedWrite::RereadShard { claim, shard });
         self.call(write, StateRequest::Get { key });
         true
     }
@@ -307,7 +308,7 @@
     }
 
     /// Returns the next complete job to store as ended, among those whose range may be written.
-    fn complete_job(&self, now: Duration) -> Option<&JobId> {
+    fn next_complete_job(&self, now: Duration) -> Option<&JobId> {
         let packed = self.packs_terminal_states();
         let cluster = self.cluster.as_ref()?;
         let complete = cluster.jobs.iter().filter(|(id, job)| {
@@ -324,11 +325,11 @@
     }
 
     /// Reads the range that the next terminal state belongs to, if its content is unknown.
-    fn read_range_to_write(&mut self, now: Duration, claim: u64) -> bool {
+    fn read_range_before_write(&mut self, now: Duration, claim: u64) -> bool {
         if !self.packs_terminal_states() {
             return false;
         }
-        let Some(range) = self.complete_job(now).map(|id| Range::of(id).0) else {
+        let Some(range) = self.next_complete_job(now).map(|id| Range::of(id).0) else {
             return false;
         };
         if self.ranges.get(&range).is_some() {
@@ -347,7 +348,7 @@
     fn next_finish_write(&mut self, now: Duration, claim: u64) -> Option<PreparedWrite> {
         let most = self.limits.txn_ops;
         let (cluster, generation) = self.cache.generation;
-        let first = self.complete_job(now)?.clone();
+        let first = self.next_complete_job(now)?.clone();
         let mut ids = vec![first.clone()];
         if self.packs_terminal_states() {
             let range = Range::of(&first).0;
@@ -406,9 +407,14 @@
 
         let cluster = self.cluster.as_mut()?;
         // Tasks start only after the assignment index lists their job for the machine.
-        if let Some((listings, conditions, changes)) = cluster.assignment_index_write(true, most) {
+        if let Some((shard_writes, conditions, changes)) =
+            cluster.assignment_index_write(true, most)
+        {
             return Some((
-                QueuedWrite::AssignmentIndex { claim, listings },
+                QueuedWrite::AssignmentIndex {
+                    claim,
+                    shard_writes,
+                },
                 conditions,
                 changes,
             ));
@@ -420,9 +426,14 @@
             return Some(write);
         }
 
-        if let Some((listings, conditions, changes)) = cluster.assignment_index_write(false, most) {
+        if let Some((shard_writes, conditions, changes)) =
+            cluster.assignment_index_write(false, most)
+        {
             return Some((
-                QueuedWrite::AssignmentIndex { claim, listings },
+                QueuedWrite::AssignmentIndex {
+                    claim,
+                    shard_writes,
+                },
                 conditions,
                 changes,
             ));
@@ -432,7 +443,11 @@
             let count = cluster.garbage.len().min(most / 4);
             let keys: Vec<String> = cluster.garbage.drain(..count).collect();
             let changes = keys.iter().cloned().map(delete).collect();
-            return Some((QueuedWrite::Collect { claim, keys }, Vec::new(), changes));
+            return Some((
+                QueuedWrite::DeleteGarbage { claim, keys },
+                Vec::new(),
+                changes,
+            ));
         }
         None
     }
@@ -447,10 +462,10 @@
             reply,
             StateReply::Refused { .. } | StateReply::Rejected | StateReply::Unclear
         ) {
-            self.write_queue.retry = now + self.write_queue.pause();
+            self.write_queue.retry_at = now + self.write_queue.pause();
         }
         if committed {
-            self.write_queue.stuck = 0;
+            self.write_queue.unsplittable_rejections = 0;
         }
         match &write {
             QueuedWrite::Finish { ended, ends, .. } => {
@@ -477,23 +492,23 @@
         }
         let claim = match &write {
             QueuedWrite::AssignmentIndex { claim, .. }
-            | QueuedWrite::Reread { claim, .. }
+            | QueuedWrite::RereadShard { claim, .. }
             | QueuedWrite::Progress { claim, .. }
             | QueuedWrite::RereadProgress { claim, .. }
             | QueuedWrite::Finish { claim, .. }
             | QueuedWrite::ReadRange { claim, .. }
-            | QueuedWrite::Collect { claim, .. } => *claim,
+            | QueuedWrite::DeleteGarbage { claim, .. } => *claim,
         };
         let Some(cluster) = self.cluster.as_mut().filter(|l| l.claim == claim) else {
             return;
         };
         self.write_queue.in_flight = self.write_queue.in_flight.saturating_sub(1);
-        self.write_queue.has_news = true;
+        self.write_queue.has_new_replies = true;
         match write {
-            QueuedWrite::AssignmentIndex { listings, .. } => {
-                cluster.assignment_index_written(listings, &reply)
+            QueuedWrite::AssignmentIndex { shard_writes, .. } => {
+                cluster.assignment_index_written(shard_writes, &reply)
             }
-            QueuedWrite::Reread { shard, .. } => {
+            QueuedWrite::RereadShard { shard, .. } => {
                 let version = match &reply {
                     StateReply::Entry(entry) => Some(entry.version),
                     StateReply::Missing => Some(0),
@@ -506,7 +521,7 @@
             } => cluster.progress_saved(&id, &set, &chunks, &reply, now),
             QueuedWrite::RereadProgress { id, chunk, .. } => {
                 if !cluster.progress_reread(&id, chunk, &reply) {
-                    self.write_queue.retry = now + RETRY_DELAY;
+                    self.write_queue.retry_at = now + RETRY_DELAY;
                 }
             }
             QueuedWrite::Finish { ended, keys, .. } => {
@@ -524,7 +539,7 @@
                 }
             }
             QueuedWrite::ReadRange { .. } => {}
-            QueuedWrite::Collect { keys, .. } => {
+            QueuedWrite::DeleteGarbage { keys, .. } => {
                 if !committed {
                     cluster.garbage.extend(keys);
                 }
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -50,7 +50,7 @@
         signal_hook::flag::register(signal_hook::consts::SIGTERM, asked_to_end.clone())?;
     }
     let config = Config::new(&settings, options);
-    let requests_most = config.requests_most;
+    let requests_most = config.max_waiting_requests;
     let (calls, mut incoming) = mpsc::channel::<Call>(requests_most);
     let sockets = settings.params.resources.sockets;
     let listener = server::bind(settings.listen, sockets).await?;
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -149,8 +149,8 @@
 ) -> StateReply {
     match (status, request) {
         (429 | 503, _) => StateReply::Refused {
-            retry,
-            limited: status == 429,
+            retry_after: retry,
+            rate_limited: status == 429,
         },
         (200, request) => decode_ok(request, body).unwrap_or(StateReply::Unclear),
         (404, StateRequest::Get { .. }) => StateReply::Missing,
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -115,8 +115,8 @@
     let call = watch.expect("a watch");
     step(&mut node, 6, Input::State { call, reply });
     let refused = StateReply::Refused {
-        retry: Some(Duration::from_secs(3)),
-        limited: true,
+        retry_after: Some(Duration::from_secs(3)),
+        rate_limited: true,
     };
     for (ms, reply) in [(7, refused), (9, StateReply::Unclear)] {
         let outputs = step(&mut node, ms, submission());
--- a/tests/cancelling.rs
+++ b/tests/cancelling.rs
@@ -49,7 +49,7 @@
                 prop_assert!((term + lease) * slow + DIRECT <= cancel);
                 prop_assert!(config.worker_lease_bound.as_secs_f64() >= lease * slow);
                 prop_assert!(config.leader_term < config.leader_ttl);
-                prop_assert!(config.renew_every * 4 < config.leader_ttl);
+                prop_assert!(config.renew_interval * 4 < config.leader_ttl);
                 prop_assert!(config.leader_term > Duration::from_secs(1));
             }
             Err(error) => {
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -153,7 +153,7 @@
 fn the_tasks_of_held_reports_are_bounded() {
     const TASKS: usize = 500;
     let settings = settings(700);
-    let most = Config::new(&settings, Options::default()).waiting_tasks_most;
+    let most = Config::new(&settings, Options::default()).max_waiting_tasks;
     let (mut node, _) = follower(700);
     let tasks = || {
         let task = |index| ReportedTask {
--- a/tests/next_limits.rs
+++ b/tests/next_limits.rs
@@ -19,25 +19,28 @@
 #[test]
 fn what_is_written_fits_present_and_announced_limits() {
     let lower = config(&json!({"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 5}));
-    assert_eq!((lower.value_most, lower.txn_ops), (2048, 5));
+    assert_eq!((lower.max_value_bytes, lower.max_txn_ops), (2048, 5));
     assert_eq!(
-        lower.writes, 27.0,
+        lower.write_rate, 27.0,
         "the present rate is used until it falls"
     );
-    assert_eq!(lower.writes_next, Some(13.5));
+    assert_eq!(lower.announced_write_rate, Some(13.5));
 
     let higher = config(&json!({"value_kb": 64.0, "txn_ops": 32}));
-    assert_eq!((higher.value_most, higher.txn_ops), (16 * 1024, 16));
-    assert_eq!(higher.writes_next, None);
+    assert_eq!(
+        (higher.max_value_bytes, higher.max_txn_ops),
+        (16 * 1024, 16)
+    );
+    assert_eq!(higher.announced_write_rate, None);
 
     let none = config(&Value::Null);
-    assert_eq!((none.value_most, none.txn_ops), (16 * 1024, 16));
+    assert_eq!((none.max_value_bytes, none.max_txn_ops), (16 * 1024, 16));
 }
 
 #[test]
 fn announced_limits_may_say_more_or_less_than_is_known() {
     let partly = config(&json!({"txn_ops": 4, "watch_most": 3}));
-    assert_eq!((partly.value_most, partly.txn_ops), (16 * 1024, 4));
+    assert_eq!((partly.max_value_bytes, partly.max_txn_ops), (16 * 1024, 4));
     assert!(parse(&json!({})).is_ok());
 }
 
--- a/tests/state_answers.rs
+++ b/tests/state_answers.rs
@@ -61,9 +61,21 @@
 fn what_may_pass_later_is_not_rejected() {
     let request = transaction(None);
     let limited = decode(&request, 429, Some(Duration::from_secs(2)), b"{}");
-    assert!(matches!(limited, StateReply::Refused { limited: true, .. }));
+    assert!(matches!(
+        limited,
+        StateReply::Refused {
+            rate_limited: true,
+            ..
+        }
+    ));
     let away = decode(&request, 503, None, b"{}");
-    assert!(matches!(away, StateReply::Refused { limited: false, .. }));
+    assert!(matches!(
+        away,
+        StateReply::Refused {
+            rate_limited: false,
+            ..
+        }
+    ));
     let broken = decode(&request, 500, None, b"{}");
     assert!(matches!(broken, StateReply::Unclear));
 }
--- a/tests/world/sim/state_service.rs
+++ b/tests/world/sim/state_service.rs
@@ -33,8 +33,8 @@
         }
         let reply = if self.outage || self.refused[node] > now {
             StateReply::Refused {
-                retry: None,
-                limited: false,
+                retry_after: None,
+                rate_limited: false,
             }
         } else {
             let mut request = self.tampered_forms(node, self.tampered(request));
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -175,8 +175,8 @@
         let wanted = changes.len() as f64;
         if wanted > self.allowance.changes {
             return Some(StateReply::Refused {
-                retry: None,
-                limited: true,
+                retry_after: None,
+                rate_limited: true,
             });
         }
         self.allowance.changes -= wanted;
