--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -92,18 +92,18 @@
     /// Sends the next request of the migration, after all other writes of the leader.
     pub(super) fn drive_migration(&mut self) {
         let now = self.now();
-        let (cluster, revision) = self.cache.generation;
+        let (generation, revision) = self.cache.generation;
         let Some(config) = self.config.options.rollout.clone() else {
             return;
         };
         let Some(claim) = self.cluster.as_ref().map(|cluster| cluster.claim) else {
             return;
         };
-        if cluster.stage != Stage::Migrating || self.cache.orders.0.paused {
+        if generation.stage != Stage::Migrating || self.cache.orders.0.paused {
             return;
         }
         let rate = self.config.write_rate * config.share;
-        let most = self.limits.txn_ops;
+        let max_ops = self.limits.txn_ops;
         let migration = &mut self.rollout.migration;
         if migration.scope != (revision, claim) {
             *migration = Migration {
@@ -113,18 +113,18 @@
                 ..Migration::default()
             };
         }
-        if terminal_states::place(cluster.from) == terminal_states::place(cluster.to) {
+        if terminal_states::place(generation.from) == terminal_states::place(generation.to) {
             migration.is_finished = true;
         }
         let passed = now.saturating_sub(migration.refilled_at).as_secs_f64();
         migration.refilled_at = now;
-        migration.allowance = (migration.allowance + passed * rate).min(most as f64);
+        migration.allowance = (migration.allowance + passed * rate).min(max_ops as f64);
         if migration.request_in_flight || migration.is_finished || now < migration.retry_at {
             return;
         }
-        let Some(work) = migration.queue.front() else {
+        let Some(pending) = migration.queue.front() else {
             migration.request_in_flight = true;
-            let prefix = match terminal_states::place(cluster.from) {
+            let prefix = match terminal_states::place(generation.from) {
                 Place::Single => TERMINAL_STATES_PREFIX,
                 Place::Packed => TERMINAL_RANGES_PREFIX,
             };
@@ -138,7 +138,7 @@
             );
             return;
         };
-        let range = work.range().clone();
+        let range = pending.range().clone();
         // Writes that someone waits for come first, and so do terminal states of jobs.
         if migration.allowance < 1.0
             || !self.write_queue.has_spare_budget()
@@ -156,16 +156,16 @@
             return;
         };
         let rewrite = match migration.queue.front_mut() {
-            Some(PendingRange::Pack(range, alone)) => {
-                let count = alone.len().min(most - 1);
-                let some: Vec<_> = alone.drain(..count).collect();
-                let rewrite = terminal_states::pack(range, &some, known);
-                if alone.is_empty() {
+            Some(PendingRange::Pack(range, records_left)) => {
+                let count = records_left.len().min(max_ops - 1);
+                let batch: Vec<_> = records_left.drain(..count).collect();
+                let rewrite = terminal_states::pack(range, &batch, known);
+                if records_left.is_empty() {
                     migration.queue.pop_front();
                 }
                 Some(rewrite)
             }
-            Some(PendingRange::Unpack(range)) => terminal_states::unpack(range, known, most),
+            Some(PendingRange::Unpack(range)) => terminal_states::unpack(range, known, max_ops),
             None => None,
         };
         let Some(rewrite) = rewrite.filter(|rewrite| rewrite.records > 0) else {
@@ -234,9 +234,9 @@
                 let migration = &mut self.rollout.migration;
                 migration.total_rewritten += records;
                 migration.rewritten += records;
-                let over = ends.is_empty();
+                let is_empty = ends.is_empty();
                 let front = migration.queue.front();
-                if matches!(front, Some(PendingRange::Unpack(r)) if *r == range && over) {
+                if matches!(front, Some(PendingRange::Unpack(r)) if *r == range && is_empty) {
                     migration.queue.pop_front();
                 }
             }
@@ -251,18 +251,18 @@
 
     /// Queues a page of records in the old form.
     fn queue_old_records(&mut self, entries: &[Entry], more: bool) {
-        let mut unread = None;
+        let mut unreadable_key = None;
         let migration = &mut self.rollout.migration;
         for entry in entries {
             let text = entry.value.get();
-            let alone = terminal_states::single_id(&entry.key);
-            let read = match alone {
+            let single_id = terminal_states::single_id(&entry.key);
+            let read = match single_id {
                 Some(id) => terminal_states::parse_single(text).map(|record| {
                     let range = Range::of(&id).0;
                     let record = (id, record, entry.version);
                     match migration.queue.back_mut() {
-                        Some(PendingRange::Pack(last, alone)) if *last == range => {
-                            alone.push_back(record)
+                        Some(PendingRange::Pack(last, records)) if *last == range => {
+                            records.push_back(record)
                         }
                         _ => migration
                             .queue
@@ -281,7 +281,7 @@
                 // An unreadable record stays and blocks the rollout.
                 None => {
                     migration.found += 1;
-                    unread = Some(entry.key.clone());
+                    unreadable_key = Some(entry.key.clone());
                 }
             }
         }
@@ -297,7 +297,7 @@
             migration.restart();
             migration.retry_at = self.clock.now + RETRY_DELAY * 10;
         }
-        if let Some(key) = unread {
+        if let Some(key) = unreadable_key {
             self.report_unreadable(&key);
         }
     }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -78,8 +78,8 @@
     let most = config
         .and_then(|config| config.reads_most)
         .unwrap_or(newest);
-    let able = FEATURES.iter().filter(|f| f.since <= most);
-    let names = able.map(|f| f.name).chain([JOB_DEPENDENCIES]);
+    let supported = FEATURES.iter().filter(|f| f.since <= most);
+    let names = supported.map(|f| f.name).chain([JOB_DEPENDENCIES]);
     Ability {
         build: option_env!("KITEYARD_BUILD")
             .unwrap_or(env!("CARGO_PKG_VERSION"))
@@ -167,25 +167,25 @@
     /// can read the stored records, the one that hears from most workers.
     fn successor(&self) -> Option<String> {
         let (nodes, now) = (&self.membership.nodes, self.now());
-        let able = |node: &String| {
-            let told = self.cache.nodes.get(node);
-            let ability = told.and_then(|(ability, _)| ability.as_ref());
+        let can_lead = |node: &String| {
+            let announced = self.cache.nodes.get(node);
+            let ability = announced.and_then(|(ability, _)| ability.as_ref());
             ability.is_none_or(|ability| self.cache.generation.0.suits(ability))
         };
-        nodes.best_peer_of(now, able).map(|(node, _)| node)
+        nodes.best_peer_of(now, can_lead).map(|(node, _)| node)
     }
 
     pub(super) fn drive_rollout(&mut self) {
         if !self.cache.loaded {
             return;
         }
-        let refuses = self.refusal_reason();
-        if refuses != self.rollout.logged_refusal {
-            match &refuses {
+        let reason = self.refusal_reason();
+        if reason != self.rollout.logged_refusal {
+            match &reason {
                 Some(why) => error!(why, "refuses to serve and to lead"),
                 None => info!("serves requests again"),
             }
-            self.rollout.logged_refusal = refuses;
+            self.rollout.logged_refusal = reason;
         }
         if self.rollout.logged_refusal.is_some() && self.claim().is_some() {
             self.step_down("it can't read the stored state");
@@ -305,9 +305,9 @@
     /// Returns whether no record is left of the features that the written generation lacks.
     fn has_no_newer_records(&self) -> bool {
         let written = self.cache.generation.0.written();
-        let no_zones = written >= PARTITIONED_ZONES_FEATURE.since
+        let has_no_partitions = written >= PARTITIONED_ZONES_FEATURE.since
             || self.cache.partitioned_zones.0.zones.is_empty();
-        no_zones && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
+        has_no_partitions && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
     }
 
     fn configured_nodes(&self) -> impl Iterator<Item = &String> {
@@ -429,12 +429,12 @@
                     return Some(format!("generation: must be {oldest} to {newest}"));
                 }
                 let cluster = self.cache.generation.0;
-                let now = cluster.from.max(cluster.written());
-                let mut left = FEATURES
+                let newest_in_use = cluster.from.max(cluster.written());
+                let mut removed = FEATURES
                     .iter()
-                    .filter(|f| *target < f.since && f.since <= now);
-                let stuck = left.find(|f| !f.way_back)?;
-                Some(format!("{} can't be downgraded", stuck.name))
+                    .filter(|f| *target < f.since && f.since <= newest_in_use);
+                let irreversible = removed.find(|f| !f.way_back)?;
+                Some(format!("{} can't be downgraded", irreversible.name))
             }
             _ => None,
         }
@@ -464,9 +464,9 @@
                 Some(config.soak.saturating_sub(soaked).as_secs_f64())
             }
             Stage::Active | Stage::Migrating => {
-                let left = self.rollout.migration.remaining()? as f64;
+                let remaining = self.rollout.migration.remaining()? as f64;
                 let rate = self.config.write_rate * config.share;
-                (rate > 0.0).then(|| left / rate)
+                (rate > 0.0).then(|| remaining / rate)
             }
         }
     }
@@ -477,8 +477,8 @@
         let orders = &self.cache.orders.0;
         let leader = self.cache.leader.as_ref().map(|(record, _)| &record.node);
         let nodes = self.configured_nodes().map(|node| {
-            let told = self.cache.nodes.get(node);
-            let ability = told.and_then(|(ability, _)| ability.clone());
+            let announced = self.cache.nodes.get(node);
+            let ability = announced.and_then(|(ability, _)| ability.clone());
             NodeStatus {
                 node: node.clone(),
                 zone: self.config.zones.get(node).cloned().unwrap_or_default(),
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -98,11 +98,11 @@
         limits: &WriteLimits,
     ) -> Option<PreparedWrite> {
         let claim = self.claim;
-        let waits = |job: &Job| !job.saving && !job.complete() && job.saved.unsure().is_none();
+        let is_ready = |job: &Job| !job.saving && !job.complete() && job.saved.unsure().is_none();
         let (id, job) = self
             .jobs
             .iter_mut()
-            .filter(|(_, job)| waits(job) && job.unsaved_since.is_some_and(|at| at <= before))
+            .filter(|(_, job)| is_ready(job) && job.unsaved_since.is_some_and(|at| at <= before))
             .min_by_key(|(id, job)| (job.unsaved_since, (*id).clone()))?;
         job.saving = true;
         job.unsaved_since = None;
@@ -290,11 +290,11 @@
         let Some(cluster) = self.cluster.as_mut() else {
             return false;
         };
-        let open = cluster
+        let idle = cluster
             .jobs
             .iter_mut()
             .filter(|(_, job)| !job.saving && !job.complete());
-        let mut unsure = open.filter_map(|(id, job)| Some((id, job.saved.unsure()?, job)));
+        let mut unsure = idle.filter_map(|(id, job)| Some((id, job.saved.unsure()?, job)));
         let Some((id, chunk, job)) = unsure.next() else {
             return false;
         };
@@ -346,44 +346,50 @@
     /// Prepares the write that ends a complete job, together with other complete jobs in the
     /// same range, which cost one change less each.
     fn next_finish_write(&mut self, now: Duration, claim: u64) -> Option<PreparedWrite> {
-        let most = self.limits.txn_ops;
-        let (cluster, generation) = self.cache.generation;
+        let max_ops = self.limits.txn_ops;
+        let (generation, generation_revision) = self.cache.generation;
         let first = self.next_complete_job(now)?.clone();
         let mut ids = vec![first.clone()];
         if self.packs_terminal_states() {
             let range = Range::of(&first).0;
             let jobs = &self.cluster.as_ref()?.jobs;
-            let also = jobs.iter().filter(|(id, job)| {
+            let others = jobs.iter().filter(|(id, job)| {
                 job.complete() && !job.saving && **id != first && Range::of(id).0 == range
             });
-            ids.extend(also.map(|(id, _)| id.clone()).take(most.saturating_sub(2)));
+            ids.extend(
+                others
+                    .map(|(id, _)| id.clone())
+                    .take(max_ops.saturating_sub(2)),
+            );
         }
-        let leader = self.cluster.as_mut()?;
-        let (mut ended, mut conditions) =
-            (Vec::new(), vec![if_version(GENERATION_KEY, generation)]);
+        let cluster = self.cluster.as_mut()?;
+        let (mut ended, mut conditions) = (
+            Vec::new(),
+            vec![if_version(GENERATION_KEY, generation_revision)],
+        );
         let (mut changes, mut keys) = (Vec::new(), Vec::new());
         for id in ids {
-            let job = leader.jobs.get_mut(&id)?;
+            let job = cluster.jobs.get_mut(&id)?;
             conditions.push(if_version(job_key(&id), job.version));
             changes.push(delete(job_key(&id)));
             let chunks = job.saved.chunks().into_iter();
             keys.extend(chunks.map(|chunk| progress_key(&id, chunk)));
-            let needed = self.dependencies.has_dependents(&id);
+            let has_dependents = self.dependencies.has_dependents(&id);
             let record = TerminalRecord {
                 state: JobState::Done,
                 done: job.done_count,
-                ended_ms: needed.then_some(self.clock.wall_ms),
+                ended_ms: has_dependents.then_some(self.clock.wall_ms),
             };
             ended.push((id, record));
         }
-        let terminal_write = terminal_states::terminal_write(&cluster, &ended, &self.ranges)?;
+        let terminal_write = terminal_states::terminal_write(&generation, &ended, &self.ranges)?;
         conditions.extend(terminal_write.conditions);
         changes.extend(terminal_write.changes);
         // Keys that do not fit into this transaction are deleted by a later one.
-        let rest = keys.split_off(keys.len().min(most.saturating_sub(changes.len())));
+        let remaining_keys = keys.split_off(keys.len().min(max_ops.saturating_sub(changes.len())));
         changes.extend(keys.into_iter().map(delete));
         for (id, _) in &ended {
-            leader.jobs.get_mut(id)?.saving = true;
+            cluster.jobs.get_mut(id)?.saving = true;
         }
         if let Some((range, _)) = &terminal_write.ends {
             self.ranges.take(range);
@@ -392,13 +398,13 @@
             claim,
             ended,
             ends: terminal_write.ends,
-            keys: rest,
+            keys: remaining_keys,
         };
         Some((write, conditions, changes))
     }
 
     fn next_write(&mut self, now: Duration) -> Option<PreparedWrite> {
-        let most = self.limits.txn_ops;
+        let max_ops = self.limits.txn_ops;
         let claim = self.cluster.as_ref()?.claim;
 
         if let Some(write) = self.next_finish_write(now, claim) {
@@ -408,7 +414,7 @@
         let cluster = self.cluster.as_mut()?;
         // Tasks start only after the assignment index lists their job for the machine.
         if let Some((shard_writes, conditions, changes)) =
-            cluster.assignment_index_write(true, most)
+            cluster.assignment_index_write(true, max_ops)
         {
             return Some((
                 QueuedWrite::AssignmentIndex {
@@ -427,7 +433,7 @@
         }
 
         if let Some((shard_writes, conditions, changes)) =
-            cluster.assignment_index_write(false, most)
+            cluster.assignment_index_write(false, max_ops)
         {
             return Some((
                 QueuedWrite::AssignmentIndex {
@@ -440,7 +446,7 @@
         }
         // Leftover keys are deleted only while at least half of the budget is free.
         if !cluster.garbage.is_empty() && self.write_queue.allowance > self.write_queue.rate / 2.0 {
-            let count = cluster.garbage.len().min(most / 4);
+            let count = cluster.garbage.len().min(max_ops / 4);
             let keys: Vec<String> = cluster.garbage.drain(..count).collect();
             let changes = keys.iter().cloned().map(delete).collect();
             return Some((
@@ -474,19 +480,23 @@
                     self.cache.job_end_committed(id, revision);
                 }
                 if let Some((range, _)) = ends {
-                    let rest = if committed {
+                    let pause = if committed {
                         RANGE_WRITE_INTERVAL
                     } else {
                         RETRY_DELAY
                     };
-                    self.ranges.release(range, now + rest, now);
+                    self.ranges.release(range, now + pause, now);
                 }
                 self.range_written(&ended[0].0, ends.clone(), &reply);
             }
             QueuedWrite::ReadRange { range, .. } => {
-                let read = self.learn_range(range, &reply).is_some();
-                let rest = if read { Duration::ZERO } else { RETRY_DELAY };
-                self.ranges.release(range, now + rest, now);
+                let is_known = self.learn_range(range, &reply).is_some();
+                let pause = if is_known {
+                    Duration::ZERO
+                } else {
+                    RETRY_DELAY
+                };
+                self.ranges.release(range, now + pause, now);
             }
             _ => {}
         }
