--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -22,11 +22,11 @@
 /// Maximum duration of a leader's lease, even if cancellations may take longer.
 const MAX_LEADER_TTL: Duration = Duration::from_secs(30);
 
-/// Minimum number of concurrent requests per node: all machines of a fleet may report to one node
-/// at once, even on a small host.
+/// Lower bound of the limit on waiting requests: all machines of a fleet may report to one node at
+/// once, even on a small host.
 const MIN_WAITING_REQUESTS: usize = 4096;
-/// Limits on the tasks listed in all waiting reports of a node. They take memory, and a host that
-/// allows more sockets has more of it.
+/// Limit on the tasks listed in all waiting reports of a node: the larger of a minimum and a number
+/// per socket. The tasks take memory, and a host that allows more sockets has more of it.
 const MIN_WAITING_TASKS: usize = 20_000;
 const WAITING_TASKS_PER_SOCKET: usize = 10;
 
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -48,7 +48,6 @@
     rewritten: u64,
     listed: bool,
     is_finished: bool,
-    /// A request is in flight.
     request_in_flight: bool,
     retry_at: Duration,
     /// Number of changes that the budget allows now.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -74,7 +74,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Minimum time between two periodic rounds of the leader.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
-/// Number of terminal states kept in memory, so that polls for them need no request.
+/// Maximum number of terminal states kept in memory, so that polls for them need no request.
 const MAX_CACHED_TERMINAL_STATES: usize = 4096;
 
 /// Requests that result from a round of the leader.
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -55,7 +55,6 @@
     claim_blocked_until: Duration,
     /// Last key outside the watched prefix whose value could not be parsed.
     last_unreadable_key: Option<String>,
-    /// The process is shutting down.
     is_shutting_down: bool,
     pub(super) migration: Migration,
 }
@@ -136,7 +135,8 @@
         self.rollout.state_machine.is_none() || nodes.all(knows)
     }
 
-    /// Logs, once in a row, a key outside the watched prefix whose value can't be parsed.
+    /// Logs a key outside the watched prefix whose value can't be parsed, unless it was the last
+    /// one logged.
     pub(super) fn report_unreadable(&mut self, key: &str) {
         if self.rollout.last_unreadable_key.as_deref() != Some(key) {
             error!(key, "a record can't be read, a newer build is needed");
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -165,7 +165,7 @@
                 let revision = if event.value.is_some() { revision } else { 0 };
                 self.drains = (self.parse_value(event).unwrap_or_default(), revision);
             }
-            // No stored record depends on this key, so an unreadable value is ignored.
+            // No other stored record depends on this key, so an unreadable value is ignored.
             STORED_HEARTBEAT_KEY => {
                 let stored_heartbeat = event.value.as_ref()?;
                 return serde_json::from_str(stored_heartbeat.get())
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -10,14 +10,15 @@
 /// Key prefix of everything a follower watches, such as the leader, machine types and active jobs.
 pub const LIVE_PREFIX: &str = "live/";
 pub const LEADER_KEY: &str = "live/leader";
-/// Key changed by each claim and by nothing else. The leader key expires, so its absence does not
-/// show a claim that is applied late that another node has led in between.
+/// Key changed by each claim and by nothing else. The leader key expires, so a claim that is applied
+/// late can't tell from its absence whether another node has led in between.
 pub const CLAIMS_KEY: &str = "live/claims";
 /// Key of the last claim whose holder knows that the previous leader has stopped acting.
 pub const SETTLED_CLAIM_KEY: &str = "live/settled";
 pub const MACHINE_TYPES_KEY: &str = "live/types";
-/// Keys of the generation of the stored records, and of the operators' orders about it.
+/// Key of the generation of the stored records.
 pub const GENERATION_KEY: &str = "live/generation";
+/// Key of the operators' orders about the generation.
 pub const ORDERS_KEY: &str = "live/orders";
 /// Key of the machines that operators want drained.
 pub const DRAINS_KEY: &str = "live/drains";
@@ -28,8 +29,9 @@
 /// Key prefix of the abilities of each node's process.
 pub const NODES_PREFIX: &str = "live/node/";
 pub const JOBS_PREFIX: &str = "live/job/";
-/// Key prefixes of terminal states: one job per key, and packed by range.
+/// Key prefix of terminal states stored one job per key.
 pub const TERMINAL_STATES_PREFIX: &str = "final/";
+/// Key prefix of terminal states packed by range.
 pub const TERMINAL_RANGES_PREFIX: &str = "ends/";
 pub const PROGRESS_PREFIX: &str = "progress/";
 pub const ASSIGNMENTS_PREFIX: &str = "roster/";
