--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct WriteQueue {
     /// Present rate in changes per second.
-    rate: f64,
+    present_rate: f64,
     write_rate: WriteRate,
     /// Consecutive writes that were rejected and can't be made smaller.
     unsplittable_rejections: u32,
@@ -173,7 +173,7 @@
 impl WriteQueue {
     pub fn new(config: &Config) -> Self {
         Self {
-            rate: config.write_rate,
+            present_rate: config.write_rate,
             write_rate: WriteRate::new(config.write_rate, config.announced_write_rate),
             unsplittable_rejections: 0,
             allowance: config.write_rate,
@@ -191,8 +191,8 @@
     fn refill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
-        self.rate = self.write_rate.at(now);
-        self.allowance = (self.allowance + passed * self.rate).min(self.rate);
+        self.present_rate = self.write_rate.at(now);
+        self.allowance = (self.allowance + passed * self.present_rate).min(self.present_rate);
     }
 
     /// Handles a write that was refused because of the rate limit.
@@ -215,13 +215,13 @@
 
     /// Returns whether the budget has room for optional writes.
     pub fn has_spare_budget(&self) -> bool {
-        self.allowance > self.rate / 4.0
+        self.allowance > self.present_rate / 4.0
     }
 
     /// Charges the budget for changes outside the queue, mostly users' requests at any node:
     /// those come first, and the leader's own writes use the rest.
     pub fn charge(&mut self, changes: f64) {
-        self.allowance = (self.allowance - changes).max(-self.rate);
+        self.allowance = (self.allowance - changes).max(-self.present_rate);
     }
 }
 
@@ -445,7 +445,9 @@
             ));
         }
         // Leftover keys are deleted only while at least half of the budget is free.
-        if !cluster.garbage.is_empty() && self.write_queue.allowance > self.write_queue.rate / 2.0 {
+        if !cluster.garbage.is_empty()
+            && self.write_queue.allowance > self.write_queue.present_rate / 2.0
+        {
             let count = cluster.garbage.len().min(max_ops / 4);
             let keys: Vec<String> = cluster.garbage.drain(..count).collect();
             let changes = keys.iter().cloned().map(delete).collect();
