--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -10,8 +10,8 @@
 /// Key prefix of everything a follower watches, such as the leader, machine types and active jobs.
 pub const LIVE_PREFIX: &str = "live/";
 pub const LEADER_KEY: &str = "live/leader";
-/// Key changed by each claim and by nothing else. The leader key expires, so a claim that is applied
-/// late can't tell from its absence whether another node has led in between.
+/// Key changed by each claim and by nothing else. The leader key expires, so its absence does not
+/// tell a claim that is applied late whether another node has led in between.
 pub const CLAIMS_KEY: &str = "live/claims";
 /// Key of the last claim whose holder knows that the previous leader has stopped acting.
 pub const SETTLED_CLAIM_KEY: &str = "live/settled";
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -83,7 +83,7 @@
 /// Time for which results are collected before they are written together.
 const PROGRESS_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
-/// Minimum time between two writes of a range of terminal states, since submissions in the range are
+/// Minimum time between two writes of a range of terminal states. Submissions in the range are
 /// conditional on its key. The protocol allows `done` to be 3 s late.
 const RANGE_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
