--- a/src/core/active_job.rs
+++ b/src/core/active_job.rs
@@ -1,4 +1,4 @@
-//! An active job in the leader's cluster state.
+//! Active jobs in the leader's cluster state.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
     state_cache::LiveJob,
 };
 
-/// Where one task stands.
+/// State of one task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Slot {
     Waiting,
@@ -17,48 +17,50 @@
     Done,
 }
 
-/// An active job in the leader's cluster state.
+/// Active job in the leader's cluster state.
 #[derive(Debug)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
     pub version: u64,
     pub accepted_ms: u64,
-    /// When the last job that it needs was done, or when it was accepted if that was later.
-    /// All times but the deadline count from then.
+    /// Time at which the last job that it needs was done, or at which it was accepted if later. All
+    /// times except the deadline count from then.
     pub ready_ms: u64,
-    /// Jobs that it needs are not known to be done: none of its tasks may start.
+    /// Whether jobs that it needs are not known to be done; none of its tasks may start until then.
     pub blocked: bool,
-    /// When it has to be done for the jobs that need it to be in time.
+    /// Latest finish time that keeps the jobs that need it on schedule.
     pub latest_finish_ms: Option<u64>,
-    /// The priority that its owner gave it; `spec` has that of the jobs that need it, too.
+    /// Priority assigned by its owner; `spec` also takes the priority of dependent jobs into
+    /// account.
     pub own_priority: Priority,
-    /// It was said that its pipeline will probably be late.
+    /// Whether its pipeline was reported as likely to be late.
     pub(super) at_risk: bool,
     pub slots: Vec<Slot>,
-    /// Waiting tasks, the next one last. May name tasks that wait no longer.
+    /// Waiting tasks in reverse order of their start. May include tasks that no longer wait.
     pub waiting: Vec<u32>,
     pub placed: u32,
     pub running: u32,
     pub done: TaskSet,
     pub done_count: u32,
     pub saved: Results,
-    /// Since when there are results that are not stored.
+    /// Time since which some results are not stored.
     pub unsaved_since: Option<Duration>,
     pub saving: bool,
     /// Machines that the job's tasks failed on.
     pub failed_on: BTreeSet<MachineId>,
     pub failures: u32,
     pub(super) failed_at: Duration,
-    /// The previous leader found that it fails wherever it runs.
+    /// Whether the previous leader found that it fails on every machine.
     pub(super) inherited_faulty: bool,
-    /// Tries since the job was found to fail.
+    /// Number of attempts since the job was found to be faulty.
     pub(super) probes: u32,
     pub retry_at: Duration,
-    /// Since when it found no room with its image, see `image_locality`.
+    /// Time since which no machine with its image has had room, see `image_locality`.
     pub(super) locality_wait_since: Option<Duration>,
-    /// A gang whose last attempt was not complete in time, while images still arrive.
+    /// Whether the last attempt of this gang was incomplete and its remaining tasks still fetch
+    /// images.
     pub(super) gathers: bool,
-    /// Machines held for waiting tasks, one entry a task.
+    /// Machines nominated for waiting tasks, one entry per task.
     pub nominations: Vec<MachineId>,
 }
 
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Tasks that may start and are nowhere. While the job waits for others there are none.
+    /// Returns the number of tasks that may start and are not placed; 0 while the job is blocked.
     pub fn waiting_count(&self) -> u32 {
         match self.blocked {
             true => 0,
@@ -114,12 +116,12 @@
         }
     }
 
-    /// Tasks that are neither done nor known to be on a machine.
+    /// Returns the number of tasks that are neither done nor known to be on a machine.
     pub fn unplaced_count(&self) -> u32 {
         self.spec.tasks - self.done_count - self.placed
     }
 
-    /// The next waiting task, left in its place.
+    /// Returns the next waiting task without removing it.
     pub fn next_waiting(&mut self) -> Option<u32> {
         while let Some(&index) = self.waiting.last() {
             if self.slots[index as usize] == Slot::Waiting {
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -1,5 +1,5 @@
-//! What one pass sees: the machines that may be given tasks, what teams use, and what
-//! was found out on the way. Nothing here decides.
+//! Snapshot for one scheduling pass: the machines that may be given tasks, the usage of teams, and
+//! intermediate findings of the pass. Makes no decisions.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -11,8 +11,8 @@
     machine::{AttemptKey, Machine, MachineId},
 };
 
-/// A machine as one pass sees it. A pass looks at every room for most jobs, so
-/// what rules a room out is kept at hand: most are ruled out by numbers alone.
+/// Machine as seen by one pass. A pass checks every machine for most jobs, so the figures that rule
+/// machines out are kept here: most are ruled out by these numbers alone.
 pub(super) struct MachineCapacity {
     pub id: MachineId,
     pub machine_type: Arc<str>,
@@ -20,13 +20,13 @@
     pub spot: bool,
     size: Resources,
     pub free: Resources,
-    /// What tasks that are stopping will leave.
+    /// Resources of tasks that are stopping.
     stopping: Resources,
-    /// What tasks that could be stopped hold, by priority.
+    /// Resources of tasks that could be preempted, by priority.
     pub kept: [Resources; Priority::ALL.len()],
-    /// Held for parked tasks, by job.
+    /// Reservations for parked tasks, by job.
     pub held: Vec<(Priority, JobId, Resources)>,
-    /// Set aside as victims in this pass.
+    /// Tasks selected as victims in this pass.
     pub victims: HashSet<AttemptKey>,
 }
 
@@ -48,7 +48,7 @@
         room
     }
 
-    /// Takes in what the machine holds now.
+    /// Recalculates the resources from the machine's current tasks.
     pub fn count(&mut self, machine: &Machine) {
         self.free = self.size;
         self.stopping = Resources::default();
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The most that could be free for a task of this priority: everything that
-    /// is stopping, and whatever might be stopped for it.
+    /// Returns the maximum resources that could become free for a task of this priority: those of
+    /// all stopping tasks, and of all tasks that might be preempted for it.
     pub fn most_free(&self, priority: Priority, reclaims: bool) -> Resources {
         let below = priority as usize + usize::from(reclaims);
         let most = self.free.plus(&self.stopping);
@@ -74,7 +74,7 @@
 }
 
 impl MachineCapacity {
-    /// At least so high is the highest victim of whoever makes room here for the job.
+    /// Returns a lower bound of the highest victim's priority if room is made here for the job.
     pub fn least_highest(&self, spec: &JobSpec, reclaims: bool) -> Option<Priority> {
         if spec.need.fits_in(&self.free.plus(&self.stopping)) {
             return None;
@@ -86,11 +86,11 @@
     }
 }
 
-/// A room with no more than this left is full.
+/// Amount of a free resource up to which a machine counts as full.
 const LEAST: f64 = 1e-3;
 
-/// What teams' tasks take. There are few teams, and every task of every machine
-/// is counted in every pass: a list beats a map.
+/// Resources used by each team's tasks. A list is faster than a map here: teams are few, and every
+/// task of every machine is counted in every pass.
 #[derive(Clone, Default)]
 pub(super) struct Usage(Vec<(Arc<str>, Resources)>);
 
@@ -108,9 +108,9 @@
     }
 }
 
-/// A task that found neither room nor victims in this pass. Others that ask for
-/// the same kinds of machine, for as much or more, would find none either: with a
-/// long queue most jobs need not look at every machine.
+/// Task that found neither room nor victims in this pass. Tasks that need the same kinds of machine
+/// and at least as many resources would find none either, so that with a long queue most jobs need
+/// not check every machine.
 pub(super) struct Unplaceable {
     pub spec: Arc<JobSpec>,
 }
@@ -128,25 +128,25 @@
 }
 
 pub(super) struct Snapshot {
-    /// Emptied when nominations change, and with them what is held and stopped.
+    /// Cleared when nominations change, because reservations and stopping tasks change with them.
     pub unplaceable: Vec<Unplaceable>,
     pub rooms: Vec<MachineCapacity>,
-    /// Where they are.
+    /// Zones of the machines.
     all_zones: Vec<Arc<str>>,
-    /// Rooms that are not full, and some that have become so since. In a rush nearly all
-    /// are full, and each of thousands of waiting jobs asks.
+    /// Indexes of machines that are not full, and some that have become full since. Under high load
+    /// nearly all are full, and thousands of waiting jobs each look for one.
     open: Vec<usize>,
-    /// The same by GPUs, where those are what runs out.
+    /// The same by free GPUs.
     open_gpus: Vec<usize>,
-    /// What each team's tasks take, those that unresponsive machines may hold included.
+    /// Resources of each team's tasks, including those that unresponsive machines may hold.
     pub usage: Usage,
-    /// The part of it that is stopping.
+    /// Part of `usage` that is stopping.
     pub leaving: Usage,
-    /// Tasks of the job at hand by zone, and the replicas by machine.
+    /// Tasks of the selected job by zone, including stopping ones.
     pub zones: BTreeMap<Arc<str>, u32>,
-    /// Jobs that unresponsive machines list.
+    /// Jobs that are listed for unresponsive machines.
     pub on_unresolved: HashSet<JobId>,
-    /// Tasks by job and zone, as counted when they were asked for first.
+    /// Tasks by job and zone, counted at the first use.
     by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
 }
 
@@ -183,9 +183,9 @@
         (self.open, self.open_gpus) = (open(|free| free.cpus), open(|free| free.gpus));
     }
 
-    /// Rooms that may have room for such a task as they are.
+    /// Returns the machines that may currently have room for such a task.
     pub fn may_fit(&self, spec: &JobSpec) -> impl Iterator<Item = usize> {
-        // One that needs next to nothing may fit anywhere.
+        // A task that needs almost nothing may fit on any machine.
         let (open, all) = match (spec.need.gpus > 2.0 * LEAST, spec.need.cpus > 2.0 * LEAST) {
             (true, _) => (&self.open_gpus[..], 0..0),
             (false, true) => (&self.open[..], 0..0),
@@ -194,8 +194,8 @@
         open.iter().copied().chain(all)
     }
 
-    /// The zones to try for a gang, each alone where it must stay in one. Gathered from the
-    /// machines for each waiting gang, they were most of a pass.
+    /// Returns the sets of zones to try for a gang: each zone alone if it must stay in one. The
+    /// zones are collected once, because collecting them for each waiting gang took most of a pass.
     pub fn gang_zones(&self, spec: &JobSpec) -> Vec<Vec<Arc<str>>> {
         match spec.one_zone {
             true => self.all_zones.iter().map(|z| vec![z.clone()]).collect(),
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Whether so many tasks may find room in these zones, by numbers alone: `free` tells
-    /// what a room may give.
+    /// Returns whether the given number of tasks may fit in these zones by resources alone; `free`
+    /// returns the resources that a machine may provide.
     pub fn may_hold(
         &self,
         spec: &JobSpec,
@@ -226,14 +226,15 @@
         false
     }
 
-    /// Another job like it found no room. A nominated one may have room that is held
-    /// for itself alone.
+    /// Returns whether a similar job found no room. A nominated job may still use room that is
+    /// reserved for it alone.
     pub fn rules_out(&self, spec: &JobSpec, nominated: bool) -> bool {
         !nominated && self.unplaceable.iter().any(|h| h.covers(spec))
     }
 
-    /// The zones of a job's tasks, the stopping ones included, are to be at hand. Looked
-    /// up at every machine for each waiting service, they were most of a pass.
+    /// Selects a job and looks up its tasks by zone, including the stopping ones. The tasks are
+    /// counted once, because a lookup at every machine for each waiting service took most of a
+    /// pass.
     pub fn select_job(&mut self, spec: &JobSpec, machines: &BTreeMap<MachineId, Machine>) {
         self.zones.clear();
         if !by_zone(spec) {
@@ -245,7 +246,7 @@
         }
     }
 
-    /// A task of the job at hand was put there.
+    /// Records that a task of the selected job was placed on a machine.
     pub fn put(&mut self, room: usize, spec: &JobSpec) {
         let room = &mut self.rooms[room];
         room.free = room.free.minus(&spec.need);
@@ -259,14 +260,14 @@
         }
     }
 
-    /// Tasks are being stopped there, and some may have been taken back.
+    /// Recalculates a machine on which tasks were stopped or starts were withdrawn.
     pub fn recount(&mut self, room: usize, machine: &Machine) {
         self.by_zone = None;
         self.rooms[room].count(machine);
         self.look_for_open();
     }
 
-    /// The nominations of one job have changed.
+    /// Updates the reservations after the nominations of one job have changed.
     pub fn refresh_held(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
         self.unplaceable.clear();
         for room in &mut self.rooms {
@@ -277,7 +278,7 @@
 
     pub fn hold(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
         for machine in nominations {
-            // Rooms are in the order of the machines' names.
+            // Machines are sorted by id.
             if let Ok(at) = self.rooms.binary_search_by(|r| r.id.cmp(machine)) {
                 let held = (spec.priority, spec.id.clone(), spec.need);
                 self.rooms[at].held.push(held);
@@ -286,7 +287,7 @@
     }
 }
 
-/// Where the other tasks of the job are counts for where one may be, or is best.
+/// Returns whether the locations of the job's other tasks restrict or influence a placement.
 pub(super) fn by_zone(spec: &JobSpec) -> bool {
     spec.one_zone || spec.spread || spec.kind == Kind::Service
 }
@@ -307,7 +308,7 @@
     counted
 }
 
-/// Jobs that machines list of which it is not known yet what they hold.
+/// Returns the jobs listed for machines whose tasks are not known yet.
 pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
     let on_unresolved = machines.values().filter(|m| m.unresolved);
     on_unresolved
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -1,7 +1,7 @@
 //! Ends the leases of silent workers, and resolves machines that are proven empty.
 //!
-//! Nothing ends here by this node's clock alone: the claim must be known to have stood after
-//! the lease was over, or a leader that took over may have answered the worker meanwhile.
+//! The clock of this node alone never ends a lease: the claim must be known to have been valid
+//! after the lease expired, since a newer leader may otherwise have answered the worker meanwhile.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::core::machine::{Machine, MachineId, Standing};
 
 impl ClusterState {
-    /// What time brings: leases that are over, and unresponsive machines proven empty.
+    /// Processes elapsed time: expired leases, and unresponsive machines proven empty.
     ///
-    /// A lease ends only if no other leader has answered the worker meanwhile. One
-    /// that has taken this one's place can have done so from its claim on; so the
-    /// time that counts is not now, but when this claim was last known to stand.
+    /// A lease ends only if no other leader has answered the worker meanwhile. A successor can do
+    /// so from its claim on, so the deciding time is not `now` but the last time at which this
+    /// claim was known to be valid.
     pub fn tick(&mut self, now: Duration) {
         self.log_counts(now);
         self.reconcile(now);
-        // Where nothing else happens, nothing else would bring it back to the heap.
+        // Without other events, nothing else would return the job to the queue.
         if self.next_retry.take_if(|at| now >= *at).is_some() {
             self.requeue();
         }
@@ -28,7 +28,8 @@
         self.resolve_empty_machines();
     }
 
-    /// Machines whose worker's lease is over are lost, and so are their tasks. Returns how many.
+    /// Marks machines whose worker's lease has expired as lost, with their tasks; returns their
+    /// number.
     fn end_leases(&mut self, now: Duration) -> usize {
         let proven = self.proven;
         let lost: Vec<MachineId> = self
@@ -48,17 +49,17 @@
         let machine = self.machines.get_mut(id).expect("just listed");
         machine.dead_session = machine.session;
         machine.fenced = false;
-        // Heard once under this claim, so its lease was counted from then.
+        // The machine was heard under this claim, so its lease was counted from then.
         machine.unresolved = false;
         if machine.standing == Standing::Up {
             machine.standing = Standing::Lost;
         }
         self.counts.lost += 1;
-        info!(machine = %id, tasks = machine.tasks.len(), "machine lost");
+        info!(machine = %id, tasks = machine.tasks.len(), "worker lease expired; machine lost");
         self.end_session(id, now);
     }
 
-    /// Unresponsive machines hold nothing any more once every lease that they may have is over.
+    /// Marks unresponsive machines as empty once all leases that they may have are over.
     fn resolve_empty_machines(&mut self) {
         let proven = self.proven;
         let unresolved = self.machines.values().filter(|m| m.unresolved);
@@ -78,17 +79,17 @@
         self.requeue();
     }
 
-    /// By then a machine whose tasks are not known is empty, if it stays silent: one that
-    /// this leader answered, a lease after that.
+    /// Returns the time by which a silent machine with unknown tasks is empty: if this leader
+    /// answered it, one lease after that answer.
     fn resolved_by(&self, machine: &Machine) -> Duration {
         let zone = self.zone_lease_ends.get(&machine.zone).copied();
         let unmet = zone.map_or(self.resolve_by, |over| over.min(self.resolve_by));
         self.lease_end(machine).unwrap_or(unmet)
     }
 
-    /// When the lease of a worker that stays silent is over. One that has not seen
-    /// this leader's token may have been answered by a previous leader until that
-    /// one stopped: an answer to a report that was held back proves nothing.
+    /// Returns the time at which the lease of a silent worker expires. A worker that has not seen
+    /// this leader's token may have been answered by a previous leader until that one stopped: an
+    /// answer to a delayed report proves nothing.
     fn lease_end(&self, machine: &Machine) -> Option<Duration> {
         let over = machine.answered_at? + self.config.worker_lease_bound;
         Some(match machine.fenced {
@@ -97,7 +98,7 @@
         })
     }
 
-    /// A lease would be over if the claim were known to stand still.
+    /// Returns whether a lease would end if the claim were known to be still valid.
     pub fn needs_proof(&self, now: Duration) -> bool {
         let over = |end: Duration| now > end && self.proven <= end;
         self.machines.values().any(|m| {
@@ -107,7 +108,7 @@
     }
 }
 
-/// The worker's session counts, so that its lease may end.
+/// Returns whether the worker has a current session, whose lease may end.
 fn holds_lease(machine: &Machine) -> bool {
     matches!(machine.standing, Standing::Up | Standing::Leaving)
         && machine.session > machine.dead_session
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -1,13 +1,13 @@
-//! The leader's cluster state, its jobs and machines: where each task is or may be.
+//! The leader's cluster state: its jobs and machines, and the location of each task.
 //!
-//! This module owns the state itself: how a failover builds it, and how jobs and machines
-//! are added and removed. `reports` takes in what workers report, `placement` changes where
-//! tasks are to run, and `leases` ends what time ends.
+//! This module defines the state, builds it at a failover, and adds and removes jobs and machines.
+//! `reports` processes worker reports, `placement` changes task placements, and `leases` handles
+//! expired leases.
 //!
-//! None of them may take a task that was sent for gone from its machine before one of these: a
-//! newer report that can't have been overtaken by its start, a new session of the worker, the
-//! end of the worker's lease as proven by the claim, or the return of the machine. Until then
-//! the task may still run there, and must not be started elsewhere.
+//! A task whose start was sent counts as gone from its machine only after one of these events: a
+//! newer report that the start can't have overtaken, a new session of the worker, the end of the
+//! worker's lease as proven by the claim, or the return of the machine. Until then the task may
+//! still run there and must not be started elsewhere.
 
 mod leases;
 mod placement;
@@ -44,126 +44,124 @@
     ledger::Ledger,
 };
 
-/// The picture of one leader, built at its failover and dropped with its claim.
+/// State of one leader, built at its failover and dropped with its claim.
 pub struct ClusterState {
-    /// Settings of the node.
     pub(super) config: Arc<Config>,
-    /// Number of the claim that this leader leads by.
+    /// Number of the claim that this leader holds.
     pub(super) claim: u64,
-    /// The token that machines begin with under this leader, higher than any of earlier claims.
+    /// Initial token of machines under this leader, higher than any token of earlier claims.
     pub token: u64,
     /// Machine types that the cloud rents.
     pub(super) types: Arc<Vec<MachineType>>,
     /// Active jobs.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Machines that are rented, and what is or may be on them.
+    /// Rented machines with their known and possible tasks.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Jobs with waiting tasks, in the order in which they are tried.
+    /// Jobs with waiting tasks, in scheduling order.
     pub queue: Queue,
     /// Machines being rented and returned.
     pub(super) provisioning: Provisioning,
-    /// Until then an unresponsive machine may hold tasks that a previous leader started.
+    /// Time until which an unresponsive machine may hold tasks that a previous leader started.
     pub(super) resolve_by: Duration,
-    /// The claim is known to have stood at this time.
+    /// Latest time at which the claim is known to have been valid.
     pub proven: Duration,
-    /// The last number given to a start, see `next_attempt`.
+    /// Last attempt number given to a start, see `next_attempt`.
     attempts: u64,
-    /// No scheduling pass before this time.
+    /// Earliest time of the next scheduling pass.
     pub(super) next_pass: Duration,
-    /// No round of periodic work before this time.
+    /// Earliest time of the next round of periodic work.
     pub(super) next_round: Duration,
-    /// When the first parked job is to be tried again.
+    /// Time at which the first parked job is retried.
     pub(super) next_retry: Option<Duration>,
-    /// What was counted since this leader took over.
+    /// Counters since this leader took over.
     pub(super) counts: Counts,
-    /// When the log shows them next.
+    /// Time at which the counters are logged next.
     pub(super) next_log: Duration,
-    /// The time of day.
+    /// Time of day, in milliseconds.
     pub wall_ms: u64,
-    /// How far run times of a class are from their estimates, as a logarithm.
+    /// Deviation of run times from their estimates by job class, as a logarithm.
     pub runtime_corrections: HashMap<Arc<str>, f64>,
-    /// Which jobs each machine may run, as stored.
+    /// Stored index of the jobs that each machine may run.
     pub assignment_index: AssignmentIndex,
-    /// Counted licences, if there are any.
+    /// Ledger of counted licences, if any are configured.
     pub(super) licence_ledger: Option<kiteyard_licences::ledger::Ledger>,
-    /// What the silence of machines means, and the zones where somebody is to be asked.
+    /// Reachability of zones by their silent machines, and the zones to be probed.
     pub reachability: Reachability,
-    /// What may be taken down on purpose.
+    /// Ledger of voluntary disruptions.
     pub(super) ledger: Ledger,
-    /// Machines that operators want emptied, and how far they are.
+    /// Drains that operators requested, and their progress by machine.
     pub(super) drains: Drains,
     pub(super) draining: BTreeMap<MachineId, Progress>,
-    /// Why nothing is emptied now: by the node, and as it was logged.
+    /// Reason why draining is paused, as set by the node and as last logged.
     pub(super) drains_pause: Option<Waits>,
     pub(super) drains_paused: Option<Waits>,
-    /// When it took over, and how far it is with that.
+    /// Time of this leader's failover, and the state of its reconciliation.
     pub(super) leading_since: Duration,
     pub(super) reconciler: Reconciler,
-    /// Zones where nobody may be sent a start.
+    /// Zones whose machines must not be sent starts.
     pub(super) withheld: BTreeSet<Arc<str>>,
-    /// When the leases of zones are over that a previous leader left unanswered.
+    /// Ends of the leases that a previous leader left unanswered, by zone.
     zone_lease_ends: BTreeMap<Arc<str>, Duration>,
     pub(super) zones_to_probe: BTreeSet<Arc<str>>,
-    /// Machines that were returned, for the node to forget.
+    /// Returned machines that the node has yet to forget.
     pub(super) returned_machines: Vec<MachineId>,
-    /// How fast tasks start.
+    /// Rate at which tasks start.
     pub(super) start_rate: StartRate,
-    /// What usually comes.
+    /// Statistics of usual job arrivals.
     pub(super) arrivals: Arrivals,
-    /// What is let in no more, see `priority_to_close`.
+    /// Highest priority that is no longer admitted, see `priority_to_close`.
     pub(super) closed_priority: Option<super::job::Priority>,
-    /// What the previous leader told of machines not met yet.
+    /// Handover data of machines that have not reported yet.
     pub(super) pending_handover: HandoverSnapshot,
-    /// Stored results of jobs that are over.
+    /// Keys of stored results of finished jobs, to be deleted.
     pub(super) garbage: Vec<String>,
 }
 
-/// What a failover found in the state service.
+/// Contents of the state service as read by a failover.
 pub struct StoredClusterState<'a> {
     /// Jobs that are neither done nor cancelled.
     pub jobs: &'a BTreeMap<JobId, LiveJob>,
-    /// Stored results by job; some may be of jobs that are over.
+    /// Stored results by job; may include finished jobs.
     pub progress: BTreeMap<JobId, Results>,
-    /// The assignment index's shards, each with its number and revision.
+    /// Shards of the assignment index, each with its number and revision.
     pub assignment_index: Vec<(u32, ShardRecord, u64)>,
-    /// By then every lease that a previous leader kept alive is over.
+    /// Time by which every lease renewed by a previous leader has expired.
     pub resolve_by: Duration,
-    /// The same for zones that nobody has answered for a while.
+    /// The same time for zones that have not been answered for a while.
     pub zone_lease_ends: BTreeMap<Arc<str>, Duration>,
 }
 
-/// Commands for one worker, to be sent straight to it.
+/// Commands to be sent directly to one worker.
 #[derive(Debug, Clone)]
 pub struct Direct {
-    /// The worker's machine.
     pub machine: MachineId,
-    /// Where the worker listens.
+    /// Address on which the worker listens.
     pub addr: std::net::SocketAddr,
-    /// The token that the commands are valid under.
+    /// Token under which the commands are valid.
     pub token: u64,
-    /// The worker's session that they are meant for.
+    /// Worker session for which the commands are meant.
     pub session: u64,
-    /// What the worker is to do, in this order.
+    /// Commands in the order of execution.
     pub commands: Vec<Command>,
 }
 
-/// Counters that the log shows now and then.
+/// Counters that are logged periodically.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
     /// Tasks placed on machines.
     pub starts: u64,
-    /// Tasks stopped for others of a higher priority.
+    /// Tasks preempted by tasks of a higher priority.
     pub victims: u64,
     /// Machines held for waiting tasks.
     pub nominations: u64,
-    /// Nominations given up again.
+    /// Nominations that were withdrawn.
     pub cleared: u64,
-    /// Machines whose lease ended.
+    /// Machines whose lease expired.
     pub lost: u64,
 }
 
 impl ClusterState {
-    /// Builds the state from what a failover found stored.
+    /// Builds the state from the stored contents that a failover read.
     pub fn new(
         config: Arc<Config>,
         claim: u64,
@@ -193,7 +191,7 @@
         cluster
     }
 
-    /// Without jobs and machines.
+    /// Builds a state without jobs and machines.
     fn empty(
         config: Arc<Config>,
         claim: u64,
@@ -243,7 +241,7 @@
         }
     }
 
-    /// Adds the jobs that were found; results of others are of no more use.
+    /// Adds the active jobs and discards stored results of all others.
     fn load_jobs(
         &mut self,
         jobs: &BTreeMap<JobId, LiveJob>,
@@ -277,7 +275,7 @@
         machine
     }
 
-    /// The machine of this name, added if it is not known yet.
+    /// Returns the machine with this id, adding it if it is unknown.
     pub fn ensure_machine(
         &mut self,
         id: &MachineId,
@@ -295,13 +293,13 @@
         self.machines.get_mut(id).expect("just inserted")
     }
 
-    /// A number that no other start of any leader has.
+    /// Returns an attempt number that no other start of any leader has.
     pub fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
         self.attempts
     }
 
-    /// Adds an active job with its stored results, unless it is there already.
+    /// Adds an active job with its stored results, unless it is already present.
     pub fn add_job(&mut self, id: &JobId, live: &LiveJob, saved: impl Into<Results>) {
         if self.jobs.contains_key(id) {
             return;
@@ -313,7 +311,7 @@
         self.request_pass();
     }
 
-    /// The job is done or cancelled: whatever is left of it stops.
+    /// Removes a finished or cancelled job and stops its remaining tasks.
     pub fn remove_job(&mut self, id: &JobId, now: Duration) {
         let Some(job) = self.jobs.remove(id) else {
             return;
@@ -333,14 +331,14 @@
         self.requeue();
     }
 
-    /// What is stored of a job's results is of no more use.
+    /// Schedules the stored results of a job for deletion.
     fn discard_results(&mut self, id: &JobId, saved: &Results) {
         for chunk in saved.chunks() {
             self.garbage.push(progress_key(id, chunk));
         }
     }
 
-    /// The machine was returned, with all that was on it.
+    /// Removes a returned machine together with its tasks.
     pub fn machine_gone(&mut self, id: &MachineId, now: Duration) {
         self.end_session(id, now);
         if let Some(machine) = self.machines.remove(id) {
@@ -349,23 +347,23 @@
         }
     }
 
-    /// Asks for a scheduling pass soon.
+    /// Requests a scheduling pass.
     pub fn request_pass(&mut self) {
         self.queue.dirty = true;
     }
 
-    /// Any end of a task, and any change of machines, gives the parked another chance.
+    /// Unparks all jobs and requests a pass; called when a task ends or a machine changes.
     pub fn requeue(&mut self) {
         self.queue.unpark(&self.jobs);
         self.request_pass();
     }
 
-    /// Whether any machine may hold tasks that are not known.
+    /// Returns whether any machine may hold unknown tasks.
     pub fn unresolved(&self) -> bool {
         self.machines.values().any(|m| m.unresolved)
     }
 
-    /// Done and running tasks of a job, for display.
+    /// Returns the numbers of done and running tasks of a job, for display.
     pub fn job_counts(&self, id: &JobId) -> Option<(u32, u32)> {
         let job = self.jobs.get(id)?;
         Some((job.done_count, job.running))
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -1,8 +1,8 @@
-//! Places tasks on machines, stops them, frees their slots and marks them done.
+//! Places tasks on machines, stops them, releases their slots and marks them done.
 //!
-//! Stopping only asks for an end: the slot of a task that was sent stays taken until its end
-//! is known, or its job needs it no more. Only a start that was decided and not sent yet is
-//! taken back at once.
+//! Stopping only requests an end: the slot of a task that was sent stays taken until its end is
+//! known or its job no longer needs it. Only a start that has not been sent yet is withdrawn at
+//! once.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 };
 
 impl ClusterState {
-    /// The task waits again, provided that it is on this machine and no other.
+    /// Returns a task to the waiting ones, provided that it is placed on this machine.
     pub(super) fn release_slot(&mut self, id: &MachineId, task: &TaskId, placement: &Placement) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A task is done, and with one of a gang the whole gang.
+    /// Marks a task done; for a gang, all of its tasks.
     pub(super) fn finish(&mut self, task: &TaskId, now: Duration) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Marks one task of a job done, and stops what is left of it.
+    /// Marks one task of a job done, and stops its remaining placement.
     fn finish_index(&mut self, id: &JobId, index: u32, now: Duration) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Stops what is left of a gang; it starts again once all of it is gone.
+    /// Stops the remaining tasks of a gang; it restarts once all of them are gone.
     pub fn break_gang(&mut self, id: &JobId, grace: Duration, now: Duration) {
         let mut unsent = Vec::new();
         for machine in self.machines.values_mut() {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Tells a task to stop. One that was never sent is just not started.
+    /// Requests the stop of a task, or withdraws a start that was not sent yet.
     pub fn stop(&mut self, id: &MachineId, key: &AttemptKey, grace: Duration, now: Duration) {
         let gang = self
             .jobs
@@ -117,19 +117,19 @@
         }
     }
 
-    /// Puts a waiting task on a machine.
+    /// Places a waiting task on a machine.
     pub fn place(&mut self, id: &MachineId, task: TaskId, attempt: u64, now: Duration) {
         let job = self.jobs.get_mut(&task.job).expect("job of a waiting task");
         job.slots[task.index as usize] = Slot::On(id.clone());
         job.placed += 1;
-        // One nomination fewer is needed: the one of this machine, if there is one.
+        // The task needs one nomination fewer: preferably the one of this machine.
         if let Some(at) = job.nominations.iter().position(|m| m == id) {
             job.nominations.remove(at);
         }
         let waiting = job.waiting_count() as usize;
         job.nominations.truncate(waiting);
         let machine = self.machines.get_mut(id).expect("known machine");
-        debug!(task = %task, machine = %id, attempt, "place");
+        debug!(task = %task, machine = %id, attempt, "placing task");
         self.counts.starts += 1;
         machine.tasks.insert(
             (task, attempt),
@@ -147,8 +147,7 @@
     }
 }
 
-/// Stops what a machine holds of a task that is done, since nothing of it is needed any more.
-/// Returns how many of its placements were running.
+/// Stops all placements of a done task on a machine; returns how many of them were running.
 fn stop_finished(machine: &mut Machine, id: &JobId, index: u32, now: Duration) -> u32 {
     let mut running = 0;
     for ((task, _), placement) in &mut machine.tasks {
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -1,9 +1,9 @@
-//! Takes in the reports of workers: adopts tasks that a previous leader started, and notes
-//! how tasks went on and ended.
+//! Processes worker reports: adopts tasks that a previous leader started, and records the progress
+//! and ends of tasks.
 //!
-//! Only a report that is newer than all that were seen of its session counts, and a task that
-//! is missing in it is gone only if the report can't have been overtaken by the task's start.
-//! A task is never freed twice for one end, since by the second it may run elsewhere.
+//! A report counts only if it is newer than all others seen of its session, and a task missing from
+//! it is gone only if the report can't have been overtaken by the task's start. One end never
+//! releases a task twice, since it may already run elsewhere by then.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -20,12 +20,12 @@
 use kiteyard_recovery::adoption::AdoptionDecision;
 
 impl ClusterState {
-    /// Takes in a report and says what to answer, or none where it came too late.
+    /// Processes a report and returns the token and commands of its answer, or none if it is late.
     pub fn report(&mut self, report: &WorkerReport, now: Duration) -> Option<(u64, Vec<Command>)> {
         let id = report.machine.clone();
         if self.provisioning.was_returned(&id) {
-            // It is gone: this was held back on its way, and nobody waits for an answer.
-            debug!(machine = %id, "report of a machine that was returned");
+            // The machine no longer exists: the report was delayed, and nobody waits for an answer.
+            debug!(machine = %id, "ignoring report of a returned machine");
             return None;
         }
         let token = self.token;
@@ -33,7 +33,7 @@
         let before = self.availability(&id, now);
         let machine = self.machines.get_mut(&id)?;
         if machine.is_late(report) {
-            debug!(machine = %id, report.session, report.seq, "late report");
+            debug!(machine = %id, report.session, report.seq, "ignoring late report");
             return None;
         }
         let new_session = report.session > machine.session;
@@ -52,10 +52,10 @@
         self.answer(&id, report.seq)
     }
 
-    /// The token and the commands that answer a machine's report.
+    /// Returns the token and the commands that answer a machine's report.
     fn answer(&mut self, id: &MachineId, seq: u64) -> Option<(u64, Vec<Command>)> {
-        // While a direct command is under way nothing else is ordered, so that
-        // the two can't be executed in the wrong order.
+        // While a direct command is in flight no other commands are sent, since the two could be
+        // executed in the wrong order.
         let commands = match self.machines.get(id)?.direct {
             true => Vec::new(),
             false => self.commands(id, Some(seq)),
@@ -63,29 +63,29 @@
         Some((self.machines[id].token, commands))
     }
 
-    /// The worker has begun a new session, which it does when its lease has run out.
+    /// Ends the previous session of a worker, which begins a new one when its lease has expired.
     fn end_former_session(&mut self, id: &MachineId, now: Duration) {
         let tasks = self.machines[id].tasks.len();
         if tasks > 0 {
-            info!(machine = %id, tasks, "worker's lease ran out");
+            info!(machine = %id, tasks, "worker lease expired; ending the tasks of its former session");
         }
         self.end_session(id, now);
     }
 
-    /// Takes in the tasks of a report that came in the usual way, unless newer ones are known.
+    /// Applies the task list of a regular report, unless newer contents are known.
     fn apply_regular_report(&mut self, id: &MachineId, report: &WorkerReport, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         machine.report_seq = report.seq;
-        // A direct command's answer may have brought newer news already.
+        // The reply to a direct command may have brought newer contents.
         if report.seq > machine.content_seq {
             machine.content_seq = report.seq;
             self.apply_report(id, report, true, now);
         }
     }
 
-    /// A new session has none of the tasks of the one before.
+    /// Ends a session with all of its tasks; a new session has none of them.
     pub(super) fn end_session(&mut self, id: &MachineId, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -93,15 +93,15 @@
         let gone = std::mem::take(&mut machine.tasks);
         machine.idle_since = now;
         for ((task, _), placement) in gone {
-            // One that exited was counted then. Counting it again would free a
-            // task that runs elsewhere by now, and it would be started twice.
+            // The end of an exited task was counted when it exited. Counting it again would release
+            // a task that may run elsewhere by now, and start it twice.
             if !placement.exited() {
                 self.placement_ended(id, &task, &placement, None, now);
             }
         }
     }
 
-    /// The worker's list of tasks against what is known of the machine.
+    /// Compares the worker's task list with the known tasks of the machine.
     pub(in crate::core) fn apply_report(
         &mut self,
         id: &MachineId,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A task that a report shows to be gone.
+    /// Removes a task that a report shows to be gone.
     fn remove_missing(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
         let machine = self.machines.get_mut(id).expect("still there");
         let placement = machine.tasks.remove(key).expect("just listed");
@@ -132,7 +132,7 @@
         }
     }
 
-    /// One task of a report, whose phase is not the one known before.
+    /// Applies a reported task phase that differs from the known one.
     fn apply_task_report(
         &mut self,
         id: &MachineId,
@@ -150,13 +150,13 @@
         if matches!(before, Phase::Sent { .. }) && !adopted {
             self.start_rate.started(now);
         }
-        // Listed twice in one report, it has ended but once.
+        // A task listed twice in one report has ended only once.
         if before == Phase::Seen(phase) {
             return;
         }
         placement.phase = Phase::Seen(phase);
-        // One that ran before this leader saw it has run for nobody knows how long:
-        // counted from now, the estimates would look too long.
+        // The start time of an adopted running task is unknown: counted from now, its run time
+        // would be too short and estimates would look too long.
         if phase == TaskPhase::Running && !adopted {
             placement.running_since = Some(now);
         }
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Keeps the number of a job's running tasks.
+    /// Updates the number of a job's running tasks.
     fn count_running(
         &mut self,
         task: &TaskId,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// A task was reported as exited. Its placement stays until the worker forgets it.
+    /// Processes a task's reported exit. Its placement stays until the worker forgets it.
     fn task_exited(
         &mut self,
         id: &MachineId,
@@ -211,7 +211,8 @@
         if !machine.busy() {
             machine.idle_since = now;
         }
-        // `count_running` took it off the running ones; freeing its slot must not do so again.
+        // `count_running` has already decremented the running count; releasing the slot must not do
+        // so again.
         let placement = Placement {
             phase: Phase::Seen(TaskPhase::Waiting),
             ..placement
@@ -219,8 +220,8 @@
         self.placement_ended(id, task, &placement, Some(reason), now);
     }
 
-    /// A task in a report that this leader did not start: one that a former
-    /// leader started, or one that has no business there.
+    /// Adopts a reported task that this leader did not start: one that a previous leader started,
+    /// or a stray one that is to be stopped.
     fn adopt(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
         let decision = self.decide_adoption(&key.0, phase);
         let ours = decision == AdoptionDecision::Adopt;
@@ -253,7 +254,7 @@
         }
     }
 
-    /// A placement has come to its end; `reason` is none where it just went.
+    /// Processes the end of a placement; `reason` is none if the task just disappeared.
     fn placement_ended(
         &mut self,
         id: &MachineId,
@@ -277,8 +278,8 @@
 }
 
 impl Machine {
-    /// A report of a session that is over, or older than one seen already, was held back
-    /// on its way; nobody waits for its answer.
+    /// Returns whether a report belongs to an expired session or is older than one already seen: it
+    /// was delayed, and nobody waits for its answer.
     fn is_late(&self, report: &WorkerReport) -> bool {
         report.session <= self.dead_session
             || report.session < self.session
@@ -291,36 +292,36 @@
         self.content_seq = 0;
     }
 
-    /// Notes the contact, and whether the worker knows the leader's token.
+    /// Records the contact, and whether the worker knows the leader's token.
     fn heard_from(&mut self, report: &WorkerReport, token: u64, now: Duration) {
         self.addr = Some(report.addr);
         self.heard_at = Some(now);
         self.commands_unanswered = false;
         self.answered_at = Some(now);
         if matches!(self.standing, Standing::Booting | Standing::Lost) {
-            info!(machine = %self.id, kind = %self.machine_type, zone = %self.zone, "machine up");
+            info!(machine = %self.id, kind = %self.machine_type, zone = %self.zone, "machine is up");
             self.standing = Standing::Up;
             self.idle_since = now;
         }
-        // Only a worker that knows this leader's token has answered after the
-        // claim: an older report could have been overtaken by a start.
+        // Only a worker that knows this leader's token has answered after the claim: an older
+        // report could have been overtaken by a start.
         self.fenced = report.token >= token;
         self.unresolved &= !self.fenced;
     }
 
-    /// The first notice that the cloud takes the machine back counts.
+    /// Records the first notice that the cloud reclaims the machine.
     fn take_spot_notice(&mut self, report: &WorkerReport, now: Duration) {
         if let Some(notice) = report.notice_s
             && self.notice_at.is_none()
         {
             let notice = crate::settings::seconds(notice);
-            info!(machine = %self.id, ?notice, "spot notice");
+            info!(machine = %self.id, ?notice, "received spot termination notice");
             self.notice_at = Some(now + notice);
         }
     }
 }
 
-/// The tasks of a report whose phase is new; most of a report repeats the one before.
+/// Returns the tasks of a report whose phase is new; most of a report repeats the previous one.
 fn changed_phases(machine: &Machine, report: &WorkerReport) -> Vec<(AttemptKey, TaskPhase)> {
     report
         .tasks
@@ -333,9 +334,9 @@
         .collect()
 }
 
-/// Tasks that are gone from the machine: the report would list them otherwise.
+/// Returns tasks that are gone from the machine, since the report would list them otherwise.
 fn missing_tasks(machine: &Machine, report: &WorkerReport, regular: bool) -> Vec<AttemptKey> {
-    // All that was reported is known now. Mostly there is nothing else.
+    // All reported tasks are known by now, and usually there are no others.
     if machine.tasks.len() <= report.tasks.len() {
         return Vec::new();
     }
@@ -353,7 +354,8 @@
         .collect()
 }
 
-/// A task still on the machine would be in the report: its start can't have overtaken it.
+/// Returns whether the report would list the task if it were still on the machine, that is, whether
+/// its start can't have overtaken the report.
 fn would_be_listed(placement: &Placement, report: &WorkerReport, regular: bool) -> bool {
     match placement.phase {
         Phase::Decided => false,
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -1,8 +1,8 @@
-//! Tasks that fail: whether the machine is at fault or the job.
+//! Handling of task failures: attributing them to the machine or to the job.
 //!
-//! A faulty machine fails tasks of many jobs and is returned. A job that was
-//! submitted with a mistake fails on every machine until its user cancels it; it
-//! must not make machines look faulty, nor take what healthy work needs.
+//! A faulty machine fails tasks of many jobs and is returned. A job submitted with an error fails
+//! on every machine until its user cancels it; it must not make machines look faulty, nor take
+//! resources from healthy jobs.
 
 use std::time::Duration;
 
@@ -14,34 +14,33 @@
     machine::{AttemptKey, ExitReason, MachineId, Phase, Placement, Stop, TaskPhase},
 };
 
-/// A job that failed on so many machines, and nowhere else was done, is at fault.
+/// Number of machines on which a job has to fail, without any task done, to count as faulty.
 const MACHINES: usize = 3;
-/// Machines that are remembered of one job.
+/// Maximum number of failed machines remembered for one job.
 const MACHINES_MOST: usize = 16;
-/// Failures further apart than this have nothing to do with one another.
+/// Interval after which failures are considered unrelated.
 const UNRELATED_AFTER: Duration = Duration::from_secs(60);
-/// A job at fault is tried again after twice as long each time, up to this power of
-/// two in seconds.
+/// Maximum binary exponent of the delay in seconds before a faulty job is retried; the delay
+/// doubles each time.
 const WAIT_MOST: u32 = 6;
 
 impl Job {
-    /// The job fails wherever it runs, so its failures say nothing of machines. One
-    /// of which a task is done, or a replica runs, does not: there the machines are
-    /// at fault.
+    /// Returns whether the job fails on every machine, so that its failures say nothing about
+    /// machines. If one of its tasks is done or a replica runs, the machines are at fault.
     pub fn faulty(&self) -> bool {
         let serves = self.spec.kind == Kind::Service && self.running > 0;
         let works = serves || self.done_count > 0;
         !works && (self.inherited_faulty || self.failed_on.len() >= MACHINES)
     }
 
-    /// Of a job that fails everywhere one task at a time is tried.
+    /// Returns whether a faulty job has a task placed already; its tasks are tried one at a time.
     pub fn tries_enough(&self) -> bool {
         self.faulty() && self.placed > 0
     }
 }
 
 impl ClusterState {
-    /// A task ended without being done.
+    /// Processes the end of a task that is not done.
     pub(super) fn failed(
         &mut self,
         id: &MachineId,
@@ -54,7 +53,7 @@
         };
         if why == Some(ExitReason::Error) {
             job.failures += 1;
-            // Failures far apart, as of replicas that run for long, say nothing of it.
+            // Failures far apart, such as those of long-running replicas, are unrelated.
             if !job.faulty() && now > job.failed_at + UNRELATED_AFTER {
                 job.failed_on.clear();
             }
@@ -65,12 +64,12 @@
             let failures = job.failures;
             let faulty = job.faulty();
             if faulty {
-                // Its owner must cancel it; until then it is tried ever more seldom.
+                // Its owner must cancel it; until then it is retried at increasing intervals.
                 if job.placed == 0 {
                     job.probes += 1;
                     let wait = Duration::from_secs(1 << job.probes.min(WAIT_MOST));
                     job.retry_at = now + wait;
-                    info!(task = %task, machine = %id, failures, next = ?wait, "job fails everywhere");
+                    info!(task = %task, machine = %id, failures, next = ?wait, "job fails on every machine; delaying its next attempt");
                 }
                 job.nominations.clear();
                 self.unmark(&task.job);
@@ -90,7 +89,7 @@
         }
         if job.spec.kind == Kind::Gang {
             let id = task.job.clone();
-            debug!(job = %id, ?why, "gang broken");
+            debug!(job = %id, ?why, "task of a gang ended before the gang was done");
             match why {
                 Some(ExitReason::Incomplete) => self.gather_again(&id, now),
                 _ => self.break_gang(&id, Duration::ZERO, now),
@@ -98,9 +97,9 @@
         }
     }
 
-    /// A gang was not complete in time, mostly because some of its tasks fetched an image
-    /// that others had. Those that fetch go on until they have it: stopped, they would
-    /// begin anew with the next attempt, and be as late again and again.
+    /// Keeps the fetching tasks of a gang that was not complete in time, usually because some tasks
+    /// fetched an image that others had. If they were stopped, they would start to fetch anew with
+    /// the next attempt and be late again.
     fn gather_again(&mut self, id: &JobId, now: Duration) {
         let fetching = |p: &Placement| {
             matches!(
@@ -120,7 +119,7 @@
         }
     }
 
-    /// Stops a task of a gang that is not complete any more, now that it has the image.
+    /// Stops a task of an incomplete gang once it has the image.
     pub(super) fn has_gathered(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
         let Some(job) = self.jobs.get(&key.0.job) else {
             return;
@@ -133,8 +132,8 @@
         }
     }
 
-    /// Takes back what a job's failures said of machines before it was found out.
-    /// Two such jobs made good machines look faulty, and they were returned.
+    /// Removes the failures that a job recorded on machines before it was found to be faulty. Two
+    /// such jobs could otherwise make healthy machines look faulty and cause their return.
     fn unmark(&mut self, id: &JobId) {
         for machine in self.machines.values_mut() {
             machine.failures.retain(|(job, _)| job != id);
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -1,5 +1,5 @@
-//! The start of a leader's reconciliation: who of the stored machines is heard, what waits for
-//! the rest, and what becomes of tasks that it did not start.
+//! Reconciliation after a failover: which stored machines have reported, which actions wait for the
+//! others, and how tasks of previous leaders are handled.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -17,7 +17,7 @@
     machine::{ExitReason, Machine, Standing, TaskPhase},
 };
 
-/// Orders that wait while the leader begins.
+/// Action that is deferred during reconciliation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeferredAction {
     Preempt,
@@ -27,14 +27,14 @@
 #[derive(Debug)]
 pub struct Reconciler {
     reconciliation: Reconciliation,
-    /// What was held back since that was logged last.
+    /// Number of deferred actions since they were last logged.
     held: BTreeMap<DeferredAction, u32>,
     next_log: Duration,
 }
 
 impl Reconciler {
     pub fn new(config: &Config, now: Duration) -> Self {
-        // A worker whose node is gone tries the next one, and reports at least that often.
+        // A worker whose node fails tries the next one, and reports at least this often.
         let patience = Patience {
             most: config.report * 5 / 4 + WORKER_RETRY,
             quiet: config.report / 4,
@@ -48,7 +48,7 @@
 }
 
 impl ClusterState {
-    /// Takes in how far the stored machines are heard.
+    /// Updates the reconciliation with the numbers of stored and silent machines by zone.
     pub(super) fn reconcile(&mut self, now: Duration) {
         if !self.reconciler.reconciliation.is_in_progress() {
             return;
@@ -73,14 +73,18 @@
                 held.get(&DeferredAction::Preempt),
                 held.get(&DeferredAction::Provision),
             );
-            info!(preemptions = first, scale_outs = room, "actions deferred");
+            info!(
+                preemptions = first,
+                scale_outs = room,
+                "actions deferred until silent machines report"
+            );
             self.reconciler.next_log = now + Duration::from_secs(1);
         }
     }
 
-    /// Machines were lost in one look. Most of them: this leader was away, not they. Their
-    /// workers are back once they try again, and what went to the first few to come would
-    /// fetch images that others have.
+    /// Delays the next pass if most machines were lost at once: this leader was probably
+    /// disconnected, not they. Their workers return once they retry, and tasks placed on the first
+    /// ones to return would fetch images that others have.
     pub(super) fn delay_after_mass_loss(&mut self, lost: usize, now: Duration) {
         if lost == 0 {
             return;
@@ -92,7 +96,7 @@
         self.requeue();
     }
 
-    /// The cloud's list was read whole.
+    /// Records that the cloud's list was read completely.
     pub(super) fn reconcile_list(&mut self, now: Duration) {
         let outputs = self.reconciler.reconciliation.step(now, Input::Listed);
         self.apply_reconciliation(outputs);
@@ -106,17 +110,17 @@
                     stage,
                     heard,
                     stored,
-                } => info!(%zone, ?stage, heard, of = stored, "reconciliation"),
-                Output::Reconciled { after } => info!(?after, "reconciled"),
+                } => info!(%zone, ?stage, heard, of = stored, "reached reconciliation stage"),
+                Output::Reconciled { after } => info!(?after, "reconciliation complete"),
                 Output::Listed => {}
             }
-            // What was held back may go on.
+            // Deferred actions may proceed.
             self.requeue();
         }
     }
 
-    /// A machine that is about to be heard may have room for a task of the job: nobody is
-    /// stopped and nothing is rented for it yet.
+    /// Returns whether a machine that is about to report may have room for a task of the job; until
+    /// then nothing is preempted or rented for it.
     pub(super) fn awaits_capacity(&mut self, spec: &JobSpec, action: DeferredAction) -> bool {
         let reconciliation = &self.reconciler.reconciliation;
         let comes = reconciliation.is_in_progress()
@@ -133,12 +137,12 @@
         comes
     }
 
-    /// What a previous leader rented may not be known yet.
+    /// Returns whether machines rented by a previous leader may still be unknown.
     pub(super) fn unlisted(&self, now: Duration) -> bool {
         self.reconciler.reconciliation.unlisted(now)
     }
 
-    /// What becomes of a task that this leader did not start.
+    /// Decides how to handle a reported task that this leader did not start.
     pub(super) fn decide_adoption(&self, task: &TaskId, phase: TaskPhase) -> AdoptionDecision {
         let job = self.jobs.get(&task.job);
         let slot = job.and_then(|job| job.slots.get(task.index as usize));
@@ -157,7 +161,7 @@
     }
 }
 
-/// Not heard, nor given up on.
+/// Returns whether a machine has neither reported nor been given up.
 fn is_awaited(machine: &Machine) -> bool {
     machine.unresolved && !machine.commands_unanswered && !machine.listed_failed
 }
