--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -1,9 +1,9 @@
-//! The assignment index in the state service: which jobs may have tasks on which machine.
+//! Assignment index in the state service: the jobs that may have tasks on each machine.
 //!
-//! A start is sent only for a job that is listed with its machine, so that a next
-//! leader knows which jobs an unresponsive machine may hold. One stored value, a shard,
-//! speaks for many machines: changes are what the state service counts, and a
-//! large array lands on every machine within moments.
+//! A start is sent only for a job that is listed with its machine, so that the next leader knows
+//! which jobs an unresponsive machine may hold. One stored value, a shard, covers many machines,
+//! because the state service limits the number of changes and a large array reaches every machine
+//! within moments.
 
 mod answers;
 mod record;
@@ -25,26 +25,26 @@
 pub use record::{AssignedMachine, ShardRecord};
 use record::{Builder, digest};
 
-/// What is known of a machine's place in the stored assignment index.
+/// State of a machine's entry in the stored assignment index.
 #[derive(Debug, Clone, Default)]
 pub struct AssignmentEntry {
-    /// The shard that is to list it from now on.
+    /// Shard that lists the machine from now on.
     shard: Option<u32>,
-    /// The shard that `jobs` was read from or written to: until a machine has moved, another
-    /// one than its own.
+    /// Shard that `jobs` was read from or written to; differs from `shard` until a move is
+    /// complete.
     listed_in: Option<u32>,
-    /// A write of its own shard that names it was not refused for certain.
+    /// Whether a write of its own shard that names the machine may have been applied.
     tried: bool,
-    /// Jobs that are listed for certain.
+    /// Jobs that are certainly listed.
     pub jobs: BTreeSet<JobId>,
     /// Jobs that only other shards listed at the failover.
     prior: BTreeSet<JobId>,
-    /// Something may be listed.
+    /// Whether anything may be listed.
     pub stored: bool,
 }
 
 impl AssignmentEntry {
-    /// Jobs that any shard lists, which may run there while nothing else is known.
+    /// Returns the jobs listed by any shard, which may run on the machine until more is known.
     pub fn may_list(&self) -> impl Iterator<Item = &JobId> {
         self.jobs.iter().chain(&self.prior)
     }
@@ -52,59 +52,59 @@
 
 #[derive(Debug, Default)]
 struct Shard {
-    /// Revision of the key; 0: there is none.
+    /// Revision of the key, or 0 if it does not exist.
     version: u64,
-    /// A write is under way.
+    /// Whether a write is in flight.
     writing: bool,
-    /// A write was not answered, so the key is read before the next one.
+    /// Whether a write got no answer, so that the key is read before the next write.
     unsure: bool,
     members: BTreeSet<MachineId>,
-    /// What its members are expected to take of the value.
+    /// Expected bytes of its members in the value.
     taken: usize,
-    /// A machine that is gone is still listed.
+    /// Whether a removed machine is still listed.
     stale: bool,
-    /// The stored value is larger than the service takes now: it stays as it is until all its
-    /// machines are listed elsewhere.
+    /// Whether the stored value exceeds the service's current limit; it stays unchanged until all
+    /// its machines are listed elsewhere.
     oversized: bool,
-    /// Something found no room at the last look.
+    /// Whether an entry found no room at the last write.
     crowded: bool,
-    /// The number of its last write.
+    /// Sequence number of its last write.
     last_write: u64,
-    /// Digest of the stored value, where this leader wrote it.
+    /// Digest of the stored value, if this leader wrote it.
     stored: Option<u64>,
 }
 
 #[derive(Debug)]
 pub struct AssignmentIndex {
     shards: BTreeMap<u32, Shard>,
-    /// Writes so far.
+    /// Number of writes so far.
     write_count: u64,
-    /// Bytes that a value may have.
+    /// Maximum size of a value in bytes.
     value_most: usize,
-    /// The last write that lists starts was rejected.
+    /// Whether the last write that listed starts was rejected.
     rejected: bool,
 }
 
-/// A write of one shard, and what it lists.
+/// Write of one shard, with its listed machines.
 #[derive(Debug)]
 pub struct ShardWrite {
     shard: u32,
     machines: Vec<Listed>,
     empty: bool,
-    /// Of the value that is written.
+    /// Digest of the written value.
     digest: u64,
-    /// It deletes an oversized shard whose machines are listed elsewhere.
+    /// Whether it deletes an oversized shard whose machines are listed elsewhere.
     strikes: bool,
-    /// Something found no room in it.
+    /// Whether an entry found no room in it.
     crowded: bool,
 }
 
-/// A machine in a write of its shard.
+/// Machine in a write of its shard.
 #[derive(Debug)]
 struct Listed {
     machine: MachineId,
     jobs: BTreeSet<JobId>,
-    /// A write before this one may have named it in the same shard.
+    /// Whether an earlier write may have named it in the same shard.
     tried: bool,
 }
 
@@ -118,9 +118,9 @@
     }
 }
 
-/// Numbers that new shards take first.
+/// Shard numbers that are used first.
 const SMALL_NUMBERS: u32 = 1000;
-/// What a machine is expected to take, alone and for each of its CPUs.
+/// Expected bytes of a machine's entry: a base, and an amount for each of its CPUs.
 const SHARE: usize = 32;
 const SHARE_PER_CPU: f64 = 8.0;
 
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Values may be no larger from now on.
+    /// Lowers the maximum size of a value.
     pub fn limit_values(&mut self, value_most: usize) {
         self.value_most = self.value_most.min(value_most);
     }
 
-    /// The machine does not exist any more.
+    /// Removes a machine that no longer exists.
     pub fn remove_machine(&mut self, machine: &Machine) {
         if let Some(shard) = machine
             .assignment
@@ -158,7 +158,7 @@
         }
     }
 
-    /// A shard whose write was not answered, to be read again.
+    /// Returns a shard whose write was not answered, to be reread.
     pub fn unsure(&mut self) -> Option<u32> {
         let mut shards = self.shards.iter_mut();
         let (id, shard) = shards.find(|(_, s)| s.unsure && !s.writing)?;
@@ -166,37 +166,37 @@
         Some(*id)
     }
 
-    /// The revision that a shard was read to have; none where it was not read.
+    /// Records the revision found by rereading a shard; none if it was not read.
     pub fn reread(&mut self, shard: u32, version: Option<u64>) {
         let Some(shard) = self.shards.get_mut(&shard) else {
             return;
         };
         shard.writing = false;
         if let Some(version) = version {
-            // A write that is applied late fails once the next one is in.
+            // A write that is applied late fails once the next one has been applied.
             shard.unsure = false;
             shard.version = version;
             shard.oversized &= version != 0;
         }
     }
 
-    /// An oversized shard lists the machine, and its own one does not yet.
+    /// Returns whether an oversized shard lists the machine and its own shard does not yet.
     fn moves(&self, entry: &AssignmentEntry) -> bool {
         let listed_in = entry.listed_in.and_then(|id| self.shards.get(&id));
         listed_in.is_some_and(|shard| shard.oversized)
     }
 
-    /// The key of the oversized shard that is read last, if there is any.
+    /// Returns the last key, in read order, of the oversized shards.
     fn last_oversized(&self) -> Option<String> {
         let oversized = self.shards.iter().filter(|(_, shard)| shard.oversized);
         oversized.map(|(id, _)| id.to_string()).max()
     }
 
-    /// A number that no shard has, and whose key comes after `last` in the order of keys.
+    /// Returns an unused shard number whose key sorts after `last`.
     fn new_number(&self, last: Option<&str>) -> u32 {
         let after = |id: &u32| last.is_none_or(|last| *id.to_string() > *last);
         let free = |id: &u32| !self.shards.contains_key(id) && after(id);
-        // Any number that begins with the digits of the last one comes after it.
+        // Any longer number that begins with the digits of `last` sorts after it.
         let longer = (1..u32::MAX.ilog10()).filter_map(|digits| {
             let first: u32 = last?.parse().ok()?;
             let scale = 10_u32.checked_pow(digits)?;
@@ -208,11 +208,11 @@
         numbers.find(free).unwrap_or(u32::MAX)
     }
 
-    /// The shard for one more machine: the emptiest that has room left.
+    /// Returns the shard for one more machine: the emptiest that has room left.
     fn shard_for(&mut self, machine: &Machine) -> u32 {
         let room = self.value_most / 4 * 3;
-        // A version that does not know of oversized shards believes the shard that it reads
-        // last, so that has to be the one that is written.
+        // A version that does not support oversized shards trusts the shard that it reads last, so
+        // the shard that is written has to sort last.
         let last = self.last_oversized();
         let after = |id: u32| last.as_ref().is_none_or(|last| id.to_string() > *last);
         let chosen = self
@@ -246,7 +246,7 @@
 }
 
 impl ClusterState {
-    /// What a failover found in one shard.
+    /// Loads one shard found by a failover.
     pub fn load_shard(&mut self, id: u32, record: &ShardRecord, version: u64, now: Duration) {
         let mut shard = Shard {
             version,
@@ -263,8 +263,8 @@
             } = found;
             let machine = self.ensure_machine(&name, &machine_type, &zone, spot, now);
             machine.unresolved = true;
-            // A leader ended before it had struck the machine off another shard. The one that
-            // is read last was written last; what the others list may run there, too.
+            // A previous leader may have ended before it removed the machine from another shard.
+            // The shard read last was written last; jobs that the others list may run there, too.
             let earlier = std::mem::take(&mut machine.assignment);
             let prior: BTreeSet<JobId> = earlier.may_list().cloned().collect();
             machine.assignment = AssignmentEntry {
@@ -289,8 +289,8 @@
         self.assignment_index.shards.insert(id, shard);
     }
 
-    /// The next write of the assignment index. An urgent one lists jobs whose starts wait
-    /// for it, any other only strikes off what is there no more.
+    /// Builds the next write of the assignment index. An urgent write lists jobs whose starts wait
+    /// for it; any other only removes entries that no longer apply.
     pub fn assignment_index_write(
         &mut self,
         urgent: bool,
@@ -298,7 +298,7 @@
     ) -> Option<(Vec<ShardWrite>, Vec<Condition>, Vec<Change>)> {
         let due = self.due_shards(urgent);
         let (mut listings, mut conditions, mut changes) = (Vec::new(), Vec::new(), Vec::new());
-        // Two values of full size leave room in one transaction for the rest.
+        // Two values of full size leave room in one transaction for other changes.
         let most = changes_most.min(2);
         for id in due {
             if listings.len() == most {
@@ -337,8 +337,8 @@
         (!listings.is_empty()).then_some((listings, conditions, changes))
     }
 
-    /// A write is under way. Until its answer only what is listed before and after counts: a
-    /// start for a job that this write drops must not go out.
+    /// Records a write in flight. Until its answer only jobs listed both before and after count: a
+    /// start for a job that this write drops must not be sent.
     fn listing_sent(&mut self, listing: &ShardWrite) {
         for listed in &listing.machines {
             let Some(machine) = self.machines.get_mut(&listed.machine) else {
@@ -346,7 +346,7 @@
             };
             let entry = &mut machine.assignment;
             if !listing.strikes && listed.jobs.is_empty() && self.assignment_index.moves(entry) {
-                // It found no room, and what lists it now stays.
+                // The machine found no room, and its current listing stays.
                 continue;
             }
             entry.jobs.retain(|id| listed.jobs.contains(id));
@@ -355,7 +355,7 @@
         }
     }
 
-    /// Nothing is stored of a shard that lists nothing.
+    /// Records that nothing is stored of a shard that lists nothing.
     fn nothing_listed(&mut self, listing: &ShardWrite) {
         for listed in &listing.machines {
             let Some(machine) = self.machines.get_mut(&listed.machine) else {
@@ -367,12 +367,16 @@
         }
     }
 
-    /// What a shard has to list is more than a value may hold: its machines go to new ones.
+    /// Moves the machines of a shard whose entries exceed the maximum value size to new shards.
     fn outgrown(&mut self, id: u32) {
         let Some(shard) = self.assignment_index.shards.get_mut(&id) else {
             return;
         };
-        info!(shard = id, machines = shard.members.len(), "shard split");
+        info!(
+            shard = id,
+            machines = shard.members.len(),
+            "shard exceeds the value limit; moving its machines to new shards"
+        );
         shard.oversized = true;
         shard.taken = 0;
         for name in std::mem::take(&mut shard.members) {
@@ -384,7 +388,7 @@
         }
     }
 
-    /// Machines that found no room in a shard that others fill look for another one.
+    /// Detaches machines that found no room in a crowded shard, so that they get another one.
     fn leave_crowded(&mut self, listing: &ShardWrite) {
         if !listing.crowded || listing.empty {
             return;
@@ -406,7 +410,7 @@
         }
     }
 
-    /// An oversized shard is deleted once no machine may hold what only it lists.
+    /// Returns oversized shards to delete: no machine may hold jobs that only they list.
     fn struck_shards(&self) -> Vec<u32> {
         let oversized = self
             .assignment_index
@@ -428,17 +432,17 @@
         struck.into_iter().collect()
     }
 
-    /// Starts wait because the state service rejects what would list them: more machines
-    /// would be of no use.
+    /// Returns whether starts wait because the state service rejects the write that lists them;
+    /// renting more machines would not help.
     pub(super) fn starts_rejected(&self) -> bool {
         self.assignment_index.rejected && self.machines.values().any(Machine::unlisted)
     }
 
-    /// Shards that have to be written, the one whose last write is longest ago first.
+    /// Returns the shards to write, the least recently written first.
     ///
-    /// In the order of their numbers, the first ones were due again before the last
-    /// ones had their turn: machines of the last ones were given tasks that never
-    /// started, and held their place.
+    /// In the order of their numbers, the first shards would be due again before the last ones are
+    /// written: machines of the last shards would be given tasks that never start but hold their
+    /// slots.
     fn due_shards(&mut self, urgent: bool) -> Vec<u32> {
         let mut due = BTreeSet::new();
         let wanting: Vec<MachineId> = self
@@ -446,7 +450,7 @@
             .values()
             .filter(|m| match urgent {
                 true => m.standing == Standing::Up && m.fenced && m.unlisted(),
-                // They get no more tasks, and a next leader need not wait for them.
+                // These machines get no more tasks, and the next leader need not wait for them.
                 false => {
                     let moves = self.assignment_index.moves(&m.assignment);
                     let leaves = matches!(m.standing, Standing::Leaving | Standing::Lost)
@@ -481,7 +485,7 @@
         due
     }
 
-    /// Something may run there, and there may be room in a shard to list it.
+    /// Returns whether the machine may hold tasks and a shard may have room to list it.
     fn may_move(&self, machine: &Machine) -> bool {
         let own = machine
             .assignment
@@ -490,7 +494,7 @@
         !own.is_some_and(|shard| shard.crowded) && !Self::may_hold(machine).is_empty()
     }
 
-    /// The deletion of an oversized shard: it lists nothing any more.
+    /// Builds the deletion of an oversized shard, which lists nothing afterwards.
     fn strike_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
         let machines = self.machines.values();
         let listed = machines.filter(|m| m.assignment.listed_in == Some(id));
@@ -505,7 +509,7 @@
         (listing, ShardRecord::default())
     }
 
-    /// What a shard is to say now.
+    /// Builds the current contents of a shard.
     fn list_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
         if self.assignment_index.shards[&id].oversized {
             return self.strike_shard(id);
@@ -527,7 +531,7 @@
             if self.assignment_index.moves(&machine.assignment) {
                 moving.push((place, kept));
             } else {
-                // What is listed already may run there: it stays, come what may.
+                // Tasks of listed jobs may run there, so their entries stay regardless of size.
                 for job in &kept {
                     builder.list(machine, job, usize::MAX);
                 }
@@ -535,7 +539,8 @@
             }
             new.extend(added.into_iter().map(|job| (place, job)));
         }
-        // All that may run on a machine is listed at once, or it stays where it is.
+        // All jobs that may run on a moving machine are listed at once, or it stays in its old
+        // shard.
         let most = self.assignment_index.value_most;
         let mut stays = BTreeSet::new();
         for (place, jobs) in moving {
@@ -544,7 +549,7 @@
                 false => drop(stays.insert(place)),
             }
         }
-        // One that finds no room any more waits until others are struck off.
+        // A job that finds no room waits until others are removed.
         let mut crowded = !stays.is_empty();
         for (place, job) in new {
             if !stays.contains(&place) && builder.list(members[place], &job, most) {
@@ -564,12 +569,12 @@
         (listing, builder.record)
     }
 
-    /// Jobs that may have tasks on a machine, or are about to; those that are over
-    /// too, as long as a start of theirs may still be executed late.
+    /// Returns the jobs that may have tasks on a machine or are about to, including finished jobs
+    /// while one of their starts may still be executed late.
     fn may_hold(machine: &Machine) -> BTreeSet<JobId> {
         let mut jobs: BTreeSet<JobId> = machine.tasks.keys().map(|(t, _)| t.job.clone()).collect();
         if machine.unresolved {
-            // Its tasks are not known yet; the previous leader's list stands.
+            // The machine's tasks are not known yet, so the previous leader's list applies.
             jobs.extend(machine.assignment.may_list().cloned());
         }
         jobs
--- a/src/core/assignment_index/answers.rs
+++ b/src/core/assignment_index/answers.rs
@@ -1,4 +1,4 @@
-//! What becomes of the assignment index's writes: what is listed for certain after each answer.
+//! Applies the results of assignment index writes: which entries are certainly listed.
 
 use tracing::info;
 
@@ -7,7 +7,7 @@
 impl ClusterState {
     pub fn assignment_index_written(&mut self, listings: Vec<ShardWrite>, reply: &StateReply) {
         if self.closed_priority.is_some() && matches!(reply, StateReply::Committed { .. }) {
-            // Nothing else may happen that brings the parked back to the heap.
+            // Without other events, nothing else would return parked jobs to the queue.
             self.requeue();
         }
         let lists = listings.iter().any(|listing| !listing.empty);
@@ -27,12 +27,12 @@
                     shard.stored = Some(listing.digest);
                     self.listing_stored(listing);
                 }
-                // It changed nothing and never will.
+                // The write was not applied and never will be.
                 StateReply::Refused { .. } | StateReply::Rejected => {
                     shard.stale = true;
                     self.listing_refused(&listing);
                 }
-                // It may have been executed, or may be later.
+                // The write may have been applied, or may be applied later.
                 _ => {
                     shard.unsure = true;
                     shard.stored = None;
@@ -44,7 +44,10 @@
 
     fn pause_rentals(&mut self, rejected: bool) {
         if std::mem::replace(&mut self.assignment_index.rejected, rejected) != rejected {
-            info!(paused = rejected, "rentals for starts that can't be stored");
+            info!(
+                paused = rejected,
+                "paused or resumed renting for starts that can't be stored"
+            );
         }
     }
 
@@ -68,7 +71,7 @@
                 return;
             };
             match self.machines.get_mut(&listed.machine) {
-                // One that came back after it was gone is no member any more.
+                // A machine that was removed and returned is no longer a member.
                 Some(machine) if machine.assignment.shard == Some(listing.shard) => {
                     let entry = &mut machine.assignment;
                     entry.tried = false;
@@ -85,7 +88,7 @@
         self.leave_crowded(&listing);
     }
 
-    /// An oversized shard is deleted.
+    /// Records the deletion of an oversized shard.
     fn shard_struck(&mut self, listing: &ShardWrite) {
         if let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) {
             (shard.oversized, shard.stale) = (false, false);
--- a/src/core/assignment_index/record.rs
+++ b/src/core/assignment_index/record.rs
@@ -1,4 +1,4 @@
-//! What one shard of the assignment index says, as stored, and how it is put together.
+//! Stored form of one shard of the assignment index, and its construction.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -13,8 +13,8 @@
     machine::{Machine, MachineId},
 };
 
-/// What one key of the assignment index holds. Types, zones and jobs are named once, and
-/// machines refer to them by number.
+/// Value of one key of the assignment index. Types, zones and jobs are named once; machines refer
+/// to them by number.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardRecord {
@@ -26,7 +26,7 @@
 /// Machine type, zone, and whether it is a spot machine.
 type Kind = (Arc<str>, Arc<str>, bool);
 
-/// A machine in the assignment index.
+/// Machine listed in the assignment index.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AssignedMachine {
     pub id: MachineId,
@@ -37,8 +37,8 @@
 }
 
 impl ShardRecord {
-    /// A shard as stored, unless anything in it can't be understood: a machine that is
-    /// passed over would be one where nothing can run.
+    /// Parses a stored shard, or returns none if any part of it is invalid: a skipped machine would
+    /// be taken for one that can't run anything.
     pub fn parse(text: &str) -> Option<Self> {
         let record: Self = serde_json::from_str(text).ok()?;
         let known = |(_, kind, jobs): &(MachineId, usize, Vec<usize>)| {
@@ -65,14 +65,14 @@
         })
     }
 }
-/// Tells one stored value of a shard from another.
+/// Returns a digest that distinguishes stored values of a shard.
 pub(super) fn digest(record: &ShardRecord) -> u64 {
     let mut hasher = DefaultHasher::new();
     serde_json::to_string(record).ok().hash(&mut hasher);
     hasher.finish()
 }
 
-/// A record under way, and the bytes that it takes at most.
+/// Record under construction, with an upper bound of its encoded size.
 pub(super) struct Builder {
     pub(super) record: ShardRecord,
     kinds: HashMap<Kind, usize>,
@@ -81,7 +81,7 @@
     bytes: usize,
 }
 
-/// Digits, quotes, brackets and commas around a number or a name.
+/// Maximum bytes of a number, and quotes and separators around a name.
 const NUMBER: usize = 7;
 const NAME: usize = 4;
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Lists all these jobs with a machine, or none where they have no room.
+    /// Lists all given jobs with a machine, or none if they don't fit.
     pub(super) fn list_all(
         &mut self,
         machine: &Machine,
@@ -114,8 +114,7 @@
         fits
     }
 
-    /// Lists a job with a machine, unless that would make the value larger than
-    /// `most`.
+    /// Lists a job with a machine, unless the value would then exceed `most` bytes.
     pub(super) fn list(&mut self, machine: &Machine, job: &JobId, most: usize) -> bool {
         let kind = (
             machine.machine_type.clone(),
--- a/src/core/results.rs
+++ b/src/core/results.rs
@@ -1,14 +1,14 @@
-//! What is stored of a job's results, chunk by chunk, and under which revisions.
+//! Stored results of a job by chunk, with the revisions of their keys.
 //!
-//! A chunk that is larger than a value may be is stored in parts, each under a key of its own
-//! and with its own revision: the chunk's number with zeros before it, one more than the
-//! part's number. Whoever reads the chunks' keys as numbers takes all parts in, as each names
-//! tasks of that chunk only. The key without zeros keeps what it has.
+//! A chunk that exceeds the size of a value is stored in parts, each under its own key with its own
+//! revision: the key's name is the chunk's number with one more leading zero than the part's
+//! number. A reader that parses the names as numbers combines all parts, as each names only tasks
+//! of that chunk. The key without zeros keeps its contents.
 //!
-//! A write that got no answer may still be applied, after newer ones. Were it conditional on
-//! the job alone, an older set would take the place of one whose results workers have been
-//! told to forget. So each chunk is written on condition of its own revision, and after an
-//! unclear answer it is read before it is written again.
+//! A write that got no answer may still be applied after newer ones. If it depended only on the
+//! job, an older set could replace one whose results workers have been told to forget. Each chunk
+//! is therefore written on condition of its own revision, and after an unclear answer it is read
+//! before it is written again.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,14 +17,14 @@
 
 use super::job::{CHUNK, TaskSet};
 
-/// Words of 64 tasks in one part of a chunk.
+/// Number of 64-task words in one part of a chunk.
 const PART_WORDS: usize = 64;
 
-/// What one key keeps: a chunk, or a part of one.
+/// Contents of one key: a chunk, or a part of one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChunkPart {
     chunk: u32,
-    /// None: the chunk as a whole.
+    /// Number of the part, or none for the whole chunk.
     part: Option<u32>,
 }
 
@@ -33,7 +33,7 @@
         Self { chunk, part: None }
     }
 
-    /// All parts of a chunk.
+    /// Returns all parts of a chunk.
     fn all(chunk: u32) -> impl Iterator<Item = Self> {
         let parts = CHUNK / 64 / PART_WORDS as u32;
         (0..parts).map(move |part| Self {
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Its name in the key.
+    /// Returns its name in the key.
     pub fn name(&self) -> String {
         let zeros = self.part.map_or(0, |part| part as usize + 1);
         format!("{}{}", "0".repeat(zeros), self.chunk)
@@ -64,14 +64,14 @@
         start..(start + PART_WORDS).min(words.end)
     }
 
-    /// What is stored of a set under this key.
+    /// Encodes the words of a set that are stored under this key.
     pub fn encode(&self, set: &TaskSet) -> String {
         set.encode_words(self.chunk, &self.words())
     }
 }
 
-/// What is to be written of a set, after what is stored: chunks that are no longer than a
-/// value, and changed parts of the others.
+/// Returns the chunks and parts of a set to write, given what is stored: whole chunks that fit into
+/// a value, and the changed parts of larger ones.
 pub fn unsaved(set: &TaskSet, stored: &TaskSet, value_bytes: usize) -> Vec<ChunkPart> {
     let chunks = set.chunks_beyond(stored).into_iter();
     let parts = chunks.flat_map(|chunk| {
@@ -86,16 +86,16 @@
     parts.collect()
 }
 
-/// Around a stored text.
+/// Number of bytes for the quotes around a stored text.
 const QUOTES: usize = 2;
 
 #[derive(Debug, Clone, Default)]
 pub struct Results {
-    /// Tasks that are stored as done for certain.
+    /// Tasks that are certainly stored as done.
     stored: TaskSet,
-    /// Revisions of the chunks' keys; none: there is no such key.
+    /// Revisions of the existing keys.
     versions: BTreeMap<ChunkPart, u64>,
-    /// Chunks whose last write was not answered, or met another.
+    /// Chunks whose last write got no answer or met a conflict.
     unsure: BTreeSet<ChunkPart>,
 }
 
@@ -117,7 +117,7 @@
         self.stored.contains(index)
     }
 
-    /// Chunks of which something may be stored.
+    /// Returns the chunks that may be stored.
     pub fn chunks(&self) -> Vec<ChunkPart> {
         let mut chunks: BTreeSet<ChunkPart> = self.versions.keys().copied().collect();
         chunks.extend(self.stored.chunks().into_iter().map(ChunkPart::whole));
@@ -129,7 +129,7 @@
         self.versions.get(&chunk).copied().unwrap_or(0)
     }
 
-    /// A chunk as it was read; false where it can't be understood.
+    /// Adds a chunk as it was read; returns false if it can't be parsed.
     #[must_use]
     pub fn read(&mut self, chunk: ChunkPart, version: u64, text: &str) -> bool {
         let read = self.stored.decode_chunk(chunk.chunk, text);
@@ -144,13 +144,13 @@
         self.unsure.remove(&chunk);
     }
 
-    /// There is no such key.
+    /// Records that the key does not exist.
     pub fn missing(&mut self, chunk: ChunkPart) {
         self.versions.remove(&chunk);
         self.unsure.remove(&chunk);
     }
 
-    /// These chunks of a set were stored.
+    /// Records that these chunks of a set were stored.
     pub fn written(&mut self, set: &TaskSet, chunks: &[ChunkPart], version: u64) {
         for &chunk in chunks {
             self.stored.include(set, chunk.words());
@@ -158,12 +158,12 @@
         }
     }
 
-    /// It is not known what became of a write.
+    /// Records that the outcome of a write is unknown.
     pub fn unclear(&mut self, chunks: &[ChunkPart]) {
         self.unsure.extend(chunks);
     }
 
-    /// A chunk that has to be read before it can be written.
+    /// Returns a chunk that has to be read before it can be written.
     pub fn unsure(&self) -> Option<ChunkPart> {
         self.unsure.first().copied()
     }
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -1,9 +1,9 @@
-//! Terminal states of jobs in the state service: where they are stored, and in which form.
+//! Storage of the terminal states of jobs in the state service.
 //!
-//! Generation 1 keeps one key a job. From generation 2 on, one key keeps the terminal states of all
-//! jobs whose ids differ in the last two digits only. Either way an end is found with one
-//! read while nothing moves. While records are being rewritten it is in one of two places,
-//! never in both and never in none, and is looked for where it moves from first.
+//! Generation 1 stores one key per job. From generation 2 on, one key stores the terminal states of
+//! all jobs whose ids differ only in the last two digits. Outside of migrations one read finds a
+//! terminal state in either form. During a migration it is stored in exactly one of the two places,
+//! and the place from which it is moved is read first.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,7 +25,7 @@
     forms: &["ends/RANGE", "live/generation", "pulse.told"],
 };
 
-/// Where the end of a job may be stored.
+/// Place where the terminal state of a job may be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place {
     Single,
@@ -39,22 +39,23 @@
     }
 }
 
-/// Where to look, in this order: a record that is rewritten meanwhile is met.
+/// Returns the places in the order in which to read them, so that a record moved meanwhile is
+/// found.
 pub fn places(cluster: &Cluster) -> Vec<Place> {
     let mut places: Vec<Place> = cluster.read().map(place).collect();
     places.dedup();
     places
 }
 
-/// A range of ids: all that are alike but for the last two digits.
+/// Range of job ids that differ only in the last two digits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Range(String);
 
-/// Digits that ids of one range differ in.
+/// Number of digits in which the ids of one range differ.
 const DIGITS: usize = 2;
 
 impl Range {
-    /// The range of an id, and its name there.
+    /// Returns the range of an id, and the name of the id within it.
     pub fn of(id: &JobId) -> (Self, &str) {
         let text = id.as_str();
         let digits = text.len() - text.find(|c: char| c.is_ascii_digit()).unwrap_or(0);
@@ -64,7 +65,7 @@
 
     pub fn of_key(key: &str) -> Option<Self> {
         let range = key.strip_prefix(TERMINAL_RANGES)?;
-        // Any id in it would do.
+        // Any id in the range would do.
         let id = JobId::parse(&format!("{range}00"))?;
         (Self::of(&id).0.0 == range).then(|| Self(range.to_owned()))
     }
@@ -78,16 +79,17 @@
     }
 }
 
-/// The ends of the jobs of one range. Stored as text, an entry a job, in order:
-/// `07c3,12d400` says that the job that ends in 07 was cancelled with 3 tasks done, and
-/// the one in 12 is done with 400. `12d400t1733130000000` says as well when that one ended.
+/// Terminal states of the jobs of one range. Stored as text with one entry per job, in order:
+/// `07c3,12d400` means that the job ending in 07 was cancelled with 3 tasks done, and the one
+/// ending in 12 is done with 400. `12d400t1733130000000` also contains the time at which the job
+/// ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TerminalStates(BTreeMap<String, TerminalRecord>);
 
-/// Stands between a number of tasks and the time of a job's end.
+/// Separator between the number of done tasks and the end time.
 const TIME_MARK: char = 't';
-/// A range whose text would be longer leaves out the times, which only order jobs: the ends
-/// of a hundred jobs must fit into the smallest value that a state service takes.
+/// Maximum text length with end times. Longer ranges omit the times, which only order jobs: the
+/// terminal states of a hundred jobs must fit into the smallest value size of a state service.
 const WITH_TIMES_MOST: usize = 1500;
 
 impl TerminalStates {
@@ -107,7 +109,7 @@
         self.0.is_empty()
     }
 
-    /// Takes some of them out.
+    /// Removes and returns up to `count` entries.
     pub fn split_off(&mut self, count: usize) -> Vec<(String, TerminalRecord)> {
         let mut taken = Vec::new();
         while taken.len() < count
@@ -139,7 +141,7 @@
         self.0.iter().map(entry).collect::<Vec<_>>().join(",")
     }
 
-    /// Nothing is passed over: an entry that can't be read makes the whole unreadable.
+    /// Parses all entries; a single invalid entry makes the whole text invalid.
     fn decode(text: &str) -> Option<Self> {
         let mut ends = Self::default();
         for entry in text.split(',').filter(|_| !text.is_empty()) {
@@ -173,7 +175,7 @@
     }
 }
 
-/// A number in plain digits: no heartbeat, nothing else.
+/// Parses a number of plain digits, without a sign.
 fn parse_digits<T: std::str::FromStr>(text: &str) -> Option<T> {
     let plain = text.bytes().all(|b| b.is_ascii_digit());
     text.parse().ok().filter(|_| plain)
@@ -188,35 +190,36 @@
 impl<'de> Deserialize<'de> for TerminalStates {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Self::decode(&text).ok_or_else(|| de::Error::custom("not the ends of a range of jobs"))
+        Self::decode(&text)
+            .ok_or_else(|| de::Error::custom("invalid terminal states of a job range"))
     }
 }
 
-/// The end of one job by itself, as stored.
+/// Parses the stored terminal state of a single job.
 pub fn parse_single(text: &str) -> Option<TerminalRecord> {
     let record: TerminalRecord = serde_json::from_str(text).ok()?;
     let over = matches!(record.state, JobState::Done | JobState::Cancelled);
     over.then_some(record)
 }
 
-/// The id that a key of its own speaks of.
+/// Returns the job id in a key of the single form.
 pub fn single_id(key: &str) -> Option<JobId> {
     JobId::parse(key.strip_prefix(TERMINAL_STATES)?)
 }
 
-/// A range as it was read or written last; version 0: there is none.
+/// Range as last read or written; version 0 means that it does not exist.
 #[derive(Debug, Clone, Default)]
 pub struct KnownRange {
     pub version: u64,
     pub ends: TerminalStates,
 }
 
-/// Ranges that this node has seen. What is written from here depends on the version, so
-/// one that has changed since costs a conflict and nothing else.
+/// Ranges that this node has seen. Writes depend on the version, so a range that has changed since
+/// only costs a conflict.
 #[derive(Debug, Default)]
 pub struct TerminalRanges {
     known: HashMap<Range, KnownRange>,
-    /// Ranges that the leader reads or writes now, and when each may be written again.
+    /// Ranges that the leader reads or writes now (none), or may write again at the given time.
     busy: HashMap<Range, Option<Duration>>,
 }
 
@@ -236,7 +239,7 @@
             return;
         }
         if self.known.len() >= KNOWN_MOST && !self.known.contains_key(&range) {
-            // Any will do: what is asked for again is read again.
+            // Any range may be evicted: it is read again when needed.
             let other = self.known.keys().next().cloned();
             other.and_then(|other| self.known.remove(&other));
         }
@@ -247,7 +250,7 @@
         self.known.remove(range);
     }
 
-    /// The leader may work on a range now.
+    /// Returns whether the leader may work on a range now.
     pub fn free(&self, range: &Range, now: Duration) -> bool {
         match self.busy.get(range) {
             None => true,
@@ -259,8 +262,8 @@
         self.busy.insert(range.clone(), None);
     }
 
-    /// The leader's work on a range is over; it rests until then, so that submissions in
-    /// the same range find it as they read it.
+    /// Ends the leader's work on a range and leaves the range unchanged until the given time, so
+    /// that submissions in the same range find the version that they read.
     pub fn release(&mut self, range: &Range, until: Duration, now: Duration) {
         self.busy.retain(|_, at| at.is_none_or(|at| at > now));
         self.busy.insert(range.clone(), Some(until));
@@ -271,8 +274,8 @@
     }
 }
 
-/// What proves that a job has no end, in each place where it could be; none where a
-/// range is not known, or where it has one.
+/// Returns the conditions which prove that a job has no terminal state in any place; none if its
+/// range is unknown or contains it.
 pub fn absence_conditions(
     cluster: &Cluster,
     id: &JobId,
@@ -295,12 +298,12 @@
     Some(conditions)
 }
 
-/// Stores the terminal states of jobs of one range in the form that is written now. The caller has
-/// read the range where it is needed.
+/// Write of the terminal states of jobs of one range in the current form. The caller has read the
+/// range if the form needs it.
 pub struct TerminalWrite {
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
-    /// The range as it will be.
+    /// The range after the write.
     pub ends: Option<(Range, TerminalStates)>,
 }
 
@@ -334,7 +337,7 @@
     }
 }
 
-/// Rewrites records of one range in the other form.
+/// Rewrite of the records of one range into the other form.
 pub struct Rewrite {
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
@@ -343,7 +346,7 @@
     pub records: usize,
 }
 
-/// From keys of their own into the range. As many as a transaction has room for.
+/// Moves single records into their range. The caller limits them to the size of a transaction.
 pub fn pack(range: &Range, alone: &[(JobId, TerminalRecord, u64)], known: &KnownRange) -> Rewrite {
     let mut ends = known.ends.clone();
     let mut conditions = vec![when(range.key(), known.version)];
@@ -364,7 +367,7 @@
     }
 }
 
-/// Back from the range to keys of their own.
+/// Moves records from a range back to keys of their own.
 pub fn unpack(range: &Range, known: &KnownRange, most: usize) -> Option<Rewrite> {
     let mut ends = known.ends.clone();
     let taken = ends.split_off(most.saturating_sub(1).max(1));
