--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -1,4 +1,4 @@
-//! What workers are told: with the answers to their reports, or straight away.
+//! Commands to workers, sent with the answers to their reports or directly.
 
 use std::{cmp::Reverse, collections::BTreeSet, time::Duration};
 
@@ -12,19 +12,18 @@
 };
 use tracing::debug;
 
-/// Machines that are called at a time after a failover.
+/// Maximum number of machines contacted at a time after a failover.
 const CONTACTED_MOST: usize = 128;
-/// Machines of one zone that are asked at a time whether they answer.
+/// Maximum number of machines of one zone probed at a time.
 const PROBED_PER_ZONE: usize = 4;
 
-/// Commands in one answer at most: it stays under the protocol's limit for one line.
+/// Maximum number of commands in one answer, which keeps it below the protocol's line limit.
 const COMMANDS_MOST: usize = 400;
 
 impl Node {
-    /// While it takes over, a worker's lease is kept alive, and its tasks of jobs that are
-    /// over are stopped: a lease that is renewed without that would carry cancelled tasks
-    /// through one failover after the other. Other commands come later, and the report is
-    /// not counted as heard.
+    /// Renews a worker's lease during a failover and stops its tasks of finished jobs: a lease
+    /// renewed without that would carry cancelled tasks through successive failovers. Other
+    /// commands come later, and the report does not count as heard.
     pub(super) fn keep_lease_alive(&self, report: &WorkerReport) -> Option<Answer> {
         let token = self.election.token()?;
         let over = |job| !self.cache.jobs.contains_key(job) && !self.cache.is_unreadable(job);
@@ -43,8 +42,8 @@
 }
 
 impl ClusterState {
-    /// Commands that need not wait for the next report. A worker that does not
-    /// know this leader's token yet gets it at once, and its tasks become known.
+    /// Returns commands that can't wait for the next report. A worker that does not know this
+    /// leader's token yet is sent it at once, and its reply reveals its tasks.
     pub fn direct_commands(&mut self, now: Duration) -> Vec<Direct> {
         let machines_to_probe = self.machines_to_probe(now);
         let machines_to_contact = self.machines_to_contact(now);
@@ -66,7 +65,7 @@
         due.filter_map(|id| self.direct(id)).collect()
     }
 
-    /// Some machines of each zone that is heard no more, to learn whether they answer.
+    /// Selects machines of each zone without reports, to find out whether they answer.
     fn machines_to_probe(&self, now: Duration) -> BTreeSet<MachineId> {
         let mut machines_to_probe = BTreeSet::new();
         for zone in &self.zones_to_probe {
@@ -74,7 +73,7 @@
             let known = machines.filter(|m| m.standing == Standing::Up && m.addr.is_some());
             let under_way = known.clone().filter(|m| m.direct).count();
             let idle = known.filter(|m| !m.direct && now >= m.direct_retry);
-            // Those heard last answer most likely.
+            // Those heard last are the most likely to answer.
             let mut idle: Vec<_> = idle.map(|m| (Reverse(m.heard_at), &m.id)).collect();
             idle.sort();
             let more = PROBED_PER_ZONE.saturating_sub(under_way);
@@ -83,8 +82,8 @@
         machines_to_probe
     }
 
-    /// After a failover, machines that may hold tasks and have not reported yet: asked
-    /// where the previous leader found them, they need not come by themselves first.
+    /// Returns machines that may hold tasks and have not reported since the failover. They are
+    /// contacted at the address known to the previous leader instead of waiting for their reports.
     fn machines_to_contact(&self, now: Duration) -> Vec<MachineId> {
         let not_heard = self.machines.values().filter(|m| m.session == 0);
         let not_heard = not_heard.filter(|m| m.unresolved && m.last_known_worker.is_some());
@@ -94,15 +93,15 @@
         idle.map(|m| m.id.clone()).take(more).collect()
     }
 
-    /// A machine that was called has answered. It has seen this leader's token, so
-    /// nothing that a former one sent can begin there any more, and this is what it
-    /// holds. Its lease began with its last answered report, or with its session, which
-    /// may be a new one: before this answer in any case, and not sooner than that is known.
+    /// Records the answer of a contacted machine. It has seen this leader's token, so no start sent
+    /// by a previous leader can take effect there, and the answer lists all its tasks. Its lease
+    /// began with its last answered report or with its session, which may be a new one: before this
+    /// answer in any case, so counting from now is safe.
     fn record_direct_heartbeat(&mut self, id: &MachineId, report: &WorkerReport, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        debug!(machine = %id, "direct heartbeat");
+        debug!(machine = %id, "machine answered direct commands for the first time");
         machine.addr = Some(report.addr);
         machine.session = report.session;
         machine.answered_at = Some(now);
@@ -139,7 +138,7 @@
             DirectReply::Executed(report) => (true, report),
             DirectReply::Refused(report) => (false, report),
             DirectReply::Unclear => {
-                // It may still be executed, until the worker sees a higher token.
+                // The commands may still be executed, until the worker sees a higher token.
                 if !direct.commands.is_empty() {
                     machine.token += 1;
                 }
@@ -152,7 +151,7 @@
             machine.direct_retry = now + self.config.report;
         }
         if not_heard {
-            // Another session, or another leader: where it is now is known at least.
+            // The worker has another session or leader, but its current address is known now.
             machine.last_known_worker = Some((report.addr, report.session));
             if !executed || report.session != direct.session {
                 return;
@@ -169,7 +168,7 @@
             if let Phase::Sent { seq, direct: sent } = &mut placement.phase
                 && *sent == Some(direct.token)
             {
-                // It is over: what was executed is in the list.
+                // The command is over: the report lists the tasks that it started.
                 *sent = None;
                 if !executed && *seq == 0 {
                     placement.phase = Phase::Decided;
@@ -192,7 +191,7 @@
         self.requeue();
     }
 
-    /// Everything the worker should do now, in order: room is made before it is used.
+    /// Returns all commands for the worker in order: stops come before starts, to free resources.
     pub(super) fn commands(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<Command> {
         let machine = self.machines.get_mut(id).expect("known machine");
         let withheld =
--- a/src/core/images.rs
+++ b/src/core/images.rs
@@ -1,5 +1,4 @@
-//! Images in the machines' caches, as far as they are known by the tasks that were
-//! seen with them, and what they are worth.
+//! Images in the machines' caches, as inferred from the tasks seen there, and their value.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -9,19 +8,19 @@
     machine::{Machine, MachineId, MachineType},
 };
 
-/// An image that takes so many seconds to fetch is worth a cost of one where it is
-/// cached, and all the images of a machine at most so much.
+/// Fetch time in seconds at which a cached image has the value 1 in placement costs, and maximum
+/// value of all images of a machine.
 const LONG_FETCH: f64 = 20.0;
 const IMAGES_MOST: f64 = 4.0;
 
 impl ClusterState {
-    /// The machine has the image of a task that was seen there.
+    /// Records that the machine has the image of a task that was seen there.
     pub(super) fn image_seen(&mut self, id: &MachineId, spec: &JobSpec, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        // Only one that is new can have pushed others out. Asking for every task of
-        // an array what all images take was a third of the leader's work.
+        // Only a new image can have evicted others. Summing the image sizes for every task of an
+        // array took a third of the leader's time.
         if machine.images.insert(spec.image.clone(), now).is_none() {
             self.trim_cache(id, now);
         }
@@ -56,9 +55,9 @@
         }
     }
 
-    /// Finds out what each machine's cached images are worth to services. A service
-    /// whose image is nowhere else free waits for a fetch as long as it is large, and
-    /// mostly because an array, which could have run anywhere, was there before it.
+    /// Updates the value of each machine's cached images to services. A service whose image is on
+    /// no other free machine waits for a fetch in proportion to its size, usually because an array
+    /// that could have run anywhere was placed there first.
     pub fn value_images(&mut self) {
         let services = self.jobs.values().map(|job| &job.spec);
         let wanted: HashMap<Arc<str>, Arc<JobSpec>> = services
@@ -68,21 +67,23 @@
         for machine in self.machines.values_mut() {
             let rate = rate(&self.types, &machine.machine_type);
             let services = machine.images.keys().filter_map(|image| wanted.get(image));
-            // A large machine has room for both.
+            // A machine with room for more than one task of this size is not blocked by another
+            // task.
             let blocked = services.filter(|spec| spec.need.times_in(&machine.size) == 1);
             let worth = |spec: &Arc<JobSpec>| (spec.image_gb / rate / LONG_FETCH).powi(2);
             machine.image_value = blocked.map(worth).sum::<f64>().min(IMAGES_MOST);
         }
     }
 
-    /// About how long the image takes to arrive on a machine that fetches nothing else.
+    /// Returns the estimated time in seconds to fetch the image on a machine that fetches nothing
+    /// else.
     pub(super) fn fetch_alone(&self, spec: &JobSpec) -> f64 {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
         let rate = types.map(|t| t.fetch_gb_per_s).fold(0.01, f64::max);
         spec.image_gb / rate
     }
 
-    /// About how long the image takes to arrive there.
+    /// Returns the estimated time in seconds until the machine has the image.
     pub(super) fn fetch_time(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         if machine.has_image(&spec.image) {
             return 0.0;
@@ -95,7 +96,7 @@
     }
 }
 
-/// Gigabytes a second that a machine of this type fetches.
+/// Returns the fetch rate of this machine type in gigabytes per second.
 fn rate(types: &[MachineType], machine_type: &str) -> f64 {
     let known = types.iter().find(|t| &*t.name == machine_type);
     known.map_or(0.1, |t| t.fetch_gb_per_s.max(0.01))
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their tasks, as every node sees them.
+//! Jobs and their tasks, as seen by every node.
 
 use std::{
     cmp::Ordering,
@@ -11,10 +11,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A job's name, unique for ever.
+/// Id of a job, never reused.
 ///
-/// Names are compared for every task of every report, so their first digits are
-/// kept as a number as well, which alone decides most comparisons.
+/// Ids are compared for every task of every report, so their first digits are also kept as a
+/// number, which alone decides most comparisons.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct JobId {
@@ -23,11 +23,11 @@
 }
 
 const JOB_PREFIX: &str = "run-";
-/// Digits that `lead` holds.
+/// Number of digits kept in `lead`.
 const LEAD: usize = 8;
 
 impl JobId {
-    /// Only ids of the agreed form are taken, so that an id can stand in a key or a path.
+    /// Parses an id, accepting only the agreed form, so that an id can be part of a key or a path.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(JOB_PREFIX)?.as_bytes();
         let fits = (1..=40).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
@@ -45,14 +45,14 @@
         &self.text
     }
 
-    /// Nothing follows the digits in `lead`.
+    /// Returns whether `lead` holds all digits.
     fn short(&self) -> bool {
         self.text.len() <= JOB_PREFIX.len() + LEAD
     }
 }
 
 impl Ord for JobId {
-    /// The order of the texts, so that keys in the state service have it too.
+    /// Compares the texts, so that keys in the state service have the same order.
     fn cmp(&self, other: &Self) -> Ordering {
         let lead = self.lead.cmp(&other.lead);
         match self.short() && other.short() {
@@ -86,7 +86,7 @@
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        Self::parse(&text).ok_or("not a job id")
+        Self::parse(&text).ok_or("job id must be run- followed by 1 to 40 digits")
     }
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// One task of a job.
+/// Task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskId {
     pub job: JobId,
@@ -118,9 +118,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     Array,
-    /// All tasks run at the same time or none does.
+    /// All tasks run at the same time, or none does.
     Gang,
     /// Replicas that run until the job is cancelled.
     Service,
@@ -136,16 +136,16 @@
 }
 
 impl Priority {
-    /// Every priority, the lowest first.
+    /// All priorities in ascending order.
     pub const ALL: [Self; 4] = [Self::Low, Self::Normal, Self::High, Self::Production];
 
-    /// The next lower one.
+    /// Returns the next lower priority.
     pub fn below(self) -> Option<Self> {
         Self::ALL.get((self as usize).checked_sub(1)?).copied()
     }
 }
 
-/// What a user is told about a job.
+/// State of a job as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
@@ -155,7 +155,7 @@
     Cancelled,
 }
 
-/// What a task takes, or what a machine has.
+/// Resources that a task needs or a machine has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
@@ -164,7 +164,7 @@
     pub memory_gb: f64,
 }
 
-/// Amounts are decimal numbers, so sums are compared with a little slack.
+/// Tolerance of comparisons, since sums of decimal amounts are rounded.
 const SLACK: f64 = 1e-6;
 
 impl Resources {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// How many tasks of this size fit into `room`.
+    /// Returns the number of tasks of this size that fit into `room`.
     pub fn times_in(&self, room: &Resources) -> u32 {
         let part = |need: f64, have: f64| {
             if need <= 0.0 {
@@ -205,9 +205,9 @@
             .min(1e6) as u32
     }
 
-    /// The largest share that this is of any one resource of the whole: what binds. Of
-    /// what the whole has none of, nothing but nothing is a part (Ghodsi and others,
-    /// "Dominant Resource Fairness", 2011).
+    /// Returns the largest share that this takes of any one resource of `whole`, its dominant share
+    /// (Ghodsi and others, "Dominant Resource Fairness", 2011). For a resource that `whole` lacks,
+    /// the share is infinite unless none of it is needed.
     pub fn share_of(&self, whole: &Resources) -> f64 {
         let part = |need: f64, have: f64| match (need <= SLACK, have <= SLACK) {
             (true, _) => 0.0,
@@ -220,7 +220,7 @@
     }
 }
 
-/// What a user asked for. Stored as it is, and never changed.
+/// Job as specified by its user. Stored unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
@@ -233,7 +233,7 @@
     pub need: Resources,
     pub image: Arc<str>,
     pub image_gb: f64,
-    // These are always stored: one that is left out is of another form.
+    // These are always stored: a record that lacks one has an unknown form.
     #[serde(deserialize_with = "Option::deserialize")]
     pub types: Option<Vec<String>>,
     #[serde(deserialize_with = "Option::deserialize")]
@@ -246,11 +246,11 @@
     pub save_s: f64,
     #[serde(deserialize_with = "Option::deserialize")]
     pub deadline_s: Option<f64>,
-    /// Seats that each task takes, by licence.
+    /// Licence seats that each task takes, by licence.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub licences: BTreeMap<String, u32>,
-    /// Jobs that have to be done before any task of this one starts. Left out where there
-    /// are none, so that such a record reads as it did before there were dependencies.
+    /// Jobs that have to be done before any task of this one starts. Omitted if empty, so that
+    /// records without dependencies keep their original form.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<JobId>,
 }
@@ -266,7 +266,7 @@
         (self.spot || !spot) && self.zone.as_ref().is_none_or(|z| z == zone)
     }
 
-    /// Tasks that one zone may hold at most.
+    /// Returns the maximum number of tasks in one zone.
     pub fn zone_limit(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -276,29 +276,29 @@
     }
 }
 
-/// An accepted job in the state service.
+/// Accepted job in the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobRecord {
     pub spec: Arc<JobSpec>,
-    /// When the job was accepted, in milliseconds of the time of day.
+    /// Time at which the job was accepted, in milliseconds of the time of day.
     pub accepted_ms: u64,
 }
 
-/// What is kept of a job for ever.
+/// Permanent record of an ended job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TerminalRecord {
     pub state: JobState,
     pub done: u32,
-    /// When it ended, in milliseconds of the time of day. Stored only where an active job
-    /// waited for this one: its times count from then, under any later leader.
+    /// Time at which the job ended, in milliseconds of the time of day. Stored only if an active
+    /// job waited for this one: its times count from then, under any later leader.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
 }
 
 impl TerminalRecord {
-    /// The record of a cancelled job.
+    /// Returns the record of a cancelled job.
     pub fn cancelled(done: u32) -> Self {
         Self {
             state: JobState::Cancelled,
@@ -308,14 +308,13 @@
     }
 }
 
-/// The tasks of a job that are done, as a set of numbers kept in chunks of the
-/// state service's values.
+/// Set of done tasks of a job, divided into chunks that fit the state service's values.
 #[derive(Debug, Clone, Default)]
 pub struct TaskSet {
     words: Vec<u64>,
 }
 
-/// Tasks in one stored chunk.
+/// Number of tasks in one stored chunk.
 pub const CHUNK: u32 = 16_384;
 
 impl TaskSet {
@@ -341,7 +340,7 @@
         })
     }
 
-    /// The chunks that hold any task.
+    /// Returns the chunks that contain any task.
     pub fn chunks(&self) -> Vec<u32> {
         let per = CHUNK as usize / 64;
         self.words
@@ -352,7 +351,7 @@
             .collect()
     }
 
-    /// The chunks in which this set differs from an earlier one.
+    /// Returns the chunks in which this set has tasks that an earlier one lacks.
     pub fn chunks_beyond(&self, earlier: &TaskSet) -> Vec<u32> {
         let mut more = self.clone();
         for (word, had) in more.words.iter_mut().zip(&earlier.words) {
@@ -361,7 +360,7 @@
         more.chunks()
     }
 
-    /// Whether this set has more than an earlier one in these words.
+    /// Returns whether this set has tasks in these words that an earlier one lacks.
     pub fn is_beyond(&self, earlier: &TaskSet, range: &Range<usize>) -> bool {
         let had = |at: usize| earlier.words.get(at).copied().unwrap_or(0);
         let words = self.words.iter().enumerate().take(range.end);
@@ -369,7 +368,7 @@
         words.any(|(at, word)| word & !had(at) != 0)
     }
 
-    /// Takes in what another set holds in these words.
+    /// Adds the tasks that another set has in these words.
     pub fn include(&mut self, other: &TaskSet, range: Range<usize>) {
         let most = range.end.min(other.words.len());
         if self.words.len() < most {
@@ -380,18 +379,18 @@
         }
     }
 
-    /// The words of a chunk.
+    /// Returns the range of words of a chunk.
     pub fn chunk_words(chunk: u32) -> Range<usize> {
         let per = CHUNK as usize / 64;
         chunk as usize * per..(chunk as usize + 1) * per
     }
 
-    /// The chunk as text: one hexadecimal number per 64 tasks.
+    /// Encodes a chunk as text: one hexadecimal number per 64 tasks.
     pub fn encode_chunk(&self, chunk: u32) -> String {
         self.encode_words(chunk, &Self::chunk_words(chunk))
     }
 
-    /// The same with these words of the chunk alone: those before them are zero.
+    /// Encodes only these words of a chunk; the words before them are zero.
     pub fn encode_words(&self, chunk: u32, range: &Range<usize>) -> String {
         let first = Self::chunk_words(chunk).start;
         let end = range.end.min(self.words.len()).max(first);
@@ -403,8 +402,8 @@
         words.join(",")
     }
 
-    /// Takes a stored chunk in. False where it can't be read: a task that is taken for
-    /// not done for that reason alone would run again.
+    /// Adds the tasks of a stored chunk. Returns false if it can't be parsed: tasks wrongly taken
+    /// for not done would run again.
     #[must_use]
     pub fn decode_chunk(&mut self, chunk: u32, text: &str) -> bool {
         let range = Self::chunk_words(chunk);
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -1,4 +1,4 @@
-//! Machines, what runs on them, and what their workers say and are told.
+//! Machines, their tasks, and the messages exchanged with their workers.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,14 +9,13 @@
     job::{JobId, JobSpec, Resources, TaskId},
 };
 
-/// Names a machine, as the cloud does.
+/// Id of a machine, as assigned by the cloud.
 pub type MachineId = Arc<str>;
 
-/// One attempt of a task: the task, and the number of its start, which no other start of any
-/// leader has.
+/// Attempt of a task: the task and its attempt number, which no other start of any leader has.
 pub type AttemptKey = (TaskId, u64);
 
-/// A kind of machine that the cloud rents.
+/// Machine type that the cloud rents.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineType {
@@ -37,7 +36,7 @@
     Failed,
 }
 
-/// A machine in the cloud's list.
+/// Machine in the cloud's list.
 #[derive(Debug, Clone)]
 pub struct ListedMachine {
     pub id: MachineId,
@@ -48,7 +47,7 @@
     pub age: Duration,
 }
 
-/// Why a task exited.
+/// Reason why a task exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
     Done,
@@ -75,7 +74,7 @@
         matches!(self, TaskPhase::Exited(_))
     }
 
-    /// The task has its image.
+    /// Returns whether the task has its image.
     pub fn on_machine(self) -> bool {
         matches!(
             self,
@@ -91,7 +90,7 @@
     pub phase: TaskPhase,
 }
 
-/// A worker's report.
+/// Report of a worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WorkerReport {
     pub machine: MachineId,
@@ -106,11 +105,11 @@
     pub tasks: Vec<ReportedTask>,
 }
 
-/// What became of commands sent straight to a worker.
+/// Outcome of commands sent directly to a worker.
 #[derive(Debug, Clone)]
 pub enum DirectReply {
     Executed(WorkerReport),
-    /// Nothing was executed.
+    /// No command was executed.
     Refused(WorkerReport),
     Unclear,
 }
@@ -132,37 +131,36 @@
     },
 }
 
-/// How far a start command has come.
+/// Progress of a start command.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// Decided, in no message yet.
+    /// Decided, but not sent in any message.
     Decided,
-    /// Sent with the answer to the report of this number. A worker has one
-    /// report in flight and drops late answers, so the next report tells.
-    /// Sent straight to the worker under a token, it may be executed late,
-    /// until the worker has seen a higher one.
+    /// Sent with the answer to the report numbered `seq`. A worker has one report in flight and
+    /// drops late answers, so the next report shows the result. A start sent directly under the
+    /// token `direct` may be executed late, until the worker has seen a higher token.
     Sent { seq: u64, direct: Option<u64> },
     /// Seen in a report.
     Seen(TaskPhase),
 }
 
-/// A task on a machine, or on its way there.
+/// Task on a machine, or on its way there.
 #[derive(Debug, Clone)]
 pub struct Placement {
     pub phase: Phase,
-    /// None where nothing is known of the job any more.
+    /// Spec of the job, or none if the job is unknown.
     pub spec: Option<Arc<JobSpec>>,
-    /// What it holds; a task of an unknown job is taken to hold the whole machine.
+    /// Reserved resources; a task of an unknown job is assumed to hold the whole machine.
     pub need: Resources,
     pub since: Duration,
     pub running_since: Option<Duration>,
-    /// Set when the task was told to stop: the grace, and when.
+    /// Stop request, if the task was told to stop.
     pub stop: Option<Stop>,
-    /// The task is of a job that is over or unknown, or runs elsewhere.
+    /// Whether the task belongs to a finished or unknown job, or runs elsewhere.
     pub foreign: bool,
-    /// The last report whose answer carried its start; 0: none did. Until a later report
-    /// comes that answer may be on its way, whatever was seen of the task since, and a
-    /// start after the worker has forgotten the attempt would run it again.
+    /// Last report whose answer carried the start, or 0 if none did. Until a later report arrives
+    /// that answer may be in flight, whatever was seen of the task since, and a start that arrives
+    /// after the worker has forgotten the attempt would run it again.
     pub offered: u64,
 }
 
@@ -170,7 +168,7 @@
 pub struct Stop {
     pub grace: Duration,
     pub at: Duration,
-    /// It went out once, so there is no hurry any more.
+    /// Whether the stop was sent once, so that it is no longer urgent.
     pub sent: bool,
 }
 
@@ -200,17 +198,17 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Rented, its worker has not been heard of yet.
+    /// Rented, but its worker has not reported yet.
     Booting,
     /// Its worker reports.
     Up,
-    /// Its worker's lease is over; it may come back with a new session.
+    /// Its worker's lease has expired; it may return with a new session.
     Lost,
-    /// To be returned.
+    /// About to be returned to the cloud.
     Leaving,
 }
 
-/// One machine as the leader sees it.
+/// Machine as known to the leader.
 #[derive(Debug, Clone)]
 pub struct Machine {
     pub id: MachineId,
@@ -219,50 +217,49 @@
     pub spot: bool,
     pub size: Resources,
     pub addr: Option<SocketAddr>,
-    /// Where its worker was, and in which session, by what the previous leader told.
+    /// Address and session of its worker according to the previous leader.
     pub last_known_worker: Option<(SocketAddr, u64)>,
     pub standing: Standing,
     pub session: u64,
-    /// The newest report in this session, and the newest message of any kind.
+    /// Newest report in this session, and newest message of any kind.
     pub report_seq: u64,
     pub content_seq: u64,
-    /// The token for this worker. Raised to shut out a direct command whose
-    /// fate is unclear.
+    /// Token for this worker, raised to fence off a direct command whose outcome is unclear.
     pub token: u64,
-    /// A direct command is under way.
+    /// Whether a direct command is in flight.
     pub direct: bool,
-    /// No direct command before this time.
+    /// Earliest time of the next direct command.
     pub direct_retry: Duration,
-    /// A session whose lease is over: reports from it came late.
+    /// Latest session whose lease has expired; reports from it are late.
     pub dead_session: u64,
-    /// The worker has been seen to know this leader's token.
+    /// Whether the worker has been seen to know this leader's token.
     pub fenced: bool,
-    /// Its place in the stored assignment index.
+    /// Entry in the stored assignment index.
     pub assignment: AssignmentEntry,
-    /// May hold tasks that a previous leader started.
+    /// Whether it may hold tasks that a previous leader started.
     pub unresolved: bool,
     pub answered_at: Option<Duration>,
     pub heard_at: Option<Duration>,
-    /// It was asked since it was heard last, and did not answer.
+    /// Whether a command sent since it was last heard got no answer.
     pub commands_unanswered: bool,
     pub first_seen: Duration,
     pub idle_since: Duration,
     pub notice_at: Option<Duration>,
     pub tasks: BTreeMap<AttemptKey, Placement>,
-    /// Images in the machine's cache, as far as seen, with their last use.
+    /// Images known to be in the machine's cache, with the time of their last use.
     pub images: BTreeMap<Arc<str>, Duration>,
-    /// What those are worth to services, see `value_images`.
+    /// Value of those images to services, see `value_images`.
     pub image_value: f64,
-    /// Recent failures of tasks here, one entry a job.
+    /// Recent task failures on this machine, one entry per job.
     pub failures: Vec<(JobId, Duration)>,
-    /// When the cloud's list last showed it.
+    /// Time at which the cloud's list last contained it.
     pub listed_at: Option<Duration>,
     pub listed_failed: bool,
 }
 
-/// What the cloud rents as one kind: machines that are alike in type, zone and price model.
+/// Machines that the cloud rents as one kind, being alike in type, zone and price model.
 ///
-/// Between nodes it is spoken as a list of three.
+/// Serialized between nodes as a list of three.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(
     from = "(Arc<str>, Arc<str>, bool)",
@@ -341,7 +338,7 @@
         }
     }
 
-    /// What is left beside everything that holds its place here.
+    /// Returns the resources that no placement holds.
     pub fn free(&self) -> Resources {
         self.tasks
             .values()
@@ -353,7 +350,7 @@
         self.tasks.values().any(|p| !p.exited())
     }
 
-    /// A start that may go out, or a stop, waits to be sent.
+    /// Returns whether a stop, or a start that may be sent, has not been sent yet.
     pub fn urgent(&self) -> bool {
         self.tasks
             .iter()
@@ -364,7 +361,7 @@
             })
     }
 
-    /// A start waits for its job to be listed in the assignment index.
+    /// Returns whether a start waits for its job to be listed in the assignment index.
     pub fn unlisted(&self) -> bool {
         self.tasks.iter().any(|((task, _), p)| {
             p.phase == Phase::Decided
@@ -377,7 +374,7 @@
         self.images.contains_key(image)
     }
 
-    /// The image is being fetched for a task here.
+    /// Returns whether the image is being fetched for a task on this machine.
     pub fn fetches(&self, image: &str) -> bool {
         self.tasks
             .values()
