--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -1,4 +1,4 @@
-//! A whole fleet at one node: no fixed limit turns machines away.
+//! A whole fleet on one node: no fixed limit rejects machines.
 
 mod node_settings;
 mod worker_reports;
@@ -22,9 +22,9 @@
 };
 use serde_json::value::{RawValue, to_raw_value};
 
-/// Machines, and the sockets of a node that can serve them.
+/// Numbers of machines, and sockets of a node that can serve them.
 const FLEETS: [(usize, usize); 2] = [(4000, 700), (6000, 7000)];
-/// The claim of the other node that leads.
+/// Claim of the other node, which leads.
 const CLAIM: u64 = 9;
 
 fn settings(sockets: usize) -> Settings {
@@ -56,7 +56,7 @@
     to_raw_value(&record).expect("a record")
 }
 
-/// A node that has read that `n1` leads, and its watch.
+/// Returns a node that has read that `n1` leads, and its watch.
 fn follower(sockets: usize) -> (Node, CallId) {
     let config = Config::new(&settings(sockets), Options::default());
     let mut node = Node::new(config);
@@ -81,7 +81,7 @@
     worker_reports::report_of(&format!("vm-{machine:06}"), token, tasks)
 }
 
-/// Each machine's report, a request for each machine's number.
+/// Reports from each machine, with the machine's number as request id.
 fn reports(node: &mut Node, ms: u64, machines: usize, token: u64) -> Vec<Output> {
     let report_of = |machine| Input::Report {
         request: machine as RequestId,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Those whose time is up are answered, and the others wait on.
+/// Reports whose time is up are answered while the others keep waiting.
 #[test]
 fn held_reports_are_answered_in_their_time() {
     let (machines, sockets) = FLEETS[0];
@@ -147,7 +147,7 @@
     }
 }
 
-/// What the held reports take in memory stays bounded, however few list the tasks.
+/// The memory of held reports stays bounded even if few of them list many tasks.
 #[test]
 fn the_tasks_of_held_reports_are_bounded() {
     const TASKS: usize = 500;
@@ -181,10 +181,10 @@
     for (machines, sockets) in FLEETS {
         let (mut node, _) = follower(sockets);
         hears_leader(&mut node, 3);
-        // Sent to the leader once, they come back.
+        // Redirected to the leader once, they come back.
         let outputs = reports(&mut node, 4, machines, 0);
         assert_eq!(answers(&outputs).len(), machines);
-        // Answered a while ago, none is urgent.
+        // Their last answer is recent, so none is urgent.
         let outputs = reports(&mut node, 5, machines, 0);
         assert!(answers(&outputs).is_empty(), "{machines} machines");
         let relayed = outputs.iter().filter_map(|output| match output {
@@ -219,15 +219,15 @@
     }
 }
 
-/// A node that leads, and a state service that commits whatever it is asked for, but for
-/// the list of zones that are apart, which waits.
+/// Leading node with a state service that commits every write except for the list of partitioned
+/// zones, which stays pending.
 struct LeadingNode {
     node: Node,
     now: u64,
     live: Vec<Entry>,
     revision: u64,
     events: Vec<Event>,
-    /// The write of that list, while it waits.
+    /// Pending write of that list.
     apart: Option<CallId>,
 }
 
@@ -350,7 +350,7 @@
     }
 }
 
-/// What one value of the state service holds may be drained at a time.
+/// The number of machines drained at a time is limited only by the size of one stored value.
 #[test]
 fn a_drain_is_refused_for_its_bytes_alone() {
     let objection = |machines: usize, value_kb: f64, names: &str| {
@@ -361,7 +361,7 @@
             machines: (0..machines).map(|i| format!("{names}{i}")).collect(),
             by: Some(Duration::from_secs(60)),
         };
-        // Whoever led before may act for a while yet.
+        // A previous leader may still act for a while.
         for _ in 0..3_000 {
             leading.run(Input::Tick);
         }
@@ -371,7 +371,7 @@
             ref other => panic!("{other:?}"),
         }
     };
-    // As many as fit get as far as that there are none of that name.
+    // Requests that fit get as far as the check for the machine's name.
     assert_eq!(objection(250, 16.0, "vm-"), "no machine vm-0");
     assert_eq!(objection(1000, 64.0, "vm-"), "no machine vm-0");
     for (machines, value_kb) in [(1000, 16.0), (4000, 16.0), (4000, 512.0)] {
@@ -380,7 +380,7 @@
     }
 }
 
-/// Each line of an answer has 64 KiB at most, however many machines are named.
+/// Each line of an answer is limited to 64 KiB, however many machines are named.
 #[test]
 fn drains_are_answered_a_machine_a_line() {
     let view = |number: usize| kiteyard::core::maintenance::MachineView {
@@ -405,7 +405,7 @@
     }
 }
 
-/// Users' questions are not turned away before their connections are.
+/// Users' status requests are not rejected before their connections are.
 #[test]
 fn as_many_questions_wait_as_requests_are_taken() {
     for (machines, sockets) in FLEETS {
@@ -426,7 +426,7 @@
     }
 }
 
-/// The next leader is told where every worker of the fleet is, in a line that is read.
+/// The next leader is told the location of every worker of the fleet, in a line within its limit.
 #[test]
 fn hints_name_every_machine_of_a_fleet() {
     const LINE_MOST: usize = 4 << 20;
--- a/tests/result_parts.rs
+++ b/tests/result_parts.rs
@@ -11,7 +11,7 @@
 
 const TASKS: u32 = 2 * CHUNK + 5_000;
 
-/// What a version that knows of no parts makes of the keys' names and values.
+/// Reads the stored keys and values like a version without support for parts.
 fn read_as_numbers(stored: &BTreeMap<String, String>) -> TaskSet {
     let mut set = TaskSet::default();
     for (name, text) in stored {
@@ -21,7 +21,7 @@
     set
 }
 
-/// What a failover reads.
+/// Reads the stored keys and values like a failover.
 fn read(stored: &BTreeMap<String, String>) -> Results {
     let mut results = Results::default();
     for (name, text) in stored {
@@ -32,7 +32,7 @@
     results
 }
 
-/// Tasks are done in any order; the limit falls on the way and the leader changes.
+/// Tasks finish in any order while the value limit is lowered and the leader changes.
 #[test]
 fn parts_of_chunks_are_read_whole_by_both_versions() {
     for (seed, before) in [(1, 16 * 1024), (2, 2048), (3, 1500)] {
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -1,4 +1,4 @@
-//! A leader with machines whose workers say what a test wants them to.
+//! Leader with machines whose workers report what a test specifies.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -31,7 +31,7 @@
   }
 }"#;
 
-/// A leader with machines whose workers say what the test wants them to.
+/// Leader with machines whose workers report what a test specifies.
 pub struct Cluster {
     pub cluster: ClusterState,
     pub now: Duration,
@@ -53,7 +53,7 @@
         Self::with_values_of(16.0, cpus, assignment_index, resolve_by)
     }
 
-    /// The same where values may have so many KiB.
+    /// Creates a cluster whose values may have the given number of KiB.
     pub fn with_values_of(
         value_kb: f64,
         cpus: f64,
@@ -62,7 +62,7 @@
     ) -> Self {
         let limit = format!(r#""value_kb": {value_kb:.2}"#);
         let settings = SETTINGS.replace(r#""value_kb": 16.0"#, &limit);
-        let settings = Settings::parse(&settings).expect("good settings");
+        let settings = Settings::parse(&settings).expect("valid settings");
         let config = Config::new(&settings, Options::default());
         let types = vec![MachineType {
             name: Arc::from("m"),
@@ -106,7 +106,7 @@
         commands
     }
 
-    /// A report of a worker whose highest token is the given one.
+    /// Returns a report of a worker whose highest token is the given one.
     pub fn report_under(&mut self, name: &str, session: u64, token: u64) -> WorkerReport {
         self.seq += 1;
         self.now += Duration::from_millis(10);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Starts what was decided, as the workers would.
+    /// Starts the decided tasks, as the workers would.
     pub fn starts(&mut self) {
         let machines = self.cluster.machines.values_mut();
         for machine in machines {
@@ -155,7 +155,7 @@
         id
     }
 
-    /// A task that runs there already.
+    /// Reports a task that already runs on the machine.
     pub fn runs(&mut self, name: &str, job: &JobId, index: u32) {
         self.attempts += 1;
         let task = ReportedTask {
@@ -170,7 +170,7 @@
         self.report(name);
     }
 
-    /// A task that runs there ends.
+    /// Ends a running task and reports its exit.
     pub fn ends(&mut self, name: &str, job: &JobId, why: ExitReason) {
         let tasks = self.running.get_mut(name).expect("a machine");
         for task in tasks.iter_mut().filter(|t| t.task.job == *job) {
--- a/tests/unreadable.rs
+++ b/tests/unreadable.rs
@@ -1,4 +1,4 @@
-//! What a node does with records that it can't read: each was once taken for absent.
+//! Behaviour of a node with unreadable records, which must not be treated as absent.
 
 mod node_settings;
 
@@ -15,7 +15,7 @@
 };
 use serde_json::value::RawValue;
 
-/// A form of some later build.
+/// Record in the form of a later build.
 const NEWER: &str = r#"{"form":9}"#;
 const TYPE: &str = r#"[{"name":"m","size":{"cpus":8.0,"gpus":0.0,"memory_gb":64.0},"cache_gb":5.0,
   "fetch_gb_per_s":1.0,"price":1.0,"spot_price":0.4,"boot_s":30.0,"zones":["a"]}]"#;
@@ -32,11 +32,11 @@
     }
 }
 
-/// A node, and a state service that answers whatever it is asked from a few keys.
+/// Node with a state service that answers from a few fixed keys.
 struct Bench {
     node: Node,
     now: u64,
-    /// Keys outside of those that are watched.
+    /// Keys that are not watched.
     others: Vec<Entry>,
     answers: Vec<(u64, Answer)>,
     claims: usize,
@@ -155,7 +155,7 @@
     assert_eq!(bench.status("run-000001"), Answer::NotFound);
 }
 
-/// Taken for absent, a leader key would have been claimed over, and a job forgotten.
+/// Treated as absent, a leader key would be overwritten by a claim, and a job would be forgotten.
 #[test]
 fn a_watched_key_that_cannot_be_read_keeps_the_node_from_leading() {
     let keys = [
@@ -173,11 +173,11 @@
         assert_eq!(bench.claims, 0, "{key}");
         assert!(!bench.ready(), "{key}");
     }
-    // Of a job that can't be read nothing is said, of others what is known.
+    // The status of an unreadable job is withheld; other jobs are answered.
     let mut bench = Bench::new(vec![entry("live/job/run-000001", NEWER)], Vec::new());
     assert!(is_later(&bench.status("run-000001")));
     assert_eq!(bench.status("run-000002"), Answer::NotFound);
-    // Where the forms themselves are not known, nothing at all.
+    // If the generation is unreadable, no status is answered.
     let mut bench = Bench::new(vec![entry(GENERATION, NEWER)], Vec::new());
     assert!(is_later(&bench.status("run-000002")));
     let later = r#"{"from":8,"to":9,"stage":"migrating"}"#;
@@ -213,7 +213,8 @@
     }
 }
 
-/// A shard taken for no machines let tasks start that ran there.
+/// If an unreadable shard were treated as empty, tasks that run on its machines would be started
+/// twice.
 #[test]
 fn a_take_over_stops_at_a_record_that_cannot_be_read() {
     let assignment_index = format!("{ASSIGNMENTS}0");
