--- a/src/core/active_job.rs
+++ b/src/core/active_job.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Slot {
     Waiting,
-    On(MachineId),
+    Placed(MachineId),
     Done,
 }
 
@@ -59,7 +59,7 @@
     pub(super) locality_wait_since: Option<Duration>,
     /// Whether the last attempt of this gang was incomplete and its remaining tasks still fetch
     /// images.
-    pub(super) gathers: bool,
+    pub(super) fetches_between_attempts: bool,
     /// Machines nominated for waiting tasks, one entry per task.
     pub nominations: Vec<MachineId>,
 }
@@ -102,7 +102,7 @@
             probes: 0,
             retry_at: Duration::ZERO,
             locality_wait_since: None,
-            gathers: false,
+            fetches_between_attempts: false,
             nominations: Vec::new(),
             spec,
         }
@@ -132,7 +132,7 @@
         None
     }
 
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.spec.kind != Kind::Service && self.done_count == self.spec.tasks
     }
 }
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -31,12 +31,12 @@
     /// Marks machines whose worker's lease has expired as lost, with their tasks; returns their
     /// number.
     fn end_leases(&mut self, now: Duration) -> usize {
-        let proven = self.proven;
+        let claim_proven_at = self.claim_proven_at;
         let lost: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| holds_lease(m))
-            .filter(|m| self.lease_end(m).is_some_and(|at| proven > at))
+            .filter(|m| has_current_session(m))
+            .filter(|m| self.lease_end(m).is_some_and(|at| claim_proven_at > at))
             .map(|m| m.id.clone())
             .collect();
         for id in &lost {
@@ -61,9 +61,9 @@
 
     /// Marks unresponsive machines as empty once all leases that they may have are over.
     fn resolve_empty_machines(&mut self) {
-        let proven = self.proven;
+        let claim_proven_at = self.claim_proven_at;
         let unresolved = self.machines.values().filter(|m| m.unresolved);
-        let empty = unresolved.filter(|m| proven > self.resolved_by(m));
+        let empty = unresolved.filter(|m| claim_proven_at > self.presumed_empty_at(m));
         let empty: Vec<MachineId> = empty.map(|m| m.id.clone()).collect();
         if empty.is_empty() {
             return;
@@ -81,9 +81,11 @@
 
     /// Returns the time by which a silent machine with unknown tasks is empty: if this leader
     /// answered it, one lease after that answer.
-    fn resolved_by(&self, machine: &Machine) -> Duration {
+    fn presumed_empty_at(&self, machine: &Machine) -> Duration {
         let zone = self.zone_lease_ends.get(&machine.zone).copied();
-        let unmet = zone.map_or(self.resolve_by, |over| over.min(self.resolve_by));
+        let unmet = zone.map_or(self.previous_leases_end, |over| {
+            over.min(self.previous_leases_end)
+        });
         self.lease_end(machine).unwrap_or(unmet)
     }
 
@@ -94,22 +96,22 @@
         let over = machine.answered_at? + self.config.worker_lease_bound;
         Some(match machine.fenced {
             true => over,
-            false => over.max(self.resolve_by),
+            false => over.max(self.previous_leases_end),
         })
     }
 
     /// Returns whether a lease would end if the claim were known to be still valid.
-    pub fn needs_proof(&self, now: Duration) -> bool {
-        let over = |end: Duration| now > end && self.proven <= end;
+    pub fn needs_claim_proof(&self, now: Duration) -> bool {
+        let over = |end: Duration| now > end && self.claim_proven_at <= end;
         self.machines.values().any(|m| {
-            let lost = holds_lease(m) && self.lease_end(m).is_some_and(over);
-            lost || (m.unresolved && over(self.resolved_by(m)))
+            let lost = has_current_session(m) && self.lease_end(m).is_some_and(over);
+            lost || (m.unresolved && over(self.presumed_empty_at(m)))
         })
     }
 }
 
 /// Returns whether the worker has a current session, whose lease may end.
-fn holds_lease(machine: &Machine) -> bool {
+fn has_current_session(machine: &Machine) -> bool {
     matches!(machine.standing, Standing::Up | Standing::Leaving)
         && machine.session > machine.dead_session
 }
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -62,11 +62,11 @@
     /// Machines being rented and returned.
     pub(super) provisioning: Provisioning,
     /// Time until which an unresponsive machine may hold tasks that a previous leader started.
-    pub(super) resolve_by: Duration,
+    pub(super) previous_leases_end: Duration,
     /// Latest time at which the claim is known to have been valid.
-    pub proven: Duration,
+    pub claim_proven_at: Duration,
     /// Last attempt number given to a start, see `next_attempt`.
-    attempts: u64,
+    last_attempt: u64,
     /// Earliest time of the next scheduling pass.
     pub(super) next_pass: Duration,
     /// Earliest time of the next round of periodic work.
@@ -88,18 +88,18 @@
     /// Reachability of zones by their silent machines, and the zones to be probed.
     pub reachability: Reachability,
     /// Ledger of voluntary disruptions.
-    pub(super) ledger: Ledger,
+    pub(super) disruption_ledger: Ledger,
     /// Drains that operators requested, and their progress by machine.
     pub(super) drains: Drains,
     pub(super) draining: BTreeMap<MachineId, Progress>,
     /// Reason why draining is paused, as set by the node and as last logged.
     pub(super) drains_pause: Option<Waits>,
-    pub(super) drains_paused: Option<Waits>,
+    pub(super) logged_drains_pause: Option<Waits>,
     /// Time of this leader's failover, and the state of its reconciliation.
     pub(super) leading_since: Duration,
     pub(super) reconciler: Reconciler,
     /// Zones whose machines must not be sent starts.
-    pub(super) withheld: BTreeSet<Arc<str>>,
+    pub(super) start_blocked_zones: BTreeSet<Arc<str>>,
     /// Ends of the leases that a previous leader left unanswered, by zone.
     zone_lease_ends: BTreeMap<Arc<str>, Duration>,
     pub(super) zones_to_probe: BTreeSet<Arc<str>>,
@@ -114,7 +114,7 @@
     /// Handover data of machines that have not reported yet.
     pub(super) pending_handover: HandoverSnapshot,
     /// Keys of stored results of finished jobs, to be deleted.
-    pub(super) garbage: Vec<String>,
+    pub(super) obsolete_keys: Vec<String>,
 }
 
 /// Contents of the state service as read by a failover.
@@ -126,7 +126,7 @@
     /// Shards of the assignment index, each with its number and revision.
     pub assignment_index: Vec<(u32, ShardRecord, u64)>,
     /// Time by which every lease renewed by a previous leader has expired.
-    pub resolve_by: Duration,
+    pub previous_leases_end: Duration,
     /// The same time for zones that have not been answered for a while.
     pub zone_lease_ends: BTreeMap<Arc<str>, Duration>,
 }
@@ -173,10 +173,17 @@
             jobs,
             progress,
             assignment_index,
-            resolve_by,
+            previous_leases_end,
             zone_lease_ends,
         } = found;
-        let mut cluster = Self::empty(config, claim, types, resolve_by, zone_lease_ends, now);
+        let mut cluster = Self::empty(
+            config,
+            claim,
+            types,
+            previous_leases_end,
+            zone_lease_ends,
+            now,
+        );
         cluster.licence_ledger = cluster.new_ledger(now);
         for (shard, record, version) in assignment_index {
             cluster.load_shard(shard, &record, version, now);
@@ -196,7 +203,7 @@
         config: Arc<Config>,
         claim: u64,
         types: Arc<Vec<MachineType>>,
-        resolve_by: Duration,
+        previous_leases_end: Duration,
         zone_lease_ends: BTreeMap<Arc<str>, Duration>,
         now: Duration,
     ) -> Self {
@@ -207,18 +214,18 @@
             machines: BTreeMap::new(),
             queue: Queue::default(),
             provisioning: Provisioning::new(format!("{}-{claim}", config.node)),
-            resolve_by,
+            previous_leases_end,
             zone_lease_ends,
-            withheld: BTreeSet::new(),
-            ledger: Ledger::new(config.budgets()),
+            start_blocked_zones: BTreeSet::new(),
+            disruption_ledger: Ledger::new(config.budgets()),
             drains: Drains::default(),
             draining: BTreeMap::new(),
             drains_pause: None,
-            drains_paused: None,
+            logged_drains_pause: None,
             leading_since: now,
             reconciler: Reconciler::new(&config, now),
-            proven: Duration::ZERO,
-            attempts: claim << 24,
+            claim_proven_at: Duration::ZERO,
+            last_attempt: claim << 24,
             next_pass: Duration::ZERO,
             next_round: Duration::ZERO,
             next_retry: None,
@@ -235,7 +242,7 @@
             arrivals: Arrivals::default(),
             closed_priority: None,
             pending_handover: HandoverSnapshot::default(),
-            garbage: Vec::new(),
+            obsolete_keys: Vec::new(),
             types,
             config,
         }
@@ -256,7 +263,7 @@
         }
     }
 
-    fn machine(
+    fn new_machine(
         &self,
         id: MachineId,
         machine_type: Arc<str>,
@@ -286,7 +293,7 @@
     ) -> &mut Machine {
         if !self.machines.contains_key(id) {
             let mut machine =
-                self.machine(id.clone(), machine_type.clone(), zone.clone(), spot, now);
+                self.new_machine(id.clone(), machine_type.clone(), zone.clone(), spot, now);
             self.restore_machine(&mut machine);
             self.machines.insert(id.clone(), machine);
         }
@@ -295,8 +302,8 @@
 
     /// Returns an attempt number that no other start of any leader has.
     pub fn next_attempt(&mut self) -> u64 {
-        self.attempts += 1;
-        self.attempts
+        self.last_attempt += 1;
+        self.last_attempt
     }
 
     /// Adds an active job with its stored results, unless it is already present.
@@ -334,12 +341,12 @@
     /// Schedules the stored results of a job for deletion.
     fn discard_results(&mut self, id: &JobId, saved: &Results) {
         for chunk in saved.chunks() {
-            self.garbage.push(progress_key(id, chunk));
+            self.obsolete_keys.push(progress_key(id, chunk));
         }
     }
 
     /// Removes a returned machine together with its tasks.
-    pub fn machine_gone(&mut self, id: &MachineId, now: Duration) {
+    pub fn remove_machine(&mut self, id: &MachineId, now: Duration) {
         self.end_session(id, now);
         if let Some(machine) = self.machines.remove(id) {
             self.returned_machines.push(id.clone());
@@ -359,7 +366,7 @@
     }
 
     /// Returns whether any machine may hold unknown tasks.
-    pub fn unresolved(&self) -> bool {
+    pub fn has_unresolved_machines(&self) -> bool {
         self.machines.values().any(|m| m.unresolved)
     }
 
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -21,7 +21,7 @@
             return;
         };
         let slot = &mut job.slots[task.index as usize];
-        if matches!(slot, Slot::On(machine) if machine == id) {
+        if matches!(slot, Slot::Placed(machine) if machine == id) {
             *slot = Slot::Waiting;
             job.placed -= 1;
             job.waiting.push(task.index);
@@ -33,7 +33,7 @@
     }
 
     /// Marks a task done; for a gang, all of its tasks.
-    pub(super) fn finish(&mut self, task: &TaskId, now: Duration) {
+    pub(super) fn finish_task(&mut self, task: &TaskId, now: Duration) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -46,12 +46,12 @@
             _ => task.index..task.index + 1,
         };
         for index in finished {
-            self.finish_index(&task.job, index, now);
+            self.finish_task_index(&task.job, index, now);
         }
     }
 
     /// Marks one task of a job done, and stops its remaining placement.
-    fn finish_index(&mut self, id: &JobId, index: u32, now: Duration) {
+    fn finish_task_index(&mut self, id: &JobId, index: u32, now: Duration) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -62,7 +62,7 @@
         job.done_count += 1;
         job.unsaved_since.get_or_insert(now);
         let slot = std::mem::replace(&mut job.slots[index as usize], Slot::Done);
-        let Slot::On(machine) = slot else {
+        let Slot::Placed(machine) = slot else {
             return;
         };
         job.placed -= 1;
@@ -120,7 +120,7 @@
     /// Places a waiting task on a machine.
     pub fn place(&mut self, id: &MachineId, task: TaskId, attempt: u64, now: Duration) {
         let job = self.jobs.get_mut(&task.job).expect("job of a waiting task");
-        job.slots[task.index as usize] = Slot::On(id.clone());
+        job.slots[task.index as usize] = Slot::Placed(id.clone());
         job.placed += 1;
         // The task needs one nomination fewer: preferably the one of this machine.
         if let Some(at) = job.nominations.iter().position(|m| m == id) {
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -40,8 +40,8 @@
         if new_session {
             machine.begin_session(report.session);
         }
-        machine.heard_from(report, token, now);
-        machine.take_spot_notice(report, now);
+        machine.record_contact(report, token, now);
+        machine.record_spot_notice(report, now);
         if new_session {
             self.end_former_session(&id, now);
         }
@@ -166,7 +166,7 @@
             self.image_seen(id, spec, now);
         }
         if phase == TaskPhase::Waiting {
-            self.has_gathered(id, &key, now);
+            self.stop_after_fetch(id, &key, now);
         }
         self.count_running(&key.0, &placement, before, phase);
         if let TaskPhase::Exited(reason) = phase {
@@ -228,7 +228,7 @@
         let job = self.jobs.get_mut(&key.0.job);
         let spec = job.as_ref().map(|job| job.spec.clone());
         if let (Some(job), true) = (job, ours) {
-            job.slots[key.0.index as usize] = Slot::On(id.clone());
+            job.slots[key.0.index as usize] = Slot::Placed(id.clone());
             job.placed += 1;
         }
         let machine = self.machines.get_mut(id).expect("known machine");
@@ -250,7 +250,7 @@
             },
         );
         if decision == AdoptionDecision::Finish {
-            self.finish(&key.0, now);
+            self.finish_task(&key.0, now);
         }
     }
 
@@ -268,10 +268,10 @@
             if !placement.foreign {
                 self.release_slot(id, task, placement);
             }
-            self.finish(task, now);
+            self.finish_task(task, now);
         } else if !placement.foreign {
             self.release_slot(id, task, placement);
-            self.failed(id, task, reason, now);
+            self.task_failed(id, task, reason, now);
         }
         self.requeue();
     }
@@ -293,7 +293,7 @@
     }
 
     /// Records the contact, and whether the worker knows the leader's token.
-    fn heard_from(&mut self, report: &WorkerReport, token: u64, now: Duration) {
+    fn record_contact(&mut self, report: &WorkerReport, token: u64, now: Duration) {
         self.addr = Some(report.addr);
         self.heard_at = Some(now);
         self.commands_unanswered = false;
@@ -310,7 +310,7 @@
     }
 
     /// Records the first notice that the cloud reclaims the machine.
-    fn take_spot_notice(&mut self, report: &WorkerReport, now: Duration) {
+    fn record_spot_notice(&mut self, report: &WorkerReport, now: Duration) {
         if let Some(notice) = report.notice_s
             && self.notice_at.is_none()
         {
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -194,8 +194,8 @@
     /// Returns all commands for the worker in order: stops come before starts, to free resources.
     pub(super) fn commands(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<Command> {
         let machine = self.machines.get_mut(id).expect("known machine");
-        let withheld =
-            self.withheld.contains(&machine.zone) || self.drains.machines.contains_key(&**id);
+        let starts_blocked = self.start_blocked_zones.contains(&machine.zone)
+            || self.drains.machines.contains_key(&**id);
         let (mut ends, mut starts) = (Vec::new(), Vec::new());
         for ((task, attempt), placement) in &mut machine.tasks {
             let (task, attempt) = (task.clone(), *attempt);
@@ -215,7 +215,7 @@
                 }
                 (Phase::Decided | Phase::Sent { .. }, None)
                     if machine.fenced
-                        && !withheld
+                        && !starts_blocked
                         && machine.assignment.jobs.contains(&task.job) =>
                 {
                     let (last, direct) = match placement.phase {
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -36,7 +36,9 @@
                     return;
                 }
                 self.provisioning.next_consolidation = now + Duration::from_secs(1);
-                if self.unresolved() || self.jobs.values().any(|j| j.waiting_count() > 0) {
+                if self.has_unresolved_machines()
+                    || self.jobs.values().any(|j| j.waiting_count() > 0)
+                {
                     self.provisioning.waited_at = now;
                     return;
                 }
@@ -131,8 +133,8 @@
                 service: Some(service),
                 lost: Duration::ZERO,
             };
-            if self.ledger.ask(now, &ask).is_ok() {
-                self.ledger.take(now, &ask);
+            if self.disruption_ledger.ask(now, &ask).is_ok() {
+                self.disruption_ledger.take(now, &ask);
                 *stops += 1;
                 self.stop(id, &key, self.config.options.grace, now);
             }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -67,7 +67,7 @@
         }
         let jobs = &self.jobs;
         let told = all.iter().map(|(id, s)| (&*jobs[id].spec.team, *s));
-        self.ledger.observe(told);
+        self.disruption_ledger.observe(told);
         all
     }
 
@@ -122,14 +122,14 @@
         let pause = self.drains_pause.or_else(|| {
             let clear =
                 !self.reachability.is_uncertain && self.reachability.partitioned_zones.is_empty();
-            (!clear || self.unresolved()).then_some(Waits::Outlook)
+            (!clear || self.has_unresolved_machines()).then_some(Waits::Outlook)
         });
-        if pause != self.drains_paused {
+        if pause != self.logged_drains_pause {
             match &pause {
                 Some(why) => info!(?why, "maintenance paused"),
                 None => info!("maintenance goes on"),
             }
-            self.drains_paused = pause;
+            self.logged_drains_pause = pause;
         }
         let services = self.observe_services();
         let mut draining = BTreeMap::new();
@@ -143,7 +143,7 @@
             let over = ordered.by_ms.is_some_and(|by| self.wall_ms >= by);
             let (stop, waits) = match pause {
                 Some(why) if left > 0 => (Vec::new(), why),
-                _ => drain::step(now, over, &mut tasks, &mut self.ledger),
+                _ => drain::step(now, over, &mut tasks, &mut self.disruption_ledger),
             };
             let empty = machine.tasks.is_empty() && !machine.unresolved;
             let leaves = empty && matches!(machine.standing, Standing::Up | Standing::Booting);
--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -163,7 +163,7 @@
             jobs: &self.cache.jobs,
             progress: loader.progress.unwrap_or_default(),
             assignment_index: loader.index.unwrap_or_default(),
-            resolve_by: self.election.previous_stopped_at + self.config.worker_lease_bound,
+            previous_leases_end: self.election.previous_stopped_at + self.config.worker_lease_bound,
             zone_lease_ends: self.zone_lease_ends(),
         };
         let mut cluster = ClusterState::new(self.config.clone(), claim, types, found, now);
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -15,14 +15,14 @@
 };
 
 /// Number of machines on which a job has to fail, without any task done, to count as faulty.
-const MACHINES: usize = 3;
+const FAULTY_JOB_MACHINES: usize = 3;
 /// Maximum number of failed machines remembered for one job.
-const MACHINES_MOST: usize = 16;
+const MAX_FAILED_MACHINES: usize = 16;
 /// Interval after which failures are considered unrelated.
-const UNRELATED_AFTER: Duration = Duration::from_secs(60);
+const FAILURE_WINDOW: Duration = Duration::from_secs(60);
 /// Maximum binary exponent of the delay in seconds before a faulty job is retried; the delay
 /// doubles each time.
-const WAIT_MOST: u32 = 6;
+const MAX_RETRY_EXPONENT: u32 = 6;
 
 impl Job {
     /// Returns whether the job fails on every machine, so that its failures say nothing about
@@ -30,35 +30,35 @@
     pub fn faulty(&self) -> bool {
         let serves = self.spec.kind == Kind::Service && self.running > 0;
         let works = serves || self.done_count > 0;
-        !works && (self.inherited_faulty || self.failed_on.len() >= MACHINES)
+        !works && (self.inherited_faulty || self.failed_on.len() >= FAULTY_JOB_MACHINES)
     }
 
     /// Returns whether a faulty job has a task placed already; its tasks are tried one at a time.
-    pub fn tries_enough(&self) -> bool {
+    pub fn has_enough_probes(&self) -> bool {
         self.faulty() && self.placed > 0
     }
 }
 
 impl ClusterState {
     /// Processes the end of a task that is not done.
-    pub(super) fn failed(
+    pub(super) fn task_failed(
         &mut self,
         id: &MachineId,
         task: &TaskId,
-        why: Option<ExitReason>,
+        reason: Option<ExitReason>,
         now: Duration,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if why == Some(ExitReason::Error) {
+        if reason == Some(ExitReason::Error) {
             job.failures += 1;
             // Failures far apart, such as those of long-running replicas, are unrelated.
-            if !job.faulty() && now > job.failed_at + UNRELATED_AFTER {
+            if !job.faulty() && now > job.failed_at + FAILURE_WINDOW {
                 job.failed_on.clear();
             }
             job.failed_at = now;
-            if job.failed_on.len() < MACHINES_MOST {
+            if job.failed_on.len() < MAX_FAILED_MACHINES {
                 job.failed_on.insert(id.clone());
             }
             let failures = job.failures;
@@ -67,12 +67,12 @@
                 // Its owner must cancel it; until then it is retried at increasing intervals.
                 if job.placed == 0 {
                     job.probes += 1;
-                    let wait = Duration::from_secs(1 << job.probes.min(WAIT_MOST));
+                    let wait = Duration::from_secs(1 << job.probes.min(MAX_RETRY_EXPONENT));
                     job.retry_at = now + wait;
                     info!(task = %task, machine = %id, failures, next = ?wait, "job fails on every machine; delaying its next attempt");
                 }
                 job.nominations.clear();
-                self.unmark(&task.job);
+                self.clear_machine_failures(&task.job);
             } else {
                 info!(task = %task, machine = %id, failures, "task failed");
                 let machine = self.machines.get_mut(id).expect("known machine");
@@ -84,14 +84,14 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if matches!(why, Some(ExitReason::Unknown | ExitReason::Busy)) {
+        if matches!(reason, Some(ExitReason::Unknown | ExitReason::Busy)) {
             job.retry_at = now + self.config.report * 2;
         }
         if job.spec.kind == Kind::Gang {
             let id = task.job.clone();
-            debug!(job = %id, ?why, "task of a gang ended before the gang was done");
-            match why {
-                Some(ExitReason::Incomplete) => self.gather_again(&id, now),
+            debug!(job = %id, why = ?reason, "task of a gang ended before the gang was done");
+            match reason {
+                Some(ExitReason::Incomplete) => self.continue_fetching(&id, now),
                 _ => self.break_gang(&id, Duration::ZERO, now),
             }
         }
@@ -100,7 +100,7 @@
     /// Keeps the fetching tasks of a gang that was not complete in time, usually because some tasks
     /// fetched an image that others had. If they were stopped, they would start to fetch anew with
     /// the next attempt and be late again.
-    fn gather_again(&mut self, id: &JobId, now: Duration) {
+    fn continue_fetching(&mut self, id: &JobId, now: Duration) {
         let fetching = |p: &Placement| {
             matches!(
                 p.phase,
@@ -113,18 +113,18 @@
             .flat_map(|m| m.tasks.iter())
             .any(|((task, _), p)| task.job == *id && p.stop.is_none() && fetching(p));
         if let (Some(job), true) = (self.jobs.get_mut(id), fetching) {
-            job.gathers = true;
+            job.fetches_between_attempts = true;
         } else {
             self.break_gang(id, Duration::ZERO, now);
         }
     }
 
     /// Stops a task of an incomplete gang once it has the image.
-    pub(super) fn has_gathered(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
+    pub(super) fn stop_after_fetch(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
         let Some(job) = self.jobs.get(&key.0.job) else {
             return;
         };
-        if !job.gathers || job.placed >= job.spec.tasks {
+        if !job.fetches_between_attempts || job.placed >= job.spec.tasks {
             return;
         }
         if let Some(placement) = self.machines.get_mut(id).and_then(|m| m.tasks.get_mut(key)) {
@@ -134,7 +134,7 @@
 
     /// Removes the failures that a job recorded on machines before it was found to be faulty. Two
     /// such jobs could otherwise make healthy machines look faulty and cause their return.
-    fn unmark(&mut self, id: &JobId) {
+    fn clear_machine_failures(&mut self, id: &JobId) {
         for machine in self.machines.values_mut() {
             machine.failures.retain(|(job, _)| job != id);
         }
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -133,7 +133,7 @@
                 let Some(spec) = placement.spec.as_ref() else {
                     continue;
                 };
-                let none = cluster.ledger.most_down(&spec.team, spec.tasks) == 0;
+                let none = cluster.disruption_ledger.most_down(&spec.team, spec.tasks) == 0;
                 if spec.kind == Kind::Service && none {
                     let (team, id) = (&spec.team, &spec.id);
                     return Some(format!(
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -198,7 +198,9 @@
 
     /// There are machines whose tasks it does not know yet.
     pub fn unresolved(&self) -> bool {
-        self.cluster.as_ref().is_some_and(ClusterState::unresolved)
+        self.cluster
+            .as_ref()
+            .is_some_and(ClusterState::has_unresolved_machines)
     }
 
     /// Until then what a step has decided as the leader may go out.
@@ -294,9 +296,9 @@
     fn plan_leader_round(&mut self, proven: Duration) -> Option<RoundWork> {
         let now = self.now();
         let cluster = self.cluster.as_mut()?;
-        cluster.proven = proven;
+        cluster.claim_proven_at = proven;
         cluster.tick(now);
-        let needs_proof = cluster.needs_proof(now);
+        let needs_proof = cluster.needs_claim_proof(now);
         run_due_pass(cluster, now);
         Some(RoundWork {
             needs_proof,
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -221,12 +221,12 @@
         let Some(cluster) = &mut self.cluster else {
             return;
         };
-        if !listed.is_empty() || !unsure.is_empty() || !cluster.withheld.is_empty() {
+        if !listed.is_empty() || !unsure.is_empty() || !cluster.start_blocked_zones.is_empty() {
             let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unsure).cloned().collect();
             // The machines of a zone that was reopened have not changed: none of their
             // reports would bring the waiting jobs back to the heap.
-            if withheld != cluster.withheld {
-                cluster.withheld = withheld;
+            if withheld != cluster.start_blocked_zones {
+                cluster.start_blocked_zones = withheld;
                 cluster.requeue();
             }
         }
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -259,7 +259,7 @@
                     self.provisioning.releasing.remove(id);
                     if matches!(reply, CloudReply::Released) {
                         // All that was on it is gone by the time of the answer.
-                        self.machine_gone(id, now);
+                        self.remove_machine(id, now);
                         self.provisioning.returned.insert(id.clone(), now);
                     }
                 }
@@ -286,7 +286,7 @@
                 let listing = self.provisioning.listing.take().unwrap_or_default();
                 self.provisioning.list_read = Some(self.provisioning.list_asked);
                 self.compare_list(&listing, now);
-                self.reconcile_list(now);
+                self.record_complete_list(now);
             }
             (CloudRequest::Types, CloudReply::Types(types)) => self.types = Arc::new(types),
             _ => {}
@@ -358,7 +358,7 @@
     /// Which machines are to go: those that never came up, failed, stay silent,
     /// fail many jobs, or have nothing to do.
     fn plan_scale_in(&mut self, now: Duration) {
-        let unresolved = self.unresolved();
+        let unresolved = self.has_unresolved_machines();
         let boot: HashMap<Arc<str>, f64> = self
             .types
             .iter()
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -28,7 +28,7 @@
 pub struct Reconciler {
     reconciliation: Reconciliation,
     /// Number of deferred actions since they were last logged.
-    held: BTreeMap<DeferredAction, u32>,
+    deferred: BTreeMap<DeferredAction, u32>,
     next_log: Duration,
 }
 
@@ -41,7 +41,7 @@
         };
         Self {
             reconciliation: Reconciliation::new(patience, now),
-            held: BTreeMap::new(),
+            deferred: BTreeMap::new(),
             next_log: now,
         }
     }
@@ -66,16 +66,16 @@
             .reconciler
             .reconciliation
             .step(now, Input::Heard(counts));
-        self.apply_reconciliation(outputs);
-        if now >= self.reconciler.next_log && !self.reconciler.held.is_empty() {
-            let held = std::mem::take(&mut self.reconciler.held);
-            let (first, room) = (
-                held.get(&DeferredAction::Preempt),
-                held.get(&DeferredAction::Provision),
+        self.apply_reconciliation_outputs(outputs);
+        if now >= self.reconciler.next_log && !self.reconciler.deferred.is_empty() {
+            let deferred = std::mem::take(&mut self.reconciler.deferred);
+            let (preemption_count, scale_out_count) = (
+                deferred.get(&DeferredAction::Preempt),
+                deferred.get(&DeferredAction::Provision),
             );
             info!(
-                preemptions = first,
-                scale_outs = room,
+                preemptions = preemption_count,
+                scale_outs = scale_out_count,
                 "actions deferred until silent machines report"
             );
             self.reconciler.next_log = now + Duration::from_secs(1);
@@ -89,20 +89,20 @@
         if lost == 0 {
             return;
         }
-        let lives = |m: &&Machine| matches!(m.standing, Standing::Up | Standing::Leaving);
-        if lost > self.machines.values().filter(lives).count() {
+        let is_up = |m: &&Machine| matches!(m.standing, Standing::Up | Standing::Leaving);
+        if lost > self.machines.values().filter(is_up).count() {
             self.next_pass = now + WORKER_RETRY * 6 / 5;
         }
         self.requeue();
     }
 
     /// Records that the cloud's list was read completely.
-    pub(super) fn reconcile_list(&mut self, now: Duration) {
+    pub(super) fn record_complete_list(&mut self, now: Duration) {
         let outputs = self.reconciler.reconciliation.step(now, Input::Listed);
-        self.apply_reconciliation(outputs);
+        self.apply_reconciliation_outputs(outputs);
     }
 
-    fn apply_reconciliation(&mut self, outputs: Vec<Output>) {
+    fn apply_reconciliation_outputs(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Stage {
@@ -123,7 +123,7 @@
     /// then nothing is preempted or rented for it.
     pub(super) fn awaits_capacity(&mut self, spec: &JobSpec, action: DeferredAction) -> bool {
         let reconciliation = &self.reconciler.reconciliation;
-        let comes = reconciliation.is_in_progress()
+        let is_expected = reconciliation.is_in_progress()
             && self.machines.values().any(|m| {
                 is_awaited(m)
                     && reconciliation.is_awaited(&m.zone)
@@ -131,14 +131,14 @@
                     && spec.allows_place(&m.zone, m.spot)
                     && spec.need.fits_in(&m.size)
             });
-        if comes {
-            *self.reconciler.held.entry(action).or_insert(0) += 1;
+        if is_expected {
+            *self.reconciler.deferred.entry(action).or_insert(0) += 1;
         }
-        comes
+        is_expected
     }
 
     /// Returns whether machines rented by a previous leader may still be unknown.
-    pub(super) fn unlisted(&self, now: Duration) -> bool {
+    pub(super) fn may_have_unlisted_machines(&self, now: Duration) -> bool {
         self.reconciler.reconciliation.unlisted(now)
     }
 
@@ -149,7 +149,7 @@
         let known_state = match slot {
             None => KnownState::Unknown,
             Some(Slot::Waiting) => KnownState::Waiting,
-            Some(Slot::On(_)) => KnownState::Elsewhere,
+            Some(Slot::Placed(_)) => KnownState::Elsewhere,
             Some(Slot::Done) => KnownState::Done,
         };
         let reported = match phase {
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -30,7 +30,7 @@
     /// Rents for waiting work that neither running nor booting machines will take soon.
     pub(super) fn plan_scale_out(&mut self, now: Duration) {
         self.provisioning.forget_refusals(now);
-        if self.unlisted(now) || self.starts_rejected() {
+        if self.may_have_unlisted_machines(now) || self.starts_rejected() {
             return;
         }
         if !self.provisioning.may_request() {
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -76,7 +76,7 @@
     pub(super) fn reaches(&self, zone: &str) -> bool {
         !self.reachability.is_uncertain
             && !self.reachability.partitioned_zones.contains(zone)
-            && !self.withheld.contains(zone)
+            && !self.start_blocked_zones.contains(zone)
     }
 
     /// Places what fits, makes room for what does not, and parks the rest.
@@ -239,7 +239,7 @@
         for (_, room) in costs {
             let machine = view.rooms[room].id.clone();
             while self.fits(view, &view.rooms[room], spec, &view.rooms[room].free) {
-                if self.jobs[id].tries_enough() {
+                if self.jobs[id].has_enough_probes() {
                     return;
                 }
                 let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) else {
@@ -270,7 +270,7 @@
             self.fill_machines(view, id, spec, false, now);
         }
         while let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) {
-            if self.over_limit(view, spec, 1, now) || self.jobs[id].tries_enough() {
+            if self.over_limit(view, spec, 1, now) || self.jobs[id].has_enough_probes() {
                 self.drop_spent(view, id, now);
                 return false;
             }
@@ -641,7 +641,8 @@
             .entry(victim.id.clone())
             .or_insert_with(|| (self.standing(&victim.id), 0));
         *count += 1;
-        self.ledger.breach(&victim.team, *standing, *count)
+        self.disruption_ledger
+            .breach(&victim.team, *standing, *count)
     }
 
     fn nominate(
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -39,7 +39,7 @@
         for zones in view.gang_zones(spec) {
             if let Some(rooms) = self.fit_gang(view, spec, &tasks, &zones, now) {
                 let job = self.jobs.get_mut(id).expect("job at hand");
-                job.gathers = false;
+                job.fetches_between_attempts = false;
                 job.nominations.clear();
                 self.refresh_held(view, id);
                 let attempt = self.next_attempt();
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -61,7 +61,9 @@
     /// with the most replicas first.
     pub(super) fn plan_unresponsive_returns(&mut self, now: Duration) -> Vec<MachineId> {
         // One that does not know that it still leads may be the one partitioned.
-        if now > self.proven + self.config.renew_every * 2 || self.reachability.is_uncertain {
+        if now > self.claim_proven_at + self.config.renew_every * 2
+            || self.reachability.is_uncertain
+        {
             return Vec::new();
         }
         let silence = (self.config.report * 2).max(self.config.worker_lease_bound / 3);
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -98,7 +98,7 @@
         limits: &WriteLimits,
     ) -> Option<PreparedWrite> {
         let claim = self.claim;
-        let waits = |job: &Job| !job.saving && !job.complete() && job.saved.unsure().is_none();
+        let waits = |job: &Job| !job.saving && !job.is_complete() && job.saved.unsure().is_none();
         let (id, job) = self
             .jobs
             .iter_mut()
@@ -292,7 +292,7 @@
         let open = cluster
             .jobs
             .iter_mut()
-            .filter(|(_, job)| !job.saving && !job.complete());
+            .filter(|(_, job)| !job.saving && !job.is_complete());
         let mut unsure = open.filter_map(|(id, job)| Some((id, job.saved.unsure()?, job)));
         let Some((id, chunk, job)) = unsure.next() else {
             return false;
@@ -311,7 +311,7 @@
         let packed = self.packs_terminal_states();
         let cluster = self.cluster.as_ref()?;
         let complete = cluster.jobs.iter().filter(|(id, job)| {
-            job.complete() && !job.saving && (!packed || self.ranges.free(&Range::of(id).0, now))
+            job.is_complete() && !job.saving && (!packed || self.ranges.free(&Range::of(id).0, now))
         });
         complete
             .min_by_key(|(id, job)| (job.unsaved_since, *id))
@@ -353,7 +353,7 @@
             let range = Range::of(&first).0;
             let jobs = &self.cluster.as_ref()?.jobs;
             let also = jobs.iter().filter(|(id, job)| {
-                job.complete() && !job.saving && **id != first && Range::of(id).0 == range
+                job.is_complete() && !job.saving && **id != first && Range::of(id).0 == range
             });
             ids.extend(also.map(|(id, _)| id.clone()).take(most.saturating_sub(2)));
         }
@@ -425,9 +425,11 @@
             ));
         }
         // Removing what is left over waits until there is plenty of room.
-        if !cluster.garbage.is_empty() && self.write_queue.allowance > self.write_queue.rate / 2.0 {
-            let count = cluster.garbage.len().min(most / 4);
-            let keys: Vec<String> = cluster.garbage.drain(..count).collect();
+        if !cluster.obsolete_keys.is_empty()
+            && self.write_queue.allowance > self.write_queue.rate / 2.0
+        {
+            let count = cluster.obsolete_keys.len().min(most / 4);
+            let keys: Vec<String> = cluster.obsolete_keys.drain(..count).collect();
             let changes = keys.iter().cloned().map(delete).collect();
             return Some((QueuedWrite::Collect { claim, keys }, Vec::new(), changes));
         }
@@ -513,13 +515,13 @@
                     }
                 }
                 if committed {
-                    cluster.garbage.extend(keys);
+                    cluster.obsolete_keys.extend(keys);
                 }
             }
             QueuedWrite::ReadRange { .. } => {}
             QueuedWrite::Collect { keys, .. } => {
                 if !committed {
-                    cluster.garbage.extend(keys);
+                    cluster.obsolete_keys.extend(keys);
                 }
             }
         }
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -48,9 +48,9 @@
     pub fn after_a_take_over(
         cpus: f64,
         assignment_index: Vec<(u32, ShardRecord, u64)>,
-        resolve_by: Duration,
+        previous_leases_end: Duration,
     ) -> Self {
-        Self::with_values_of(16.0, cpus, assignment_index, resolve_by)
+        Self::with_values_of(16.0, cpus, assignment_index, previous_leases_end)
     }
 
     /// Creates a cluster whose values may have the given number of KiB.
@@ -58,7 +58,7 @@
         value_kb: f64,
         cpus: f64,
         assignment_index: Vec<(u32, ShardRecord, u64)>,
-        resolve_by: Duration,
+        previous_leases_end: Duration,
     ) -> Self {
         let limit = format!(r#""value_kb": {value_kb:.2}"#);
         let settings = SETTINGS.replace(r#""value_kb": 16.0"#, &limit);
@@ -78,7 +78,7 @@
             jobs: &BTreeMap::new(),
             progress: BTreeMap::new(),
             assignment_index,
-            resolve_by,
+            previous_leases_end,
             zone_lease_ends: BTreeMap::new(),
         };
         let now = Duration::from_secs(100);
@@ -189,7 +189,7 @@
     pub fn on(&self, job: &JobId) -> Vec<String> {
         let slots = &self.cluster.jobs[job].slots;
         let on = |slot: &Slot| match slot {
-            Slot::On(machine) => Some(machine.to_string()),
+            Slot::Placed(machine) => Some(machine.to_string()),
             _ => None,
         };
         slots.iter().filter_map(on).collect()
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -436,7 +436,7 @@
         c.on(&job).is_empty(),
         "another leader may have answered vm-1"
     );
-    c.cluster.proven = c.now;
+    c.cluster.claim_proven_at = c.now;
     c.cluster.tick(c.now);
     c.report("vm-2");
     c.pass();
@@ -506,7 +506,7 @@
     c.cluster.report(&late, c.now);
     let starts_by = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
-        c.cluster.proven = c.now;
+        c.cluster.claim_proven_at = c.now;
         c.machine("vm-2");
         c.cluster.tick(c.now);
         c.pass();
@@ -580,7 +580,7 @@
                 }
             }
             c.now = at;
-            c.cluster.proven = c.now;
+            c.cluster.claim_proven_at = c.now;
             c.cluster.reachability = detector.reachability();
             c.cluster.tick(c.now);
             for direct in c.cluster.direct_commands(c.now) {
@@ -982,7 +982,7 @@
         .direct_reply(&direct, DirectReply::Executed(report), c.now);
     let standing = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
-        c.cluster.proven = c.now;
+        c.cluster.claim_proven_at = c.now;
         c.cluster.tick(c.now);
         c.cluster.machines["vm-1"].standing
     };
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -66,7 +66,7 @@
     let mut released = Vec::new();
     for _ in 0..seconds * 4 {
         c.now += Duration::from_millis(250);
-        c.cluster.proven = c.now;
+        c.cluster.claim_proven_at = c.now;
         c.cluster.tick(c.now);
         match c.cluster.cloud_work(c.now) {
             Some(list @ CloudRequest::List { .. }) => {
@@ -159,7 +159,7 @@
     // What is due now is a list.
     let lists = (0..40).any(|_| {
         c.now += Duration::from_millis(250);
-        c.cluster.proven = c.now;
+        c.cluster.claim_proven_at = c.now;
         c.cluster.tick(c.now);
         let Some(request) = c.cluster.cloud_work(c.now) else {
             return false;
