--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -14,7 +14,7 @@
 use super::{
     cluster::{ClusterState, Counts},
     job::Priority,
-    machine::{Machine, Phase, Standing, TaskPhase},
+    machine::{Machine, MachineState, Phase, TaskPhase},
 };
 
 /// Starts that were confirmed, over the last one to two spans of time.
@@ -106,7 +106,7 @@
             return;
         }
         self.next_log = now + Duration::from_secs(5);
-        let standing = |m: &&Machine| m.standing == Standing::Up;
+        let standing = |m: &&Machine| m.state == MachineState::Up;
         let up = self.machines.values().filter(standing).count();
         let booting = self.machines.len() - up;
         let waiting: u32 = self.jobs.values().map(|j| j.waiting_count()).sum();
@@ -151,7 +151,7 @@
         let mut used = [[0.0; 2]; 3];
         let (mut idle, mut all) = ([0; 2], [0; 2]);
         for machine in self.machines.values() {
-            if machine.standing != Standing::Up {
+            if machine.state != MachineState::Up {
                 continue;
             }
             let spot = usize::from(machine.spot);
@@ -177,7 +177,7 @@
         let span = self.start_rate.span;
         let mut late = [0; Priority::ALL.len()];
         for machine in self.machines.values() {
-            if machine.standing != Standing::Up {
+            if machine.state != MachineState::Up {
                 continue;
             }
             for p in machine.tasks.values() {
--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -18,7 +18,7 @@
 use super::{
     cluster::ClusterState,
     job::JobId,
-    machine::{Machine, MachineId, Standing},
+    machine::{Machine, MachineId, MachineState},
     store::{Change, Condition, StateReply, delete, encoded_len, put, shard_key, when},
 };
 
@@ -435,7 +435,7 @@
     /// Returns whether starts wait because the state service rejects the write that lists them;
     /// renting more machines would not help.
     pub(super) fn starts_rejected(&self) -> bool {
-        self.assignment_index.rejected && self.machines.values().any(Machine::unlisted)
+        self.assignment_index.rejected && self.machines.values().any(Machine::has_unlisted_start)
     }
 
     /// Returns the shards to write, the least recently written first.
@@ -449,11 +449,11 @@
             .machines
             .values()
             .filter(|m| match urgent {
-                true => m.standing == Standing::Up && m.fenced && m.unlisted(),
+                true => m.state == MachineState::Up && m.fenced && m.has_unlisted_start(),
                 // These machines get no more tasks, and the next leader need not wait for them.
                 false => {
                     let moves = self.assignment_index.moves(&m.assignment);
-                    let leaves = matches!(m.standing, Standing::Leaving | Standing::Lost)
+                    let leaves = matches!(m.state, MachineState::Leaving | MachineState::Lost)
                         && m.assignment.stored
                         && m.tasks.is_empty()
                         && !m.unresolved;
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -4,7 +4,7 @@
 
 use super::{
     CallId, Node, Output, RequestId, STATE_TIMEOUT,
-    cluster::Direct,
+    cluster::DirectCommands,
     election,
     job::{JobId, JobSpec},
     limits::WriteSize,
@@ -80,7 +80,7 @@
     QueuedWrite(write_queue::QueuedWrite),
     StoreTypes,
     Cloud(CloudRequest),
-    Direct(Direct),
+    Direct(DirectCommands),
 }
 
 /// A call that waits for its answer.
@@ -134,7 +134,7 @@
     }
 
     /// Sends commands straight to a worker.
-    pub(super) fn call_worker(&mut self, direct: Direct) {
+    pub(super) fn call_worker(&mut self, direct: DirectCommands) {
         self.next_call += 1;
         let call = self.next_call;
         self.calls
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -8,7 +8,7 @@
 use tracing::info;
 
 use super::ClusterState;
-use crate::core::machine::{Machine, MachineId, Standing};
+use crate::core::machine::{Machine, MachineId, MachineState};
 
 impl ClusterState {
     /// Processes elapsed time: expired leases, and unresponsive machines proven empty.
@@ -47,12 +47,12 @@
 
     fn lose_machine(&mut self, id: &MachineId, now: Duration) {
         let machine = self.machines.get_mut(id).expect("just listed");
-        machine.dead_session = machine.session;
+        machine.expired_session = machine.session;
         machine.fenced = false;
         // The machine was heard under this claim, so its lease was counted from then.
         machine.unresolved = false;
-        if machine.standing == Standing::Up {
-            machine.standing = Standing::Lost;
+        if machine.state == MachineState::Up {
+            machine.state = MachineState::Lost;
         }
         self.counts.lost += 1;
         info!(machine = %id, tasks = machine.tasks.len(), "worker lease expired; machine lost");
@@ -72,8 +72,8 @@
             info!(machine = %id, "unresponsive machine proven empty");
             let machine = self.machines.get_mut(&id).expect("just listed");
             machine.unresolved = false;
-            if machine.standing == Standing::Booting {
-                machine.standing = Standing::Lost;
+            if machine.state == MachineState::Booting {
+                machine.state = MachineState::Lost;
             }
         }
         self.requeue();
@@ -112,6 +112,6 @@
 
 /// Returns whether the worker has a current session, whose lease may end.
 fn has_current_session(machine: &Machine) -> bool {
-    matches!(machine.standing, Standing::Up | Standing::Leaving)
-        && machine.session > machine.dead_session
+    matches!(machine.state, MachineState::Up | MachineState::Leaving)
+        && machine.session > machine.expired_session
 }
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -133,7 +133,7 @@
 
 /// Commands to be sent directly to one worker.
 #[derive(Debug, Clone)]
-pub struct Direct {
+pub struct DirectCommands {
     pub machine: MachineId,
     /// Address on which the worker listens.
     pub addr: std::net::SocketAddr,
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -141,7 +141,7 @@
                 running_since: None,
                 stop: None,
                 foreign: false,
-                offered: 0,
+                start_sent_seq: 0,
             },
         );
     }
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -13,7 +13,7 @@
 use crate::core::{
     job::TaskId,
     machine::{
-        AttemptKey, Command, ExitReason, Machine, MachineId, Phase, Placement, Standing, Stop,
+        AttemptKey, Command, ExitReason, Machine, MachineId, MachineState, Phase, Placement, Stop,
         TaskPhase, WorkerReport,
     },
 };
@@ -56,7 +56,7 @@
     fn answer(&mut self, id: &MachineId, seq: u64) -> Option<(u64, Vec<Command>)> {
         // While a direct command is in flight no other commands are sent, since the two could be
         // executed in the wrong order.
-        let commands = match self.machines.get(id)?.direct {
+        let commands = match self.machines.get(id)?.direct_in_flight {
             true => Vec::new(),
             false => self.commands(id, Some(seq)),
         };
@@ -161,9 +161,9 @@
             placement.running_since = Some(now);
         }
         let placement = placement.clone();
-        let has_image = phase.on_machine() || matches!(phase, TaskPhase::Exited(ExitReason::Done));
+        let has_image = phase.has_image() || matches!(phase, TaskPhase::Exited(ExitReason::Done));
         if has_image && let Some(spec) = &placement.spec {
-            self.image_seen(id, spec, now);
+            self.record_image(id, spec, now);
         }
         if phase == TaskPhase::Waiting {
             self.stop_after_fetch(id, &key, now);
@@ -238,7 +238,7 @@
             Placement {
                 phase: Phase::Sent {
                     seq: 0,
-                    direct: None,
+                    direct_token: None,
                 },
                 need: spec.as_ref().map_or(machine.size, |spec| spec.need),
                 spec,
@@ -246,7 +246,7 @@
                 running_since: None,
                 stop,
                 foreign: !ours,
-                offered: 0,
+                start_sent_seq: 0,
             },
         );
         if decision == AdoptionDecision::Finish {
@@ -281,7 +281,7 @@
     /// Returns whether a report belongs to an expired session or is older than one already seen: it
     /// was delayed, and nobody waits for its answer.
     fn is_late(&self, report: &WorkerReport) -> bool {
-        report.session <= self.dead_session
+        report.session <= self.expired_session
             || report.session < self.session
             || (report.session == self.session && report.seq <= self.report_seq)
     }
@@ -298,9 +298,9 @@
         self.heard_at = Some(now);
         self.commands_unanswered = false;
         self.answered_at = Some(now);
-        if matches!(self.standing, Standing::Booting | Standing::Lost) {
+        if matches!(self.state, MachineState::Booting | MachineState::Lost) {
             info!(machine = %self.id, kind = %self.machine_type, zone = %self.zone, "machine is up");
-            self.standing = Standing::Up;
+            self.state = MachineState::Up;
             self.idle_since = now;
         }
         // Only a worker that knows this leader's token has answered after the claim: an older
@@ -359,8 +359,8 @@
 fn would_be_listed(placement: &Placement, report: &WorkerReport, regular: bool) -> bool {
     match placement.phase {
         Phase::Decided => false,
-        Phase::Sent { seq, direct } => {
-            regular && report.seq > seq && direct.is_none_or(|token| report.token > token)
+        Phase::Sent { seq, direct_token } => {
+            regular && report.seq > seq && direct_token.is_none_or(|token| report.token > token)
         }
         Phase::Seen(_) => true,
     }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -4,21 +4,22 @@
 
 use super::{
     Answer, Node,
-    cluster::{ClusterState, Direct},
+    cluster::{ClusterState, DirectCommands},
     job::Kind,
     machine::{
-        Command, DirectReply, ExitReason, MachineId, Phase, Standing, Stop, TaskPhase, WorkerReport,
+        Command, DirectReply, ExitReason, MachineId, MachineState, Phase, Stop, TaskPhase,
+        WorkerReport,
     },
 };
 use tracing::debug;
 
 /// Maximum number of machines contacted at a time after a failover.
-const CONTACTED_MOST: usize = 128;
+const MAX_CONTACTS_IN_FLIGHT: usize = 128;
 /// Maximum number of machines of one zone probed at a time.
-const PROBED_PER_ZONE: usize = 4;
+const MAX_PROBES_PER_ZONE: usize = 4;
 
 /// Maximum number of commands in one answer, which keeps it below the protocol's line limit.
-const COMMANDS_MOST: usize = 400;
+const MAX_COMMANDS_PER_ANSWER: usize = 400;
 
 impl Node {
     /// Renews a worker's lease during a failover and stops its tasks of finished jobs: a lease
@@ -28,7 +29,9 @@
         let token = self.election.token()?;
         let over = |job| !self.cache.jobs.contains_key(job) && !self.cache.is_unreadable(job);
         let left = report.tasks.iter().filter(|t| !t.phase.exited());
-        let commands = left.filter(|t| over(&t.task.job)).take(COMMANDS_MOST);
+        let commands = left
+            .filter(|t| over(&t.task.job))
+            .take(MAX_COMMANDS_PER_ANSWER);
         let commands = commands.map(|t| Command::Stop {
             task: t.task.clone(),
             attempt: t.attempt,
@@ -44,25 +47,25 @@
 impl ClusterState {
     /// Returns commands that can't wait for the next report. A worker that does not know this
     /// leader's token yet is sent it at once, and its reply reveals its tasks.
-    pub fn direct_commands(&mut self, now: Duration) -> Vec<Direct> {
+    pub fn direct_commands(&mut self, now: Duration) -> Vec<DirectCommands> {
         let machines_to_probe = self.machines_to_probe(now);
         let machines_to_contact = self.machines_to_contact(now);
         let due: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| !m.direct && now >= m.direct_retry)
-            .filter(|m| matches!(m.standing, Standing::Up | Standing::Leaving))
+            .filter(|m| !m.direct_in_flight && now >= m.direct_retry)
+            .filter(|m| matches!(m.state, MachineState::Up | MachineState::Leaving))
             .filter(|m| {
                 let silence = now.saturating_sub(m.heard_at.unwrap_or_default());
                 let silent = m.heard_at.is_none() || silence > self.config.report * 2;
-                (!silent && (!m.fenced || m.urgent()))
+                (!silent && (!m.fenced || m.has_urgent_command()))
                     || self.should_probe(m, now)
                     || machines_to_probe.contains(&m.id)
             })
             .map(|m| m.id.clone())
             .collect();
         let due = due.into_iter().chain(machines_to_contact);
-        due.filter_map(|id| self.direct(id)).collect()
+        due.filter_map(|id| self.build_direct(id)).collect()
     }
 
     /// Selects machines of each zone without reports, to find out whether they answer.
@@ -70,14 +73,14 @@
         let mut machines_to_probe = BTreeSet::new();
         for zone in &self.zones_to_probe {
             let machines = self.machines.values().filter(|m| m.zone == *zone);
-            let known = machines.filter(|m| m.standing == Standing::Up && m.addr.is_some());
-            let under_way = known.clone().filter(|m| m.direct).count();
-            let idle = known.filter(|m| !m.direct && now >= m.direct_retry);
+            let known = machines.filter(|m| m.state == MachineState::Up && m.addr.is_some());
+            let in_flight = known.clone().filter(|m| m.direct_in_flight).count();
+            let idle = known.filter(|m| !m.direct_in_flight && now >= m.direct_retry);
             // Those heard last are the most likely to answer.
             let mut idle: Vec<_> = idle.map(|m| (Reverse(m.heard_at), &m.id)).collect();
             idle.sort();
-            let more = PROBED_PER_ZONE.saturating_sub(under_way);
-            machines_to_probe.extend(idle.into_iter().take(more).map(|(_, id)| id.clone()));
+            let remaining = MAX_PROBES_PER_ZONE.saturating_sub(in_flight);
+            machines_to_probe.extend(idle.into_iter().take(remaining).map(|(_, id)| id.clone()));
         }
         machines_to_probe
     }
@@ -85,12 +88,12 @@
     /// Returns machines that may hold tasks and have not reported since the failover. They are
     /// contacted at the address known to the previous leader instead of waiting for their reports.
     fn machines_to_contact(&self, now: Duration) -> Vec<MachineId> {
-        let not_heard = self.machines.values().filter(|m| m.session == 0);
-        let not_heard = not_heard.filter(|m| m.unresolved && m.last_known_worker.is_some());
-        let under_way = not_heard.clone().filter(|m| m.direct).count();
-        let idle = not_heard.filter(|m| !m.direct && now >= m.direct_retry);
-        let more = CONTACTED_MOST.saturating_sub(under_way);
-        idle.map(|m| m.id.clone()).take(more).collect()
+        let unheard = self.machines.values().filter(|m| m.session == 0);
+        let unheard = unheard.filter(|m| m.unresolved && m.last_known_worker.is_some());
+        let in_flight = unheard.clone().filter(|m| m.direct_in_flight).count();
+        let idle = unheard.filter(|m| !m.direct_in_flight && now >= m.direct_retry);
+        let remaining = MAX_CONTACTS_IN_FLIGHT.saturating_sub(in_flight);
+        idle.map(|m| m.id.clone()).take(remaining).collect()
     }
 
     /// Records the answer of a contacted machine. It has seen this leader's token, so no start sent
@@ -105,12 +108,12 @@
         machine.addr = Some(report.addr);
         machine.session = report.session;
         machine.answered_at = Some(now);
-        if machine.standing == Standing::Booting {
-            machine.standing = Standing::Up;
+        if machine.state == MachineState::Booting {
+            machine.state = MachineState::Up;
         }
     }
 
-    fn direct(&mut self, id: MachineId) -> Option<Direct> {
+    fn build_direct(&mut self, id: MachineId) -> Option<DirectCommands> {
         let machine = &self.machines[&id];
         let (addr, session) = match machine.addr {
             Some(addr) => (addr, machine.session),
@@ -118,8 +121,8 @@
         };
         let commands = self.commands(&id, None);
         let machine = self.machines.get_mut(&id)?;
-        machine.direct = true;
-        Some(Direct {
+        machine.direct_in_flight = true;
+        Some(DirectCommands {
             addr,
             token: machine.token,
             session,
@@ -128,12 +131,12 @@
         })
     }
 
-    pub fn direct_reply(&mut self, direct: &Direct, reply: DirectReply, now: Duration) {
+    pub fn direct_reply(&mut self, direct: &DirectCommands, reply: DirectReply, now: Duration) {
         let Some(machine) = self.machines.get_mut(&direct.machine) else {
             return;
         };
-        machine.direct = false;
-        let not_heard = machine.session == 0;
+        machine.direct_in_flight = false;
+        let unheard = machine.session == 0;
         let (executed, report) = match reply {
             DirectReply::Executed(report) => (true, report),
             DirectReply::Refused(report) => (false, report),
@@ -150,7 +153,7 @@
         if !executed {
             machine.direct_retry = now + self.config.report;
         }
-        if not_heard {
+        if unheard {
             // The worker has another session or leader, but its current address is known now.
             machine.last_known_worker = Some((report.addr, report.session));
             if !executed || report.session != direct.session {
@@ -165,7 +168,10 @@
             return;
         }
         for placement in machine.tasks.values_mut() {
-            if let Phase::Sent { seq, direct: sent } = &mut placement.phase
+            if let Phase::Sent {
+                seq,
+                direct_token: sent,
+            } = &mut placement.phase
                 && *sent == Some(direct.token)
             {
                 // The command is over: the report lists the tasks that it started.
@@ -196,21 +202,22 @@
         let machine = self.machines.get_mut(id).expect("known machine");
         let starts_blocked = self.start_blocked_zones.contains(&machine.zone)
             || self.drains.machines.contains_key(&**id);
-        let (mut ends, mut starts) = (Vec::new(), Vec::new());
+        let (mut stops_and_forgets, mut starts) = (Vec::new(), Vec::new());
         for ((task, attempt), placement) in &mut machine.tasks {
             let (task, attempt) = (task.clone(), *attempt);
             match (placement.phase, placement.stop) {
-                (Phase::Seen(TaskPhase::Exited(why)), _) => {
+                (Phase::Seen(TaskPhase::Exited(reason)), _) => {
                     // A result must be stored before the worker forgets it.
                     let stored = match self.jobs.get(&task.job) {
-                        Some(job) if why == ExitReason::Done => {
+                        Some(job) if reason == ExitReason::Done => {
                             job.spec.kind == Kind::Service || job.saved.contains(task.index)
                         }
                         _ => true,
                     };
-                    let settled = placement.offered == 0 || placement.offered < machine.report_seq;
-                    if stored && settled {
-                        ends.push(Command::Forget { task, attempt });
+                    let start_acknowledged = placement.start_sent_seq == 0
+                        || placement.start_sent_seq < machine.report_seq;
+                    if stored && start_acknowledged {
+                        stops_and_forgets.push(Command::Forget { task, attempt });
                     }
                 }
                 (Phase::Decided | Phase::Sent { .. }, None)
@@ -218,24 +225,24 @@
                         && !starts_blocked
                         && machine.assignment.jobs.contains(&task.job) =>
                 {
-                    let (last, direct) = match placement.phase {
-                        Phase::Sent { seq, direct } => (seq, direct),
+                    let (last_seq, direct_token) = match placement.phase {
+                        Phase::Sent { seq, direct_token } => (seq, direct_token),
                         _ => (0, None),
                     };
                     if let Some(seq) = seq {
-                        placement.offered = seq;
+                        placement.start_sent_seq = seq;
                     }
                     placement.phase = match seq {
-                        Some(seq) => Phase::Sent { seq, direct },
+                        Some(seq) => Phase::Sent { seq, direct_token },
                         None => Phase::Sent {
-                            seq: last,
-                            direct: Some(machine.token),
+                            seq: last_seq,
+                            direct_token: Some(machine.token),
                         },
                     };
                     starts.push(Command::Start { task, attempt });
                 }
                 (Phase::Seen(_), Some(stop)) => {
-                    ends.push(Command::Stop {
+                    stops_and_forgets.push(Command::Stop {
                         task,
                         attempt,
                         grace: stop.grace,
@@ -245,8 +252,8 @@
                 _ => {}
             }
         }
-        ends.extend(starts);
-        ends.truncate(COMMANDS_MOST);
-        ends
+        stops_and_forgets.extend(starts);
+        stops_and_forgets.truncate(MAX_COMMANDS_PER_ANSWER);
+        stops_and_forgets
     }
 }
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -13,7 +13,7 @@
 use super::{
     cluster::ClusterState,
     job::{JobId, Kind},
-    machine::{AttemptKey, Machine, MachineId, Phase, Standing, TaskPhase},
+    machine::{AttemptKey, Machine, MachineId, MachineState, Phase, TaskPhase},
 };
 
 /// A machine is worth emptying when it is used for less than one part in so many.
@@ -27,7 +27,7 @@
         let draining = self
             .machines
             .values()
-            .find(|m| m.standing == Standing::Leaving && m.busy())
+            .find(|m| m.state == MachineState::Leaving && m.busy())
             .map(|m| m.id.clone());
         let id = match draining {
             Some(id) => id,
@@ -47,7 +47,7 @@
                 };
                 info!(machine = %id, why = "hardly used", "leaving");
                 let machine = self.machines.get_mut(&id).expect("just seen");
-                machine.standing = Standing::Leaving;
+                machine.state = MachineState::Leaving;
                 id
             }
         };
@@ -60,7 +60,7 @@
         let dear = self
             .machines
             .values()
-            .filter(|m| self.usable(m, now) && !m.direct)
+            .filter(|m| self.usable(m, now) && !m.direct_in_flight)
             // What comes next may need it: it is kept as long as an idle one.
             .filter(|m| now > self.provisioning.waited_at + self.idle_time(&m.machine_type))
             .filter(|m| {
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -11,7 +11,7 @@
 use super::{
     cluster::{ClusterState, Job},
     job::{JobId, JobSpec, Kind, Resources},
-    machine::Standing,
+    machine::MachineState,
 };
 
 /// A finite job as far as its order is concerned. Times in seconds from now.
@@ -158,7 +158,7 @@
     pub(super) fn batch_capacity(&self) -> Resources {
         let mut sum = Resources::default();
         let up = self.machines.values();
-        for machine in up.filter(|m| m.standing == Standing::Up && m.notice_at.is_none()) {
+        for machine in up.filter(|m| m.state == MachineState::Up && m.notice_at.is_none()) {
             sum = sum.plus(&machine.size);
             let others = machine
                 .tasks
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -13,7 +13,7 @@
 use super::{
     cluster::ClusterState,
     job::{JobId, Kind},
-    machine::{AttemptKey, MachineId, Phase, Placement, Standing, TaskPhase},
+    machine::{AttemptKey, MachineId, MachineState, Phase, Placement, TaskPhase},
 };
 
 pub const DRAINS: Feature = Feature {
@@ -146,11 +146,11 @@
                 _ => drain::step(now, over, &mut tasks, &mut self.disruption_ledger),
             };
             let empty = machine.tasks.is_empty() && !machine.unresolved;
-            let leaves = empty && matches!(machine.standing, Standing::Up | Standing::Booting);
+            let leaves = empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
             if leaves && pause.is_none() {
                 info!(machine = %id, why = "drained", "leaving");
                 let machine = self.machines.get_mut(&id).expect("just seen");
-                machine.standing = Standing::Leaving;
+                machine.state = MachineState::Leaving;
             }
             for key in stop {
                 info!(task = %key.0, machine = %id, "moved");
--- a/src/core/image_locality.rs
+++ b/src/core/image_locality.rs
@@ -32,7 +32,7 @@
     /// The job takes rooms with its image before any other.
     pub(super) fn prefers_image_locality(&self, job: &Job, now: Duration) -> bool {
         let spec = &job.spec;
-        let patience = Duration::from_secs_f64(self.fetch_alone(spec).min(3600.0));
+        let patience = Duration::from_secs_f64(self.uncontended_fetch_secs(spec).min(3600.0));
         spec.kind == Kind::Array
             && job.nominations.is_empty()
             && job
--- a/src/core/images.rs
+++ b/src/core/images.rs
@@ -10,12 +10,12 @@
 
 /// Fetch time in seconds at which a cached image has the value 1 in placement costs, and maximum
 /// value of all images of a machine.
-const LONG_FETCH: f64 = 20.0;
-const IMAGES_MOST: f64 = 4.0;
+const UNIT_VALUE_FETCH_SECS: f64 = 20.0;
+const MAX_IMAGE_VALUE: f64 = 4.0;
 
 impl ClusterState {
     /// Records that the machine has the image of a task that was seen there.
-    pub(super) fn image_seen(&mut self, id: &MachineId, spec: &JobSpec, now: Duration) {
+    pub(super) fn record_image(&mut self, id: &MachineId, spec: &JobSpec, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -35,14 +35,14 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let room = self
+        let capacity_gb = self
             .types
             .iter()
             .find(|t| t.name == machine.machine_type)
             .map_or(0.0, |t| t.cache_gb);
         let size = |image: &Arc<str>| sizes.get(image).copied().unwrap_or(1.0);
-        let mut held: f64 = machine.images.keys().map(size).sum();
-        while held > room {
+        let mut used_gb: f64 = machine.images.keys().map(size).sum();
+        while used_gb > capacity_gb {
             let oldest = machine
                 .images
                 .iter()
@@ -50,7 +50,7 @@
                 .min_by_key(|(_, used)| **used)
                 .map(|(image, _)| image.clone());
             let Some(oldest) = oldest else { break };
-            held -= size(&oldest);
+            used_gb -= size(&oldest);
             machine.images.remove(&oldest);
         }
     }
@@ -58,46 +58,50 @@
     /// Updates the value of each machine's cached images to services. A service whose image is on
     /// no other free machine waits for a fetch in proportion to its size, usually because an array
     /// that could have run anywhere was placed there first.
-    pub fn value_images(&mut self) {
+    pub fn update_image_values(&mut self) {
         let services = self.jobs.values().map(|job| &job.spec);
-        let wanted: HashMap<Arc<str>, Arc<JobSpec>> = services
+        let services_by_image: HashMap<Arc<str>, Arc<JobSpec>> = services
             .filter(|spec| spec.kind == Kind::Service)
             .map(|spec| (spec.image.clone(), spec.clone()))
             .collect();
         for machine in self.machines.values_mut() {
-            let rate = rate(&self.types, &machine.machine_type);
-            let services = machine.images.keys().filter_map(|image| wanted.get(image));
+            let rate = fetch_rate(&self.types, &machine.machine_type);
+            let services = machine
+                .images
+                .keys()
+                .filter_map(|image| services_by_image.get(image));
             // A machine with room for more than one task of this size is not blocked by another
             // task.
             let blocked = services.filter(|spec| spec.need.times_in(&machine.size) == 1);
-            let worth = |spec: &Arc<JobSpec>| (spec.image_gb / rate / LONG_FETCH).powi(2);
-            machine.image_value = blocked.map(worth).sum::<f64>().min(IMAGES_MOST);
+            let value =
+                |spec: &Arc<JobSpec>| (spec.image_gb / rate / UNIT_VALUE_FETCH_SECS).powi(2);
+            machine.image_value = blocked.map(value).sum::<f64>().min(MAX_IMAGE_VALUE);
         }
     }
 
     /// Returns the estimated time in seconds to fetch the image on a machine that fetches nothing
     /// else.
-    pub(super) fn fetch_alone(&self, spec: &JobSpec) -> f64 {
+    pub(super) fn uncontended_fetch_secs(&self, spec: &JobSpec) -> f64 {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
         let rate = types.map(|t| t.fetch_gb_per_s).fold(0.01, f64::max);
         spec.image_gb / rate
     }
 
     /// Returns the estimated time in seconds until the machine has the image.
-    pub(super) fn fetch_time(&self, machine: &Machine, spec: &JobSpec) -> f64 {
+    pub(super) fn estimated_fetch_secs(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         if machine.has_image(&spec.image) {
             return 0.0;
         }
-        let alone = spec.image_gb / rate(&self.types, &machine.machine_type);
-        if machine.fetches(&spec.image) {
+        let alone = spec.image_gb / fetch_rate(&self.types, &machine.machine_type);
+        if machine.is_fetching(&spec.image) {
             return alone * 0.5;
         }
-        alone * (1.0 + machine.fetching() as f64 * 0.5)
+        alone * (1.0 + machine.fetch_count() as f64 * 0.5)
     }
 }
 
 /// Returns the fetch rate of this machine type in gigabytes per second.
-fn rate(types: &[MachineType], machine_type: &str) -> f64 {
+fn fetch_rate(types: &[MachineType], machine_type: &str) -> f64 {
     let known = types.iter().find(|t| &*t.name == machine_type);
     known.map_or(0.1, |t| t.fetch_gb_per_s.max(0.01))
 }
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns whether the task has its image.
-    pub fn on_machine(self) -> bool {
+    pub fn has_image(self) -> bool {
         matches!(
             self,
             TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Saving
@@ -138,8 +138,8 @@
     Decided,
     /// Sent with the answer to the report numbered `seq`. A worker has one report in flight and
     /// drops late answers, so the next report shows the result. A start sent directly under the
-    /// token `direct` may be executed late, until the worker has seen a higher token.
-    Sent { seq: u64, direct: Option<u64> },
+    /// token `direct_token` may be executed late, until the worker has seen a higher token.
+    Sent { seq: u64, direct_token: Option<u64> },
     /// Seen in a report.
     Seen(TaskPhase),
 }
@@ -161,7 +161,7 @@
     /// Last report whose answer carried the start, or 0 if none did. Until a later report arrives
     /// that answer may be in flight, whatever was seen of the task since, and a start that arrives
     /// after the worker has forgotten the attempt would run it again.
-    pub offered: u64,
+    pub start_sent_seq: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -197,7 +197,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum MachineState {
     /// Rented, but its worker has not reported yet.
     Booting,
     /// Its worker reports.
@@ -219,7 +219,7 @@
     pub addr: Option<SocketAddr>,
     /// Address and session of its worker according to the previous leader.
     pub last_known_worker: Option<(SocketAddr, u64)>,
-    pub standing: Standing,
+    pub state: MachineState,
     pub session: u64,
     /// Newest report in this session, and newest message of any kind.
     pub report_seq: u64,
@@ -227,11 +227,11 @@
     /// Token for this worker, raised to fence off a direct command whose outcome is unclear.
     pub token: u64,
     /// Whether a direct command is in flight.
-    pub direct: bool,
+    pub direct_in_flight: bool,
     /// Earliest time of the next direct command.
     pub direct_retry: Duration,
     /// Latest session whose lease has expired; reports from it are late.
-    pub dead_session: u64,
+    pub expired_session: u64,
     /// Whether the worker has been seen to know this leader's token.
     pub fenced: bool,
     /// Entry in the stored assignment index.
@@ -248,7 +248,7 @@
     pub tasks: BTreeMap<AttemptKey, Placement>,
     /// Images known to be in the machine's cache, with the time of their last use.
     pub images: BTreeMap<Arc<str>, Duration>,
-    /// Value of those images to services, see `value_images`.
+    /// Value of those images to services, see `update_image_values`.
     pub image_value: f64,
     /// Recent task failures on this machine, one entry per job.
     pub failures: Vec<(JobId, Duration)>,
@@ -312,14 +312,14 @@
             size,
             addr: None,
             last_known_worker: None,
-            standing: Standing::Booting,
+            state: MachineState::Booting,
             session: 0,
             report_seq: 0,
             content_seq: 0,
             token: 0,
-            direct: false,
+            direct_in_flight: false,
             direct_retry: Duration::ZERO,
-            dead_session: 0,
+            expired_session: 0,
             fenced: false,
             assignment: AssignmentEntry::default(),
             unresolved: false,
@@ -343,7 +343,7 @@
         self.tasks
             .values()
             .filter(|p| !p.exited())
-            .fold(self.size, |room, p| room.minus(&p.need))
+            .fold(self.size, |free, p| free.minus(&p.need))
     }
 
     pub fn busy(&self) -> bool {
@@ -351,7 +351,7 @@
     }
 
     /// Returns whether a stop, or a start that may be sent, has not been sent yet.
-    pub fn urgent(&self) -> bool {
+    pub fn has_urgent_command(&self) -> bool {
         self.tasks
             .iter()
             .any(|((task, _), p)| match (p.phase, p.stop) {
@@ -362,7 +362,7 @@
     }
 
     /// Returns whether a start waits for its job to be listed in the assignment index.
-    pub fn unlisted(&self) -> bool {
+    pub fn has_unlisted_start(&self) -> bool {
         self.tasks.iter().any(|((task, _), p)| {
             p.phase == Phase::Decided
                 && p.stop.is_none()
@@ -375,13 +375,13 @@
     }
 
     /// Returns whether the image is being fetched for a task on this machine.
-    pub fn fetches(&self, image: &str) -> bool {
+    pub fn is_fetching(&self, image: &str) -> bool {
         self.tasks
             .values()
             .any(|p| !p.exited() && p.image() == Some(image))
     }
 
-    pub fn fetching(&self) -> usize {
+    pub fn fetch_count(&self) -> usize {
         self.tasks
             .values()
             .filter(|p| {
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    cluster::Direct,
+    cluster::DirectCommands,
     job::{JobId, JobSpec, JobState},
     licences::LicenceView,
     machine::{Command, DirectReply, WorkerReport},
@@ -108,7 +108,7 @@
     /// Commands straight to a worker.
     Direct {
         call: CallId,
-        direct: Direct,
+        direct: DirectCommands,
     },
     Peer {
         to: String,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -55,7 +55,7 @@
 use tracing::warn;
 
 use calls::{Call, Purpose};
-use cluster::{ClusterState, Direct};
+use cluster::{ClusterState, DirectCommands};
 use config::Config;
 use election::Election;
 use heartbeat_forwarding::ForwardedHeartbeats;
@@ -81,7 +81,7 @@
 struct RoundWork {
     /// Something waits for a fresh proof of the claim.
     needs_proof: bool,
-    directs: Vec<Direct>,
+    directs: Vec<DirectCommands>,
     cloud: Option<CloudRequest>,
 }
 
@@ -307,7 +307,7 @@
         })
     }
 
-    fn direct_reply(&mut self, direct: &Direct, reply: DirectReply) {
+    fn direct_reply(&mut self, direct: &DirectCommands, reply: DirectReply) {
         let now = self.now();
         match &reply {
             DirectReply::Executed(report) | DirectReply::Refused(report) => {
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -12,7 +12,9 @@
 use super::{
     cluster::ClusterState,
     job::{JobSpec, Kind},
-    machine::{ListedMachine, ListedState, Machine, MachineId, MachineKind, MachineType, Standing},
+    machine::{
+        ListedMachine, ListedState, Machine, MachineId, MachineKind, MachineState, MachineType,
+    },
 };
 
 #[derive(Debug, Clone)]
@@ -193,7 +195,7 @@
     fn next_cloud_request(&mut self, now: Duration) -> Option<CloudRequest> {
         if now >= self.provisioning.next_plan {
             self.provisioning.next_plan = now + Duration::from_millis(500);
-            self.value_images();
+            self.update_image_values();
             // One that hears nobody can't tell what is needed.
             if !self.reachability.is_uncertain {
                 self.plan_scale_in(now);
@@ -219,7 +221,7 @@
         let leaving: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.standing == Standing::Leaving && m.tasks.is_empty() && !m.unresolved)
+            .filter(|m| m.state == MachineState::Leaving && m.tasks.is_empty() && !m.unresolved)
             // Off the assignment index first: a next leader need not wait for it then.
             .filter(|m| !m.assignment.stored)
             .filter(|m| !self.provisioning.releasing.contains(&m.id))
@@ -369,18 +371,18 @@
             let boot = boot.get(&m.machine_type).copied().unwrap_or(60.0);
             let boot_limit = Duration::from_secs_f64(boot * 4.0 + 30.0);
             let silent = m.heard_at.unwrap_or(m.first_seen);
-            match m.standing {
-                Standing::Leaving => {}
+            match m.state {
+                MachineState::Leaving => {}
                 _ if m.listed_failed && now > silent + self.config.worker_lease_bound => {
                     leave.push((m.id.clone(), "failed"));
                 }
-                Standing::Booting if !m.unresolved && now > m.first_seen + boot_limit => {
+                MachineState::Booting if !m.unresolved && now > m.first_seen + boot_limit => {
                     leave.push((m.id.clone(), "never came up"));
                 }
-                Standing::Lost if now > silent + self.config.worker_lease_bound * 5 => {
+                MachineState::Lost if now > silent + self.config.worker_lease_bound * 5 => {
                     leave.push((m.id.clone(), "unresponsive"));
                 }
-                Standing::Up if m.failures.len() >= 2 => leave.push((m.id.clone(), "faulty")),
+                MachineState::Up if m.failures.len() >= 2 => leave.push((m.id.clone(), "faulty")),
                 _ => {}
             }
         }
@@ -391,7 +393,7 @@
         for (id, why) in leave {
             info!(machine = %id, why, "leaving");
             let machine = self.machines.get_mut(&id).expect("just listed");
-            machine.standing = Standing::Leaving;
+            machine.state = MachineState::Leaving;
             machine.unresolved = false;
         }
     }
@@ -402,7 +404,7 @@
         let mut idle: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.standing == Standing::Up && m.tasks.is_empty())
+            .filter(|m| m.state == MachineState::Up && m.tasks.is_empty())
             .filter(|m| now > m.idle_since + self.idle_time(&m.machine_type))
             .collect();
         idle.sort_by(|a, b| {
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -14,7 +14,7 @@
     config::Config,
     heartbeat::WORKER_RETRY,
     job::{JobSpec, TaskId},
-    machine::{ExitReason, Machine, Standing, TaskPhase},
+    machine::{ExitReason, Machine, MachineState, TaskPhase},
 };
 
 /// Action that is deferred during reconciliation.
@@ -89,7 +89,7 @@
         if lost == 0 {
             return;
         }
-        let is_up = |m: &&Machine| matches!(m.standing, Standing::Up | Standing::Leaving);
+        let is_up = |m: &&Machine| matches!(m.state, MachineState::Up | MachineState::Leaving);
         if lost > self.machines.values().filter(is_up).count() {
             self.next_pass = now + WORKER_RETRY * 6 / 5;
         }
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -15,7 +15,7 @@
     capacity_snapshot::jobs_on_unresolved,
     cluster::{ClusterState, Job},
     job::{JobId, JobSpec, Kind, Resources},
-    machine::{MachineKind, Standing},
+    machine::{MachineKind, MachineState},
     provisioning::ProvisioningRequest,
     reconciliation::DeferredAction,
 };
@@ -69,7 +69,7 @@
         let mut idle = UpcomingCapacity::default();
         for machine in self.machines.values() {
             plan.count_machines(&machine.zone, 1);
-            if machine.standing == Standing::Booting {
+            if machine.state == MachineState::Booting {
                 plan.coming.add(&machine.kind(), machine.size, 1);
             } else if !machine.busy() && self.usable(machine, now) {
                 idle.add(&machine.kind(), machine.size, 1);
@@ -243,7 +243,7 @@
         let aims = self.config.objectives.iter();
         let aims = aims.filter(|o| o.kind == "wait" && *o.class == *spec.class);
         let tightest = aims.map(|o| o.within_s).fold(f64::INFINITY, f64::min);
-        let left = tightest - self.boot_s(spec) - self.fetch_alone(spec);
+        let left = tightest - self.boot_s(spec) - self.uncontended_fetch_secs(spec);
         left.clamp(0.0, SCALE_OUT_HORIZON.as_secs_f64())
     }
 
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -18,7 +18,7 @@
     capacity_snapshot::{MachineCapacity, Snapshot, Unplaceable, Usage, jobs_on_unresolved},
     cluster::ClusterState,
     job::{JobId, JobSpec, Kind, Priority, Resources, TaskId},
-    machine::{Machine, MachineId, Standing},
+    machine::{Machine, MachineId, MachineState},
     reconciliation::DeferredAction,
 };
 
@@ -62,7 +62,7 @@
 
 impl ClusterState {
     pub fn usable(&self, machine: &Machine, now: Duration) -> bool {
-        machine.standing == Standing::Up
+        machine.state == MachineState::Up
             && machine.fenced
             && machine.notice_at.is_none()
             && !self.cordoned(&machine.id)
@@ -225,7 +225,7 @@
             let machine = &self.machines[&room.id];
             // One that failed tasks is the last resort, whatever its cache holds.
             let sound = machine.failures.is_empty() && !failed_on.contains(&room.id);
-            sound && (machine.has_image(&spec.image) || machine.fetches(&spec.image))
+            sound && (machine.has_image(&spec.image) || machine.is_fetching(&spec.image))
         };
         let mut costs: Vec<(f64, usize)> = view
             .may_fit(spec)
@@ -371,7 +371,7 @@
         }
         let job = self.jobs.get(&spec.id)?;
         let machine = &self.machines[&room.id];
-        let mut cost = self.fetch_time(machine, spec);
+        let mut cost = self.estimated_fetch_secs(machine, spec);
         let failures = machine
             .failures
             .iter()
@@ -508,7 +508,9 @@
             return best.breaches == 0 && least > best.highest;
         }
         let machine = &self.machines[&room.id];
-        let by_fetch = self.fetch_time(machine, spec).total_cmp(&best.fetch);
+        let by_fetch = self
+            .estimated_fetch_secs(machine, spec)
+            .total_cmp(&best.fetch);
         by_fetch
             .then_with(|| self.keeping_for(machine, spec).total_cmp(&best.keeping))
             .is_gt()
@@ -582,7 +584,7 @@
             breaches: 0,
             highest: None,
             freed: Resources::default(),
-            fetch: self.fetch_time(machine, spec),
+            fetch: self.estimated_fetch_secs(machine, spec),
             keeping: self.keeping_for(machine, spec),
         };
         for (breaks, priority, _, key, victim) in budgeted {
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -13,7 +13,7 @@
 use super::{
     cluster::ClusterState,
     job::Kind,
-    machine::{Machine, MachineId, Standing},
+    machine::{Machine, MachineId, MachineState},
 };
 
 /// Machines that one request returns at most.
@@ -32,7 +32,7 @@
     }
 
     fn is_unheard(&self, time: Duration, now: Duration) -> bool {
-        self.standing == Standing::Up
+        self.state == MachineState::Up
             && self.fenced
             && self.heard_at.is_some_and(|at| now > at + time)
     }
--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -14,7 +14,7 @@
 use crate::{
     core::{
         CallId, Input,
-        cluster::Direct,
+        cluster::DirectCommands,
         machine::DirectReply,
         provisioning::{CloudReply, CloudRequest},
         store::{StateReply, StateRequest},
@@ -115,7 +115,7 @@
     }
 
     /// Commands straight to a worker.
-    pub fn direct(&self, call: CallId, direct: &Direct) {
+    pub fn direct(&self, call: CallId, direct: &DirectCommands) {
         let body = wire::worker::commands(direct.token, Some(direct.session), &direct.commands);
         let path = "/do".to_owned();
         let (http, body) = (self.http.clone(), Some(body));
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -9,7 +9,7 @@
 use kiteyard::{
     core::{
         Answer, CallId, Clock, Input, Node, Output,
-        cluster::Direct,
+        cluster::DirectCommands,
         config::{Config, Options},
         heartbeat_forwarding::PeerMessage,
         job::JobId,
@@ -383,7 +383,7 @@
             answer: None
         }
     ));
-    let direct = Direct {
+    let direct = DirectCommands {
         machine: Arc::from("vm-1"),
         addr: "127.0.0.1:9".parse().expect("an address"),
         token: 5 << 16,
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -17,7 +17,7 @@
 use kiteyard::core::{
     assignment_index::{AssignmentIndex, ShardRecord},
     job::{JobId, JobRecord, JobSpec, Kind, Priority, TaskId, TaskSet},
-    machine::{Command, ExitReason, ReportedTask, Standing, TaskPhase, WorkerReport},
+    machine::{Command, ExitReason, MachineState, ReportedTask, TaskPhase, WorkerReport},
     provisioning::{CloudReply, CloudRequest},
     results::ChunkPart,
     state_cache::LiveJob,
@@ -740,7 +740,7 @@
     assert_eq!(c.on(&first), ["vm-3"]);
     // Another service may need the image that the first machine has.
     c.job(service(2, "two", 0));
-    c.cluster.value_images();
+    c.cluster.update_image_values();
     let array = c.job(spec(3, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
     assert_eq!(c.on(&array), ["vm-2"]);
@@ -851,7 +851,9 @@
         c.cluster.assignment_index_written(listings, &reply);
         let job = c.job(spec(number, Kind::Array, Priority::Normal, 40, 8.0));
         let machines = c.cluster.machines.values();
-        let listed = machines.filter(|m| !m.unlisted()).map(|m| m.id.clone());
+        let listed = machines
+            .filter(|m| !m.has_unlisted_start())
+            .map(|m| m.id.clone());
         for (index, id) in listed.collect::<Vec<_>>().iter().enumerate() {
             let task = TaskId {
                 job: job.clone(),
@@ -984,11 +986,11 @@
         c.now = Duration::from_secs(at);
         c.cluster.claim_proven_at = c.now;
         c.cluster.tick(c.now);
-        c.cluster.machines["vm-1"].standing
+        c.cluster.machines["vm-1"].state
     };
-    assert_eq!(standing(&mut c, 106), Standing::Up);
-    assert_eq!(standing(&mut c, 113), Standing::Up);
-    assert_eq!(standing(&mut c, 115), Standing::Lost);
+    assert_eq!(standing(&mut c, 106), MachineState::Up);
+    assert_eq!(standing(&mut c, 113), MachineState::Up);
+    assert_eq!(standing(&mut c, 115), MachineState::Lost);
 }
 
 /// A start that went out with a report's answer may still be on its way when the task was
@@ -1014,7 +1016,7 @@
     machine.token += 1;
     let tasks = c.running.get_mut("vm-1").expect("a machine");
     tasks[0].phase = TaskPhase::Exited(ExitReason::Stopped { saved: false });
-    let direct = kiteyard::core::cluster::Direct {
+    let direct = kiteyard::core::cluster::DirectCommands {
         machine: Arc::from("vm-1"),
         addr: "127.0.0.1:9".parse().expect("an address"),
         token: c.cluster.token,
@@ -1039,6 +1041,6 @@
     assert!(!straight.iter().any(|direct| forgets(&direct.commands)));
     // The next report shows that the worker has that answer, or never will.
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
-    machine.direct = false;
+    machine.direct_in_flight = false;
     assert!(forgets(&c.report("vm-1")));
 }
--- a/tests/world/liveness.rs
+++ b/tests/world/liveness.rs
@@ -156,7 +156,7 @@
 
     fn fetching(&self, team: &str) -> f64 {
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
-        let fetching = tasks.filter(|(_, t)| !t.phase.exited() && !t.phase.on_machine());
+        let fetching = tasks.filter(|(_, t)| !t.phase.exited() && !t.phase.has_image());
         let team_of = |task: &TaskId| self.jobs.iter().find(|job| job.spec.id == task.job);
         let of_team = fetching
             .filter(|((task, _), _)| team_of(task).is_some_and(|job| *job.spec.team == *team));
--- a/tests/world/sim/cloud.rs
+++ b/tests/world/sim/cloud.rs
@@ -99,7 +99,7 @@
     pub(crate) fn remove_worker(&mut self, name: &str) {
         if let Some(worker) = self.workers.remove(name) {
             for ((task, _), t) in worker.tasks {
-                if t.phase.on_machine() {
+                if t.phase.has_image() {
                     self.observer.gone(&task, name, false);
                 }
             }
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -5,7 +5,7 @@
 use kiteyard::core::{
     Answer, CallId, Input, Output, RequestId,
     assignment_index::ShardRecord,
-    cluster::Direct,
+    cluster::DirectCommands,
     job::{JobId, JobState, Kind, TaskId},
     machine::{Command, DirectReply, ExitReason, ReportedTask, TaskPhase, WorkerReport},
     store::{ASSIGNMENTS, Entry},
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub enum ToWorker {
     Answer(u64, Answer),
-    Do(usize, u64, CallId, Direct),
+    Do(usize, u64, CallId, DirectCommands),
 }
 
 pub struct WTask {
@@ -56,7 +56,7 @@
 
     /// A task with its image is here.
     pub fn holds(&self) -> bool {
-        self.tasks.values().any(|t| t.phase.on_machine())
+        self.tasks.values().any(|t| t.phase.has_image())
     }
 }
 
@@ -122,7 +122,7 @@
         worker.in_flight = None;
         worker.next_report = now;
         for ((task, _), t) in std::mem::take(&mut worker.tasks) {
-            if t.phase.on_machine() {
+            if t.phase.has_image() {
                 self.observer.gone(&task, name, false);
             }
         }
@@ -144,7 +144,7 @@
                     w.tasks
                         .iter()
                         .filter(|((t, a), x)| {
-                            t.job == key.0.job && *a == key.1 && x.phase.on_machine()
+                            t.job == key.0.job && *a == key.1 && x.phase.has_image()
                         })
                         .count()
                 };
@@ -240,7 +240,7 @@
         let ids: Vec<&JobId> = jobs.iter().map(|job| &self.jobs[*job].spec.id).collect();
         let holds = |worker: &Worker| {
             let mut tasks = worker.tasks.iter();
-            tasks.any(|((task, _), t)| t.phase.on_machine() && ids.contains(&&task.job))
+            tasks.any(|((task, _), t)| t.phase.has_image() && ids.contains(&&task.job))
         };
         let holding = self.workers.iter().filter(|(_, worker)| holds(worker));
         holding.map(|(name, _)| name.clone()).collect()
@@ -481,7 +481,7 @@
                         continue;
                     };
                     let save = Duration::from_secs_f64(spec.save_s);
-                    let had_image = t.phase.on_machine();
+                    let had_image = t.phase.has_image();
                     match t.phase {
                         TaskPhase::Exited(_) => continue,
                         TaskPhase::Running if spec.checkpoint_s > 0.0 && *grace >= save => {
