--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -159,7 +159,7 @@
             idle[spot] += usize::from(!machine.busy());
             for p in machine.tasks.values().filter(|p| !p.exited()) {
                 let kind = p.spec.as_ref().map_or(0, |spec| spec.kind as usize);
-                used[kind][spot] += p.need.share_of(&machine.size);
+                used[kind][spot] += p.need.dominant_share_of(&machine.size);
             }
         }
         let [arrays, gangs, services] = used.map(|[ordinary, _]| ordinary.round());
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -218,7 +218,7 @@
             if !spec.need.fits_in(&free) || !zones.contains(&room.zone) {
                 continue;
             }
-            left = left.saturating_sub(spec.need.times_in(&free));
+            left = left.saturating_sub(spec.need.count_fitting(&free));
             if left == 0 {
                 return true;
             }
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -65,7 +65,7 @@
             .filter(|m| now > self.provisioning.waited_at + self.idle_time(&m.machine_type))
             .filter(|m| {
                 let used = m.size.minus(&m.free());
-                m.busy() && used.share_of(&m.size) * USED_ONE_IN <= 1.0
+                m.busy() && used.dominant_share_of(&m.size) * USED_ONE_IN <= 1.0
             })
             .filter(|m| {
                 m.tasks.values().filter(|p| !p.exited()).all(|p| {
@@ -97,7 +97,7 @@
                 // Within its zone a replica breaks no rule of where the others are.
                 (m.zone == machine.zone || !(spec.one_zone || spec.spread))
                     && spec.allows_type(&m.machine_type)
-                    && spec.allows_place(&m.zone, m.spot)
+                    && spec.allows_placement(&m.zone, m.spot)
                     && m.has_image(&spec.image)
                     && spec.need.fits_in(free)
             });
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -112,7 +112,7 @@
         dues.retain(|due| *due >= run);
         Some(Entry {
             id: id.clone(),
-            work: spec.need.share_of(finite).min(SHARE_MOST)
+            work: spec.need.dominant_share_of(finite).min(SHARE_MOST)
                 * run
                 * f64::from(spec.tasks - job.done_count),
             least: run,
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -203,7 +203,7 @@
         others.any(|m| {
             self.usable(m, now)
                 && spec.allows_type(&m.machine_type)
-                && spec.allows_place(&m.zone, m.spot)
+                && spec.allows_placement(&m.zone, m.spot)
                 && spec.need.fits_in(&m.free())
         })
     }
--- a/src/core/images.rs
+++ b/src/core/images.rs
@@ -72,7 +72,7 @@
                 .filter_map(|image| services_by_image.get(image));
             // A machine with room for more than one task of this size is not blocked by another
             // task.
-            let blocked = services.filter(|spec| spec.need.times_in(&machine.size) == 1);
+            let blocked = services.filter(|spec| spec.need.count_fitting(&machine.size) == 1);
             let value =
                 |spec: &Arc<JobSpec>| (spec.image_gb / rate / UNIT_VALUE_FETCH_SECS).powi(2);
             machine.image_value = blocked.map(value).sum::<f64>().min(MAX_IMAGE_VALUE);
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -18,25 +18,25 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct JobId {
-    lead: u64,
+    leading_digits: u64,
     text: Arc<str>,
 }
 
 const JOB_PREFIX: &str = "run-";
-/// Number of digits kept in `lead`.
-const LEAD: usize = 8;
+/// Number of digits kept in `leading_digits`.
+const LEADING_DIGITS: usize = 8;
 
 impl JobId {
     /// Parses an id, accepting only the agreed form, so that an id can be part of a key or a path.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(JOB_PREFIX)?.as_bytes();
         let fits = (1..=40).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
-        let mut lead = [0; LEAD];
-        for (to, digit) in lead.iter_mut().zip(digits) {
+        let mut leading_digits = [0; LEADING_DIGITS];
+        for (to, digit) in leading_digits.iter_mut().zip(digits) {
             *to = *digit;
         }
         fits.then(|| Self {
-            lead: u64::from_be_bytes(lead),
+            leading_digits: u64::from_be_bytes(leading_digits),
             text: Arc::from(text),
         })
     }
@@ -45,19 +45,19 @@
         &self.text
     }
 
-    /// Returns whether `lead` holds all digits.
-    fn short(&self) -> bool {
-        self.text.len() <= JOB_PREFIX.len() + LEAD
+    /// Returns whether `leading_digits` holds all digits.
+    fn is_short(&self) -> bool {
+        self.text.len() <= JOB_PREFIX.len() + LEADING_DIGITS
     }
 }
 
 impl Ord for JobId {
     /// Compares the texts, so that keys in the state service have the same order.
     fn cmp(&self, other: &Self) -> Ordering {
-        let lead = self.lead.cmp(&other.lead);
-        match self.short() && other.short() {
-            true => lead,
-            false => lead.then_with(|| self.text.cmp(&other.text)),
+        let leading_digits = self.leading_digits.cmp(&other.leading_digits);
+        match self.is_short() && other.is_short() {
+            true => leading_digits,
+            false => leading_digits.then_with(|| self.text.cmp(&other.text)),
         }
     }
 }
@@ -78,7 +78,7 @@
 
 impl Hash for JobId {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.lead.hash(state);
+        self.leading_digits.hash(state);
     }
 }
 
@@ -140,7 +140,7 @@
     pub const ALL: [Self; 4] = [Self::Low, Self::Normal, Self::High, Self::Production];
 
     /// Returns the next lower priority.
-    pub fn below(self) -> Option<Self> {
+    pub fn next_lower(self) -> Option<Self> {
         Self::ALL.get((self as usize).checked_sub(1)?).copied()
     }
 }
@@ -165,58 +165,58 @@
 }
 
 /// Tolerance of comparisons, since sums of decimal amounts are rounded.
-const SLACK: f64 = 1e-6;
+const TOLERANCE: f64 = 1e-6;
 
 impl Resources {
     pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + SLACK
-            && self.gpus <= room.gpus + SLACK
-            && self.memory_gb <= room.memory_gb + SLACK
+        self.cpus <= room.cpus + TOLERANCE
+            && self.gpus <= room.gpus + TOLERANCE
+            && self.memory_gb <= room.memory_gb + TOLERANCE
     }
 
     pub fn plus(&self, other: &Resources) -> Resources {
-        self.plus_times(other, 1.0)
+        self.plus_scaled(other, 1.0)
     }
 
     pub fn minus(&self, other: &Resources) -> Resources {
-        self.plus_times(other, -1.0)
+        self.plus_scaled(other, -1.0)
     }
 
-    pub fn plus_times(&self, other: &Resources, times: f64) -> Resources {
+    pub fn plus_scaled(&self, other: &Resources, factor: f64) -> Resources {
         Resources {
-            cpus: self.cpus + other.cpus * times,
-            gpus: self.gpus + other.gpus * times,
-            memory_gb: self.memory_gb + other.memory_gb * times,
+            cpus: self.cpus + other.cpus * factor,
+            gpus: self.gpus + other.gpus * factor,
+            memory_gb: self.memory_gb + other.memory_gb * factor,
         }
     }
 
     /// Returns the number of tasks of this size that fit into `room`.
-    pub fn times_in(&self, room: &Resources) -> u32 {
-        let part = |need: f64, have: f64| {
+    pub fn count_fitting(&self, room: &Resources) -> u32 {
+        let ratio = |need: f64, have: f64| {
             if need <= 0.0 {
                 f64::INFINITY
             } else {
-                ((have + SLACK) / need).floor().max(0.0)
+                ((have + TOLERANCE) / need).floor().max(0.0)
             }
         };
-        part(self.cpus, room.cpus)
-            .min(part(self.gpus, room.gpus))
-            .min(part(self.memory_gb, room.memory_gb))
+        ratio(self.cpus, room.cpus)
+            .min(ratio(self.gpus, room.gpus))
+            .min(ratio(self.memory_gb, room.memory_gb))
             .min(1e6) as u32
     }
 
     /// Returns the largest share that this takes of any one resource of `whole`, its dominant share
     /// (Ghodsi and others, "Dominant Resource Fairness", 2011). For a resource that `whole` lacks,
     /// the share is infinite unless none of it is needed.
-    pub fn share_of(&self, whole: &Resources) -> f64 {
-        let part = |need: f64, have: f64| match (need <= SLACK, have <= SLACK) {
+    pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
+        let ratio = |need: f64, have: f64| match (need <= TOLERANCE, have <= TOLERANCE) {
             (true, _) => 0.0,
             (false, true) => f64::INFINITY,
             (false, false) => need / have,
         };
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.memory_gb, whole.memory_gb))
+        ratio(self.cpus, whole.cpus)
+            .max(ratio(self.gpus, whole.gpus))
+            .max(ratio(self.memory_gb, whole.memory_gb))
     }
 }
 
@@ -262,7 +262,7 @@
             .is_none_or(|types| types.iter().any(|t| t == name))
     }
 
-    pub fn allows_place(&self, zone: &str, spot: bool) -> bool {
+    pub fn allows_placement(&self, zone: &str, spot: bool) -> bool {
         (self.spot || !spot) && self.zone.as_ref().is_none_or(|z| z == zone)
     }
 
@@ -315,7 +315,7 @@
 }
 
 /// Number of tasks in one stored chunk.
-pub const CHUNK: u32 = 16_384;
+pub const TASKS_PER_CHUNK: u32 = 16_384;
 
 impl TaskSet {
     pub fn contains(&self, index: u32) -> bool {
@@ -342,9 +342,9 @@
 
     /// Returns the chunks that contain any task.
     pub fn chunks(&self) -> Vec<u32> {
-        let per = CHUNK as usize / 64;
+        let words_per_chunk = TASKS_PER_CHUNK as usize / 64;
         self.words
-            .chunks(per)
+            .chunks(words_per_chunk)
             .enumerate()
             .filter(|(_, words)| words.iter().any(|w| *w != 0))
             .map(|(chunk, _)| chunk as u32)
@@ -352,37 +352,37 @@
     }
 
     /// Returns the chunks in which this set has tasks that an earlier one lacks.
-    pub fn chunks_beyond(&self, earlier: &TaskSet) -> Vec<u32> {
-        let mut more = self.clone();
-        for (word, had) in more.words.iter_mut().zip(&earlier.words) {
-            *word &= !had;
+    pub fn chunks_added_since(&self, earlier: &TaskSet) -> Vec<u32> {
+        let mut added = self.clone();
+        for (word, earlier_word) in added.words.iter_mut().zip(&earlier.words) {
+            *word &= !earlier_word;
         }
-        more.chunks()
+        added.chunks()
     }
 
     /// Returns whether this set has tasks in these words that an earlier one lacks.
-    pub fn is_beyond(&self, earlier: &TaskSet, range: &Range<usize>) -> bool {
-        let had = |at: usize| earlier.words.get(at).copied().unwrap_or(0);
+    pub fn has_added_since(&self, earlier: &TaskSet, range: &Range<usize>) -> bool {
+        let earlier_word = |at: usize| earlier.words.get(at).copied().unwrap_or(0);
         let words = self.words.iter().enumerate().take(range.end);
         let mut words = words.skip(range.start);
-        words.any(|(at, word)| word & !had(at) != 0)
+        words.any(|(at, word)| word & !earlier_word(at) != 0)
     }
 
     /// Adds the tasks that another set has in these words.
-    pub fn include(&mut self, other: &TaskSet, range: Range<usize>) {
-        let most = range.end.min(other.words.len());
-        if self.words.len() < most {
-            self.words.resize(most, 0);
+    pub fn merge_words(&mut self, other: &TaskSet, range: Range<usize>) {
+        let end = range.end.min(other.words.len());
+        if self.words.len() < end {
+            self.words.resize(end, 0);
         }
-        for at in range.start..most {
+        for at in range.start..end {
             self.words[at] |= other.words[at];
         }
     }
 
     /// Returns the range of words of a chunk.
     pub fn chunk_words(chunk: u32) -> Range<usize> {
-        let per = CHUNK as usize / 64;
-        chunk as usize * per..(chunk as usize + 1) * per
+        let words_per_chunk = TASKS_PER_CHUNK as usize / 64;
+        chunk as usize * words_per_chunk..(chunk as usize + 1) * words_per_chunk
     }
 
     /// Encodes a chunk as text: one hexadecimal number per 64 tasks.
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -106,7 +106,7 @@
                 };
                 let hidden = job
                     .unplaced_count()
-                    .min(job.spec.need.times_in(&machine.size));
+                    .min(job.spec.need.count_fitting(&machine.size));
                 for (licence, seats) in times(&job.spec.licences, hidden) {
                     *maybe.entry(licence).or_insert(0) += seats;
                 }
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -413,9 +413,9 @@
             dearer.then(a.image_value.total_cmp(&b.image_value))
         });
         let holds = |spec: &JobSpec, m: &Machine| {
-            let may = spec.allows_type(&m.machine_type) && spec.allows_place(&m.zone, m.spot);
+            let may = spec.allows_type(&m.machine_type) && spec.allows_placement(&m.zone, m.spot);
             if may {
-                spec.need.times_in(&m.free())
+                spec.need.count_fitting(&m.free())
             } else {
                 0
             }
@@ -458,7 +458,7 @@
             let entry = by_class
                 .entry(job.spec.class.clone())
                 .or_insert_with(|| job.spec.clone());
-            if job.spec.need.share_of(&entry.need) > 1.0 {
+            if job.spec.need.dominant_share_of(&entry.need) > 1.0 {
                 *entry = job.spec.clone();
             }
         }
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -128,7 +128,7 @@
                 is_awaited(m)
                     && reconciliation.is_awaited(&m.zone)
                     && spec.allows_type(&m.machine_type)
-                    && spec.allows_place(&m.zone, m.spot)
+                    && spec.allows_placement(&m.zone, m.spot)
                     && spec.need.fits_in(&m.size)
             });
         if is_expected {
--- a/src/core/results.rs
+++ b/src/core/results.rs
@@ -15,7 +15,7 @@
     ops::Range,
 };
 
-use super::job::{CHUNK, TaskSet};
+use super::job::{TASKS_PER_CHUNK, TaskSet};
 
 /// Number of 64-task words in one part of a chunk.
 const PART_WORDS: usize = 64;
@@ -34,8 +34,8 @@
     }
 
     /// Returns all parts of a chunk.
-    fn all(chunk: u32) -> impl Iterator<Item = Self> {
-        let parts = CHUNK / 64 / PART_WORDS as u32;
+    fn parts_of(chunk: u32) -> impl Iterator<Item = Self> {
+        let parts = TASKS_PER_CHUNK / 64 / PART_WORDS as u32;
         (0..parts).map(move |part| Self {
             chunk,
             part: Some(part),
@@ -72,22 +72,22 @@
 
 /// Returns the chunks and parts of a set to write, given what is stored: whole chunks that fit into
 /// a value, and the changed parts of larger ones.
-pub fn unsaved(set: &TaskSet, stored: &TaskSet, value_bytes: usize) -> Vec<ChunkPart> {
-    let chunks = set.chunks_beyond(stored).into_iter();
+pub fn unsaved_parts(set: &TaskSet, stored: &TaskSet, value_bytes: usize) -> Vec<ChunkPart> {
+    let chunks = set.chunks_added_since(stored).into_iter();
     let parts = chunks.flat_map(|chunk| {
         let whole = ChunkPart::whole(chunk);
-        if set.encode_chunk(chunk).len() + QUOTES <= value_bytes {
+        if set.encode_chunk(chunk).len() + QUOTE_BYTES <= value_bytes {
             return vec![whole];
         }
-        let parts = ChunkPart::all(chunk);
-        let changed = parts.filter(|part| set.is_beyond(stored, &part.words()));
+        let parts = ChunkPart::parts_of(chunk);
+        let changed = parts.filter(|part| set.has_added_since(stored, &part.words()));
         changed.collect()
     });
     parts.collect()
 }
 
 /// Number of bytes for the quotes around a stored text.
-const QUOTES: usize = 2;
+const QUOTE_BYTES: usize = 2;
 
 #[derive(Debug, Clone, Default)]
 pub struct Results {
@@ -96,7 +96,7 @@
     /// Revisions of the existing keys.
     versions: BTreeMap<ChunkPart, u64>,
     /// Chunks whose last write got no answer or met a conflict.
-    unsure: BTreeSet<ChunkPart>,
+    unverified: BTreeSet<ChunkPart>,
 }
 
 impl From<TaskSet> for Results {
@@ -121,7 +121,7 @@
     pub fn chunks(&self) -> Vec<ChunkPart> {
         let mut chunks: BTreeSet<ChunkPart> = self.versions.keys().copied().collect();
         chunks.extend(self.stored.chunks().into_iter().map(ChunkPart::whole));
-        chunks.extend(&self.unsure);
+        chunks.extend(&self.unverified);
         chunks.into_iter().collect()
     }
 
@@ -134,37 +134,37 @@
     pub fn read(&mut self, chunk: ChunkPart, version: u64, text: &str) -> bool {
         let read = self.stored.decode_chunk(chunk.chunk, text);
         if read {
-            self.known(chunk, version);
+            self.set_version(chunk, version);
         }
         read
     }
 
-    fn known(&mut self, chunk: ChunkPart, version: u64) {
+    fn set_version(&mut self, chunk: ChunkPart, version: u64) {
         self.versions.insert(chunk, version);
-        self.unsure.remove(&chunk);
+        self.unverified.remove(&chunk);
     }
 
     /// Records that the key does not exist.
-    pub fn missing(&mut self, chunk: ChunkPart) {
+    pub fn mark_missing(&mut self, chunk: ChunkPart) {
         self.versions.remove(&chunk);
-        self.unsure.remove(&chunk);
+        self.unverified.remove(&chunk);
     }
 
     /// Records that these chunks of a set were stored.
-    pub fn written(&mut self, set: &TaskSet, chunks: &[ChunkPart], version: u64) {
+    pub fn mark_written(&mut self, set: &TaskSet, chunks: &[ChunkPart], version: u64) {
         for &chunk in chunks {
-            self.stored.include(set, chunk.words());
-            self.known(chunk, version);
+            self.stored.merge_words(set, chunk.words());
+            self.set_version(chunk, version);
         }
     }
 
     /// Records that the outcome of a write is unknown.
-    pub fn unclear(&mut self, chunks: &[ChunkPart]) {
-        self.unsure.extend(chunks);
+    pub fn mark_unverified(&mut self, chunks: &[ChunkPart]) {
+        self.unverified.extend(chunks);
     }
 
     /// Returns a chunk that has to be read before it can be written.
-    pub fn unsure(&self) -> Option<ChunkPart> {
-        self.unsure.first().copied()
+    pub fn next_unverified(&self) -> Option<ChunkPart> {
+        self.unverified.first().copied()
     }
 }
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -137,14 +137,15 @@
         let mut left = self.limits_left();
         for (spec, mut tasks) in expected {
             if let Some(left) = left.get_mut(&spec.team) {
-                tasks = tasks.min(spec.need.times_in(left));
-                *left = left.plus_times(&spec.need, -f64::from(tasks));
+                tasks = tasks.min(spec.need.count_fitting(left));
+                *left = left.plus_scaled(&spec.need, -f64::from(tasks));
             }
             tasks = plan.coming.fill(&spec, None, tasks);
             while tasks > 0 {
                 let demand = Demand {
                     spec: spec.clone(),
-                    tasks: tasks.min(spec.need.times_in(&self.largest(&spec)) * ZONE_BATCH_MOST),
+                    tasks: tasks
+                        .min(spec.need.count_fitting(&self.largest(&spec)) * ZONE_BATCH_MOST),
                 };
                 let Some((kind, count)) = self.choose_machine_kind(&demand, |_| 0, plan) else {
                     break;
@@ -158,7 +159,7 @@
     /// The largest machine that the job may use.
     fn largest(&self, spec: &JobSpec) -> Resources {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
-        let largest = types.max_by_key(|t| spec.need.times_in(&t.size));
+        let largest = types.max_by_key(|t| spec.need.count_fitting(&t.size));
         largest.map(|t| t.size).unwrap_or_default()
     }
 
@@ -208,7 +209,7 @@
             let waiting = job.waiting_count() - job.nominations.len() as u32;
             let mut tasks = waiting;
             if spec.kind == Kind::Array {
-                let share = spec.need.share_of(&finite);
+                let share = spec.need.dominant_share_of(&finite);
                 if share.is_finite() {
                     let work = share * spec.estimate_s.max(1.0) * f64::from(waiting);
                     // What is cleared while a new machine boots needs no machine.
@@ -223,8 +224,8 @@
             // idle.
             tasks = tasks.min(self.seats_for(spec, now));
             if let Some(left) = left.get_mut(&spec.team) {
-                tasks = tasks.min(spec.need.times_in(left));
-                *left = left.plus_times(&spec.need, -f64::from(tasks));
+                tasks = tasks.min(spec.need.count_fitting(left));
+                *left = left.plus_scaled(&spec.need, -f64::from(tasks));
             }
             if tasks > 0 {
                 demands.push(Demand {
@@ -283,7 +284,7 @@
         let spec = &demand.spec;
         let mut best: Option<(f64, MachineKind, u32)> = None;
         for t in self.types.iter().filter(|t| spec.allows_type(&t.name)) {
-            let slots = spec.need.times_in(&t.size);
+            let slots = spec.need.count_fitting(&t.size);
             if slots == 0 {
                 continue;
             }
@@ -295,7 +296,7 @@
                         zone: zone.clone(),
                         spot,
                     };
-                    if !spec.allows_place(zone, spot)
+                    if !spec.allows_placement(zone, spot)
                         || self.provisioning.is_refused(&kind)
                         || !self.reaches(zone)
                     {
--- a/src/core/scale_out/upcoming_capacity.rs
+++ b/src/core/scale_out/upcoming_capacity.rs
@@ -24,9 +24,9 @@
         } = &self.kind;
         let may = zone.is_none_or(|zone| zone == &**in_zone)
             && spec.allows_type(machine_type)
-            && spec.allows_place(in_zone, *spot);
+            && spec.allows_placement(in_zone, *spot);
         match may {
-            true => spec.need.times_in(&self.free),
+            true => spec.need.count_fitting(&self.free),
             false => 0,
         }
     }
@@ -81,7 +81,7 @@
             for (each, count) in [(slots, full), (rest, u32::from(rest > 0))] {
                 changed.push(Alike {
                     kind: alike.kind.clone(),
-                    free: alike.free.plus_times(&spec.need, -f64::from(each)),
+                    free: alike.free.plus_scaled(&spec.need, -f64::from(each)),
                     count,
                 });
                 alike.count -= count;
@@ -172,7 +172,7 @@
                 let takes: u32 = plain
                     .iter()
                     .filter(|(kind, _)| may(kind))
-                    .map(|(_, free)| spec.need.times_in(free))
+                    .map(|(_, free)| spec.need.count_fitting(free))
                     .sum();
                 assert_eq!(ahead.takes(&spec, zone), takes);
                 let left = ahead.fill(&spec, zone, asked);
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -323,7 +323,7 @@
             return true;
         };
         let used = view.usage.of(&spec.team);
-        let sum = used.plus_times(&spec.need, f64::from(tasks));
+        let sum = used.plus_scaled(&spec.need, f64::from(tasks));
         let over = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
         over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus)
     }
@@ -331,7 +331,7 @@
     /// Whether the job may have a task there, room aside.
     fn allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
         spec.allows_type(&room.machine_type)
-            && spec.allows_place(&room.zone, room.spot)
+            && spec.allows_placement(&room.zone, room.spot)
             && zone_allowed(&view.zones, &room.zone, spec)
     }
 
@@ -408,7 +408,13 @@
             _ => 0.5 * (1.0 - keep),
         };
         // Full machines first, so that empty ones can be returned, and stay whole.
-        Some(cost + 1.0 - machine.size.minus(&room.free).share_of(&machine.size))
+        Some(
+            cost + 1.0
+                - machine
+                    .size
+                    .minus(&room.free)
+                    .dominant_share_of(&machine.size),
+        )
     }
 
     /// What a machine costs more than one of its kind that may be taken back, as a share.
@@ -609,7 +615,7 @@
         };
         let mut sum = view.usage.of(&spec.team);
         for job in self.jobs.values().filter(|j| j.spec.team == spec.team) {
-            sum = sum.plus_times(&job.spec.need, job.nominations.len() as f64);
+            sum = sum.plus_scaled(&job.spec.need, job.nominations.len() as f64);
         }
         let sum = sum.plus(&spec.need);
         sum.cpus <= team.cpus + 1e-6 && sum.gpus <= team.gpus + 1e-6
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -85,7 +85,7 @@
         let waited = Duration::from_millis(self.wall_ms.saturating_sub(self.jobs[id].ready_ms));
         let against = match waited > self.config.options.gather_after {
             true => Some(spec.priority),
-            false => spec.priority.below(),
+            false => spec.priority.next_lower(),
         };
         if let Some(against) = against {
             for index in best {
@@ -152,7 +152,7 @@
             let mut plans = Vec::new();
             for room in &mut view.rooms {
                 if !zones.contains(&self.machines[&room.id].zone) {
-                    room.free = room.free.plus_times(&self.machines[&room.id].size, -2.0);
+                    room.free = room.free.plus_scaled(&self.machines[&room.id].size, -2.0);
                 }
             }
             for _ in tasks {
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -28,7 +28,7 @@
                     }
                     continue;
                 };
-                let sum = |count: usize| Resources::default().plus_times(&spec.need, count as f64);
+                let sum = |count: usize| Resources::default().plus_scaled(&spec.need, count as f64);
                 usage.add(&spec.team, &sum(tasks.len()));
                 let stopping = tasks.iter().filter(|p| p.stopping()).count();
                 if stopping > 0 {
@@ -60,13 +60,13 @@
                 .filter_map(|id| self.jobs.get_key_value(id))
             {
                 let tasks = hidden.entry(id).or_default();
-                *tasks = tasks.saturating_add(job.spec.need.times_in(&machine.size));
+                *tasks = tasks.saturating_add(job.spec.need.count_fitting(&machine.size));
             }
         }
         for (id, most) in hidden {
             let job = &self.jobs[id];
             let tasks = job.unplaced_count().min(most);
-            let sum = Resources::default().plus_times(&job.spec.need, f64::from(tasks));
+            let sum = Resources::default().plus_scaled(&job.spec.need, f64::from(tasks));
             usage.add(&job.spec.team, &sum);
         }
     }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -312,7 +312,7 @@
                 return Some(format!("more seats of {name} than the team can have"));
             }
         }
-        let sum = Resources::default().plus_times(&spec.need, f64::from(at_once));
+        let sum = Resources::default().plus_scaled(&spec.need, f64::from(at_once));
         let over = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
         (over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus))
             .then(|| "more than the team's limit".into())
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -98,7 +98,8 @@
         limits: &WriteLimits,
     ) -> Option<PreparedWrite> {
         let claim = self.claim;
-        let waits = |job: &Job| !job.saving && !job.is_complete() && job.saved.unsure().is_none();
+        let waits =
+            |job: &Job| !job.saving && !job.is_complete() && job.saved.next_unverified().is_none();
         let (id, job) = self
             .jobs
             .iter_mut()
@@ -107,7 +108,7 @@
         job.saving = true;
         job.unsaved_since = None;
         let set = job.done.clone();
-        let mut chunks = results::unsaved(&set, job.saved.stored(), limits.value_bytes);
+        let mut chunks = results::unsaved_parts(&set, job.saved.stored(), limits.value_bytes);
         chunks.truncate(limits.txn_ops);
         let mut conditions = vec![when(job_key(id), job.version)];
         let mut changes = Vec::new();
@@ -139,12 +140,12 @@
         };
         job.saving = false;
         match reply {
-            StateReply::Committed { revision } => job.saved.written(set, chunks, *revision),
+            StateReply::Committed { revision } => job.saved.mark_written(set, chunks, *revision),
             // It changed nothing and never will.
             StateReply::Refused { .. } | StateReply::Rejected => {}
-            _ => job.saved.unclear(chunks),
+            _ => job.saved.mark_unverified(chunks),
         }
-        if !job.done.chunks_beyond(job.saved.stored()).is_empty() {
+        if !job.done.chunks_added_since(job.saved.stored()).is_empty() {
             job.unsaved_since.get_or_insert(now);
         }
     }
@@ -158,7 +159,7 @@
         job.saving = false;
         match reply {
             StateReply::Missing => {
-                job.saved.missing(chunk);
+                job.saved.mark_missing(chunk);
                 true
             }
             StateReply::Entry(entry) => {
@@ -293,7 +294,7 @@
             .jobs
             .iter_mut()
             .filter(|(_, job)| !job.saving && !job.is_complete());
-        let mut unsure = open.filter_map(|(id, job)| Some((id, job.saved.unsure()?, job)));
+        let mut unsure = open.filter_map(|(id, job)| Some((id, job.saved.next_unverified()?, job)));
         let Some((id, chunk, job)) = unsure.next() else {
             return false;
         };
--- a/tests/result_parts.rs
+++ b/tests/result_parts.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 
 use kiteyard::core::{
-    job::{CHUNK, JobId, TaskSet},
-    results::{ChunkPart, Results, unsaved},
+    job::{JobId, TASKS_PER_CHUNK, TaskSet},
+    results::{ChunkPart, Results, unsaved_parts},
     store::progress_key,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-const TASKS: u32 = 2 * CHUNK + 5_000;
+const TASKS: u32 = 2 * TASKS_PER_CHUNK + 5_000;
 
 /// Reads the stored keys and values like a version without support for parts.
 fn read_as_numbers(stored: &BTreeMap<String, String>) -> TaskSet {
@@ -44,14 +44,14 @@
                 set.insert(rng.random_range(0..TASKS));
             }
             let limit = if turn < 30 { before } else { 1500 };
-            let mut parts = unsaved(&set, results.stored(), limit);
+            let mut parts = unsaved_parts(&set, results.stored(), limit);
             parts.truncate(5);
             for part in &parts {
                 let text = part.encode(&set);
                 assert!(text.len() + 2 <= limit, "{} bytes", text.len());
                 stored.insert(part.name(), text);
             }
-            results.written(&set, &parts, 7);
+            results.mark_written(&set, &parts, 7);
             if turn % 20 == 19 {
                 results = read(&stored);
             }
@@ -59,11 +59,11 @@
             let by_numbers: Vec<u32> = read_as_numbers(&stored).iter().collect();
             assert_eq!(known, by_numbers, "turn {turn}");
         }
-        while let parts @ [_, ..] = &unsaved(&set, results.stored(), 1500)[..] {
+        while let parts @ [_, ..] = &unsaved_parts(&set, results.stored(), 1500)[..] {
             parts.iter().for_each(|part| {
                 stored.insert(part.name(), part.encode(&set));
             });
-            results.written(&set, parts, 7);
+            results.mark_written(&set, parts, 7);
         }
         let all: Vec<u32> = set.iter().collect();
         let by_numbers: Vec<u32> = read_as_numbers(&stored).iter().collect();
@@ -80,7 +80,7 @@
 fn an_array_that_fits_keeps_its_key() {
     let mut set = TaskSet::default();
     (0..3_000).for_each(|task| set.insert(task));
-    let parts = unsaved(&set, &TaskSet::default(), 2048);
+    let parts = unsaved_parts(&set, &TaskSet::default(), 2048);
     assert_eq!(parts, [ChunkPart::whole(0)]);
     let id = JobId::parse("run-000001").expect("an id");
     assert_eq!(progress_key(&id, parts[0]), "progress/run-000001/0");
@@ -90,18 +90,18 @@
 #[test]
 fn a_part_is_written_alone_where_only_it_has_changed() {
     let mut set = TaskSet::default();
-    (0..CHUNK).for_each(|task| set.insert(task));
+    (0..TASKS_PER_CHUNK).for_each(|task| set.insert(task));
     let before = set.clone();
-    set.insert(CHUNK + 4_100);
-    (0..64 * 200).for_each(|word| set.insert(CHUNK + word));
-    let names: Vec<String> = unsaved(&set, &before, 2048)
+    set.insert(TASKS_PER_CHUNK + 4_100);
+    (0..64 * 200).for_each(|word| set.insert(TASKS_PER_CHUNK + word));
+    let names: Vec<String> = unsaved_parts(&set, &before, 2048)
         .iter()
         .map(ChunkPart::name)
         .collect();
     assert_eq!(names, ["01", "001", "0001", "00001"]);
     let mut more = set.clone();
-    more.insert(CHUNK + CHUNK - 1);
-    let names: Vec<String> = unsaved(&more, &set, 2048)
+    more.insert(TASKS_PER_CHUNK + TASKS_PER_CHUNK - 1);
+    let names: Vec<String> = unsaved_parts(&more, &set, 2048)
         .iter()
         .map(ChunkPart::name)
         .collect();
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -359,7 +359,7 @@
     let mut first = TaskSet::default();
     first.insert(0);
     let held = c.cluster.jobs.get_mut(&job).expect("the job");
-    held.saved.written(&first, &[ChunkPart::whole(0)], 1);
+    held.saved.mark_written(&first, &[ChunkPart::whole(0)], 1);
     assert!(
         c.report("vm-1")
             .iter()
@@ -687,7 +687,7 @@
             waited += 1;
             for machine in c.cluster.machines.values() {
                 let fits = job.need.fits_in(&machine.free())
-                    && job.allows_place(&machine.zone, machine.spot);
+                    && job.allows_placement(&machine.zone, machine.spot);
                 let held = c
                     .cluster
                     .jobs
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -136,11 +136,11 @@
         gpus: 1.0,
         memory_gb: 36.0,
     };
-    assert_eq!(need.share_of(&whole), 0.125);
-    assert_eq!(amount(16.0).share_of(&whole), 0.25);
+    assert_eq!(need.dominant_share_of(&whole), 0.125);
+    assert_eq!(amount(16.0).dominant_share_of(&whole), 0.25);
     // Nothing is no part of nothing; something is no part of it at all.
-    assert_eq!(amount(0.0).share_of(&amount(0.0)), 0.0);
-    assert!(need.share_of(&amount(64.0)).is_infinite());
+    assert_eq!(amount(0.0).dominant_share_of(&amount(0.0)), 0.0);
+    assert!(need.dominant_share_of(&amount(64.0)).is_infinite());
 }
 
 /// The cloud's list lags: machines that were returned are in it yet, and none is taken for
--- a/tests/world/meetings.rs
+++ b/tests/world/meetings.rs
@@ -143,7 +143,7 @@
                 let mut set = TaskSet::default();
                 assert!(set.decode_chunk(chunk, &text), "a stored set");
                 let before = self.meetings.progress.insert(key.clone(), set.clone());
-                let lost = before.is_some_and(|before| !before.chunks_beyond(&set).is_empty());
+                let lost = before.is_some_and(|before| !before.chunks_added_since(&set).is_empty());
                 if lost {
                     let what = format!("what is stored of {id}");
                     self.observer.breaks(self.now, "shrank", what);
