--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -34,19 +34,19 @@
     /// complete.
     listed_in: Option<u32>,
     /// Whether a write of its own shard that names the machine may have been applied.
-    tried: bool,
+    may_be_written: bool,
     /// Jobs that are certainly listed.
     pub jobs: BTreeSet<JobId>,
     /// Jobs that only other shards listed at the failover.
-    prior: BTreeSet<JobId>,
+    prior_jobs: BTreeSet<JobId>,
     /// Whether anything may be listed.
-    pub stored: bool,
+    pub may_be_stored: bool,
 }
 
 impl AssignmentEntry {
     /// Returns the jobs listed by any shard, which may run on the machine until more is known.
-    pub fn may_list(&self) -> impl Iterator<Item = &JobId> {
-        self.jobs.iter().chain(&self.prior)
+    pub fn possible_jobs(&self) -> impl Iterator<Item = &JobId> {
+        self.jobs.iter().chain(&self.prior_jobs)
     }
 }
 
@@ -57,10 +57,10 @@
     /// Whether a write is in flight.
     writing: bool,
     /// Whether a write got no answer, so that the key is read before the next write.
-    unsure: bool,
+    unverified: bool,
     members: BTreeSet<MachineId>,
     /// Expected bytes of its members in the value.
-    taken: usize,
+    expected_bytes: usize,
     /// Whether a removed machine is still listed.
     stale: bool,
     /// Whether the stored value exceeds the service's current limit; it stays unchanged until all
@@ -71,7 +71,7 @@
     /// Sequence number of its last write.
     last_write: u64,
     /// Digest of the stored value, if this leader wrote it.
-    stored: Option<u64>,
+    stored_digest: Option<u64>,
 }
 
 #[derive(Debug)]
@@ -80,7 +80,7 @@
     /// Number of writes so far.
     write_count: u64,
     /// Maximum size of a value in bytes.
-    value_most: usize,
+    max_value_bytes: usize,
     /// Whether the last write that listed starts was rejected.
     rejected: bool,
 }
@@ -89,58 +89,58 @@
 #[derive(Debug)]
 pub struct ShardWrite {
     shard: u32,
-    machines: Vec<Listed>,
+    machines: Vec<MachineListing>,
     empty: bool,
     /// Digest of the written value.
     digest: u64,
     /// Whether it deletes an oversized shard whose machines are listed elsewhere.
-    strikes: bool,
+    deletes_oversized: bool,
     /// Whether an entry found no room in it.
     crowded: bool,
 }
 
 /// Machine in a write of its shard.
 #[derive(Debug)]
-struct Listed {
+struct MachineListing {
     machine: MachineId,
     jobs: BTreeSet<JobId>,
     /// Whether an earlier write may have named it in the same shard.
-    tried: bool,
+    may_be_written: bool,
 }
 
-impl Listed {
-    fn nothing(machine: &Machine) -> Self {
+impl MachineListing {
+    fn empty(machine: &Machine) -> Self {
         Self {
             machine: machine.id.clone(),
             jobs: BTreeSet::new(),
-            tried: machine.assignment.tried,
+            may_be_written: machine.assignment.may_be_written,
         }
     }
 }
 
 /// Shard numbers that are used first.
-const SMALL_NUMBERS: u32 = 1000;
+const FIRST_SHARD_NUMBERS: u32 = 1000;
 /// Expected bytes of a machine's entry: a base, and an amount for each of its CPUs.
-const SHARE: usize = 32;
-const SHARE_PER_CPU: f64 = 8.0;
+const BYTES_PER_MACHINE: usize = 32;
+const BYTES_PER_CPU: f64 = 8.0;
 
-fn share(machine: &Machine) -> usize {
-    SHARE + (machine.size.cpus.max(0.0) * SHARE_PER_CPU) as usize
+fn expected_entry_bytes(machine: &Machine) -> usize {
+    BYTES_PER_MACHINE + (machine.size.cpus.max(0.0) * BYTES_PER_CPU) as usize
 }
 
 impl AssignmentIndex {
-    pub fn new(value_most: usize) -> Self {
+    pub fn new(max_value_bytes: usize) -> Self {
         Self {
             shards: BTreeMap::new(),
             write_count: 0,
-            value_most,
+            max_value_bytes,
             rejected: false,
         }
     }
 
     /// Lowers the maximum size of a value.
-    pub fn limit_values(&mut self, value_most: usize) {
-        self.value_most = self.value_most.min(value_most);
+    pub fn lower_max_value_bytes(&mut self, max_value_bytes: usize) {
+        self.max_value_bytes = self.max_value_bytes.min(max_value_bytes);
     }
 
     /// Removes a machine that no longer exists.
@@ -151,17 +151,19 @@
             .and_then(|s| self.shards.get_mut(&s))
         {
             if shard.members.remove(&machine.id) {
-                shard.taken = shard.taken.saturating_sub(share(machine));
+                shard.expected_bytes = shard
+                    .expected_bytes
+                    .saturating_sub(expected_entry_bytes(machine));
             }
-            shard.stale |= machine.assignment.stored;
+            shard.stale |= machine.assignment.may_be_stored;
             shard.crowded = false;
         }
     }
 
     /// Returns a shard whose write was not answered, to be reread.
-    pub fn unsure(&mut self) -> Option<u32> {
+    pub fn next_unverified(&mut self) -> Option<u32> {
         let mut shards = self.shards.iter_mut();
-        let (id, shard) = shards.find(|(_, s)| s.unsure && !s.writing)?;
+        let (id, shard) = shards.find(|(_, s)| s.unverified && !s.writing)?;
         shard.writing = true;
         Some(*id)
     }
@@ -174,14 +176,14 @@
         shard.writing = false;
         if let Some(version) = version {
             // A write that is applied late fails once the next one has been applied.
-            shard.unsure = false;
+            shard.unverified = false;
             shard.version = version;
             shard.oversized &= version != 0;
         }
     }
 
     /// Returns whether an oversized shard lists the machine and its own shard does not yet.
-    fn moves(&self, entry: &AssignmentEntry) -> bool {
+    fn is_moving(&self, entry: &AssignmentEntry) -> bool {
         let listed_in = entry.listed_in.and_then(|id| self.shards.get(&id));
         listed_in.is_some_and(|shard| shard.oversized)
     }
@@ -193,7 +195,7 @@
     }
 
     /// Returns an unused shard number whose key sorts after `last`.
-    fn new_number(&self, last: Option<&str>) -> u32 {
+    fn new_shard_number(&self, last: Option<&str>) -> u32 {
         let after = |id: &u32| last.is_none_or(|last| *id.to_string() > *last);
         let free = |id: &u32| !self.shards.contains_key(id) && after(id);
         // Any longer number that begins with the digits of `last` sorts after it.
@@ -203,14 +205,14 @@
             let end = first.checked_add(1)?.checked_mul(scale)?;
             Some(first * scale..end)
         });
-        let small = 0..SMALL_NUMBERS;
+        let small = 0..FIRST_SHARD_NUMBERS;
         let mut numbers = small.chain(longer.flatten());
         numbers.find(free).unwrap_or(u32::MAX)
     }
 
     /// Returns the shard for one more machine: the emptiest that has room left.
     fn shard_for(&mut self, machine: &Machine) -> u32 {
-        let room = self.value_most / 4 * 3;
+        let room = self.max_value_bytes / 4 * 3;
         // A version that does not support oversized shards trusts the shard that it reads last, so
         // the shard that is written has to sort last.
         let last = self.last_oversized();
@@ -219,28 +221,28 @@
             .shards
             .iter()
             .filter(|(id, shard)| !shard.oversized && !shard.crowded && after(**id))
-            .map(|(id, shard)| (shard.taken, *id))
-            .filter(|(taken, _)| taken + share(machine) <= room)
+            .map(|(id, shard)| (shard.expected_bytes, *id))
+            .filter(|(expected_bytes, _)| expected_bytes + expected_entry_bytes(machine) <= room)
             .min();
         let id = match chosen {
             Some((_, id)) => id,
-            None => self.new_number(last.as_deref()),
+            None => self.new_shard_number(last.as_deref()),
         };
-        self.shards.entry(id).or_default().join(machine);
+        self.shards.entry(id).or_default().add_member(machine);
         id
     }
 }
 
 impl Shard {
-    fn join(&mut self, machine: &Machine) {
+    fn add_member(&mut self, machine: &Machine) {
         if self.members.insert(machine.id.clone()) {
-            self.taken += share(machine);
+            self.expected_bytes += expected_entry_bytes(machine);
         }
     }
 
-    fn leave(&mut self, machine: &MachineId, share: usize) {
+    fn remove_member(&mut self, machine: &MachineId, entry_bytes: usize) {
         if self.members.remove(machine) {
-            self.taken = self.taken.saturating_sub(share);
+            self.expected_bytes = self.expected_bytes.saturating_sub(entry_bytes);
         }
     }
 }
@@ -250,7 +252,7 @@
     pub fn load_shard(&mut self, id: u32, record: &ShardRecord, version: u64, now: Duration) {
         let mut shard = Shard {
             version,
-            oversized: encoded_len(record) > self.assignment_index.value_most,
+            oversized: encoded_len(record) > self.assignment_index.max_value_bytes,
             ..Shard::default()
         };
         for found in record.machines() {
@@ -266,24 +268,24 @@
             // A previous leader may have ended before it removed the machine from another shard.
             // The shard read last was written last; jobs that the others list may run there, too.
             let earlier = std::mem::take(&mut machine.assignment);
-            let prior: BTreeSet<JobId> = earlier.may_list().cloned().collect();
+            let prior_jobs: BTreeSet<JobId> = earlier.possible_jobs().cloned().collect();
             machine.assignment = AssignmentEntry {
                 shard: (!shard.oversized).then_some(id),
                 listed_in: Some(id),
-                tried: false,
-                prior: prior.difference(&jobs).cloned().collect(),
+                may_be_written: false,
+                prior_jobs: prior_jobs.difference(&jobs).cloned().collect(),
                 jobs,
-                stored: true,
+                may_be_stored: true,
             };
             if !shard.oversized {
-                shard.join(machine);
+                shard.add_member(machine);
             }
-            let share = share(machine);
+            let entry_bytes = expected_entry_bytes(machine);
             let other = earlier.shard.filter(|other| *other != id);
             if let Some(other) =
                 other.and_then(|other| self.assignment_index.shards.get_mut(&other))
             {
-                other.leave(&name, share);
+                other.remove_member(&name, entry_bytes);
             }
         }
         self.assignment_index.shards.insert(id, shard);
@@ -294,28 +296,31 @@
     pub fn assignment_index_write(
         &mut self,
         urgent: bool,
-        changes_most: usize,
+        max_changes: usize,
     ) -> Option<(Vec<ShardWrite>, Vec<Condition>, Vec<Change>)> {
         let due = self.due_shards(urgent);
         let (mut listings, mut conditions, mut changes) = (Vec::new(), Vec::new(), Vec::new());
         // Two values of full size leave room in one transaction for other changes.
-        let most = changes_most.min(2);
+        let max_writes = max_changes.min(2);
         for id in due {
-            if listings.len() == most {
+            if listings.len() == max_writes {
                 break;
             }
-            let (listing, record) = self.list_shard(id);
-            let too_large = encoded_len(&record) > self.assignment_index.value_most;
+            let (listing, record) = self.build_shard(id);
+            let too_large = encoded_len(&record) > self.assignment_index.max_value_bytes;
             self.assignment_index.write_count += 1;
             let shard = self.assignment_index.shards.get_mut(&id)?;
             shard.last_write = self.assignment_index.write_count;
             shard.crowded = listing.crowded;
             if too_large {
-                self.outgrown(id);
+                self.split_shard(id);
                 continue;
             }
-            if !shard.stale && !listing.strikes && shard.stored == Some(listing.digest) {
-                self.leave_crowded(&listing);
+            if !shard.stale
+                && !listing.deletes_oversized
+                && shard.stored_digest == Some(listing.digest)
+            {
+                self.detach_from_crowded(&listing);
                 continue;
             }
             shard.stale = false;
@@ -331,7 +336,7 @@
                 true => delete(key),
                 false => put(key, &record),
             });
-            self.listing_sent(&listing);
+            self.write_sent(&listing);
             listings.push(listing);
         }
         (!listings.is_empty()).then_some((listings, conditions, changes))
@@ -339,19 +344,22 @@
 
     /// Records a write in flight. Until its answer only jobs listed both before and after count: a
     /// start for a job that this write drops must not be sent.
-    fn listing_sent(&mut self, listing: &ShardWrite) {
+    fn write_sent(&mut self, listing: &ShardWrite) {
         for listed in &listing.machines {
             let Some(machine) = self.machines.get_mut(&listed.machine) else {
                 continue;
             };
             let entry = &mut machine.assignment;
-            if !listing.strikes && listed.jobs.is_empty() && self.assignment_index.moves(entry) {
+            if !listing.deletes_oversized
+                && listed.jobs.is_empty()
+                && self.assignment_index.is_moving(entry)
+            {
                 // The machine found no room, and its current listing stays.
                 continue;
             }
             entry.jobs.retain(|id| listed.jobs.contains(id));
-            entry.stored |= !listed.jobs.is_empty();
-            entry.tried |= !listed.jobs.is_empty();
+            entry.may_be_stored |= !listed.jobs.is_empty();
+            entry.may_be_written |= !listed.jobs.is_empty();
         }
     }
 
@@ -361,14 +369,14 @@
             let Some(machine) = self.machines.get_mut(&listed.machine) else {
                 continue;
             };
-            if !self.assignment_index.moves(&machine.assignment) {
-                machine.assignment.stored = false;
+            if !self.assignment_index.is_moving(&machine.assignment) {
+                machine.assignment.may_be_stored = false;
             }
         }
     }
 
     /// Moves the machines of a shard whose entries exceed the maximum value size to new shards.
-    fn outgrown(&mut self, id: u32) {
+    fn split_shard(&mut self, id: u32) {
         let Some(shard) = self.assignment_index.shards.get_mut(&id) else {
             return;
         };
@@ -378,18 +386,18 @@
             "shard exceeds the value limit; moving its machines to new shards"
         );
         shard.oversized = true;
-        shard.taken = 0;
+        shard.expected_bytes = 0;
         for name in std::mem::take(&mut shard.members) {
             let machine = self.machines.get_mut(&name);
             if let Some(machine) = machine.filter(|m| m.assignment.shard == Some(id)) {
                 machine.assignment.shard = None;
-                machine.assignment.tried = false;
+                machine.assignment.may_be_written = false;
             }
         }
     }
 
     /// Detaches machines that found no room in a crowded shard, so that they get another one.
-    fn leave_crowded(&mut self, listing: &ShardWrite) {
+    fn detach_from_crowded(&mut self, listing: &ShardWrite) {
         if !listing.crowded || listing.empty {
             return;
         }
@@ -398,38 +406,41 @@
                 continue;
             };
             let own = machine.assignment.listed_in == Some(listing.shard);
-            if own || machine.assignment.tried || machine.assignment.shard != Some(listing.shard) {
+            if own
+                || machine.assignment.may_be_written
+                || machine.assignment.shard != Some(listing.shard)
+            {
                 continue;
             }
             machine.assignment.shard = None;
-            let share = share(machine);
+            let entry_bytes = expected_entry_bytes(machine);
             if let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) {
-                shard.leave(&listed.machine, share);
+                shard.remove_member(&listed.machine, entry_bytes);
                 shard.crowded = true;
             }
         }
     }
 
     /// Returns oversized shards to delete: no machine may hold jobs that only they list.
-    fn struck_shards(&self) -> Vec<u32> {
+    fn deletable_oversized_shards(&self) -> Vec<u32> {
         let oversized = self
             .assignment_index
             .shards
             .iter()
             .filter(|(_, s)| s.oversized);
-        let mut struck: BTreeSet<u32> = oversized.map(|(id, _)| *id).collect();
-        if struck.is_empty() {
+        let mut deletable: BTreeSet<u32> = oversized.map(|(id, _)| *id).collect();
+        if deletable.is_empty() {
             return Vec::new();
         }
         for machine in self.machines.values() {
             if let Some(id) = machine.assignment.listed_in
-                && struck.contains(&id)
-                && !Self::may_hold(machine).is_empty()
+                && deletable.contains(&id)
+                && !Self::jobs_possibly_on(machine).is_empty()
             {
-                struck.remove(&id);
+                deletable.remove(&id);
             }
         }
-        struck.into_iter().collect()
+        deletable.into_iter().collect()
     }
 
     /// Returns whether starts wait because the state service rejects the write that lists them;
@@ -445,24 +456,24 @@
     /// slots.
     fn due_shards(&mut self, urgent: bool) -> Vec<u32> {
         let mut due = BTreeSet::new();
-        let wanting: Vec<MachineId> = self
+        let pending_machines: Vec<MachineId> = self
             .machines
             .values()
             .filter(|m| match urgent {
                 true => m.state == MachineState::Up && m.fenced && m.has_unlisted_start(),
                 // These machines get no more tasks, and the next leader need not wait for them.
                 false => {
-                    let moves = self.assignment_index.moves(&m.assignment);
+                    let is_moving = self.assignment_index.is_moving(&m.assignment);
                     let leaves = matches!(m.state, MachineState::Leaving | MachineState::Lost)
-                        && m.assignment.stored
+                        && m.assignment.may_be_stored
                         && m.tasks.is_empty()
                         && !m.unresolved;
-                    (leaves && !moves) || (moves && self.may_move(m))
+                    (leaves && !is_moving) || (is_moving && self.can_move(m))
                 }
             })
             .map(|m| m.id.clone())
             .collect();
-        for id in wanting {
+        for id in pending_machines {
             let machine = &self.machines[&id];
             let shard = match machine.assignment.shard {
                 Some(shard) => shard,
@@ -476,43 +487,43 @@
             let stale = self.assignment_index.shards.iter().filter(|(_, s)| s.stale);
             due.extend(stale.map(|(id, _)| *id));
             due.retain(|id| !self.assignment_index.shards[id].oversized);
-            due.extend(self.struck_shards());
+            due.extend(self.deletable_oversized_shards());
         }
         let shards = &self.assignment_index.shards;
-        due.retain(|id| shards.get(id).is_some_and(|s| !s.writing && !s.unsure));
+        due.retain(|id| shards.get(id).is_some_and(|s| !s.writing && !s.unverified));
         let mut due: Vec<u32> = due.into_iter().collect();
         due.sort_by_key(|id| (shards[id].last_write, *id));
         due
     }
 
     /// Returns whether the machine may hold tasks and a shard may have room to list it.
-    fn may_move(&self, machine: &Machine) -> bool {
+    fn can_move(&self, machine: &Machine) -> bool {
         let own = machine
             .assignment
             .shard
             .and_then(|id| self.assignment_index.shards.get(&id));
-        !own.is_some_and(|shard| shard.crowded) && !Self::may_hold(machine).is_empty()
+        !own.is_some_and(|shard| shard.crowded) && !Self::jobs_possibly_on(machine).is_empty()
     }
 
     /// Builds the deletion of an oversized shard, which lists nothing afterwards.
-    fn strike_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
+    fn build_deletion(&self, id: u32) -> (ShardWrite, ShardRecord) {
         let machines = self.machines.values();
         let listed = machines.filter(|m| m.assignment.listed_in == Some(id));
         let listing = ShardWrite {
             shard: id,
-            machines: listed.map(Listed::nothing).collect(),
+            machines: listed.map(MachineListing::empty).collect(),
             empty: true,
             digest: 0,
-            strikes: true,
+            deletes_oversized: true,
             crowded: false,
         };
         (listing, ShardRecord::default())
     }
 
     /// Builds the current contents of a shard.
-    fn list_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
+    fn build_shard(&self, id: u32) -> (ShardWrite, ShardRecord) {
         if self.assignment_index.shards[&id].oversized {
-            return self.strike_shard(id);
+            return self.build_deletion(id);
         }
         let mut builder = Builder::new();
         let members: Vec<&Machine> = self.assignment_index.shards[&id]
@@ -521,39 +532,41 @@
             .filter_map(|name| self.machines.get(name))
             .filter(|m| m.assignment.shard == Some(id))
             .collect();
-        let mut machines: Vec<Listed> = members.iter().map(|m| Listed::nothing(m)).collect();
+        let mut machines: Vec<MachineListing> =
+            members.iter().map(|m| MachineListing::empty(m)).collect();
         let mut new: Vec<(usize, JobId)> = Vec::new();
         let mut moving: Vec<(usize, BTreeSet<JobId>)> = Vec::new();
-        for (place, machine) in members.iter().enumerate() {
+        for (position, machine) in members.iter().enumerate() {
             let listed = |job: &JobId| machine.assignment.jobs.contains(job);
-            let (kept, added): (BTreeSet<JobId>, BTreeSet<JobId>) =
-                Self::may_hold(machine).into_iter().partition(listed);
-            if self.assignment_index.moves(&machine.assignment) {
-                moving.push((place, kept));
+            let (kept, added): (BTreeSet<JobId>, BTreeSet<JobId>) = Self::jobs_possibly_on(machine)
+                .into_iter()
+                .partition(listed);
+            if self.assignment_index.is_moving(&machine.assignment) {
+                moving.push((position, kept));
             } else {
                 // Tasks of listed jobs may run there, so their entries stay regardless of size.
                 for job in &kept {
                     builder.list(machine, job, usize::MAX);
                 }
-                machines[place].jobs = kept;
+                machines[position].jobs = kept;
             }
-            new.extend(added.into_iter().map(|job| (place, job)));
+            new.extend(added.into_iter().map(|job| (position, job)));
         }
         // All jobs that may run on a moving machine are listed at once, or it stays in its old
         // shard.
-        let most = self.assignment_index.value_most;
-        let mut stays = BTreeSet::new();
-        for (place, jobs) in moving {
-            match builder.list_all(members[place], &jobs, most) {
-                true => machines[place].jobs = jobs,
-                false => drop(stays.insert(place)),
+        let max_bytes = self.assignment_index.max_value_bytes;
+        let mut staying = BTreeSet::new();
+        for (position, jobs) in moving {
+            match builder.list_all(members[position], &jobs, max_bytes) {
+                true => machines[position].jobs = jobs,
+                false => drop(staying.insert(position)),
             }
         }
         // A job that finds no room waits until others are removed.
-        let mut crowded = !stays.is_empty();
-        for (place, job) in new {
-            if !stays.contains(&place) && builder.list(members[place], &job, most) {
-                machines[place].jobs.insert(job);
+        let mut crowded = !staying.is_empty();
+        for (position, job) in new {
+            if !staying.contains(&position) && builder.list(members[position], &job, max_bytes) {
+                machines[position].jobs.insert(job);
             } else {
                 crowded = true;
             }
@@ -563,7 +576,7 @@
             machines,
             empty: builder.record.is_empty(),
             digest: digest(&builder.record),
-            strikes: false,
+            deletes_oversized: false,
             crowded,
         };
         (listing, builder.record)
@@ -571,11 +584,11 @@
 
     /// Returns the jobs that may have tasks on a machine or are about to, including finished jobs
     /// while one of their starts may still be executed late.
-    fn may_hold(machine: &Machine) -> BTreeSet<JobId> {
+    fn jobs_possibly_on(machine: &Machine) -> BTreeSet<JobId> {
         let mut jobs: BTreeSet<JobId> = machine.tasks.keys().map(|(t, _)| t.job.clone()).collect();
         if machine.unresolved {
             // The machine's tasks are not known yet, so the previous leader's list applies.
-            jobs.extend(machine.assignment.may_list().cloned());
+            jobs.extend(machine.assignment.possible_jobs().cloned());
         }
         jobs
     }
--- a/src/core/assignment_index/answers.rs
+++ b/src/core/assignment_index/answers.rs
@@ -24,18 +24,18 @@
             match reply {
                 StateReply::Committed { revision } => {
                     shard.version = if listing.empty { 0 } else { *revision };
-                    shard.stored = Some(listing.digest);
-                    self.listing_stored(listing);
+                    shard.stored_digest = Some(listing.digest);
+                    self.write_stored(listing);
                 }
                 // The write was not applied and never will be.
                 StateReply::Refused { .. } | StateReply::Rejected => {
                     shard.stale = true;
-                    self.listing_refused(&listing);
+                    self.write_refused(&listing);
                 }
                 // The write may have been applied, or may be applied later.
                 _ => {
-                    shard.unsure = true;
-                    shard.stored = None;
+                    shard.unverified = true;
+                    shard.stored_digest = None;
                     shard.stale = true;
                 }
             }
@@ -51,19 +51,19 @@
         }
     }
 
-    fn listing_refused(&mut self, listing: &ShardWrite) {
+    fn write_refused(&mut self, listing: &ShardWrite) {
         for listed in &listing.machines {
             if let Some(machine) = self.machines.get_mut(&listed.machine)
                 && machine.assignment.shard == Some(listing.shard)
             {
-                machine.assignment.tried = listed.tried;
+                machine.assignment.may_be_written = listed.may_be_written;
             }
         }
     }
 
-    fn listing_stored(&mut self, listing: ShardWrite) {
-        if listing.strikes {
-            self.shard_struck(&listing);
+    fn write_stored(&mut self, listing: ShardWrite) {
+        if listing.deletes_oversized {
+            self.oversized_shard_deleted(&listing);
             return;
         }
         for listed in &listing.machines {
@@ -74,22 +74,22 @@
                 // A machine that was removed and returned is no longer a member.
                 Some(machine) if machine.assignment.shard == Some(listing.shard) => {
                     let entry = &mut machine.assignment;
-                    entry.tried = false;
-                    if listed.jobs.is_empty() && self.assignment_index.moves(entry) {
+                    entry.may_be_written = false;
+                    if listed.jobs.is_empty() && self.assignment_index.is_moving(entry) {
                         continue;
                     }
-                    entry.stored = !listed.jobs.is_empty();
-                    entry.listed_in = entry.stored.then_some(listing.shard);
+                    entry.may_be_stored = !listed.jobs.is_empty();
+                    entry.listed_in = entry.may_be_stored.then_some(listing.shard);
                     entry.jobs = listed.jobs.clone();
                 }
                 _ => shard.stale |= !listed.jobs.is_empty(),
             }
         }
-        self.leave_crowded(&listing);
+        self.detach_from_crowded(&listing);
     }
 
     /// Records the deletion of an oversized shard.
-    fn shard_struck(&mut self, listing: &ShardWrite) {
+    fn oversized_shard_deleted(&mut self, listing: &ShardWrite) {
         if let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) {
             (shard.oversized, shard.stale) = (false, false);
         }
@@ -98,7 +98,7 @@
             if let Some(machine) = machine.filter(|m| m.assignment.listed_in == Some(listing.shard))
             {
                 machine.assignment.listed_in = None;
-                machine.assignment.stored = machine.assignment.tried;
+                machine.assignment.may_be_stored = machine.assignment.may_be_written;
             }
         }
     }
--- a/src/core/assignment_index/record.rs
+++ b/src/core/assignment_index/record.rs
@@ -77,13 +77,13 @@
     pub(super) record: ShardRecord,
     kinds: HashMap<Kind, usize>,
     jobs: HashMap<JobId, usize>,
-    places: HashMap<MachineId, usize>,
+    positions: HashMap<MachineId, usize>,
     bytes: usize,
 }
 
 /// Maximum bytes of a number, and quotes and separators around a name.
-const NUMBER: usize = 7;
-const NAME: usize = 4;
+const NUMBER_BYTES: usize = 7;
+const NAME_OVERHEAD_BYTES: usize = 4;
 
 impl Builder {
     pub(super) fn new() -> Self {
@@ -91,7 +91,7 @@
             record: ShardRecord::default(),
             kinds: HashMap::new(),
             jobs: HashMap::new(),
-            places: HashMap::new(),
+            positions: HashMap::new(),
             bytes: 64,
         }
     }
@@ -101,37 +101,39 @@
         &mut self,
         machine: &Machine,
         jobs: &BTreeSet<JobId>,
-        most: usize,
+        max_bytes: usize,
     ) -> bool {
         let names = jobs.iter().filter(|job| !self.jobs.contains_key(*job));
-        let names: usize = names.map(|job| job.as_str().len() + NAME).sum();
-        let kind = machine.machine_type.len() + machine.zone.len() + 3 * NAME;
-        let place = machine.id.len() + NAME + 2 * NUMBER;
-        let fits = self.bytes + names + kind + place + jobs.len() * NUMBER <= most;
+        let names: usize = names
+            .map(|job| job.as_str().len() + NAME_OVERHEAD_BYTES)
+            .sum();
+        let kind = machine.machine_type.len() + machine.zone.len() + 3 * NAME_OVERHEAD_BYTES;
+        let position = machine.id.len() + NAME_OVERHEAD_BYTES + 2 * NUMBER_BYTES;
+        let fits = self.bytes + names + kind + position + jobs.len() * NUMBER_BYTES <= max_bytes;
         for job in jobs.iter().filter(|_| fits) {
             self.list(machine, job, usize::MAX);
         }
         fits
     }
 
-    /// Lists a job with a machine, unless the value would then exceed `most` bytes.
-    pub(super) fn list(&mut self, machine: &Machine, job: &JobId, most: usize) -> bool {
+    /// Lists a job with a machine, unless the value would then exceed `max_bytes` bytes.
+    pub(super) fn list(&mut self, machine: &Machine, job: &JobId, max_bytes: usize) -> bool {
         let kind = (
             machine.machine_type.clone(),
             machine.zone.clone(),
             machine.spot,
         );
-        let mut bytes = NUMBER;
+        let mut bytes = NUMBER_BYTES;
         if !self.jobs.contains_key(job) {
-            bytes += job.as_str().len() + NAME;
+            bytes += job.as_str().len() + NAME_OVERHEAD_BYTES;
         }
         if !self.kinds.contains_key(&kind) {
-            bytes += kind.0.len() + kind.1.len() + 3 * NAME;
+            bytes += kind.0.len() + kind.1.len() + 3 * NAME_OVERHEAD_BYTES;
         }
-        if !self.places.contains_key(&machine.id) {
-            bytes += machine.id.len() + NAME + 2 * NUMBER;
+        if !self.positions.contains_key(&machine.id) {
+            bytes += machine.id.len() + NAME_OVERHEAD_BYTES + 2 * NUMBER_BYTES;
         }
-        if self.bytes + bytes > most {
+        if self.bytes + bytes > max_bytes {
             return false;
         }
         self.bytes += bytes;
@@ -145,11 +147,11 @@
             record.jobs.len() - 1
         });
         let id = &machine.id;
-        let place = *self.places.entry(id.clone()).or_insert_with(|| {
+        let position = *self.positions.entry(id.clone()).or_insert_with(|| {
             record.machines.push((id.clone(), kind, Vec::new()));
             record.machines.len() - 1
         });
-        record.machines[place].2.push(job);
+        record.machines[position].2.push(job);
         true
     }
 }
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -312,6 +312,6 @@
 pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
     let on_unresolved = machines.values().filter(|m| m.unresolved);
     on_unresolved
-        .flat_map(|m| m.assignment.may_list().cloned())
+        .flat_map(|m| m.assignment.possible_jobs().cloned())
         .collect()
 }
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -98,7 +98,7 @@
             if !machine.unresolved {
                 continue;
             }
-            for id in machine.assignment.may_list() {
+            for id in machine.assignment.possible_jobs() {
                 let Some(job) = self.jobs.get(id) else {
                     // It may have been anything.
                     unknown = true;
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -223,7 +223,7 @@
             .values()
             .filter(|m| m.state == MachineState::Leaving && m.tasks.is_empty() && !m.unresolved)
             // Off the assignment index first: a next leader need not wait for it then.
-            .filter(|m| !m.assignment.stored)
+            .filter(|m| !m.assignment.may_be_stored)
             .filter(|m| !self.provisioning.releasing.contains(&m.id))
             .map(|m| m.id.clone())
             .take(100)
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -54,7 +54,11 @@
             return;
         }
         let mut counts: BTreeMap<Arc<str>, Count> = BTreeMap::new();
-        for machine in self.machines.values().filter(|m| m.assignment.stored) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|m| m.assignment.may_be_stored)
+        {
             let count = counts.entry(machine.zone.clone()).or_insert_with(|| Count {
                 cut: !self.reaches(&machine.zone),
                 ..Count::default()
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -45,7 +45,7 @@
     fn add_unresolved(&self, usage: &mut Usage) {
         let mut hidden: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.unresolved) {
-            let mut listed = machine.assignment.may_list();
+            let mut listed = machine.assignment.possible_jobs();
             // A job that was cancelled meanwhile may still run there, and whose it
             // was nobody knows any more: the whole machine counts for each team.
             if listed.any(|id| !self.jobs.contains_key(id)) {
@@ -56,7 +56,7 @@
             }
             for (id, job) in machine
                 .assignment
-                .may_list()
+                .possible_jobs()
                 .filter_map(|id| self.jobs.get_key_value(id))
             {
                 let tasks = hidden.entry(id).or_default();
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -240,7 +240,7 @@
         if let Some(cluster) = &mut self.cluster {
             cluster
                 .assignment_index
-                .limit_values(self.limits.value_bytes);
+                .lower_max_value_bytes(self.limits.value_bytes);
         }
         while self.write_queue.in_flight < IN_FLIGHT && now >= self.write_queue.retry {
             // One change has to be affordable; a larger transaction borrows.
@@ -275,7 +275,7 @@
         let unsure = self
             .cluster
             .as_mut()
-            .and_then(|l| l.assignment_index.unsure());
+            .and_then(|l| l.assignment_index.next_unverified());
         let Some(shard) = unsure else { return false };
         let key = shard_key(shard);
         self.write_queue.in_flight += 1;
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -178,7 +178,7 @@
             .cluster
             .assignment_index_written(listings, reply);
         let assignment_index = &mut self.cluster.cluster.assignment_index;
-        while let Some(shard) = assignment_index.unsure() {
+        while let Some(shard) = assignment_index.next_unverified() {
             let read = self.stored.shards.get(&format!("roster/{shard}"));
             assignment_index.reread(shard, Some(read.map_or(0, |(_, version)| *version)));
         }
@@ -301,8 +301,8 @@
     ];
     let cluster = Cluster::after_a_take_over(4.0, assignment_index, Duration::from_secs(1000));
     let entry = &cluster.cluster.machines["vm-0001"].assignment;
-    let may_list: Vec<String> = entry.may_list().map(ToString::to_string).collect();
-    assert_eq!(may_list, ["run-000002", "run-000003", "run-000001"]);
+    let possible_jobs: Vec<String> = entry.possible_jobs().map(ToString::to_string).collect();
+    assert_eq!(possible_jobs, ["run-000002", "run-000003", "run-000001"]);
     assert_eq!(
         entry.jobs.len(),
         2,
