--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -16,19 +16,19 @@
     store::{
         Entry, GENERATION, LEADER, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, when,
     },
-    terminal_states::{self, Place, Range, Rewrite},
+    terminal_states::{self, JobIdRange, Layout, Rewrite},
 };
 use kiteyard_rollout::generation::Stage;
 
 /// Records of one range that are still in the old form.
 #[derive(Debug)]
 enum Work {
-    Pack(Range, VecDeque<(JobId, TerminalRecord, u64)>),
-    Unpack(Range),
+    Pack(JobIdRange, VecDeque<(JobId, TerminalRecord, u64)>),
+    Unpack(JobIdRange),
 }
 
 impl Work {
-    fn range(&self) -> &Range {
+    fn range(&self) -> &JobIdRange {
         match self {
             Work::Pack(range, _) | Work::Unpack(range) => range,
         }
@@ -83,8 +83,8 @@
 #[derive(Debug)]
 pub enum MigrationRequest {
     List,
-    Read(Range),
-    Rewrite(Range, terminal_states::TerminalStates, u64),
+    Read(JobIdRange),
+    Rewrite(JobIdRange, terminal_states::TerminalStates, u64),
 }
 
 impl Node {
@@ -112,7 +112,7 @@
                 ..Migration::default()
             };
         }
-        if terminal_states::place(cluster.from) == terminal_states::place(cluster.to) {
+        if terminal_states::layout(cluster.from) == terminal_states::layout(cluster.to) {
             migration.clean = true;
         }
         let passed = now.saturating_sub(migration.refilled).as_secs_f64();
@@ -123,9 +123,9 @@
         }
         let Some(work) = migration.queue.front() else {
             migration.busy = true;
-            let prefix = match terminal_states::place(cluster.from) {
-                Place::Single => TERMINAL_STATES,
-                Place::Packed => TERMINAL_RANGES,
+            let prefix = match terminal_states::layout(cluster.from) {
+                Layout::Single => TERMINAL_STATES,
+                Layout::Packed => TERMINAL_RANGES,
             };
             let after = migration.after.clone();
             self.call(
@@ -141,7 +141,7 @@
         // Whoever waits for a change comes first, and so do the terminal states of jobs.
         if migration.allowance < 1.0
             || !self.write_queue.has_spare_budget()
-            || !self.ranges.free(&range, now)
+            || !self.ranges.is_available(&range, now)
         {
             return;
         }
@@ -176,14 +176,14 @@
             mut conditions,
             changes,
             range,
-            ends,
+            states: ends,
             records,
         } = rewrite;
         conditions.push(when(GENERATION, revision));
         conditions.push(when(LEADER, claim));
         migration.allowance -= changes.len() as f64;
         self.write_queue.charge(changes.len() as f64);
-        self.ranges.take(&range);
+        self.ranges.mark_busy(&range);
         let step = MigrationRequest::Rewrite(range, ends, records as u64);
         self.call(
             Purpose::Migrate((revision, claim), step),
@@ -207,10 +207,10 @@
                     // Emptied, it was removed.
                     let known = terminal_states::KnownRange {
                         version: if ends.is_empty() { 0 } else { *revision },
-                        ends: ends.clone(),
+                        states: ends.clone(),
                     };
                     self.ranges.forget(range);
-                    self.ranges.learn(range.clone(), known);
+                    self.ranges.update(range.clone(), known);
                 }
                 _ => self.ranges.forget(range),
             }
@@ -257,7 +257,7 @@
             let alone = terminal_states::single_id(&entry.key);
             let read = match alone {
                 Some(id) => terminal_states::parse_single(text).map(|record| {
-                    let range = Range::of(&id).0;
+                    let range = JobIdRange::containing(&id).0;
                     let record = (id, record, entry.version);
                     match migration.queue.back_mut() {
                         Some(Work::Pack(last, alone)) if *last == range => alone.push_back(record),
@@ -267,7 +267,7 @@
                     }
                     1
                 }),
-                None => Range::of_key(&entry.key).and_then(|range| {
+                None => JobIdRange::from_key(&entry.key).and_then(|range| {
                     let ends: terminal_states::TerminalStates = serde_json::from_str(text).ok()?;
                     migration.queue.push_back(Work::Unpack(range));
                     Some(ends.len() as u64)
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -27,54 +27,54 @@
 
 /// Place where the terminal state of a job may be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum Layout {
     Single,
     Packed,
 }
 
-pub fn place(generation: Generation) -> Place {
+pub fn layout(generation: Generation) -> Layout {
     match generation >= PACKED_TERMINAL_STATES.since {
-        true => Place::Packed,
-        false => Place::Single,
+        true => Layout::Packed,
+        false => Layout::Single,
     }
 }
 
 /// Returns the places in the order in which to read them, so that a record moved meanwhile is
 /// found.
-pub fn places(cluster: &Cluster) -> Vec<Place> {
-    let mut places: Vec<Place> = cluster.read().map(place).collect();
-    places.dedup();
-    places
+pub fn layouts(cluster: &Cluster) -> Vec<Layout> {
+    let mut layouts: Vec<Layout> = cluster.read().map(layout).collect();
+    layouts.dedup();
+    layouts
 }
 
 /// Range of job ids that differ only in the last two digits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Range(String);
+pub struct JobIdRange(String);
 
 /// Number of digits in which the ids of one range differ.
-const DIGITS: usize = 2;
+const RANGE_DIGITS: usize = 2;
 
-impl Range {
+impl JobIdRange {
     /// Returns the range of an id, and the name of the id within it.
-    pub fn of(id: &JobId) -> (Self, &str) {
+    pub fn containing(id: &JobId) -> (Self, &str) {
         let text = id.as_str();
         let digits = text.len() - text.find(|c: char| c.is_ascii_digit()).unwrap_or(0);
-        let at = text.len() - digits.min(DIGITS);
+        let at = text.len() - digits.min(RANGE_DIGITS);
         (Self(text[..at].to_owned()), &text[at..])
     }
 
-    pub fn of_key(key: &str) -> Option<Self> {
+    pub fn from_key(key: &str) -> Option<Self> {
         let range = key.strip_prefix(TERMINAL_RANGES)?;
         // Any id in the range would do.
         let id = JobId::parse(&format!("{range}00"))?;
-        (Self::of(&id).0.0 == range).then(|| Self(range.to_owned()))
+        (Self::containing(&id).0.0 == range).then(|| Self(range.to_owned()))
     }
 
     pub fn key(&self) -> String {
         format!("{TERMINAL_RANGES}{}", self.0)
     }
 
-    pub fn id(&self, name: &str) -> Option<JobId> {
+    pub fn job_id(&self, name: &str) -> Option<JobId> {
         JobId::parse(&format!("{}{name}", self.0))
     }
 }
@@ -87,10 +87,10 @@
 pub struct TerminalStates(BTreeMap<String, TerminalRecord>);
 
 /// Separator between the number of done tasks and the end time.
-const TIME_MARK: char = 't';
+const TIME_SEPARATOR: char = 't';
 /// Maximum text length with end times. Longer ranges omit the times, which only order jobs: the
 /// terminal states of a hundred jobs must fit into the smallest value size of a state service.
-const WITH_TIMES_MOST: usize = 1500;
+const MAX_LEN_WITH_TIMES: usize = 1500;
 
 impl TerminalStates {
     pub fn get(&self, name: &str) -> Option<TerminalRecord> {
@@ -122,7 +122,7 @@
 
     fn encode(&self) -> String {
         let text = self.encode_entries(true);
-        match text.len() <= WITH_TIMES_MOST {
+        match text.len() <= MAX_LEN_WITH_TIMES {
             true => text,
             false => self.encode_entries(false),
         }
@@ -135,7 +135,7 @@
                 _ => 'd',
             };
             let time = record.ended_ms.filter(|_| with_times);
-            let time = time.map_or(String::new(), |ms| format!("{TIME_MARK}{ms}"));
+            let time = time.map_or(String::new(), |ms| format!("{TIME_SEPARATOR}{ms}"));
             format!("{name}{letter}{}{time}", record.done)
         };
         self.0.iter().map(entry).collect::<Vec<_>>().join(",")
@@ -143,7 +143,7 @@
 
     /// Parses all entries; a single invalid entry makes the whole text invalid.
     fn decode(text: &str) -> Option<Self> {
-        let mut ends = Self::default();
+        let mut states = Self::default();
         for entry in text.split(',').filter(|_| !text.is_empty()) {
             let at = entry.find(|c: char| !c.is_ascii_digit())?;
             let (name, rest) = entry.split_at(at);
@@ -152,10 +152,10 @@
                 'd' => JobState::Done,
                 _ => return None,
             };
-            if !(1..=DIGITS).contains(&name.len()) {
+            if !(1..=RANGE_DIGITS).contains(&name.len()) {
                 return None;
             }
-            let (done, time) = match rest[1..].split_once(TIME_MARK) {
+            let (done, time) = match rest[1..].split_once(TIME_SEPARATOR) {
                 Some((done, time)) => (done, Some(time)),
                 None => (&rest[1..], None),
             };
@@ -167,11 +167,11 @@
                     None => None,
                 },
             };
-            if ends.0.insert(name.to_owned(), record).is_some() {
+            if states.0.insert(name.to_owned(), record).is_some() {
                 return None;
             }
         }
-        Some(ends)
+        Some(states)
     }
 }
 
@@ -211,26 +211,26 @@
 #[derive(Debug, Clone, Default)]
 pub struct KnownRange {
     pub version: u64,
-    pub ends: TerminalStates,
+    pub states: TerminalStates,
 }
 
 /// Ranges that this node has seen. Writes depend on the version, so a range that has changed since
 /// only costs a conflict.
 #[derive(Debug, Default)]
 pub struct TerminalRanges {
-    known: HashMap<Range, KnownRange>,
+    known: HashMap<JobIdRange, KnownRange>,
     /// Ranges that the leader reads or writes now (none), or may write again at the given time.
-    busy: HashMap<Range, Option<Duration>>,
+    busy: HashMap<JobIdRange, Option<Duration>>,
 }
 
-const KNOWN_MOST: usize = 256;
+const MAX_KNOWN_RANGES: usize = 256;
 
 impl TerminalRanges {
-    pub fn get(&self, range: &Range) -> Option<&KnownRange> {
+    pub fn get(&self, range: &JobIdRange) -> Option<&KnownRange> {
         self.known.get(range)
     }
 
-    pub fn learn(&mut self, range: Range, known: KnownRange) {
+    pub fn update(&mut self, range: JobIdRange, known: KnownRange) {
         let newer = self
             .known
             .get(&range)
@@ -238,7 +238,7 @@
         if newer && known.version > 0 {
             return;
         }
-        if self.known.len() >= KNOWN_MOST && !self.known.contains_key(&range) {
+        if self.known.len() >= MAX_KNOWN_RANGES && !self.known.contains_key(&range) {
             // Any range may be evicted: it is read again when needed.
             let other = self.known.keys().next().cloned();
             other.and_then(|other| self.known.remove(&other));
@@ -246,25 +246,25 @@
         self.known.insert(range, known);
     }
 
-    pub fn forget(&mut self, range: &Range) {
+    pub fn forget(&mut self, range: &JobIdRange) {
         self.known.remove(range);
     }
 
     /// Returns whether the leader may work on a range now.
-    pub fn free(&self, range: &Range, now: Duration) -> bool {
+    pub fn is_available(&self, range: &JobIdRange, now: Duration) -> bool {
         match self.busy.get(range) {
             None => true,
             Some(until) => until.is_some_and(|until| now >= until),
         }
     }
 
-    pub fn take(&mut self, range: &Range) {
+    pub fn mark_busy(&mut self, range: &JobIdRange) {
         self.busy.insert(range.clone(), None);
     }
 
     /// Ends the leader's work on a range and leaves the range unchanged until the given time, so
     /// that submissions in the same range find the version that they read.
-    pub fn release(&mut self, range: &Range, until: Duration, now: Duration) {
+    pub fn release(&mut self, range: &JobIdRange, until: Duration, now: Duration) {
         self.busy.retain(|_, at| at.is_none_or(|at| at > now));
         self.busy.insert(range.clone(), Some(until));
     }
@@ -282,13 +282,13 @@
     ranges: &TerminalRanges,
 ) -> Option<Vec<Condition>> {
     let mut conditions = Vec::new();
-    for place in places(cluster) {
-        conditions.push(match place {
-            Place::Single => when(terminal_key(id), 0),
-            Place::Packed => {
-                let (range, name) = Range::of(id);
+    for layout in layouts(cluster) {
+        conditions.push(match layout {
+            Layout::Single => when(terminal_key(id), 0),
+            Layout::Packed => {
+                let (range, name) = JobIdRange::containing(id);
                 let known = ranges.get(&range)?;
-                if known.ends.get(name).is_some() {
+                if known.states.get(name).is_some() {
                     return None;
                 }
                 when(range.key(), known.version)
@@ -304,7 +304,7 @@
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
     /// The range after the write.
-    pub ends: Option<(Range, TerminalStates)>,
+    pub states: Option<(JobIdRange, TerminalStates)>,
 }
 
 pub fn terminal_write(
@@ -312,26 +312,26 @@
     jobs: &[(JobId, TerminalRecord)],
     ranges: &TerminalRanges,
 ) -> Option<TerminalWrite> {
-    match place(cluster.written()) {
-        Place::Single => Some(TerminalWrite {
+    match layout(cluster.written()) {
+        Layout::Single => Some(TerminalWrite {
             conditions: Vec::new(),
             changes: jobs
                 .iter()
                 .map(|(id, r)| put(terminal_key(id), r))
                 .collect(),
-            ends: None,
+            states: None,
         }),
-        Place::Packed => {
-            let (range, _) = Range::of(&jobs.first()?.0);
+        Layout::Packed => {
+            let (range, _) = JobIdRange::containing(&jobs.first()?.0);
             let known = ranges.get(&range)?;
-            let mut ends = known.ends.clone();
+            let mut states = known.states.clone();
             for (id, record) in jobs {
-                ends.insert(Range::of(id).1, *record);
+                states.insert(JobIdRange::containing(id).1, *record);
             }
             Some(TerminalWrite {
                 conditions: vec![when(range.key(), known.version)],
-                changes: vec![put(range.key(), &ends)],
-                ends: Some((range, ends)),
+                changes: vec![put(range.key(), &states)],
+                states: Some((range, states)),
             })
         }
     }
@@ -341,44 +341,48 @@
 pub struct Rewrite {
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
-    pub range: Range,
-    pub ends: TerminalStates,
+    pub range: JobIdRange,
+    pub states: TerminalStates,
     pub records: usize,
 }
 
 /// Moves single records into their range. The caller limits them to the size of a transaction.
-pub fn pack(range: &Range, alone: &[(JobId, TerminalRecord, u64)], known: &KnownRange) -> Rewrite {
-    let mut ends = known.ends.clone();
+pub fn pack(
+    range: &JobIdRange,
+    singles: &[(JobId, TerminalRecord, u64)],
+    known: &KnownRange,
+) -> Rewrite {
+    let mut states = known.states.clone();
     let mut conditions = vec![when(range.key(), known.version)];
     let mut deletes = Vec::new();
-    for (id, record, version) in alone {
-        ends.insert(Range::of(id).1, *record);
+    for (id, record, version) in singles {
+        states.insert(JobIdRange::containing(id).1, *record);
         conditions.push(when(terminal_key(id), *version));
         deletes.push(delete(terminal_key(id)));
     }
-    let mut changes = vec![put(range.key(), &ends)];
+    let mut changes = vec![put(range.key(), &states)];
     changes.extend(deletes);
     Rewrite {
         conditions,
         changes,
         range: range.clone(),
-        ends,
-        records: alone.len(),
+        states,
+        records: singles.len(),
     }
 }
 
 /// Moves records from a range back to keys of their own.
-pub fn unpack(range: &Range, known: &KnownRange, most: usize) -> Option<Rewrite> {
-    let mut ends = known.ends.clone();
-    let taken = ends.split_off(most.saturating_sub(1).max(1));
+pub fn unpack(range: &JobIdRange, known: &KnownRange, max_changes: usize) -> Option<Rewrite> {
+    let mut states = known.states.clone();
+    let taken = states.split_off(max_changes.saturating_sub(1).max(1));
     let mut conditions = vec![when(range.key(), known.version)];
-    let mut changes = vec![match ends.is_empty() {
+    let mut changes = vec![match states.is_empty() {
         true => delete(range.key()),
-        false => put(range.key(), &ends),
+        false => put(range.key(), &states),
     }];
     let records = taken.len();
     for (name, record) in taken {
-        let key = terminal_key(&range.id(&name)?);
+        let key = terminal_key(&range.job_id(&name)?);
         conditions.push(when(&key, 0));
         changes.push(put(key, &record));
     }
@@ -386,7 +390,7 @@
         conditions,
         changes,
         range: range.clone(),
-        ends,
+        states,
         records,
     })
 }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -13,7 +13,7 @@
     store::{
         GENERATION, StateReply, StateRequest, delete, encoded_len, job_key, put, terminal_key, when,
     },
-    terminal_states::{self, KnownRange, Place, Range},
+    terminal_states::{self, JobIdRange, KnownRange, Layout},
 };
 
 /// What is to be answered about a job once its state is known for sure.
@@ -55,7 +55,7 @@
     request: RequestId,
     question: Question,
     /// Where it still may be.
-    places: Vec<Place>,
+    places: Vec<Layout>,
     /// The revision of the generation's record that these places follow from.
     generation: u64,
 }
@@ -72,7 +72,7 @@
             id,
             request,
             question,
-            places: terminal_states::places(cluster),
+            places: terminal_states::layouts(cluster),
             generation: *generation,
         }
     }
@@ -199,7 +199,7 @@
         let id = spec.id.clone();
         let (cluster, generation) = self.cache.cluster;
         let Some(absence) = terminal_states::absence_conditions(&cluster, &id, &self.ranges) else {
-            let range = Range::of(&id).0;
+            let range = JobIdRange::containing(&id).0;
             match self.ranges.get(&range).is_some() {
                 // It has an end.
                 true => self.queue_question(request, id, Question::Repeat(spec, TRIES)),
@@ -229,7 +229,7 @@
     }
 
     fn read_range(&mut self, request: RequestId, id: JobId, then: AfterRangeRead) {
-        let key = Range::of(&id).0.key();
+        let key = JobIdRange::containing(&id).0.key();
         let purpose = Purpose::ReadRange { request, id, then };
         self.call(purpose, StateRequest::Get { key });
     }
@@ -241,7 +241,10 @@
         then: AfterRangeRead,
         reply: &StateReply,
     ) {
-        if self.learn_range(&Range::of(&id).0, reply).is_none() {
+        if self
+            .learn_range(&JobIdRange::containing(&id).0, reply)
+            .is_none()
+        {
             self.answer(request, Answer::Later { retry: RETRY });
             return;
         }
@@ -252,13 +255,17 @@
     }
 
     /// What a range holds, as read just now; none where that is not known.
-    pub(super) fn learn_range(&mut self, range: &Range, reply: &StateReply) -> Option<KnownRange> {
+    pub(super) fn learn_range(
+        &mut self,
+        range: &JobIdRange,
+        reply: &StateReply,
+    ) -> Option<KnownRange> {
         let known = match reply {
             StateReply::Missing => KnownRange::default(),
             StateReply::Entry(entry) => match serde_json::from_str(entry.value.get()) {
                 Ok(ends) => KnownRange {
                     version: entry.version,
-                    ends,
+                    states: ends,
                 },
                 Err(_) => {
                     self.report_unreadable(&entry.key);
@@ -268,7 +275,7 @@
             _ => return None,
         };
         self.ranges.forget(range);
-        self.ranges.learn(range.clone(), known.clone());
+        self.ranges.update(range.clone(), known.clone());
         Some(known)
     }
 
@@ -337,7 +344,7 @@
             }
             // The job is known, or the range or the generation has changed.
             StateReply::Conflict => {
-                self.ranges.forget(&Range::of(&id).0);
+                self.ranges.forget(&JobIdRange::containing(&id).0);
                 self.queue_question(request, id, Question::Repeat(spec, tries + 1));
             }
             StateReply::Refused { retry, .. } => {
@@ -488,7 +495,7 @@
             Purpose::Cancel {
                 request,
                 id,
-                ends: terminal_write.ends,
+                ends: terminal_write.states,
             },
             StateRequest::Txn {
                 conditions,
@@ -508,7 +515,7 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        ends: Option<(Range, terminal_states::TerminalStates)>,
+        ends: Option<(JobIdRange, terminal_states::TerminalStates)>,
         reply: StateReply,
     ) {
         let now = self.now();
@@ -532,27 +539,33 @@
     pub(super) fn range_written(
         &mut self,
         id: &JobId,
-        ends: Option<(Range, terminal_states::TerminalStates)>,
+        ends: Option<(JobIdRange, terminal_states::TerminalStates)>,
         reply: &StateReply,
     ) {
         match (reply, ends) {
             (StateReply::Committed { revision }, Some((range, ends))) => {
                 let version = *revision;
-                self.ranges.learn(range, KnownRange { version, ends });
+                self.ranges.update(
+                    range,
+                    KnownRange {
+                        version,
+                        states: ends,
+                    },
+                );
             }
             (StateReply::Committed { .. }, None) => {}
-            _ => self.ranges.forget(&Range::of(id).0),
+            _ => self.ranges.forget(&JobIdRange::containing(id).0),
         }
     }
 
     /// Looks for the end of a job at the first of the places that are left.
     pub(super) fn read_terminal_state(&mut self, read: TerminalRead) {
         let request = match read.places.first() {
-            Some(Place::Single) => StateRequest::Get {
+            Some(Layout::Single) => StateRequest::Get {
                 key: terminal_key(&read.id),
             },
-            Some(Place::Packed) => StateRequest::Get {
-                key: Range::of(&read.id).0.key(),
+            Some(Layout::Packed) => StateRequest::Get {
+                key: JobIdRange::containing(&read.id).0.key(),
             },
             // It was nowhere. That says something only if nothing moved meanwhile.
             None => StateRequest::Txn {
@@ -565,8 +578,8 @@
 
     pub(super) fn terminal_state_read(&mut self, mut read: TerminalRead, reply: StateReply) {
         let found = match (read.places.first(), &reply) {
-            (Some(Place::Single), StateReply::Missing) => None,
-            (Some(Place::Single), StateReply::Entry(entry)) => {
+            (Some(Layout::Single), StateReply::Missing) => None,
+            (Some(Layout::Single), StateReply::Entry(entry)) => {
                 match terminal_states::parse_single(entry.value.get()) {
                     Some(record) => Some((record, entry.version)),
                     None => {
@@ -576,10 +589,10 @@
                     }
                 }
             }
-            (Some(Place::Packed), reply) => {
-                let (range, name) = Range::of(&read.id);
+            (Some(Layout::Packed), reply) => {
+                let (range, name) = JobIdRange::containing(&read.id);
                 match self.learn_range(&range, reply) {
-                    Some(known) => known.ends.get(name).map(|record| (record, known.version)),
+                    Some(known) => known.states.get(name).map(|record| (record, known.version)),
                     None => {
                         self.answer(read.request, Answer::Later { retry: RETRY });
                         return;
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -17,7 +17,7 @@
         Change, GENERATION, LEADER, StateReply, StateRequest, delete, job_key, progress_key, put,
         shard_key, when,
     },
-    terminal_states::{self, Place, Range, TerminalStates},
+    terminal_states::{self, JobIdRange, Layout, TerminalStates},
 };
 
 #[derive(Debug)]
@@ -47,13 +47,13 @@
         claim: u64,
         ended: Vec<(JobId, TerminalRecord)>,
         /// Their range as it will be, where they are stored so.
-        ends: Option<(Range, TerminalStates)>,
+        ends: Option<(JobIdRange, TerminalStates)>,
         keys: Vec<String>,
     },
     /// Reads a range of ends that is to be written.
     ReadRange {
         claim: u64,
-        range: Range,
+        range: JobIdRange,
     },
     Collect {
         claim: u64,
@@ -312,7 +312,9 @@
         let packed = self.packs_terminal_states();
         let cluster = self.cluster.as_ref()?;
         let complete = cluster.jobs.iter().filter(|(id, job)| {
-            job.is_complete() && !job.saving && (!packed || self.ranges.free(&Range::of(id).0, now))
+            job.is_complete()
+                && !job.saving
+                && (!packed || self.ranges.is_available(&JobIdRange::containing(id).0, now))
         });
         complete
             .min_by_key(|(id, job)| (job.unsaved_since, *id))
@@ -321,7 +323,7 @@
 
     /// Terminal states of jobs are stored by range.
     fn packs_terminal_states(&self) -> bool {
-        terminal_states::place(self.cache.cluster.0.written()) == Place::Packed
+        terminal_states::layout(self.cache.cluster.0.written()) == Layout::Packed
     }
 
     /// Reads the range where the next end of a job goes, if it is not known.
@@ -329,14 +331,17 @@
         if !self.packs_terminal_states() {
             return false;
         }
-        let Some(range) = self.complete_job(now).map(|id| Range::of(id).0) else {
+        let Some(range) = self
+            .complete_job(now)
+            .map(|id| JobIdRange::containing(id).0)
+        else {
             return false;
         };
         if self.ranges.get(&range).is_some() {
             return false;
         }
         let key = range.key();
-        self.ranges.take(&range);
+        self.ranges.mark_busy(&range);
         self.write_queue.in_flight += 1;
         let write = Purpose::QueuedWrite(QueuedWrite::ReadRange { claim, range });
         self.call(write, StateRequest::Get { key });
@@ -351,10 +356,13 @@
         let first = self.complete_job(now)?.clone();
         let mut ids = vec![first.clone()];
         if self.packs_terminal_states() {
-            let range = Range::of(&first).0;
+            let range = JobIdRange::containing(&first).0;
             let jobs = &self.cluster.as_ref()?.jobs;
             let also = jobs.iter().filter(|(id, job)| {
-                job.is_complete() && !job.saving && **id != first && Range::of(id).0 == range
+                job.is_complete()
+                    && !job.saving
+                    && **id != first
+                    && JobIdRange::containing(id).0 == range
             });
             ids.extend(also.map(|(id, _)| id.clone()).take(most.saturating_sub(2)));
         }
@@ -384,13 +392,13 @@
         for (id, _) in &ended {
             leader.jobs.get_mut(id)?.saving = true;
         }
-        if let Some((range, _)) = &terminal_write.ends {
-            self.ranges.take(range);
+        if let Some((range, _)) = &terminal_write.states {
+            self.ranges.mark_busy(range);
         }
         let write = QueuedWrite::Finish {
             claim,
             ended,
-            ends: terminal_write.ends,
+            ends: terminal_write.states,
             keys: rest,
         };
         Some((write, conditions, changes))
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -11,7 +11,7 @@
     Answer, Input,
     job::{JobId, JobSpec, JobState, Kind, TerminalRecord},
     store::{Change, GENERATION, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, put},
-    terminal_states::{Range, TerminalStates, parse_single},
+    terminal_states::{JobIdRange, TerminalStates, parse_single},
 };
 use kiteyard_rollout::generation::{Cluster, Stage};
 use rand::RngExt;
@@ -423,7 +423,7 @@
     if key.strip_prefix(TERMINAL_STATES) == Some(id.as_str()) {
         return parse_single(text);
     }
-    let (range, name) = Range::of(id);
+    let (range, name) = JobIdRange::containing(id);
     if range.key() != key {
         return None;
     }
