--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -23,16 +23,16 @@
     /// Resources of tasks that are stopping.
     stopping: Resources,
     /// Resources of tasks that could be preempted, by priority.
-    pub kept: [Resources; Priority::ALL.len()],
+    pub preemptible: [Resources; Priority::ALL.len()],
     /// Reservations for parked tasks, by job.
-    pub held: Vec<(Priority, JobId, Resources)>,
+    pub reservations: Vec<(Priority, JobId, Resources)>,
     /// Tasks selected as victims in this pass.
     pub victims: HashSet<AttemptKey>,
 }
 
 impl MachineCapacity {
     pub fn new(machine: &Machine) -> Self {
-        let mut room = Self {
+        let mut capacity = Self {
             id: machine.id.clone(),
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
@@ -40,54 +40,56 @@
             size: machine.size,
             free: machine.size,
             stopping: Resources::default(),
-            kept: Default::default(),
-            held: Vec::new(),
+            preemptible: Default::default(),
+            reservations: Vec::new(),
             victims: HashSet::new(),
         };
-        room.count(machine);
-        room
+        capacity.recompute(machine);
+        capacity
     }
 
     /// Recalculates the resources from the machine's current tasks.
-    pub fn count(&mut self, machine: &Machine) {
+    pub fn recompute(&mut self, machine: &Machine) {
         self.free = self.size;
         self.stopping = Resources::default();
-        self.kept = Default::default();
+        self.preemptible = Default::default();
         for placement in machine.tasks.values().filter(|p| !p.exited()) {
             self.free = self.free.minus(&placement.need);
             if placement.stopping() {
                 self.stopping = self.stopping.plus(&placement.need);
             } else if let Some(spec) = &placement.spec {
-                let kept = &mut self.kept[spec.priority as usize];
-                *kept = kept.plus(&placement.need);
+                let sum = &mut self.preemptible[spec.priority as usize];
+                *sum = sum.plus(&placement.need);
             }
         }
     }
 
     /// Returns the maximum resources that could become free for a task of this priority: those of
     /// all stopping tasks, and of all tasks that might be preempted for it.
-    pub fn most_free(&self, priority: Priority, reclaims: bool) -> Resources {
+    pub fn max_free(&self, priority: Priority, reclaims: bool) -> Resources {
         let below = priority as usize + usize::from(reclaims);
-        let most = self.free.plus(&self.stopping);
-        self.kept[..below].iter().fold(most, |sum, r| sum.plus(r))
+        let max_free = self.free.plus(&self.stopping);
+        self.preemptible[..below]
+            .iter()
+            .fold(max_free, |sum, r| sum.plus(r))
     }
 }
 
 impl MachineCapacity {
     /// Returns a lower bound of the highest victim's priority if room is made here for the job.
-    pub fn least_highest(&self, spec: &JobSpec, reclaims: bool) -> Option<Priority> {
+    pub fn min_highest_victim(&self, spec: &JobSpec, reclaims: bool) -> Option<Priority> {
         if spec.need.fits_in(&self.free.plus(&self.stopping)) {
             return None;
         }
         let below = spec.priority as usize + usize::from(reclaims);
-        let some = |kept: &Resources| *kept != Resources::default();
-        let lowest = self.kept[..below].iter().position(some)?;
+        let some = |resources: &Resources| *resources != Resources::default();
+        let lowest = self.preemptible[..below].iter().position(some)?;
         Priority::ALL.get(lowest).copied()
     }
 }
 
 /// Amount of a free resource up to which a machine counts as full.
-const LEAST: f64 = 1e-3;
+const FULL_THRESHOLD: f64 = 1e-3;
 
 /// Resources used by each team's tasks. A list is faster than a map here: teams are few, and every
 /// task of every machine is counted in every pass.
@@ -130,66 +132,70 @@
 pub(super) struct Snapshot {
     /// Cleared when nominations change, because reservations and stopping tasks change with them.
     pub unplaceable: Vec<Unplaceable>,
-    pub rooms: Vec<MachineCapacity>,
+    pub machines: Vec<MachineCapacity>,
     /// Zones of the machines.
     all_zones: Vec<Arc<str>>,
     /// Indexes of machines that are not full, and some that have become full since. Under high load
     /// nearly all are full, and thousands of waiting jobs each look for one.
-    open: Vec<usize>,
+    open_machines: Vec<usize>,
     /// The same by free GPUs.
-    open_gpus: Vec<usize>,
+    open_gpu_machines: Vec<usize>,
     /// Resources of each team's tasks, including those that unresponsive machines may hold.
     pub usage: Usage,
     /// Part of `usage` that is stopping.
-    pub leaving: Usage,
+    pub stopping_usage: Usage,
     /// Tasks of the selected job by zone, including stopping ones.
-    pub zones: BTreeMap<Arc<str>, u32>,
+    pub job_zones: BTreeMap<Arc<str>, u32>,
     /// Jobs that are listed for unresponsive machines.
     pub on_unresolved: HashSet<JobId>,
     /// Tasks by job and zone, counted at the first use.
-    by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
+    tasks_by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
 }
 
 impl Snapshot {
     pub fn new(
-        rooms: Vec<MachineCapacity>,
+        machines: Vec<MachineCapacity>,
         usage: Usage,
-        leaving: Usage,
+        stopping_usage: Usage,
         on_unresolved: HashSet<JobId>,
     ) -> Self {
-        let zones: BTreeSet<&Arc<str>> = rooms.iter().map(|room| &room.zone).collect();
-        let mut view = Self {
+        let zones: BTreeSet<&Arc<str>> = machines.iter().map(|capacity| &capacity.zone).collect();
+        let mut snapshot = Self {
             all_zones: zones.into_iter().cloned().collect(),
             unplaceable: Vec::new(),
-            rooms,
-            open: Vec::new(),
-            open_gpus: Vec::new(),
+            machines,
+            open_machines: Vec::new(),
+            open_gpu_machines: Vec::new(),
             usage,
-            leaving,
-            zones: BTreeMap::new(),
+            stopping_usage,
+            job_zones: BTreeMap::new(),
             on_unresolved,
-            by_zone: None,
+            tasks_by_zone: None,
         };
-        view.look_for_open();
-        view
+        snapshot.find_open_machines();
+        snapshot
     }
 
-    fn look_for_open(&mut self) {
+    fn find_open_machines(&mut self) {
         let open = |free: fn(&Resources) -> f64| {
-            let rooms = self.rooms.iter().enumerate();
-            let open = rooms.filter(|(_, room)| free(&room.free) > LEAST);
+            let machines = self.machines.iter().enumerate();
+            let open = machines.filter(|(_, capacity)| free(&capacity.free) > FULL_THRESHOLD);
             open.map(|(index, _)| index).collect()
         };
-        (self.open, self.open_gpus) = (open(|free| free.cpus), open(|free| free.gpus));
+        (self.open_machines, self.open_gpu_machines) =
+            (open(|free| free.cpus), open(|free| free.gpus));
     }
 
     /// Returns the machines that may currently have room for such a task.
     pub fn may_fit(&self, spec: &JobSpec) -> impl Iterator<Item = usize> {
         // A task that needs almost nothing may fit on any machine.
-        let (open, all) = match (spec.need.gpus > 2.0 * LEAST, spec.need.cpus > 2.0 * LEAST) {
-            (true, _) => (&self.open_gpus[..], 0..0),
-            (false, true) => (&self.open[..], 0..0),
-            (false, false) => (&[][..], 0..self.rooms.len()),
+        let (open, all) = match (
+            spec.need.gpus > 2.0 * FULL_THRESHOLD,
+            spec.need.cpus > 2.0 * FULL_THRESHOLD,
+        ) {
+            (true, _) => (&self.open_gpu_machines[..], 0..0),
+            (false, true) => (&self.open_machines[..], 0..0),
+            (false, false) => (&[][..], 0..self.machines.len()),
         };
         open.iter().copied().chain(all)
     }
@@ -213,9 +219,9 @@
         free: impl Fn(&MachineCapacity) -> Resources,
     ) -> bool {
         let mut left = tasks as u32;
-        for room in &self.rooms {
-            let free = free(room);
-            if !spec.need.fits_in(&free) || !zones.contains(&room.zone) {
+        for capacity in &self.machines {
+            let free = free(capacity);
+            if !spec.need.fits_in(&free) || !zones.contains(&capacity.zone) {
                 continue;
             }
             left = left.saturating_sub(spec.need.count_fitting(&free));
@@ -236,59 +242,61 @@
     /// counted once, because a lookup at every machine for each waiting service took most of a
     /// pass.
     pub fn select_job(&mut self, spec: &JobSpec, machines: &BTreeMap<MachineId, Machine>) {
-        self.zones.clear();
-        if !by_zone(spec) {
+        self.job_zones.clear();
+        if !depends_on_zones(spec) {
             return;
         }
-        let counted = self.by_zone.get_or_insert_with(|| count_by_zone(machines));
+        let counted = self
+            .tasks_by_zone
+            .get_or_insert_with(|| count_by_zone(machines));
         if let Some(zones) = counted.get(&spec.id) {
-            self.zones.clone_from(zones);
+            self.job_zones.clone_from(zones);
         }
     }
 
     /// Records that a task of the selected job was placed on a machine.
-    pub fn put(&mut self, room: usize, spec: &JobSpec) {
-        let room = &mut self.rooms[room];
-        room.free = room.free.minus(&spec.need);
-        let kept = &mut room.kept[spec.priority as usize];
-        *kept = kept.plus(&spec.need);
+    pub fn record_placement(&mut self, index: usize, spec: &JobSpec) {
+        let capacity = &mut self.machines[index];
+        capacity.free = capacity.free.minus(&spec.need);
+        let sum = &mut capacity.preemptible[spec.priority as usize];
+        *sum = sum.plus(&spec.need);
         self.usage.add(&spec.team, &spec.need);
-        *self.zones.entry(room.zone.clone()).or_insert(0) += 1;
-        if let (Some(counted), true) = (&mut self.by_zone, by_zone(spec)) {
+        *self.job_zones.entry(capacity.zone.clone()).or_insert(0) += 1;
+        if let (Some(counted), true) = (&mut self.tasks_by_zone, depends_on_zones(spec)) {
             let zones = counted.entry(spec.id.clone()).or_default();
-            *zones.entry(room.zone.clone()).or_insert(0) += 1;
+            *zones.entry(capacity.zone.clone()).or_insert(0) += 1;
         }
     }
 
     /// Recalculates a machine on which tasks were stopped or starts were withdrawn.
-    pub fn recount(&mut self, room: usize, machine: &Machine) {
-        self.by_zone = None;
-        self.rooms[room].count(machine);
-        self.look_for_open();
+    pub fn recount(&mut self, index: usize, machine: &Machine) {
+        self.tasks_by_zone = None;
+        self.machines[index].recompute(machine);
+        self.find_open_machines();
     }
 
     /// Updates the reservations after the nominations of one job have changed.
-    pub fn refresh_held(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
+    pub fn refresh_reservations(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
         self.unplaceable.clear();
-        for room in &mut self.rooms {
-            room.held.retain(|(_, held, _)| *held != spec.id);
+        for capacity in &mut self.machines {
+            capacity.reservations.retain(|(_, job, _)| *job != spec.id);
         }
-        self.hold(spec, nominations);
+        self.reserve(spec, nominations);
     }
 
-    pub fn hold(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
+    pub fn reserve(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
         for machine in nominations {
             // Machines are sorted by id.
-            if let Ok(at) = self.rooms.binary_search_by(|r| r.id.cmp(machine)) {
-                let held = (spec.priority, spec.id.clone(), spec.need);
-                self.rooms[at].held.push(held);
+            if let Ok(at) = self.machines.binary_search_by(|c| c.id.cmp(machine)) {
+                let reservation = (spec.priority, spec.id.clone(), spec.need);
+                self.machines[at].reservations.push(reservation);
             }
         }
     }
 }
 
 /// Returns whether the locations of the job's other tasks restrict or influence a placement.
-pub(super) fn by_zone(spec: &JobSpec) -> bool {
+pub(super) fn depends_on_zones(spec: &JobSpec) -> bool {
     spec.one_zone || spec.spread || spec.kind == Kind::Service
 }
 
@@ -298,7 +306,7 @@
     let mut counted: HashMap<JobId, BTreeMap<Arc<str>, u32>> = HashMap::new();
     for machine in machines.values() {
         for ((task, _), p) in &machine.tasks {
-            if p.exited() || p.spec.as_ref().is_some_and(|spec| !by_zone(spec)) {
+            if p.exited() || p.spec.as_ref().is_some_and(|spec| !depends_on_zones(spec)) {
                 continue;
             }
             let zones = counted.entry(task.job.clone()).or_default();
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -202,7 +202,7 @@
             .collect();
         let mut view = Snapshot::new(rooms, usage, leaving, jobs_on_unresolved(&self.machines));
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
-            view.hold(&job.spec, &job.nominations);
+            view.reserve(&job.spec, &job.nominations);
         }
         view
     }
@@ -230,15 +230,15 @@
         let mut costs: Vec<(f64, usize)> = view
             .may_fit(spec)
             .filter(|room| {
-                let room = &view.rooms[*room];
+                let room = &view.machines[*room];
                 !with_image || (spec.need.fits_in(&room.free) && has_image(room))
             })
             .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
             .collect();
         costs.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         for (_, room) in costs {
-            let machine = view.rooms[room].id.clone();
-            while self.fits(view, &view.rooms[room], spec, &view.rooms[room].free) {
+            let machine = view.machines[room].id.clone();
+            while self.fits(view, &view.machines[room], spec, &view.machines[room].free) {
                 if self.jobs[id].has_enough_probes() {
                     return;
                 }
@@ -279,7 +279,7 @@
                 index,
             };
             if let Some(room) = self.best_fit(view, spec, now) {
-                let machine = view.rooms[room].id.clone();
+                let machine = view.machines[room].id.clone();
                 let attempt = self.next_attempt();
                 self.put(view, room, &machine, task, attempt, now);
                 continue;
@@ -304,7 +304,7 @@
         let spec = self.jobs[&id].spec.clone();
         self.take_seats(&spec, &task, attempt, now);
         self.place(machine, task, attempt, now);
-        view.put(room, &spec);
+        view.record_placement(room, &spec);
         if self.jobs[&id].nominations.len() != held {
             self.refresh_held(view, &id);
         }
@@ -312,7 +312,7 @@
 
     fn refresh_held(&self, view: &mut Snapshot, id: &JobId) {
         let job = &self.jobs[id];
-        view.refresh_held(&job.spec, &job.nominations);
+        view.refresh_reservations(&job.spec, &job.nominations);
     }
 
     fn over_limit(&self, view: &Snapshot, spec: &JobSpec, tasks: u32, now: Duration) -> bool {
@@ -332,7 +332,7 @@
     fn allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
         spec.allows_type(&room.machine_type)
             && spec.allows_placement(&room.zone, room.spot)
-            && zone_allowed(&view.zones, &room.zone, spec)
+            && zone_allowed(&view.job_zones, &room.zone, spec)
     }
 
     /// Both checks: with the nominated tasks of equal or higher priority taken
@@ -348,7 +348,7 @@
             return false;
         }
         let mut left = *free;
-        for (priority, job, need) in &room.held {
+        for (priority, job, need) in &room.reservations {
             if *priority >= spec.priority && *job != spec.id {
                 left = left.minus(need);
             }
@@ -365,7 +365,7 @@
 
     /// How good a room is for a task that fits there; the lowest is the best.
     fn cost(&self, view: &Snapshot, index: usize, spec: &JobSpec, now: Duration) -> Option<f64> {
-        let room = &view.rooms[index];
+        let room = &view.machines[index];
         if !self.fits(view, room, spec, &room.free) {
             return None;
         }
@@ -388,7 +388,7 @@
                 .iter()
                 .filter(|((task, _), p)| task.job == spec.id && !p.exited())
                 .count();
-            let in_zone = view.zones.get(&machine.zone).copied().unwrap_or(0);
+            let in_zone = view.job_zones.get(&machine.zone).copied().unwrap_or(0);
             cost += 4.0 * beside as f64 + f64::from(in_zone);
         }
         // An empty machine with images of services is left to them.
@@ -485,8 +485,8 @@
     fn best_plan(&self, view: &Snapshot, spec: &JobSpec) -> Option<Plan> {
         let reclaims = self.within_guarantee(view, spec);
         let mut best: Option<Plan> = None;
-        for (index, room) in view.rooms.iter().enumerate() {
-            let most = room.most_free(spec.priority, reclaims);
+        for (index, room) in view.machines.iter().enumerate() {
+            let most = room.max_free(spec.priority, reclaims);
             if !spec.need.fits_in(&most) || !self.allowed(view, room, spec) {
                 continue;
             }
@@ -509,7 +509,7 @@
     /// Whatever the plan for this room is, it is worse than this one. Going through the
     /// tasks of each machine for each waiting service was most of a pass in a rush.
     fn loses(&self, room: &MachineCapacity, spec: &JobSpec, reclaims: bool, best: &Plan) -> bool {
-        let least = room.least_highest(spec, reclaims);
+        let least = room.min_highest_victim(spec, reclaims);
         if best.breaches > 0 || least != best.highest {
             return best.breaches == 0 && least > best.highest;
         }
@@ -531,11 +531,11 @@
 
     /// Sets aside every task that may make room, then restores those that can stay.
     fn plan(&self, view: &Snapshot, index: usize, spec: &JobSpec, reclaims: bool) -> Option<Plan> {
-        let room = &view.rooms[index];
+        let room = &view.machines[index];
         let machine = &self.machines[&room.id];
         let mut free = room.free;
         // Own nominations here are other tasks of the same job.
-        for (_, job, need) in &room.held {
+        for (_, job, need) in &room.reservations {
             if *job == spec.id {
                 free = free.minus(need);
             }
@@ -557,7 +557,7 @@
         // The newest first, so that a team loses those beyond its guarantee.
         candidates.sort_by(|a, b| (b.2, b.0).cmp(&(a.2, a.0)));
         let mut leaving = match reclaims {
-            true => view.leaving.clone(),
+            true => view.stopping_usage.clone(),
             false => Usage::default(),
         };
         candidates.retain(|(_, victim, _)| {
@@ -661,7 +661,7 @@
         plan: Plan,
         now: Duration,
     ) {
-        let machine = view.rooms[plan.room].id.clone();
+        let machine = view.machines[plan.room].id.clone();
         info!(job = %id, machine = %machine, victims = plan.victims.len(), breaches = plan.breaches, "nominate");
         self.counts.nominations += 1;
         let grace = self.config.options.grace;
@@ -669,7 +669,7 @@
             info!(task = %key.0, machine = %machine, by = %id, "preempt");
             self.counts.victims += 1;
             if let Some(victim) = self.jobs.get(&key.0.job).map(|j| j.spec.clone()) {
-                view.leaving.add(&victim.team, &victim.need);
+                view.stopping_usage.add(&victim.team, &victim.need);
             }
             self.stop(&machine, key, grace, now);
         }
@@ -685,7 +685,7 @@
 
     /// A higher nomination that leaves no room clears the lower ones.
     fn clear_lower(&mut self, view: &mut Snapshot, index: usize, spec: &JobSpec) {
-        let machine = self.machines[&view.rooms[index].id].clone();
+        let machine = self.machines[&view.machines[index].id].clone();
         let mut lower: Vec<(Priority, JobId, Resources)> = Vec::new();
         let mut free = machine.free();
         for p in machine
@@ -695,7 +695,7 @@
         {
             free = free.plus(&p.need);
         }
-        for held in &view.rooms[index].held {
+        for held in &view.machines[index].reservations {
             if held.0 >= spec.priority {
                 free = free.minus(&held.2);
             } else {
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -4,7 +4,7 @@
 
 use super::ClusterState;
 use crate::core::{
-    capacity_snapshot::{MachineCapacity, Snapshot, by_zone},
+    capacity_snapshot::{MachineCapacity, Snapshot, depends_on_zones},
     cluster::Slot,
     job::{JobId, JobSpec, Resources, TaskId},
     reconciliation::DeferredAction,
@@ -22,9 +22,9 @@
         if self.jobs[id].placed > 0 || self.over_limit(view, spec, spec.tasks, now) {
             return false;
         }
-        let lingering = match by_zone(spec) {
+        let lingering = match depends_on_zones(spec) {
             // They were counted for where the others may be.
-            true => !view.zones.is_empty(),
+            true => !view.job_zones.is_empty(),
             false => self.machines.values().any(|m| {
                 let mut tasks = m.tasks.iter();
                 tasks.any(|((task, _), p)| task.job == *id && !p.exited())
@@ -44,7 +44,7 @@
                 self.refresh_held(view, id);
                 let attempt = self.next_attempt();
                 for (index, room) in tasks.iter().zip(rooms) {
-                    let machine = view.rooms[room].id.clone();
+                    let machine = view.machines[room].id.clone();
                     let task = TaskId {
                         job: id.clone(),
                         index: *index,
@@ -74,7 +74,7 @@
         let mut best: Vec<usize> = Vec::new();
         for zones in view.gang_zones(spec) {
             let there = view.may_fit(spec).filter(|index| {
-                let room = &view.rooms[*index];
+                let room = &view.machines[*index];
                 zones.contains(&room.zone) && self.fits(view, room, spec, &room.free)
             });
             let there: Vec<usize> = there.take(tasks).collect();
@@ -89,8 +89,8 @@
         };
         if let Some(against) = against {
             for index in best {
-                view.rooms[index]
-                    .held
+                view.machines[index]
+                    .reservations
                     .push((against, id.clone(), spec.need));
             }
         }
@@ -108,10 +108,10 @@
         if !view.may_hold(spec, tasks.len(), zones, |room| room.free) {
             return None;
         }
-        let before: Vec<Resources> = view.rooms.iter().map(|r| r.free).collect();
-        let zones_before = view.zones.clone();
+        let before: Vec<Resources> = view.machines.iter().map(|r| r.free).collect();
+        let zones_before = view.job_zones.clone();
         let mut chosen = Vec::new();
-        for room in &mut view.rooms {
+        for room in &mut view.machines {
             if !zones.contains(&room.zone) {
                 room.free = Resources::default().minus(&spec.need);
             }
@@ -120,15 +120,15 @@
             let Some(i) = self.best_fit(view, spec, now) else {
                 break;
             };
-            view.rooms[i].free = view.rooms[i].free.minus(&spec.need);
-            let zone = view.rooms[i].zone.clone();
-            *view.zones.entry(zone).or_insert(0) += 1;
+            view.machines[i].free = view.machines[i].free.minus(&spec.need);
+            let zone = view.machines[i].zone.clone();
+            *view.job_zones.entry(zone).or_insert(0) += 1;
             chosen.push(i);
         }
-        for (room, free) in view.rooms.iter_mut().zip(before) {
+        for (room, free) in view.machines.iter_mut().zip(before) {
             room.free = free;
         }
-        view.zones = zones_before;
+        view.job_zones = zones_before;
         (chosen.len() == tasks.len()).then_some(chosen)
     }
 
@@ -142,15 +142,15 @@
         now: Duration,
     ) {
         let reclaims = self.within_guarantee(view, spec);
-        let most = |room: &MachineCapacity| room.most_free(spec.priority, reclaims);
+        let most = |room: &MachineCapacity| room.max_free(spec.priority, reclaims);
         for zones in view.gang_zones(spec) {
             if !view.may_hold(spec, tasks.len(), &zones, most) {
                 continue;
             }
-            let before: Vec<Resources> = view.rooms.iter().map(|r| r.free).collect();
-            let zones_before = view.zones.clone();
+            let before: Vec<Resources> = view.machines.iter().map(|r| r.free).collect();
+            let zones_before = view.job_zones.clone();
             let mut plans = Vec::new();
-            for room in &mut view.rooms {
+            for room in &mut view.machines {
                 if !zones.contains(&self.machines[&room.id].zone) {
                     room.free = room.free.plus_scaled(&self.machines[&room.id].size, -2.0);
                 }
@@ -159,18 +159,18 @@
                 let Some(plan) = self.best_plan(view, spec) else {
                     break;
                 };
-                let room = &mut view.rooms[plan.room];
+                let room = &mut view.machines[plan.room];
                 room.free = room.free.plus(&plan.freed).minus(&spec.need);
                 room.victims.extend(plan.victims.iter().cloned());
                 let zone = room.zone.clone();
-                *view.zones.entry(zone).or_insert(0) += 1;
+                *view.job_zones.entry(zone).or_insert(0) += 1;
                 plans.push(plan);
             }
-            for (room, free) in view.rooms.iter_mut().zip(before) {
+            for (room, free) in view.machines.iter_mut().zip(before) {
                 room.free = free;
                 room.victims.clear();
             }
-            view.zones = zones_before;
+            view.job_zones = zones_before;
             if plans.len() == tasks.len() {
                 for plan in plans {
                     self.nominate(view, id, spec, plan, now);
