--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -48,7 +48,7 @@
     })
 }
 
-fn leads(node: &str) -> Box<RawValue> {
+fn leader_record(node: &str) -> Box<RawValue> {
     let record = LeaderRecord {
         node: node.into(),
         superseded: false,
@@ -66,7 +66,7 @@
     let reply = StateReply::Entries {
         entries: vec![Entry {
             key: LEADER.into(),
-            value: leads("n1"),
+            value: leader_record("n1"),
             version: CLAIM,
         }],
         more: false,
@@ -82,7 +82,7 @@
 }
 
 /// Reports from each machine, with the machine's number as request id.
-fn reports(node: &mut Node, ms: u64, machines: usize, token: u64) -> Vec<Output> {
+fn send_reports(node: &mut Node, ms: u64, machines: usize, token: u64) -> Vec<Output> {
     let report_of = |machine| Input::Report {
         request: machine as RequestId,
         report: report(machine, token, Vec::new()),
@@ -103,7 +103,7 @@
     let reply = StateReply::Events {
         events: vec![Event {
             key: LEADER.into(),
-            value: Some(leads("n2")),
+            value: Some(leader_record("n2")),
             revision: 12,
         }],
         revision: 12,
@@ -111,7 +111,7 @@
     step(node, ms, Input::State { call: watch, reply })
 }
 
-fn hears_leader(node: &mut Node, ms: u64) {
+fn receive_leader_heartbeat(node: &mut Node, ms: u64) {
     let heartbeat = NodeHeartbeat {
         claim: CLAIM,
         ..NodeHeartbeat::default()
@@ -124,7 +124,7 @@
 fn every_report_of_a_fleet_waits_for_the_next_leader() {
     for (machines, sockets) in FLEETS {
         let (mut node, watch) = follower(sockets);
-        let outputs = reports(&mut node, 3_000, machines, CLAIM << 16);
+        let outputs = send_reports(&mut node, 3_000, machines, CLAIM << 16);
         assert!(answers(&outputs).is_empty(), "{machines} machines");
         let outputs = new_leader(&mut node, 3_500, watch);
         let to_leader = Answer::Redirect(Some("n2".into()));
@@ -136,11 +136,11 @@
 
 /// Reports whose time is up are answered while the others keep waiting.
 #[test]
-fn held_reports_are_answered_in_their_time() {
+fn held_reports_are_answered_when_due() {
     let (machines, sockets) = FLEETS[0];
     let (mut node, _) = follower(sockets);
-    reports(&mut node, 3_000, machines / 2, CLAIM << 16);
-    reports(&mut node, 4_000, machines / 2, CLAIM << 16);
+    send_reports(&mut node, 3_000, machines / 2, CLAIM << 16);
+    send_reports(&mut node, 4_000, machines / 2, CLAIM << 16);
     for ms in [6_500, 7_500] {
         let outputs = step(&mut node, ms, Input::Tick);
         assert_eq!(answers(&outputs).len(), machines / 2, "at {ms} ms");
@@ -152,7 +152,7 @@
 fn the_tasks_of_held_reports_are_bounded() {
     const TASKS: usize = 500;
     let settings = settings(700);
-    let most = Config::new(&settings, Options::default()).waiting_tasks_most;
+    let max_waiting_tasks = Config::new(&settings, Options::default()).waiting_tasks_most;
     let (mut node, _) = follower(700);
     let tasks = || {
         let task = |index| ReportedTask {
@@ -165,27 +165,27 @@
         };
         (0..TASKS as u32).map(task).collect()
     };
-    let mut turned_away = 0;
+    let mut rejected = 0;
     for machine in 0..200 {
         let input = Input::Report {
             request: machine as RequestId,
             report: report(machine, CLAIM << 16, tasks()),
         };
-        turned_away += answers(&step(&mut node, 3_000, input)).len();
+        rejected += answers(&step(&mut node, 3_000, input)).len();
     }
-    assert_eq!(turned_away, 200 - most / TASKS);
+    assert_eq!(rejected, 200 - max_waiting_tasks / TASKS);
 }
 
 #[test]
-fn every_report_of_a_fleet_that_lost_its_way_is_relayed() {
+fn every_misdirected_report_of_a_fleet_is_relayed() {
     for (machines, sockets) in FLEETS {
         let (mut node, _) = follower(sockets);
-        hears_leader(&mut node, 3);
+        receive_leader_heartbeat(&mut node, 3);
         // Redirected to the leader once, they come back.
-        let outputs = reports(&mut node, 4, machines, 0);
+        let outputs = send_reports(&mut node, 4, machines, 0);
         assert_eq!(answers(&outputs).len(), machines);
         // Their last answer is recent, so none is urgent.
-        let outputs = reports(&mut node, 5, machines, 0);
+        let outputs = send_reports(&mut node, 5, machines, 0);
         assert!(answers(&outputs).is_empty(), "{machines} machines");
         let relayed = outputs.iter().filter_map(|output| match output {
             Output::Peer {
@@ -208,7 +208,7 @@
     }
 }
 
-const TYPE: &str = r#"[{"name":"m","size":{"cpus":8.0,"gpus":0.0,"memory_gb":64.0},"cache_gb":5.0,
+const MACHINE_TYPES: &str = r#"[{"name":"m","size":{"cpus":8.0,"gpus":0.0,"memory_gb":64.0},"cache_gb":5.0,
   "fetch_gb_per_s":1.0,"price":1.0,"spot_price":0.4,"boot_s":30.0,"zones":["a"]}]"#;
 
 fn entry(key: &str, text: &str) -> Entry {
@@ -228,12 +228,12 @@
     revision: u64,
     events: Vec<Event>,
     /// Pending write of that list.
-    apart: Option<CallId>,
+    pending_partition_write: Option<CallId>,
 }
 
 impl LeadingNode {
     fn new(settings: &Settings, mut live: Vec<Entry>) -> Self {
-        live.push(entry(TYPES, TYPE));
+        live.push(entry(TYPES, MACHINE_TYPES));
         live.push(entry(GENERATION, r#"{"from":4,"to":4,"stage":"settled"}"#));
         let options = Options {
             maintenance: Some(Arc::new(kiteyard_maintenance::config::Config::plain(1))),
@@ -245,7 +245,7 @@
             live,
             revision: 9,
             events: Vec::new(),
-            apart: None,
+            pending_partition_write: None,
         };
         for _ in 0..100 {
             leading.run(Input::Tick);
@@ -288,9 +288,9 @@
             }
             StateRequest::Get { .. } => StateReply::Missing,
             StateRequest::Txn { changes, .. } => {
-                let is_apart = |change: &Change| matches!(change, Change::Put { key, .. } if key == PARTITIONED);
-                if changes.iter().any(is_apart) {
-                    self.apart = Some(call);
+                let writes_partitions = |change: &Change| matches!(change, Change::Put { key, .. } if key == PARTITIONED);
+                if changes.iter().any(writes_partitions) {
+                    self.pending_partition_write = Some(call);
                     return None;
                 }
                 self.revision += 1;
@@ -325,10 +325,10 @@
 }
 
 #[test]
-fn every_report_of_a_zone_that_was_apart_waits_until_it_is_taken_in() {
+fn every_report_of_a_partitioned_zone_waits_until_it_is_reconnected() {
     for (machines, sockets) in FLEETS {
-        let apart = entry(PARTITIONED, r#"{"zones":{"a":0}}"#);
-        let mut leading = LeadingNode::new(&settings(sockets), vec![apart]);
+        let partitioned = entry(PARTITIONED, r#"{"zones":{"a":0}}"#);
+        let mut leading = LeadingNode::new(&settings(sockets), vec![partitioned]);
         let mut outputs = Vec::new();
         for machine in 0..machines {
             outputs.extend(leading.run_at_once(Input::Report {
@@ -337,7 +337,9 @@
             }));
         }
         assert!(answers(&outputs).is_empty(), "{machines} machines");
-        let call = leading.apart.expect("the zone is taken off the list");
+        let call = leading
+            .pending_partition_write
+            .expect("the zone is taken off the list");
         let revision = leading.revision + 1;
         leading.revision = revision;
         let reply = StateReply::Committed { revision };
@@ -345,15 +347,15 @@
         outputs.extend(leading.run(Input::Tick));
         let answers = answers(&outputs);
         assert_eq!(answers.len(), machines);
-        let commanded = |answer: &&&Answer| matches!(answer, Answer::Commands { .. });
-        assert_eq!(answers.iter().filter(commanded).count(), machines);
+        let has_commands = |answer: &&&Answer| matches!(answer, Answer::Commands { .. });
+        assert_eq!(answers.iter().filter(has_commands).count(), machines);
     }
 }
 
 /// The number of machines drained at a time is limited only by the size of one stored value.
 #[test]
-fn a_drain_is_refused_for_its_bytes_alone() {
-    let objection = |machines: usize, value_kb: f64, names: &str| {
+fn a_drain_is_limited_only_by_its_size_in_bytes() {
+    let refusal = |machines: usize, value_kb: f64, names: &str| {
         let mut settings = settings(700);
         settings.params.state.value_kb = value_kb;
         let mut leading = LeadingNode::new(&settings, Vec::new());
@@ -372,17 +374,17 @@
         }
     };
     // Requests that fit get as far as the check for the machine's name.
-    assert_eq!(objection(250, 16.0, "vm-"), "no machine vm-0");
-    assert_eq!(objection(1000, 64.0, "vm-"), "no machine vm-0");
+    assert_eq!(refusal(250, 16.0, "vm-"), "no machine vm-0");
+    assert_eq!(refusal(1000, 64.0, "vm-"), "no machine vm-0");
     for (machines, value_kb) in [(1000, 16.0), (4000, 16.0), (4000, 512.0)] {
-        let why = objection(machines, value_kb, "vm-");
+        let why = refusal(machines, value_kb, "vm-");
         assert!(why.contains("bytes"), "{why}");
     }
 }
 
 /// Each line of an answer is limited to 64 KiB, however many machines are named.
 #[test]
-fn drains_are_answered_a_machine_a_line() {
+fn drain_answers_have_one_line_per_machine() {
     let view = |number: usize| kiteyard::core::maintenance::MachineView {
         machine: format!("vm-{number:06}"),
         zone: "a".into(),
@@ -394,20 +396,20 @@
         by_ms: Some(5),
     };
     for machines in [0, 1, 6000] {
-        let views: Vec<_> = (0..machines).map(view).collect();
-        let text = kiteyard::wire::user::drains_answer(&views);
+        let machine_views: Vec<_> = (0..machines).map(view).collect();
+        let text = kiteyard::wire::user::drains_answer(&machine_views);
         assert!(text.lines().all(|line| line.len() < 1000));
         let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         assert_eq!(
             value["machines"],
-            serde_json::to_value(&views).expect("JSON")
+            serde_json::to_value(&machine_views).expect("JSON")
         );
     }
 }
 
 /// Users' status requests are not rejected before their connections are.
 #[test]
-fn as_many_questions_wait_as_requests_are_taken() {
+fn as_many_status_requests_wait_as_connections_are_accepted() {
     for (machines, sockets) in FLEETS {
         let mut leading = LeadingNode::new(&settings(sockets), Vec::new());
         let outputs: Vec<_> = (0..machines)
@@ -428,8 +430,8 @@
 
 /// The next leader is told the location of every worker of the fleet, in a line within its limit.
 #[test]
-fn hints_name_every_machine_of_a_fleet() {
-    const LINE_MOST: usize = 4 << 20;
+fn handover_hints_contain_every_machine_of_a_fleet() {
+    const MAX_LINE_BYTES: usize = 4 << 20;
     for (machines, sockets) in FLEETS {
         let mut leading = LeadingNode::new(&settings(sockets), Vec::new());
         let mut token = 0;
@@ -447,7 +449,7 @@
             }
         }
         assert!(token > 0, "the workers are commanded");
-        let told = (0..500).find_map(|_| {
+        let hints = (0..500).find_map(|_| {
             let outputs = leading.run(Input::Tick);
             outputs.into_iter().find_map(|output| match output {
                 Output::Peer {
@@ -457,9 +459,9 @@
                 _ => None,
             })
         });
-        let told = told.expect("hints");
-        let workers = told["workers"].as_object().map(|workers| workers.len());
+        let hints = hints.expect("hints");
+        let workers = hints["workers"].as_object().map(|workers| workers.len());
         assert_eq!(workers, Some(machines));
-        assert!(told.to_string().len() < LINE_MOST);
+        assert!(hints.to_string().len() < MAX_LINE_BYTES);
     }
 }
--- a/tests/result_parts.rs
+++ b/tests/result_parts.rs
@@ -12,7 +12,7 @@
 const TASKS: u32 = 2 * TASKS_PER_CHUNK + 5_000;
 
 /// Reads the stored keys and values like a version without support for parts.
-fn read_as_numbers(stored: &BTreeMap<String, String>) -> TaskSet {
+fn read_without_parts(stored: &BTreeMap<String, String>) -> TaskSet {
     let mut set = TaskSet::default();
     for (name, text) in stored {
         let chunk: u32 = name.parse().expect("a number");
@@ -34,7 +34,7 @@
 
 /// Tasks finish in any order while the value limit is lowered and the leader changes.
 #[test]
-fn parts_of_chunks_are_read_whole_by_both_versions() {
+fn both_versions_read_chunks_stored_in_parts() {
     for (seed, before) in [(1, 16 * 1024), (2, 2048), (3, 1500)] {
         let mut rng = StdRng::seed_from_u64(seed);
         let (mut set, mut stored) = (TaskSet::default(), BTreeMap::new());
@@ -56,8 +56,8 @@
                 results = read(&stored);
             }
             let known: Vec<u32> = results.stored().iter().collect();
-            let by_numbers: Vec<u32> = read_as_numbers(&stored).iter().collect();
-            assert_eq!(known, by_numbers, "turn {turn}");
+            let without_parts: Vec<u32> = read_without_parts(&stored).iter().collect();
+            assert_eq!(known, without_parts, "turn {turn}");
         }
         while let parts @ [_, ..] = &unsaved_parts(&set, results.stored(), 1500)[..] {
             parts.iter().for_each(|part| {
@@ -66,8 +66,8 @@
             results.mark_written(&set, parts, 7);
         }
         let all: Vec<u32> = set.iter().collect();
-        let by_numbers: Vec<u32> = read_as_numbers(&stored).iter().collect();
-        assert_eq!(all, by_numbers);
+        let without_parts: Vec<u32> = read_without_parts(&stored).iter().collect();
+        assert_eq!(all, without_parts);
         let names: Vec<String> = results.chunks().iter().map(ChunkPart::name).collect();
         assert!(
             stored.keys().all(|name| names.contains(name)),
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_part_is_written_alone_where_only_it_has_changed() {
+fn only_changed_parts_are_written() {
     let mut set = TaskSet::default();
     (0..TASKS_PER_CHUNK).for_each(|task| set.insert(task));
     let before = set.clone();
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -42,19 +42,19 @@
 
 impl Cluster {
     pub fn new(cpus: f64) -> Self {
-        Self::after_a_take_over(cpus, Vec::new(), Duration::ZERO)
+        Self::after_failover(cpus, Vec::new(), Duration::ZERO)
     }
 
-    pub fn after_a_take_over(
+    pub fn after_failover(
         cpus: f64,
         assignment_index: Vec<(u32, ShardRecord, u64)>,
         previous_leases_end: Duration,
     ) -> Self {
-        Self::with_values_of(16.0, cpus, assignment_index, previous_leases_end)
+        Self::with_value_limit(16.0, cpus, assignment_index, previous_leases_end)
     }
 
     /// Creates a cluster whose values may have the given number of KiB.
-    pub fn with_values_of(
+    pub fn with_value_limit(
         value_kb: f64,
         cpus: f64,
         assignment_index: Vec<(u32, ShardRecord, u64)>,
@@ -66,7 +66,7 @@
         let config = Config::new(&settings, Options::default());
         let types = vec![MachineType {
             name: Arc::from("m"),
-            size: amount(cpus),
+            size: cpu_resources(cpus),
             cache_gb: 10.0,
             fetch_gb_per_s: 1.0,
             price: 1.0,
@@ -91,7 +91,7 @@
         }
     }
 
-    pub fn machine(&mut self, name: &str) {
+    pub fn add_machine(&mut self, name: &str) {
         self.running.insert(name.to_owned(), Vec::new());
         self.report(name);
     }
@@ -101,13 +101,13 @@
     }
 
     pub fn report_in_session(&mut self, name: &str, session: u64) -> Vec<Command> {
-        let report = self.report_under(name, session, self.cluster.token);
+        let report = self.build_report(name, session, self.cluster.token);
         let (_, commands) = self.cluster.report(&report, self.now).expect("in time");
         commands
     }
 
     /// Returns a report of a worker whose highest token is the given one.
-    pub fn report_under(&mut self, name: &str, session: u64, token: u64) -> WorkerReport {
+    pub fn build_report(&mut self, name: &str, session: u64, token: u64) -> WorkerReport {
         self.seq += 1;
         self.now += Duration::from_millis(10);
         WorkerReport {
@@ -125,7 +125,7 @@
     }
 
     /// Starts the decided tasks, as the workers would.
-    pub fn starts(&mut self) {
+    pub fn start_placed_tasks(&mut self) {
         let machines = self.cluster.machines.values_mut();
         for machine in machines {
             for (task, attempt) in machine.tasks.keys() {
@@ -141,7 +141,7 @@
         }
     }
 
-    pub fn job(&mut self, spec: JobSpec) -> JobId {
+    pub fn add_job(&mut self, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
         let live = LiveJob {
             record: JobRecord {
@@ -156,7 +156,7 @@
     }
 
     /// Reports a task that already runs on the machine.
-    pub fn runs(&mut self, name: &str, job: &JobId, index: u32) {
+    pub fn run_task(&mut self, name: &str, job: &JobId, index: u32) {
         self.attempts += 1;
         let task = ReportedTask {
             task: TaskId {
@@ -171,10 +171,10 @@
     }
 
     /// Ends a running task and reports its exit.
-    pub fn ends(&mut self, name: &str, job: &JobId, why: ExitReason) {
+    pub fn end_task(&mut self, name: &str, job: &JobId, reason: ExitReason) {
         let tasks = self.running.get_mut(name).expect("a machine");
         for task in tasks.iter_mut().filter(|t| t.task.job == *job) {
-            task.phase = TaskPhase::Exited(why);
+            task.phase = TaskPhase::Exited(reason);
         }
         self.report(name);
         let tasks = self.running.get_mut(name).expect("a machine");
@@ -186,7 +186,7 @@
         self.cluster.pass(self.now);
     }
 
-    pub fn on(&self, job: &JobId) -> Vec<String> {
+    pub fn machines_of(&self, job: &JobId) -> Vec<String> {
         let slots = &self.cluster.jobs[job].slots;
         let on = |slot: &Slot| match slot {
             Slot::Placed(machine) => Some(machine.to_string()),
@@ -210,7 +210,7 @@
     }
 }
 
-pub fn amount(cpus: f64) -> Resources {
+pub fn cpu_resources(cpus: f64) -> Resources {
     Resources {
         cpus,
         gpus: 0.0,
@@ -226,7 +226,7 @@
         kind,
         priority,
         tasks,
-        need: amount(cpus),
+        need: cpu_resources(cpus),
         image: Arc::from("img"),
         image_gb: 1.0,
         types: None,
--- a/tests/scheduling/dependencies.rs
+++ b/tests/scheduling/dependencies.rs
@@ -10,10 +10,10 @@
 /// One machine that a normal array fills, and a low one that a high job needs.
 fn full_machine_and_needed_job() -> (Cluster, JobId) {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let normal = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
-    c.runs("vm-1", &normal, 0);
-    let needed = c.job(spec(2, Kind::Array, Priority::Low, 1, 4.0));
+    c.add_machine("vm-1");
+    let normal = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
+    c.run_task("vm-1", &normal, 0);
+    let needed = c.add_job(spec(2, Kind::Array, Priority::Low, 1, 4.0));
     (c, needed)
 }
 
@@ -27,32 +27,32 @@
 #[test]
 fn a_blocked_job_is_placed_only_once_it_is_released() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
+    c.add_machine("vm-1");
     let first = JobId::parse("run-000001").expect("an id");
-    let waits = c.job(JobSpec {
+    let waits = c.add_job(JobSpec {
         needs: vec![first],
         ..spec(2, Kind::Array, Priority::High, 1, 1.0)
     });
     c.pass();
-    assert!(c.on(&waits).is_empty());
+    assert!(c.machines_of(&waits).is_empty());
     c.cluster.release_job(&waits, 5_000);
     c.pass();
-    assert_eq!(c.on(&waits), ["vm-1"]);
+    assert_eq!(c.machines_of(&waits), ["vm-1"]);
     assert_eq!(c.cluster.jobs[&waits].ready_ms, 5_000);
 }
 
 #[test]
 fn an_inherited_priority_counts_in_the_queue_and_for_what_runs() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let low = c.job(spec(1, Kind::Array, Priority::Low, 1, 4.0));
-    c.runs("vm-1", &low, 0);
+    c.add_machine("vm-1");
+    let low = c.add_job(spec(1, Kind::Array, Priority::Low, 1, 4.0));
+    c.run_task("vm-1", &low, 0);
     c.cluster.set_urgency(&low, high(u64::MAX));
     // It runs as a high one: a normal job can't stop it.
-    let normal = c.job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
+    let normal = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
     assert!(c.nominated(&normal).is_empty());
-    let production = c.job(spec(3, Kind::Array, Priority::Production, 1, 4.0));
+    let production = c.add_job(spec(3, Kind::Array, Priority::Production, 1, 4.0));
     c.pass();
     assert_eq!(c.nominated(&production), ["vm-1"]);
 }
@@ -85,7 +85,7 @@
 #[test]
 fn a_job_whose_own_priority_is_high_preempts_at_once() {
     let (mut c, _) = full_machine_and_needed_job();
-    let own = c.job(spec(3, Kind::Array, Priority::High, 1, 4.0));
+    let own = c.add_job(spec(3, Kind::Array, Priority::High, 1, 4.0));
     c.cluster.wall_ms = 1_000;
     c.cluster.set_urgency(&own, high(600_000));
     c.pass();
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -24,7 +24,7 @@
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-use cluster::{Cluster, amount, spec};
+use cluster::{Cluster, cpu_resources, spec};
 
 // The plain model: lists, no shortcuts.
 
@@ -100,7 +100,7 @@
         let names: Vec<String> = (0..rng.random_range(2..6))
             .map(|i| format!("vm-{i}"))
             .collect();
-        names.iter().for_each(|name| cluster.machine(name));
+        names.iter().for_each(|name| cluster.add_machine(name));
         let mut model: BTreeMap<String, Vec<Task>> = BTreeMap::new();
         let priorities = [
             Priority::Low,
@@ -140,15 +140,15 @@
                 }
             }
             if !homes.is_empty() {
-                let id = cluster.job(spec(number, kind, priority, homes.len() as u32, need));
+                let id = cluster.add_job(spec(number, kind, priority, homes.len() as u32, need));
                 for (index, name) in homes.iter().enumerate() {
-                    cluster.runs(name, &id, index as u32);
+                    cluster.run_task(name, &id, index as u32);
                 }
             }
         }
         let priority = priorities[rng.random_range(0..4)];
         let need = f64::from(rng.random_range(1..9u32));
-        let job = cluster.job(spec(900, Kind::Array, priority, 1, need));
+        let job = cluster.add_job(spec(900, Kind::Array, priority, 1, need));
         cluster.pass();
 
         let tasks = |name: &String| model.get(name).cloned().unwrap_or_default();
@@ -158,7 +158,8 @@
         if !fits.is_empty() {
             placed += 1;
             assert!(
-                fits.iter().any(|n| cluster.on(&job) == [n.as_str()]),
+                fits.iter()
+                    .any(|n| cluster.machines_of(&job) == [n.as_str()]),
                 "seed {seed}"
             );
             assert_eq!(stopped, 0, "seed {seed}");
@@ -168,7 +169,7 @@
             .iter()
             .filter_map(|n| Some((n, model_plan(cpus, &tasks(n), priority, need)?)));
         let plans: BTreeMap<&String, (Score, BTreeSet<TaskId>)> = plans.collect();
-        assert!(cluster.on(&job).is_empty(), "seed {seed}");
+        assert!(cluster.machines_of(&job).is_empty(), "seed {seed}");
         let Some(best) = plans.values().map(|(score, _)| score).min() else {
             parked += 1;
             assert!(cluster.nominated(&job).is_empty(), "seed {seed}");
@@ -194,43 +195,46 @@
 #[test]
 fn a_nomination_holds_room_against_lower_priorities() {
     let mut c = Cluster::new(10.0);
-    c.machine("vm-1");
-    let a = c.job(spec(1, Kind::Array, Priority::Normal, 1, 5.0));
-    let b = c.job(spec(2, Kind::Array, Priority::Normal, 1, 5.0));
-    c.runs("vm-1", &a, 0);
-    c.runs("vm-1", &b, 0);
-    let high = c.job(spec(3, Kind::Array, Priority::Production, 1, 10.0));
-    let low = c.job(spec(4, Kind::Array, Priority::Low, 1, 2.0));
+    c.add_machine("vm-1");
+    let a = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 5.0));
+    let b = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 5.0));
+    c.run_task("vm-1", &a, 0);
+    c.run_task("vm-1", &b, 0);
+    let high = c.add_job(spec(3, Kind::Array, Priority::Production, 1, 10.0));
+    let low = c.add_job(spec(4, Kind::Array, Priority::Low, 1, 2.0));
     c.pass();
     assert_eq!(c.nominated(&high), ["vm-1"]);
     assert_eq!(c.victims("vm-1").len(), 2);
     // One victim is gone: there is room for the low one, but it is held.
-    c.ends("vm-1", &b, ExitReason::Stopped { saved: false });
+    c.end_task("vm-1", &b, ExitReason::Stopped { saved: false });
     c.pass();
-    assert_eq!((c.on(&high), c.on(&low)), (vec![], vec![]));
+    assert_eq!(
+        (c.machines_of(&high), c.machines_of(&low)),
+        (vec![], vec![])
+    );
     assert_eq!(c.nominated(&high), ["vm-1"]);
-    c.ends("vm-1", &a, ExitReason::Stopped { saved: false });
+    c.end_task("vm-1", &a, ExitReason::Stopped { saved: false });
     c.pass();
-    assert_eq!(c.on(&high), ["vm-1"]);
-    assert!(c.on(&low).is_empty());
+    assert_eq!(c.machines_of(&high), ["vm-1"]);
+    assert!(c.machines_of(&low).is_empty());
 }
 
 /// Example 2: a nominated job goes wherever it fits first.
 #[test]
 fn a_nominated_job_may_go_elsewhere() {
     let mut c = Cluster::new(10.0);
-    c.machine("vm-1");
-    c.machine("vm-2");
-    let victim = c.job(spec(1, Kind::Array, Priority::Normal, 1, 10.0));
-    let other = c.job(spec(2, Kind::Array, Priority::Production, 1, 10.0));
-    c.runs("vm-1", &victim, 0);
-    c.runs("vm-2", &other, 0);
-    let high = c.job(spec(3, Kind::Array, Priority::High, 1, 10.0));
+    c.add_machine("vm-1");
+    c.add_machine("vm-2");
+    let victim = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 10.0));
+    let other = c.add_job(spec(2, Kind::Array, Priority::Production, 1, 10.0));
+    c.run_task("vm-1", &victim, 0);
+    c.run_task("vm-2", &other, 0);
+    let high = c.add_job(spec(3, Kind::Array, Priority::High, 1, 10.0));
     c.pass();
     assert_eq!(c.nominated(&high), ["vm-1"]);
-    c.ends("vm-2", &other, ExitReason::Done);
+    c.end_task("vm-2", &other, ExitReason::Done);
     c.pass();
-    assert_eq!(c.on(&high), ["vm-2"]);
+    assert_eq!(c.machines_of(&high), ["vm-2"]);
     assert!(c.nominated(&high).is_empty());
 }
 
@@ -238,32 +242,38 @@
 #[test]
 fn a_higher_nomination_clears_a_lower_one() {
     let mut c = Cluster::new(10.0);
-    c.machine("vm-1");
-    let victim = c.job(spec(1, Kind::Array, Priority::Low, 1, 10.0));
-    c.runs("vm-1", &victim, 0);
-    let middle = c.job(spec(2, Kind::Array, Priority::Normal, 1, 10.0));
+    c.add_machine("vm-1");
+    let victim = c.add_job(spec(1, Kind::Array, Priority::Low, 1, 10.0));
+    c.run_task("vm-1", &victim, 0);
+    let middle = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 10.0));
     c.pass();
     assert_eq!(c.nominated(&middle), ["vm-1"]);
-    let high = c.job(spec(3, Kind::Array, Priority::High, 1, 10.0));
+    let high = c.add_job(spec(3, Kind::Array, Priority::High, 1, 10.0));
     c.pass();
     assert_eq!(c.nominated(&high), ["vm-1"]);
     assert!(c.nominated(&middle).is_empty());
-    c.ends("vm-1", &victim, ExitReason::Stopped { saved: false });
+    c.end_task("vm-1", &victim, ExitReason::Stopped { saved: false });
     c.pass();
-    assert_eq!((c.on(&high), c.on(&middle)), (vec!["vm-1".into()], vec![]));
+    assert_eq!(
+        (c.machines_of(&high), c.machines_of(&middle)),
+        (vec!["vm-1".into()], vec![])
+    );
 }
 
 #[test]
 fn a_gang_is_placed_and_stopped_whole() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    c.machine("vm-2");
-    let gang = c.job(spec(1, Kind::Gang, Priority::Normal, 3, 4.0));
+    c.add_machine("vm-1");
+    c.add_machine("vm-2");
+    let gang = c.add_job(spec(1, Kind::Gang, Priority::Normal, 3, 4.0));
     c.pass();
-    assert!(c.on(&gang).is_empty(), "two machines hold no gang of three");
-    c.machine("vm-3");
+    assert!(
+        c.machines_of(&gang).is_empty(),
+        "two machines hold no gang of three"
+    );
+    c.add_machine("vm-3");
     c.pass();
-    assert_eq!(c.on(&gang).len(), 3);
+    assert_eq!(c.machines_of(&gang).len(), 3);
     for name in ["vm-1", "vm-2", "vm-3"] {
         let (task, attempt) = c.cluster.machines[name]
             .tasks
@@ -282,7 +292,7 @@
             });
         c.report(name);
     }
-    let high = c.job(spec(2, Kind::Array, Priority::High, 1, 1.0));
+    let high = c.add_job(spec(2, Kind::Array, Priority::High, 1, 1.0));
     c.pass();
     assert_eq!(c.nominated(&high).len(), 1);
     let stopping = ["vm-1", "vm-2", "vm-3"].map(|n| c.victims(n).len());
@@ -292,15 +302,15 @@
 #[test]
 fn a_team_reclaims_its_guarantee_from_an_equal_priority() {
     let mut c = Cluster::new(16.0);
-    c.machine("vm-1");
+    c.add_machine("vm-1");
     // Red uses 16 of its guaranteed 8; blue has 4 and uses none.
-    let red = c.job(spec(1, Kind::Array, Priority::Normal, 4, 4.0));
-    (0..4).for_each(|i| c.runs("vm-1", &red, i));
+    let red = c.add_job(spec(1, Kind::Array, Priority::Normal, 4, 4.0));
+    (0..4).for_each(|i| c.run_task("vm-1", &red, i));
     let blue = JobSpec {
         team: Arc::from("blue"),
         ..spec(2, Kind::Array, Priority::Normal, 2, 4.0)
     };
-    let blue = c.job(blue);
+    let blue = c.add_job(blue);
     c.pass();
     // One task of it is within the guarantee, the second is not.
     assert_eq!(c.nominated(&blue), ["vm-1"]);
@@ -312,18 +322,18 @@
 #[test]
 fn an_exited_placement_does_not_free_its_task_twice() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
-    c.runs("vm-1", &job, 0);
+    c.add_machine("vm-1");
+    let job = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
+    c.run_task("vm-1", &job, 0);
     c.running.get_mut("vm-1").expect("a machine")[0].phase = TaskPhase::Exited(ExitReason::Error);
     c.report("vm-1");
-    c.machine("vm-2");
+    c.add_machine("vm-2");
     c.pass();
-    assert_eq!(c.on(&job), ["vm-2"]);
+    assert_eq!(c.machines_of(&job), ["vm-2"]);
     c.running.insert("vm-1".into(), Vec::new());
     c.report_in_session("vm-1", 2);
     c.pass();
-    assert_eq!(c.on(&job), ["vm-2"]);
+    assert_eq!(c.machines_of(&job), ["vm-2"]);
     let starts: usize = c.cluster.machines.values().map(|m| m.tasks.len()).sum();
     assert_eq!(starts, 1);
 }
@@ -332,9 +342,9 @@
 #[test]
 fn a_task_listed_twice_in_a_report_ends_once() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let job = c.job(spec(1, Kind::Array, Priority::Normal, 2, 2.0));
-    c.runs("vm-1", &job, 0);
+    c.add_machine("vm-1");
+    let job = c.add_job(spec(1, Kind::Array, Priority::Normal, 2, 2.0));
+    c.run_task("vm-1", &job, 0);
     let tasks = c.running.get_mut("vm-1").expect("a machine");
     tasks[0].phase = TaskPhase::Exited(ExitReason::Error);
     tasks.push(tasks[0].clone());
@@ -347,9 +357,9 @@
 #[test]
 fn a_result_is_kept_at_the_worker_until_it_is_stored() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let job = c.job(spec(1, Kind::Array, Priority::Normal, 2, 2.0));
-    c.runs("vm-1", &job, 0);
+    c.add_machine("vm-1");
+    let job = c.add_job(spec(1, Kind::Array, Priority::Normal, 2, 2.0));
+    c.run_task("vm-1", &job, 0);
     c.running.get_mut("vm-1").expect("a machine")[0].phase = TaskPhase::Exited(ExitReason::Done);
     assert!(
         !c.report("vm-1")
@@ -373,8 +383,8 @@
 fn an_unclear_direct_start_is_void_only_under_a_higher_token() {
     use kiteyard::core::machine::DirectReply;
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
+    c.add_machine("vm-1");
+    let job = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
     assert!(
         c.cluster.direct_commands(c.now).is_empty(),
@@ -391,7 +401,7 @@
     c.cluster.direct_reply(&direct, DirectReply::Unclear, c.now);
     c.report("vm-1");
     c.report("vm-1");
-    assert_eq!(c.on(&job), ["vm-1"], "it may still be executed");
+    assert_eq!(c.machines_of(&job), ["vm-1"], "it may still be executed");
     // The worker has seen the raised token, and has no such task.
     let raised = c.cluster.machines["vm-1"].token;
     assert!(raised > direct.token);
@@ -409,7 +419,7 @@
         tasks: Vec::new(),
     };
     c.cluster.report(&report, c.now);
-    assert!(c.on(&job).is_empty());
+    assert!(c.machines_of(&job).is_empty());
 }
 
 /// Tasks of a job that was cancelled during a failover still use up their team's
@@ -421,26 +431,26 @@
     });
     let shard = serde_json::from_value(shard).expect("a shard of the assignment index");
     let resolve_by = Duration::from_secs(105);
-    let mut c = Cluster::after_a_take_over(600.0, vec![(0, shard, 3)], resolve_by);
-    c.machine("vm-2");
-    let job = c.job(spec(2, Kind::Array, Priority::Normal, 1, 500.0));
+    let mut c = Cluster::after_failover(600.0, vec![(0, shard, 3)], resolve_by);
+    c.add_machine("vm-2");
+    let job = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 500.0));
     c.pass();
     assert!(
-        c.on(&job).is_empty(),
+        c.machines_of(&job).is_empty(),
         "red may hold 600 of its 1000 on vm-1"
     );
     c.now = resolve_by + Duration::from_millis(1);
     c.cluster.tick(c.now);
     c.pass();
     assert!(
-        c.on(&job).is_empty(),
+        c.machines_of(&job).is_empty(),
         "another leader may have answered vm-1"
     );
     c.cluster.claim_proven_at = c.now;
     c.cluster.tick(c.now);
     c.report("vm-2");
     c.pass();
-    assert_eq!(c.on(&job), ["vm-2"]);
+    assert_eq!(c.machines_of(&job), ["vm-2"]);
 }
 
 /// A shard of the assignment index names many machines in one value, and never more than a
@@ -452,11 +462,11 @@
     let mut c = Cluster::new(400.0);
     c.cluster.assignment_index = AssignmentIndex::new(most);
     for i in 0..4 {
-        c.machine(&format!("vm-{i}"));
+        c.add_machine(&format!("vm-{i}"));
     }
     let (mut revision, mut listed) = (10, BTreeSet::new());
     for number in 0..300 {
-        c.job(spec(number, Kind::Array, Priority::Normal, 1, 0.5));
+        c.add_job(spec(number, Kind::Array, Priority::Normal, 1, 0.5));
         c.pass();
         let Some((listings, _, changes)) = c.cluster.assignment_index_write(true, 16) else {
             continue;
@@ -491,7 +501,7 @@
     });
     let shard = serde_json::from_value(shard).expect("a shard of the assignment index");
     let resolve_by = Duration::from_secs(140);
-    let mut c = Cluster::after_a_take_over(4.0, vec![(0, shard, 3)], resolve_by);
+    let mut c = Cluster::after_failover(4.0, vec![(0, shard, 3)], resolve_by);
     let job = spec(1, Kind::Array, Priority::Normal, 1, 4.0);
     let live = LiveJob {
         record: JobRecord {
@@ -502,15 +512,15 @@
     };
     c.cluster.add_job(&job.id, &live, TaskSet::default());
     c.running.insert("vm-1".into(), Vec::new());
-    let late = c.report_under("vm-1", 1, 3 << 16);
+    let late = c.build_report("vm-1", 1, 3 << 16);
     c.cluster.report(&late, c.now);
     let starts_by = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
         c.cluster.claim_proven_at = c.now;
-        c.machine("vm-2");
+        c.add_machine("vm-2");
         c.cluster.tick(c.now);
         c.pass();
-        c.on(&job.id).len()
+        c.machines_of(&job.id).len()
     };
     assert_eq!(starts_by(&mut c, 139), 0);
     assert_eq!(starts_by(&mut c, 141), 1);
@@ -521,21 +531,21 @@
 #[test]
 fn the_image_decides_among_machines_that_are_disrupted_alike() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    c.machine("vm-2");
-    let one = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
-    c.runs("vm-1", &one, 0);
+    c.add_machine("vm-1");
+    c.add_machine("vm-2");
+    let one = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
+    c.run_task("vm-1", &one, 0);
     let other = JobSpec {
         image: Arc::from("other"),
         ..spec(2, Kind::Array, Priority::Normal, 2, 2.0)
     };
-    let two = c.job(other.clone());
-    (0..2).for_each(|i| c.runs("vm-2", &two, i));
-    let high = c.job(JobSpec {
+    let two = c.add_job(other.clone());
+    (0..2).for_each(|i| c.run_task("vm-2", &two, i));
+    let high = c.add_job(JobSpec {
         id: JobId::parse("run-000003").expect("an id"),
         priority: Priority::High,
         tasks: 1,
-        need: amount(4.0),
+        need: cpu_resources(4.0),
         ..other
     });
     c.pass();
@@ -556,9 +566,9 @@
         let mut detector = FailureDetector::new(Duration::from_secs(1), Duration::from_secs(10));
         let names: Vec<String> = (0..20).map(|i| format!("vm-{i:02}")).collect();
         for (number, name) in names.iter().enumerate() {
-            c.machine(name);
-            let job = c.job(spec(number, Kind::Service, Priority::High, 1, 4.0));
-            c.runs(name, &job, 0);
+            c.add_machine(name);
+            let job = c.add_job(spec(number, Kind::Service, Priority::High, 1, 4.0));
+            c.run_task(name, &job, 0);
         }
         let start = c.now;
         let zone: Arc<str> = Arc::from("a");
@@ -606,17 +616,17 @@
 fn a_task_found_running_says_nothing_of_run_times() {
     let seen = |found_running: bool| {
         let mut c = Cluster::new(4.0);
-        c.machine("vm-1");
-        let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
+        c.add_machine("vm-1");
+        let job = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
         if found_running {
-            c.runs("vm-1", &job, 0);
+            c.run_task("vm-1", &job, 0);
         } else {
             c.pass();
-            c.starts();
+            c.start_placed_tasks();
             c.report("vm-1");
         }
         c.now += Duration::from_secs(1);
-        c.ends("vm-1", &job, ExitReason::Done);
+        c.end_task("vm-1", &job, ExitReason::Done);
         c.cluster.runtime_corrections.get("work").copied()
     };
     assert_eq!(seen(true), None);
@@ -629,14 +639,14 @@
 fn a_hardly_used_machine_is_emptied_within_the_budget() {
     let stopping = |room_elsewhere: bool| {
         let mut c = Cluster::new(40.0);
-        c.machine("vm-1");
-        c.machine("vm-2");
-        let service = c.job(spec(1, Kind::Service, Priority::High, 3, 1.0));
-        (0..2).for_each(|i| c.runs("vm-1", &service, i));
-        c.runs("vm-2", &service, 2);
+        c.add_machine("vm-1");
+        c.add_machine("vm-2");
+        let service = c.add_job(spec(1, Kind::Service, Priority::High, 3, 1.0));
+        (0..2).for_each(|i| c.run_task("vm-1", &service, i));
+        c.run_task("vm-2", &service, 2);
         let need = if room_elsewhere { 20.0 } else { 39.0 };
-        let array = c.job(spec(2, Kind::Array, Priority::Normal, 1, need));
-        c.runs("vm-2", &array, 0);
+        let array = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, need));
+        c.run_task("vm-2", &array, 0);
         let mut most = 0;
         for second in 1..120 {
             c.now += Duration::from_secs(1);
@@ -663,7 +673,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut c = Cluster::new(8.0);
         for i in 0..rng.random_range(2..6) {
-            c.machine(&format!("vm-{i}{}", ["a", "b"][i % 2]));
+            c.add_machine(&format!("vm-{i}{}", ["a", "b"][i % 2]));
         }
         let jobs: Vec<JobSpec> = (0..20)
             .map(|number| {
@@ -678,7 +688,7 @@
                 }
             })
             .collect();
-        let ids: Vec<JobId> = jobs.iter().map(|spec| c.job(spec.clone())).collect();
+        let ids: Vec<JobId> = jobs.iter().map(|spec| c.add_job(spec.clone())).collect();
         c.pass();
         for (job, id) in jobs.iter().zip(&ids) {
             if c.cluster.jobs[id].waiting_count() == 0 {
@@ -728,22 +738,22 @@
     c.cluster
         .apply_handover(serde_json::from_str(told).expect("caches"), c.now);
     for name in ["vm-1", "vm-2", "vm-3"] {
-        c.machine(name);
+        c.add_machine(name);
     }
     let service = |number, image, tasks| JobSpec {
         image: Arc::from(image),
         image_gb: 15.0,
         ..spec(number, Kind::Service, Priority::High, tasks, 4.0)
     };
-    let first = c.job(service(1, "one", 1));
+    let first = c.add_job(service(1, "one", 1));
     c.pass();
-    assert_eq!(c.on(&first), ["vm-3"]);
+    assert_eq!(c.machines_of(&first), ["vm-3"]);
     // Another service may need the image that the first machine has.
-    c.job(service(2, "two", 0));
+    c.add_job(service(2, "two", 0));
     c.cluster.update_image_values();
-    let array = c.job(spec(3, Kind::Array, Priority::Normal, 1, 4.0));
+    let array = c.add_job(spec(3, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
-    assert_eq!(c.on(&array), ["vm-2"]);
+    assert_eq!(c.machines_of(&array), ["vm-2"]);
 }
 
 /// A job that was submitted with a mistake fails on every machine. Its first failures
@@ -752,34 +762,34 @@
 fn a_job_that_fails_everywhere_is_tried_one_task_at_a_time() {
     let mut c = Cluster::new(4.0);
     let names = ["vm-1", "vm-2", "vm-3"];
-    names.iter().for_each(|name| c.machine(name));
-    let broken = c.job(spec(1, Kind::Array, Priority::High, 6, 2.0));
+    names.iter().for_each(|name| c.add_machine(name));
+    let broken = c.add_job(spec(1, Kind::Array, Priority::High, 6, 2.0));
     for (name, index) in names.iter().zip(0..) {
-        c.runs(name, &broken, index);
-        c.ends(name, &broken, ExitReason::Error);
+        c.run_task(name, &broken, index);
+        c.end_task(name, &broken, ExitReason::Error);
     }
     assert!(c.cluster.jobs[&broken].faulty());
     let marked = c.cluster.machines.values().any(|m| !m.failures.is_empty());
     assert!(!marked, "machines are blamed");
     c.pass();
-    assert!(c.on(&broken).is_empty());
+    assert!(c.machines_of(&broken).is_empty());
     c.now += Duration::from_secs(3);
     names.iter().for_each(|name| drop(c.report(name)));
     // Nothing else brings it back to the heap.
     c.cluster.tick(c.now);
     assert!(c.cluster.queue.dirty);
     c.pass();
-    assert_eq!(c.on(&broken).len(), 1);
+    assert_eq!(c.machines_of(&broken).len(), 1);
     // It makes nobody leave: what runs elsewhere fills the machines.
-    let healthy = c.job(spec(2, Kind::Array, Priority::Normal, 6, 2.0));
+    let healthy = c.add_job(spec(2, Kind::Array, Priority::Normal, 6, 2.0));
     c.pass();
-    assert_eq!(c.on(&healthy).len(), 5);
+    assert_eq!(c.machines_of(&healthy).len(), 5);
     assert!(names.iter().all(|name| c.victims(name).is_empty()));
     // Once a task of it is done, it was the machines.
-    let name = c.on(&broken)[0].clone();
+    let name = c.machines_of(&broken)[0].clone();
     c.running.insert(name.clone(), Vec::new());
-    c.starts();
-    c.ends(&name, &broken, ExitReason::Done);
+    c.start_placed_tasks();
+    c.end_task(&name, &broken, ExitReason::Done);
     assert!(!c.cluster.jobs[&broken].faulty());
 }
 
@@ -787,8 +797,8 @@
 #[test]
 fn nothing_is_rented_for_what_a_team_may_not_run() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-0");
-    c.job(spec(1, Kind::Service, Priority::Normal, 900, 4.0));
+    c.add_machine("vm-0");
+    c.add_job(spec(1, Kind::Service, Priority::Normal, 900, 4.0));
     let mut rented = 0;
     for _ in 0..200 {
         c.now += Duration::from_millis(500);
@@ -817,16 +827,16 @@
 fn a_service_with_a_running_replica_is_not_at_fault() {
     let mut c = Cluster::new(4.0);
     let names = ["vm-1", "vm-2", "vm-3", "vm-4"];
-    names.iter().for_each(|name| c.machine(name));
-    let service = c.job(spec(1, Kind::Service, Priority::High, 4, 4.0));
-    c.runs("vm-4", &service, 3);
+    names.iter().for_each(|name| c.add_machine(name));
+    let service = c.add_job(spec(1, Kind::Service, Priority::High, 4, 4.0));
+    c.run_task("vm-4", &service, 3);
     for (name, index) in names.iter().zip(0..3) {
-        c.runs(name, &service, index);
-        c.ends(name, &service, ExitReason::Error);
+        c.run_task(name, &service, index);
+        c.end_task(name, &service, ExitReason::Error);
     }
     assert!(!c.cluster.jobs[&service].faulty());
     c.pass();
-    assert_eq!(c.on(&service).len(), 4);
+    assert_eq!(c.machines_of(&service).len(), 4);
 }
 
 /// Listings of the first shards were always due again before the last ones had their
@@ -837,8 +847,8 @@
     let mut c = Cluster::new(8.0);
     c.cluster.assignment_index = AssignmentIndex::new(1024);
     let names: Vec<String> = (0..40).map(|i| format!("vm-{i:02}")).collect();
-    names.iter().for_each(|name| c.machine(name));
-    c.job(spec(0, Kind::Array, Priority::Normal, 80, 4.0));
+    names.iter().for_each(|name| c.add_machine(name));
+    c.add_job(spec(0, Kind::Array, Priority::Normal, 80, 4.0));
     c.pass();
     // Work that comes to whatever is listed, faster than two shards a write can list it.
     for number in 1..4 {
@@ -849,7 +859,7 @@
         let revision = 10 + number as u64;
         let reply = StateReply::Committed { revision };
         c.cluster.assignment_index_written(listings, &reply);
-        let job = c.job(spec(number, Kind::Array, Priority::Normal, 40, 8.0));
+        let job = c.add_job(spec(number, Kind::Array, Priority::Normal, 40, 8.0));
         let machines = c.cluster.machines.values();
         let listed = machines
             .filter(|m| !m.has_unlisted_start())
@@ -875,15 +885,15 @@
     use kiteyard::core::store::StateReply;
     let mut c = Cluster::new(8.0);
     let names: Vec<String> = (0..10).map(|i| format!("vm-{i:02}")).collect();
-    names.iter().for_each(|name| c.machine(name));
-    c.job(spec(0, Kind::Array, Priority::Normal, 8, 1.0));
+    names.iter().for_each(|name| c.add_machine(name));
+    c.add_job(spec(0, Kind::Array, Priority::Normal, 8, 1.0));
     c.pass();
     assert_eq!(c.cluster.pending_placements().unlisted, 8);
     c.now += Duration::from_secs(3);
     names.iter().for_each(|name| {
         c.report(name);
     });
-    c.job(spec(1, Kind::Array, Priority::Normal, 8, 1.0));
+    c.add_job(spec(1, Kind::Array, Priority::Normal, 8, 1.0));
     c.pass();
     assert_eq!(
         c.cluster.pending_placements().unlisted,
@@ -891,7 +901,7 @@
         "no more is let in"
     );
     // A higher priority does not wait for what is below it.
-    c.job(spec(2, Kind::Service, Priority::High, 1, 1.0));
+    c.add_job(spec(2, Kind::Service, Priority::High, 1, 1.0));
     c.pass();
     assert_eq!(c.cluster.pending_placements().unlisted, 9);
     let (listings, _, _) = c
@@ -922,37 +932,37 @@
         ..spec(number, Kind::Array, Priority::Normal, 1, 4.0)
     };
     for name in ["vm-1", "vm-2"] {
-        c.machine(name);
+        c.add_machine(name);
     }
     let cached = [("vm-1", "b"), ("vm-2", "a")];
     for (name, image) in cached {
         let machine = c.cluster.machines.get_mut(name).expect("known");
         machine.images.insert(Arc::from(image), Duration::ZERO);
     }
-    let first = c.job(image(1, "a"));
-    let second = c.job(image(2, "b"));
+    let first = c.add_job(image(1, "a"));
+    let second = c.add_job(image(2, "b"));
     c.pass();
-    assert_eq!(c.on(&first), ["vm-2"]);
-    assert_eq!(c.on(&second), ["vm-1"]);
+    assert_eq!(c.machines_of(&first), ["vm-2"]);
+    assert_eq!(c.machines_of(&second), ["vm-1"]);
     // Nothing stays empty for it: one whose image is nowhere takes what is left.
-    c.machine("vm-3");
-    let third = c.job(image(3, "c"));
+    c.add_machine("vm-3");
+    let third = c.add_job(image(3, "c"));
     c.pass();
-    assert_eq!(c.on(&third), ["vm-3"]);
-    c.starts();
+    assert_eq!(c.machines_of(&third), ["vm-3"]);
+    c.start_placed_tasks();
     for name in ["vm-1", "vm-2", "vm-3"] {
         c.report(name);
     }
     // One that was passed over for as long as its fetch takes comes in its turn.
-    let fourth = c.job(image(4, "d"));
-    let fifth = c.job(image(5, "b"));
+    let fourth = c.add_job(image(4, "d"));
+    let fifth = c.add_job(image(5, "b"));
     c.pass();
     c.now += Duration::from_secs(2);
-    c.ends("vm-1", &second, ExitReason::Done);
+    c.end_task("vm-1", &second, ExitReason::Done);
     c.cluster.requeue();
     c.pass();
-    assert_eq!(c.on(&fourth), ["vm-1"]);
-    assert_eq!(c.on(&fifth), Vec::<String>::new());
+    assert_eq!(c.machines_of(&fourth), ["vm-1"]);
+    assert_eq!(c.machines_of(&fifth), Vec::<String>::new());
 }
 
 /// A worker that is called may have begun a new session since the previous leader was gone:
@@ -966,7 +976,7 @@
     let shard = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],"machines":[["vm-1",0,[0]]]}"#;
     let shard = ShardRecord::parse(shard).expect("a shard");
     let resolve_by = Duration::from_secs(105);
-    let mut c = Cluster::after_a_take_over(4.0, vec![(0, shard, 1)], resolve_by);
+    let mut c = Cluster::after_failover(4.0, vec![(0, shard, 1)], resolve_by);
     let told = r#"{"images":[],"machines":{},"workers":{"vm-1":["127.0.0.1:9",2]}}"#;
     c.cluster.apply_handover(
         serde_json::from_str(told).expect("a handover snapshot"),
@@ -978,7 +988,7 @@
         .pop()
         .expect("it is called");
     c.running.insert("vm-1".into(), Vec::new());
-    let report = c.report_under("vm-1", 2, c.cluster.token);
+    let report = c.build_report("vm-1", 2, c.cluster.token);
     c.now = Duration::from_secs(104);
     c.cluster
         .direct_reply(&direct, DirectReply::Executed(report), c.now);
@@ -1001,8 +1011,8 @@
     use kiteyard::core::machine::DirectReply;
 
     let mut c = Cluster::new(8.0);
-    c.machine("vm-1");
-    let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
+    c.add_machine("vm-1");
+    let job = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.assignment.jobs.insert(job.clone());
@@ -1010,7 +1020,7 @@
     assert!(matches!(starts[..], [Command::Start { .. }]));
     // Before that answer arrives, the same start is sent straight to the worker, and the
     // task ends.
-    c.starts();
+    c.start_placed_tasks();
     c.cluster.remove_job(&job, c.now);
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.token += 1;
@@ -1023,7 +1033,7 @@
         session: 1,
         commands: Vec::new(),
     };
-    let report = c.report_under("vm-1", 1, c.cluster.token);
+    let report = c.build_report("vm-1", 1, c.cluster.token);
     let executed = DirectReply::Executed(report);
     c.cluster.direct_reply(&direct, executed, c.now);
     let forgets = |commands: &[Command]| {
@@ -1031,7 +1041,7 @@
         commands.any(|command| matches!(command, Command::Forget { .. }))
     };
     // Something else has to be sent at once.
-    let other = c.job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
+    let other = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
     c.now += Duration::from_secs(1);
     c.pass();
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -10,40 +10,40 @@
     provisioning::{CloudReply, CloudRequest},
 };
 
-use crate::cluster::{Cluster, amount, spec};
+use crate::cluster::{Cluster, cpu_resources, spec};
 
 /// Arrays took each machine that a gang needed with another one, and were stopped for it
 /// as soon as that was there.
 #[test]
 fn a_gang_gathers_room_against_lower_priorities() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let gang = c.job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
-    let array = c.job(spec(2, Kind::Array, Priority::Normal, 4, 1.0));
-    let equal = c.job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
+    c.add_machine("vm-1");
+    let gang = c.add_job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
+    let array = c.add_job(spec(2, Kind::Array, Priority::Normal, 4, 1.0));
+    let equal = c.add_job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
     c.pass();
-    assert!(c.on(&array).is_empty(), "the room is held");
+    assert!(c.machines_of(&array).is_empty(), "the room is held");
     // Its equals need not wait for what is not there.
-    assert_eq!(c.on(&equal), ["vm-1"]);
-    c.machine("vm-2");
-    c.machine("vm-3");
+    assert_eq!(c.machines_of(&equal), ["vm-1"]);
+    c.add_machine("vm-2");
+    c.add_machine("vm-3");
     c.pass();
-    assert_eq!(c.on(&gang), ["vm-2", "vm-3"]);
+    assert_eq!(c.machines_of(&gang), ["vm-2", "vm-3"]);
 }
 
 /// One that has waited for long is not passed over by its equals for ever.
 #[test]
 fn a_gang_that_has_waited_keeps_room_from_its_equals() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let gang = c.job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
+    c.add_machine("vm-1");
+    let gang = c.add_job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
     c.cluster.wall_ms = 61_000;
-    let equal = c.job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
+    let equal = c.add_job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
     c.pass();
-    assert!(c.on(&equal).is_empty());
-    c.machine("vm-2");
+    assert!(c.machines_of(&equal).is_empty());
+    c.add_machine("vm-2");
     c.pass();
-    assert_eq!(c.on(&gang), ["vm-1", "vm-2"]);
+    assert_eq!(c.machines_of(&gang), ["vm-1", "vm-2"]);
 }
 
 fn listed(names: &[&str]) -> CloudReply {
@@ -88,9 +88,9 @@
 fn a_silent_machine_that_the_list_shows_no_more_is_proven_gone() {
     let mut c = Cluster::new(4.0);
     c.cluster.reachability = Reachability::default();
-    c.machine("vm-1");
-    let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
-    c.runs("vm-1", &job, 0);
+    c.add_machine("vm-1");
+    let job = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
+    c.run_task("vm-1", &job, 0);
     assert!(released(&mut c, 2, &["vm-1"]).is_empty());
     // Lists lag by 10 s: for twice that the next ones may be older.
     for _ in 0..9 {
@@ -118,7 +118,7 @@
         c.cluster.cloud_reply(&release, CloudReply::Released, c.now);
     }
     c.running.insert("vm-000007".into(), Vec::new());
-    let copy = c.report_under("vm-000007", 1, c.cluster.token);
+    let copy = c.build_report("vm-000007", 1, c.cluster.token);
     assert!(c.cluster.report(&copy, c.now).is_none());
     assert!(!c.cluster.machines.contains_key("vm-000007"));
 }
@@ -137,10 +137,13 @@
         memory_gb: 36.0,
     };
     assert_eq!(need.dominant_share_of(&whole), 0.125);
-    assert_eq!(amount(16.0).dominant_share_of(&whole), 0.25);
+    assert_eq!(cpu_resources(16.0).dominant_share_of(&whole), 0.25);
     // Nothing is no part of nothing; something is no part of it at all.
-    assert_eq!(amount(0.0).dominant_share_of(&amount(0.0)), 0.0);
-    assert!(need.dominant_share_of(&amount(64.0)).is_infinite());
+    assert_eq!(
+        cpu_resources(0.0).dominant_share_of(&cpu_resources(0.0)),
+        0.0
+    );
+    assert!(need.dominant_share_of(&cpu_resources(64.0)).is_infinite());
 }
 
 /// The cloud's list lags: machines that were returned are in it yet, and none is taken for
--- a/tests/scheduling/requeue.rs
+++ b/tests/scheduling/requeue.rs
@@ -23,23 +23,23 @@
 #[test]
 fn a_machine_that_is_heard_again_within_its_lease_gets_what_waited() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
+    c.add_machine("vm-1");
     c.now += Duration::from_secs(4);
-    let job = c.job(spec(1, Kind::Service, Priority::Normal, 1, 1.0));
+    let job = c.add_job(spec(1, Kind::Service, Priority::Normal, 1, 1.0));
     looks(&mut c);
-    assert!(c.on(&job).is_empty(), "the machine is silent");
+    assert!(c.machines_of(&job).is_empty(), "the machine is silent");
     c.report("vm-1");
     looks(&mut c);
-    assert_eq!(c.on(&job), ["vm-1"]);
+    assert_eq!(c.machines_of(&job), ["vm-1"]);
 }
 
 /// Starts that went out late end a shut admission without any write or end.
 #[test]
 fn what_was_not_let_in_is_tried_again_once_late_starts_went_out() {
     let mut c = Cluster::new(8.0);
-    c.machine("vm-1");
-    c.machine("vm-2");
-    c.job(spec(0, Kind::Service, Priority::Normal, 1, 8.0));
+    c.add_machine("vm-1");
+    c.add_machine("vm-2");
+    c.add_job(spec(0, Kind::Service, Priority::Normal, 1, 8.0));
     looks(&mut c);
     let (listings, _, _) = c
         .cluster
@@ -48,44 +48,44 @@
     let listed = StateReply::Committed { revision: 20 };
     c.cluster.assignment_index_written(listings, &listed);
     c.now += Duration::from_millis(1_100);
-    let late = c.job(spec(1, Kind::Service, Priority::Normal, 1, 8.0));
+    let late = c.add_job(spec(1, Kind::Service, Priority::Normal, 1, 8.0));
     looks(&mut c);
-    assert!(c.on(&late).is_empty(), "no more is let in");
+    assert!(c.machines_of(&late).is_empty(), "no more is let in");
     for _ in 0..3 {
         c.now += Duration::from_millis(500);
         c.report("vm-1");
         c.report("vm-2");
-        c.starts();
+        c.start_placed_tasks();
         looks(&mut c);
     }
-    assert_eq!(c.on(&late).len(), 1);
+    assert_eq!(c.machines_of(&late).len(), 1);
 }
 
 /// Room that was freed for a job whose team has come to its limit meanwhile is nobody's.
 #[test]
 fn a_job_at_its_limit_keeps_no_room_from_others() {
     let mut c = Cluster::new(600.0);
-    c.machine("vm-1");
-    c.machine("vm-2");
+    c.add_machine("vm-1");
+    c.add_machine("vm-2");
     let other_team = |number, tasks| JobSpec {
         team: Arc::from("blue"),
         ..spec(number, Kind::Array, Priority::Low, tasks, 600.0)
     };
-    let victim = c.job(other_team(1, 1));
-    c.runs("vm-1", &victim, 0);
-    let beside = c.job(spec(2, Kind::Array, Priority::Normal, 1, 300.0));
-    c.runs("vm-2", &beside, 0);
-    let high = c.job(spec(3, Kind::Array, Priority::High, 1, 600.0));
+    let victim = c.add_job(other_team(1, 1));
+    c.run_task("vm-1", &victim, 0);
+    let beside = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 300.0));
+    c.run_task("vm-2", &beside, 0);
+    let high = c.add_job(spec(3, Kind::Array, Priority::High, 1, 600.0));
     looks(&mut c);
     assert_eq!(c.nominated(&high), ["vm-1"]);
     // Of its 1,000 CPUs the team uses 500 now.
-    let urgent = c.job(spec(4, Kind::Array, Priority::Production, 1, 200.0));
+    let urgent = c.add_job(spec(4, Kind::Array, Priority::Production, 1, 200.0));
     looks(&mut c);
-    assert_eq!(c.on(&urgent), ["vm-2"]);
-    c.ends("vm-1", &victim, ExitReason::Stopped { saved: false });
+    assert_eq!(c.machines_of(&urgent), ["vm-2"]);
+    c.end_task("vm-1", &victim, ExitReason::Stopped { saved: false });
     looks(&mut c);
-    assert!(c.on(&high).is_empty(), "at its limit");
-    assert_eq!(c.on(&victim), ["vm-1"]);
+    assert!(c.machines_of(&high).is_empty(), "at its limit");
+    assert_eq!(c.machines_of(&victim), ["vm-1"]);
 }
 
 /// A task that waits is on one unresponsive machine at most, whichever list its job.
@@ -94,7 +94,7 @@
     let shard = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],
         "machines":[["vm-1",0,[0]],["vm-2",0,[0]],["vm-3",0,[0]]]}"#;
     let shard = ShardRecord::parse(shard).expect("a shard");
-    let mut c = Cluster::after_a_take_over(600.0, vec![(0, shard, 1)], Duration::from_secs(140));
+    let mut c = Cluster::after_failover(600.0, vec![(0, shard, 1)], Duration::from_secs(140));
     let listed = Arc::new(spec(1, Kind::Array, Priority::Normal, 1, 300.0));
     let record = JobRecord {
         spec: listed.clone(),
@@ -102,15 +102,18 @@
     };
     let live = LiveJob { record, version: 2 };
     c.cluster.add_job(&listed.id, &live, TaskSet::default());
-    c.machine("vm-4");
-    let fits = c.job(spec(2, Kind::Array, Priority::Normal, 1, 500.0));
-    let beyond = c.job(spec(3, Kind::Array, Priority::Low, 1, 250.0));
-    c.machine("vm-5");
+    c.add_machine("vm-4");
+    let fits = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 500.0));
+    let beyond = c.add_job(spec(3, Kind::Array, Priority::Low, 1, 250.0));
+    c.add_machine("vm-5");
     looks(&mut c);
     assert!(
-        c.on(&listed.id).is_empty(),
+        c.machines_of(&listed.id).is_empty(),
         "it may run on a silent machine"
     );
-    assert_eq!(c.on(&fits).len(), 1, "300 and 500 of 1,000");
-    assert!(c.on(&beyond).is_empty(), "300, 500 and 250 of 1,000");
+    assert_eq!(c.machines_of(&fits).len(), 1, "300 and 500 of 1,000");
+    assert!(
+        c.machines_of(&beyond).is_empty(),
+        "300, 500 and 250 of 1,000"
+    );
 }
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -112,14 +112,14 @@
 
     /// Nobody is proven empty by time alone.
     fn leader(stored: &Stored) -> Cluster {
-        let mut cluster = Cluster::with_values_of(
+        let mut cluster = Cluster::with_value_limit(
             VALUE_KB,
             4.0,
             stored.assignment_index(),
             Duration::from_secs(100_000),
         );
         for job in 0..MACHINES {
-            cluster.job(spec(
+            cluster.add_job(spec(
                 FIRST_JOB + job,
                 Kind::Service,
                 Priority::Normal,
@@ -215,7 +215,7 @@
     fn resolve(&mut self, machine: usize) {
         let name = name(machine);
         if !self.cluster.running.contains_key(&name) {
-            self.cluster.machine(&name);
+            self.cluster.add_machine(&name);
         }
         self.cluster.report(&name);
     }
@@ -252,7 +252,7 @@
             if step % 5 == 0 {
                 self.next_job += 1;
                 let job = spec(self.next_job, Kind::Array, Priority::Normal, 3, 1.0);
-                self.cluster.job(job);
+                self.cluster.add_job(job);
             }
             self.cluster.pass();
             self.write();
@@ -299,7 +299,7 @@
         (3, shard(&["run-000001", "run-000002"]), 7),
         (4, shard(&["run-000002", "run-000003"]), 8),
     ];
-    let cluster = Cluster::after_a_take_over(4.0, assignment_index, Duration::from_secs(1000));
+    let cluster = Cluster::after_failover(4.0, assignment_index, Duration::from_secs(1000));
     let entry = &cluster.cluster.machines["vm-0001"].assignment;
     let possible_jobs: Vec<String> = entry.possible_jobs().map(ToString::to_string).collect();
     assert_eq!(possible_jobs, ["run-000002", "run-000003", "run-000001"]);
--- a/tests/scheduling/starting.rs
+++ b/tests/scheduling/starting.rs
@@ -19,7 +19,7 @@
 fn began(jobs: &[&JobSpec]) -> Cluster {
     let shard = ShardRecord::parse(KEPT).expect("a shard");
     let resolve_by = Duration::from_secs(140);
-    let mut c = Cluster::after_a_take_over(4.0, vec![(0, shard, 1)], resolve_by);
+    let mut c = Cluster::after_failover(4.0, vec![(0, shard, 1)], resolve_by);
     for (at, job) in jobs.iter().enumerate() {
         let record = JobRecord {
             spec: Arc::new((*job).clone()),
@@ -42,7 +42,7 @@
     let high = spec(2, Kind::Service, Priority::High, 1, 4.0);
     let mut c = began(&[&low, &high]);
     c.running.insert("vm-1".into(), Vec::new());
-    c.runs("vm-1", &low.id, 0);
+    c.run_task("vm-1", &low.id, 0);
     looks(&mut c);
     (c, high.id)
 }
@@ -52,9 +52,9 @@
     let (mut c, high) = one_heard();
     assert!(c.nominated(&high).is_empty() && c.victims("vm-1").is_empty());
     // It is heard, and has the room.
-    c.machine("vm-2");
+    c.add_machine("vm-2");
     looks(&mut c);
-    assert_eq!(c.on(&high), ["vm-2"]);
+    assert_eq!(c.machines_of(&high), ["vm-2"]);
     assert!(c.victims("vm-1").is_empty());
 }
 
@@ -71,7 +71,7 @@
     c.running.insert("vm-1".into(), Vec::new());
     c.now += Duration::from_secs(3);
     looks(&mut c);
-    c.runs("vm-1", &low.id, 0);
+    c.run_task("vm-1", &low.id, 0);
     looks(&mut c);
     assert_eq!(c.nominated(&high), ["vm-1"]);
 }
@@ -100,7 +100,7 @@
     assert!(!rents(next(&mut c, 600)));
     // One is heard, and the other not.
     c.running.insert("vm-1".into(), Vec::new());
-    c.runs("vm-1", &low.id, 0);
+    c.run_task("vm-1", &low.id, 0);
     let mut later = (0..6).map(|_| next(&mut c, 600));
     assert!(later.any(rents), "it rents in the end");
 }
@@ -115,7 +115,7 @@
         serde_json::from_str(told).expect("a handover snapshot"),
         c.now,
     );
-    c.job(wanted);
+    c.add_job(wanted);
     let rents = |c: &mut Cluster, from: u64, to: u64| {
         (from..to).any(|second| {
             c.now = Duration::from_secs(100 + second);
--- a/tests/unreadable.rs
+++ b/tests/unreadable.rs
@@ -16,8 +16,8 @@
 use serde_json::value::RawValue;
 
 /// Record in the form of a later build.
-const NEWER: &str = r#"{"form":9}"#;
-const TYPE: &str = r#"[{"name":"m","size":{"cpus":8.0,"gpus":0.0,"memory_gb":64.0},"cache_gb":5.0,
+const NEWER_RECORD: &str = r#"{"form":9}"#;
+const MACHINE_TYPES: &str = r#"[{"name":"m","size":{"cpus":8.0,"gpus":0.0,"memory_gb":64.0},"cache_gb":5.0,
   "fetch_gb_per_s":1.0,"price":1.0,"spot_price":0.4,"boot_s":30.0,"zones":["a"]}]"#;
 
 fn raw(text: &str) -> Box<RawValue> {
@@ -33,35 +33,35 @@
 }
 
 /// Node with a state service that answers from a few fixed keys.
-struct Bench {
+struct TestNode {
     node: Node,
     now: u64,
     /// Keys that are not watched.
     others: Vec<Entry>,
     answers: Vec<(u64, Answer)>,
     claims: usize,
-    gave_up: bool,
+    released_leadership: bool,
 }
 
-impl Bench {
+impl TestNode {
     fn new(mut live: Vec<Entry>, others: Vec<Entry>) -> Self {
         if live.iter().all(|entry| entry.key != TYPES) {
-            live.push(entry(TYPES, TYPE));
+            live.push(entry(TYPES, MACHINE_TYPES));
         }
         let settings = node_settings::with_peers(1);
-        let mut bench = Self {
+        let mut test_node = Self {
             node: Node::new(Config::new(&settings, Options::default())),
             now: 0,
             others,
             answers: Vec::new(),
             claims: 0,
-            gave_up: false,
+            released_leadership: false,
         };
-        bench.run(Input::Tick, &live);
+        test_node.run(Input::Tick, &live);
         for _ in 0..20 {
-            bench.run(Input::Tick, &live);
+            test_node.run(Input::Tick, &live);
         }
-        bench
+        test_node
     }
 
     fn run(&mut self, input: Input, live: &[Entry]) {
@@ -108,7 +108,7 @@
                 for change in changes {
                     match change {
                         Change::Put { key, .. } if key == LEADER => self.claims += 1,
-                        Change::Delete { key } if key == LEADER => self.gave_up = true,
+                        Change::Delete { key } if key == LEADER => self.released_leadership = true,
                         _ => {}
                     }
                 }
@@ -150,14 +150,14 @@
 
 #[test]
 fn a_node_that_reads_everything_leads_and_answers() {
-    let mut bench = Bench::new(Vec::new(), Vec::new());
-    assert!(bench.claims > 0 && bench.ready());
-    assert_eq!(bench.status("run-000001"), Answer::NotFound);
+    let mut test_node = TestNode::new(Vec::new(), Vec::new());
+    assert!(test_node.claims > 0 && test_node.ready());
+    assert_eq!(test_node.status("run-000001"), Answer::NotFound);
 }
 
 /// Treated as absent, a leader key would be overwritten by a claim, and a job would be forgotten.
 #[test]
-fn a_watched_key_that_cannot_be_read_keeps_the_node_from_leading() {
+fn an_unreadable_watched_key_prevents_leading() {
     let keys = [
         LEADER,
         GENERATION,
@@ -169,28 +169,30 @@
         "live/job/run-000001",
     ];
     for key in keys {
-        let mut bench = Bench::new(vec![entry(key, NEWER)], Vec::new());
-        assert_eq!(bench.claims, 0, "{key}");
-        assert!(!bench.ready(), "{key}");
+        let mut test_node = TestNode::new(vec![entry(key, NEWER_RECORD)], Vec::new());
+        assert_eq!(test_node.claims, 0, "{key}");
+        assert!(!test_node.ready(), "{key}");
     }
     // The status of an unreadable job is withheld; other jobs are answered.
-    let mut bench = Bench::new(vec![entry("live/job/run-000001", NEWER)], Vec::new());
-    assert!(is_later(&bench.status("run-000001")));
-    assert_eq!(bench.status("run-000002"), Answer::NotFound);
+    let mut test_node = TestNode::new(vec![entry("live/job/run-000001", NEWER_RECORD)], Vec::new());
+    assert!(is_later(&test_node.status("run-000001")));
+    assert_eq!(test_node.status("run-000002"), Answer::NotFound);
     // If the generation is unreadable, no status is answered.
-    let mut bench = Bench::new(vec![entry(GENERATION, NEWER)], Vec::new());
-    assert!(is_later(&bench.status("run-000002")));
+    let mut test_node = TestNode::new(vec![entry(GENERATION, NEWER_RECORD)], Vec::new());
+    assert!(is_later(&test_node.status("run-000002")));
     let later = r#"{"from":8,"to":9,"stage":"migrating"}"#;
-    let mut bench = Bench::new(vec![entry(GENERATION, later)], Vec::new());
-    assert!(is_later(&bench.status("run-000002")) && !bench.ready() && bench.claims == 0);
+    let mut test_node = TestNode::new(vec![entry(GENERATION, later)], Vec::new());
+    assert!(
+        is_later(&test_node.status("run-000002")) && !test_node.ready() && test_node.claims == 0
+    );
 }
 
 #[test]
-fn the_end_of_a_job_that_cannot_be_read_is_not_its_absence() {
+fn an_unreadable_terminal_state_is_not_treated_as_absent() {
     let settled = r#"{"from":2,"to":2,"stage":"settled"}"#;
     let over = r#"{"state":"done","done":3}"#;
     let cases = [
-        (None, "final/run-000001", NEWER, true),
+        (None, "final/run-000001", NEWER_RECORD, true),
         (
             None,
             "final/run-000001",
@@ -204,8 +206,8 @@
     ];
     for (generation, key, value, later) in cases {
         let live = generation.map(|text| entry(GENERATION, text));
-        let mut bench = Bench::new(live.into_iter().collect(), vec![entry(key, value)]);
-        let answer = bench.status("run-000001");
+        let mut test_node = TestNode::new(live.into_iter().collect(), vec![entry(key, value)]);
+        let answer = test_node.status("run-000001");
         match later {
             true => assert!(is_later(&answer), "{value}: {answer:?}"),
             false => assert!(matches!(answer, Answer::Status(_, _, 3, 0)), "{answer:?}"),
@@ -216,19 +218,22 @@
 /// If an unreadable shard were treated as empty, tasks that run on its machines would be started
 /// twice.
 #[test]
-fn a_take_over_stops_at_a_record_that_cannot_be_read() {
+fn a_failover_stops_at_an_unreadable_record() {
     let assignment_index = format!("{ASSIGNMENTS}0");
     let progress = format!("{PROGRESS}run-000001/0");
     let beyond = r#"{"kinds":[["m","a",false]],"jobs":[],"machines":[["vm-1",0,[0]]]}"#;
     let cases = [
-        (&assignment_index, NEWER),
+        (&assignment_index, NEWER_RECORD),
         (&assignment_index, beyond),
-        (&progress, NEWER),
+        (&progress, NEWER_RECORD),
         (&progress, r#""ff,zz""#),
     ];
     for (key, value) in cases {
-        let bench = Bench::new(Vec::new(), vec![entry(key, value)]);
-        assert!(bench.claims > 0, "{key}");
-        assert!(bench.gave_up && !bench.node.places(), "{key}: {value}");
+        let test_node = TestNode::new(Vec::new(), vec![entry(key, value)]);
+        assert!(test_node.claims > 0, "{key}");
+        assert!(
+            test_node.released_leadership && !test_node.node.places(),
+            "{key}: {value}"
+        );
     }
 }
