--- a/src/core/assignment_index/record.rs
+++ b/src/core/assignment_index/record.rs
@@ -104,12 +104,14 @@
         max_bytes: usize,
     ) -> bool {
         let names = jobs.iter().filter(|job| !self.jobs.contains_key(*job));
-        let names: usize = names
+        let name_bytes: usize = names
             .map(|job| job.as_str().len() + NAME_OVERHEAD_BYTES)
             .sum();
-        let kind = machine.machine_type.len() + machine.zone.len() + 3 * NAME_OVERHEAD_BYTES;
-        let position = machine.id.len() + NAME_OVERHEAD_BYTES + 2 * NUMBER_BYTES;
-        let fits = self.bytes + names + kind + position + jobs.len() * NUMBER_BYTES <= max_bytes;
+        let kind_bytes = machine.machine_type.len() + machine.zone.len() + 3 * NAME_OVERHEAD_BYTES;
+        let position_bytes = machine.id.len() + NAME_OVERHEAD_BYTES + 2 * NUMBER_BYTES;
+        let fits =
+            self.bytes + name_bytes + kind_bytes + position_bytes + jobs.len() * NUMBER_BYTES
+                <= max_bytes;
         for job in jobs.iter().filter(|_| fits) {
             self.list(machine, job, usize::MAX);
         }
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -129,7 +129,7 @@
     }
 }
 
-pub(super) struct Snapshot {
+pub(super) struct CapacitySnapshot {
     /// Cleared when nominations change, because reservations and stopping tasks change with them.
     pub unplaceable: Vec<Unplaceable>,
     pub machines: Vec<MachineCapacity>,
@@ -152,7 +152,7 @@
     tasks_by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
 }
 
-impl Snapshot {
+impl CapacitySnapshot {
     pub fn new(
         machines: Vec<MachineCapacity>,
         usage: Usage,
@@ -235,7 +235,7 @@
     /// Returns whether a similar job found no room. A nominated job may still use room that is
     /// reserved for it alone.
     pub fn rules_out(&self, spec: &JobSpec, nominated: bool) -> bool {
-        !nominated && self.unplaceable.iter().any(|h| h.covers(spec))
+        !nominated && self.unplaceable.iter().any(|task| task.covers(spec))
     }
 
     /// Selects a job and looks up its tasks by zone, including the stopping ones. The tasks are
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -82,30 +82,30 @@
     /// Returns the time by which a silent machine with unknown tasks is empty: if this leader
     /// answered it, one lease after that answer.
     fn presumed_empty_at(&self, machine: &Machine) -> Duration {
-        let zone = self.zone_lease_ends.get(&machine.zone).copied();
-        let unmet = zone.map_or(self.previous_leases_end, |over| {
-            over.min(self.previous_leases_end)
+        let zone_end = self.zone_lease_ends.get(&machine.zone).copied();
+        let previous_end = zone_end.map_or(self.previous_leases_end, |end| {
+            end.min(self.previous_leases_end)
         });
-        self.lease_end(machine).unwrap_or(unmet)
+        self.lease_end(machine).unwrap_or(previous_end)
     }
 
     /// Returns the time at which the lease of a silent worker expires. A worker that has not seen
     /// this leader's token may have been answered by a previous leader until that one stopped: an
     /// answer to a delayed report proves nothing.
     fn lease_end(&self, machine: &Machine) -> Option<Duration> {
-        let over = machine.answered_at? + self.config.worker_lease_bound;
+        let expiry = machine.answered_at? + self.config.worker_lease_bound;
         Some(match machine.fenced {
-            true => over,
-            false => over.max(self.previous_leases_end),
+            true => expiry,
+            false => expiry.max(self.previous_leases_end),
         })
     }
 
     /// Returns whether a lease would end if the claim were known to be still valid.
     pub fn needs_claim_proof(&self, now: Duration) -> bool {
-        let over = |end: Duration| now > end && self.claim_proven_at <= end;
+        let has_passed = |end: Duration| now > end && self.claim_proven_at <= end;
         self.machines.values().any(|m| {
-            let lost = has_current_session(m) && self.lease_end(m).is_some_and(over);
-            lost || (m.unresolved && over(self.presumed_empty_at(m)))
+            let lost = has_current_session(m) && self.lease_end(m).is_some_and(has_passed);
+            lost || (m.unresolved && has_passed(self.presumed_empty_at(m)))
         })
     }
 }
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -90,9 +90,9 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let gone = std::mem::take(&mut machine.tasks);
+        let ended_tasks = std::mem::take(&mut machine.tasks);
         machine.idle_since = now;
-        for ((task, _), placement) in gone {
+        for ((task, _), placement) in ended_tasks {
             // The end of an exited task was counted when it exited. Counting it again would release
             // a task that may run elsewhere by now, and start it twice.
             if !placement.exited() {
@@ -224,15 +224,15 @@
     /// or a stray one that is to be stopped.
     fn adopt(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
         let decision = self.decide_adoption(&key.0, phase);
-        let ours = decision == AdoptionDecision::Adopt;
+        let is_ours = decision == AdoptionDecision::Adopt;
         let job = self.jobs.get_mut(&key.0.job);
         let spec = job.as_ref().map(|job| job.spec.clone());
-        if let (Some(job), true) = (job, ours) {
+        if let (Some(job), true) = (job, is_ours) {
             job.slots[key.0.index as usize] = Slot::Placed(id.clone());
             job.placed += 1;
         }
         let machine = self.machines.get_mut(id).expect("known machine");
-        let stop = (!ours).then_some(Stop::new(Duration::ZERO, now));
+        let stop = (!is_ours).then_some(Stop::new(Duration::ZERO, now));
         machine.tasks.insert(
             key.clone(),
             Placement {
@@ -245,7 +245,7 @@
                 since: now,
                 running_since: None,
                 stop,
-                foreign: !ours,
+                foreign: !is_ours,
                 start_sent_seq: 0,
             },
         );
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -27,10 +27,11 @@
     /// commands come later, and the report does not count as heard.
     pub(super) fn keep_lease_alive(&self, report: &WorkerReport) -> Option<Answer> {
         let token = self.election.token()?;
-        let over = |job| !self.cache.jobs.contains_key(job) && !self.cache.is_unreadable(job);
-        let left = report.tasks.iter().filter(|t| !t.phase.exited());
-        let commands = left
-            .filter(|t| over(&t.task.job))
+        let is_finished =
+            |job| !self.cache.jobs.contains_key(job) && !self.cache.is_unreadable(job);
+        let active_tasks = report.tasks.iter().filter(|t| !t.phase.exited());
+        let commands = active_tasks
+            .filter(|t| is_finished(&t.task.job))
             .take(MAX_COMMANDS_PER_ANSWER);
         let commands = commands.map(|t| Command::Stop {
             task: t.task.clone(),
@@ -65,7 +66,8 @@
             .map(|m| m.id.clone())
             .collect();
         let due = due.into_iter().chain(machines_to_contact);
-        due.filter_map(|id| self.build_direct(id)).collect()
+        due.filter_map(|id| self.build_direct_commands(id))
+            .collect()
     }
 
     /// Selects machines of each zone without reports, to find out whether they answer.
@@ -113,7 +115,7 @@
         }
     }
 
-    fn build_direct(&mut self, id: MachineId) -> Option<DirectCommands> {
+    fn build_direct_commands(&mut self, id: MachineId) -> Option<DirectCommands> {
         let machine = &self.machines[&id];
         let (addr, session) = match machine.addr {
             Some(addr) => (addr, machine.session),
@@ -131,7 +133,12 @@
         })
     }
 
-    pub fn direct_reply(&mut self, direct: &DirectCommands, reply: DirectReply, now: Duration) {
+    pub fn apply_direct_reply(
+        &mut self,
+        direct: &DirectCommands,
+        reply: DirectReply,
+        now: Duration,
+    ) {
         let Some(machine) = self.machines.get_mut(&direct.machine) else {
             return;
         };
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -28,9 +28,9 @@
     /// Returns whether the job fails on every machine, so that its failures say nothing about
     /// machines. If one of its tasks is done or a replica runs, the machines are at fault.
     pub fn faulty(&self) -> bool {
-        let serves = self.spec.kind == Kind::Service && self.running > 0;
-        let works = serves || self.done_count > 0;
-        !works && (self.inherited_faulty || self.failed_on.len() >= FAULTY_JOB_MACHINES)
+        let has_running_replica = self.spec.kind == Kind::Service && self.running > 0;
+        let has_succeeded = has_running_replica || self.done_count > 0;
+        !has_succeeded && (self.inherited_faulty || self.failed_on.len() >= FAULTY_JOB_MACHINES)
     }
 
     /// Returns whether a faulty job has a task placed already; its tasks are tried one at a time.
@@ -101,18 +101,18 @@
     /// fetched an image that others had. If they were stopped, they would start to fetch anew with
     /// the next attempt and be late again.
     fn continue_fetching(&mut self, id: &JobId, now: Duration) {
-        let fetching = |p: &Placement| {
+        let is_fetching = |p: &Placement| {
             matches!(
                 p.phase,
                 Phase::Sent { .. } | Phase::Seen(TaskPhase::Fetching)
             )
         };
-        let fetching = self
+        let any_fetching = self
             .machines
             .values()
             .flat_map(|m| m.tasks.iter())
-            .any(|((task, _), p)| task.job == *id && p.stop.is_none() && fetching(p));
-        if let (Some(job), true) = (self.jobs.get_mut(id), fetching) {
+            .any(|((task, _), p)| task.job == *id && p.stop.is_none() && is_fetching(p));
+        if let (Some(job), true) = (self.jobs.get_mut(id), any_fetching) {
             job.fetches_between_attempts = true;
         } else {
             self.break_gang(id, Duration::ZERO, now);
--- a/src/core/image_locality.rs
+++ b/src/core/image_locality.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use super::{
-    capacity_snapshot::Snapshot,
+    capacity_snapshot::CapacitySnapshot,
     cluster::{ClusterState, Job},
     job::{JobId, Kind},
 };
@@ -40,7 +40,12 @@
                 .is_none_or(|since| now < since + patience)
     }
 
-    pub(super) fn place_with_image(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
+    pub(super) fn place_with_image(
+        &mut self,
+        view: &mut CapacitySnapshot,
+        id: &JobId,
+        now: Duration,
+    ) {
         let Some(job) = self.jobs.get(id) else { return };
         let (spec, before) = (job.spec.clone(), job.placed);
         view.select_job(&spec, &self.machines);
--- a/src/core/images.rs
+++ b/src/core/images.rs
@@ -92,11 +92,11 @@
         if machine.has_image(&spec.image) {
             return 0.0;
         }
-        let alone = spec.image_gb / fetch_rate(&self.types, &machine.machine_type);
+        let uncontended_secs = spec.image_gb / fetch_rate(&self.types, &machine.machine_type);
         if machine.is_fetching(&spec.image) {
-            return alone * 0.5;
+            return uncontended_secs * 0.5;
         }
-        alone * (1.0 + machine.fetch_count() as f64 * 0.5)
+        uncontended_secs * (1.0 + machine.fetch_count() as f64 * 0.5)
     }
 }
 
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -54,10 +54,10 @@
 impl Ord for JobId {
     /// Compares the texts, so that keys in the state service have the same order.
     fn cmp(&self, other: &Self) -> Ordering {
-        let leading_digits = self.leading_digits.cmp(&other.leading_digits);
+        let order = self.leading_digits.cmp(&other.leading_digits);
         match self.is_short() && other.is_short() {
-            true => leading_digits,
-            false => leading_digits.then_with(|| self.text.cmp(&other.text)),
+            true => order,
+            false => order.then_with(|| self.text.cmp(&other.text)),
         }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -318,7 +318,7 @@
         if let Some(cluster) = &mut self.cluster
             && direct.token >> 16 == cluster.claim
         {
-            cluster.direct_reply(direct, reply, now);
+            cluster.apply_direct_reply(direct, reply, now);
         }
     }
 
--- a/src/core/results.rs
+++ b/src/core/results.rs
@@ -132,11 +132,11 @@
     /// Adds a chunk as it was read; returns false if it can't be parsed.
     #[must_use]
     pub fn read(&mut self, chunk: ChunkPart, version: u64, text: &str) -> bool {
-        let read = self.stored.decode_chunk(chunk.chunk, text);
-        if read {
+        let parsed = self.stored.decode_chunk(chunk.chunk, text);
+        if parsed {
             self.set_version(chunk, version);
         }
-        read
+        parsed
     }
 
     fn set_version(&mut self, chunk: ChunkPart, version: u64) {
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -15,7 +15,9 @@
 use kiteyard_maintenance::ledger::Replicas;
 
 use super::{
-    capacity_snapshot::{MachineCapacity, Snapshot, Unplaceable, Usage, jobs_on_unresolved},
+    capacity_snapshot::{
+        CapacitySnapshot, MachineCapacity, Unplaceable, Usage, jobs_on_unresolved,
+    },
     cluster::ClusterState,
     job::{JobId, JobSpec, Kind, Priority, Resources, TaskId},
     machine::{Machine, MachineId, MachineState},
@@ -113,7 +115,7 @@
     }
 
     /// Whether nothing is to be tried for the job in this pass.
-    fn waits(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) -> bool {
+    fn waits(&mut self, view: &mut CapacitySnapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -151,7 +153,7 @@
     }
 
     /// Not the least that could start of the job is within what its team may use.
-    fn at_limit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> bool {
+    fn at_limit(&self, view: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> bool {
         let least = match spec.kind {
             Kind::Gang => spec.tasks,
             _ => 1,
@@ -166,7 +168,7 @@
     }
 
     /// Places all of a job that has room anywhere, or makes room for it.
-    fn place_job(&mut self, view: &mut Snapshot, id: JobId, now: Duration) {
+    fn place_job(&mut self, view: &mut CapacitySnapshot, id: JobId, now: Duration) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.waiting_count() > 0) else {
             return;
         };
@@ -192,7 +194,7 @@
         }
     }
 
-    fn view(&self, now: Duration) -> Snapshot {
+    fn view(&self, now: Duration) -> CapacitySnapshot {
         let (usage, leaving) = self.usage();
         let rooms: Vec<MachineCapacity> = self
             .machines
@@ -200,7 +202,8 @@
             .filter(|m| self.usable(m, now))
             .map(MachineCapacity::new)
             .collect();
-        let mut view = Snapshot::new(rooms, usage, leaving, jobs_on_unresolved(&self.machines));
+        let mut view =
+            CapacitySnapshot::new(rooms, usage, leaving, jobs_on_unresolved(&self.machines));
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
             view.reserve(&job.spec, &job.nominations);
         }
@@ -214,7 +217,7 @@
     /// With `with_image`, only rooms that have its image, or are about to.
     pub(super) fn fill_machines(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         with_image: bool,
@@ -261,7 +264,7 @@
     /// Places an array's or a service's tasks.
     fn place_tasks(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
@@ -292,7 +295,7 @@
 
     fn put(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         room: usize,
         machine: &MachineId,
         task: TaskId,
@@ -310,12 +313,18 @@
         }
     }
 
-    fn refresh_held(&self, view: &mut Snapshot, id: &JobId) {
+    fn refresh_held(&self, view: &mut CapacitySnapshot, id: &JobId) {
         let job = &self.jobs[id];
         view.refresh_reservations(&job.spec, &job.nominations);
     }
 
-    fn over_limit(&self, view: &Snapshot, spec: &JobSpec, tasks: u32, now: Duration) -> bool {
+    fn over_limit(
+        &self,
+        view: &CapacitySnapshot,
+        spec: &JobSpec,
+        tasks: u32,
+        now: Duration,
+    ) -> bool {
         if self.seats_for(spec, now) < tasks {
             return true;
         }
@@ -329,7 +338,7 @@
     }
 
     /// Whether the job may have a task there, room aside.
-    fn allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
+    fn allowed(&self, view: &CapacitySnapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
         spec.allows_type(&room.machine_type)
             && spec.allows_placement(&room.zone, room.spot)
             && zone_allowed(&view.job_zones, &room.zone, spec)
@@ -339,7 +348,7 @@
     /// as running, and again without them.
     fn fits(
         &self,
-        view: &Snapshot,
+        view: &CapacitySnapshot,
         room: &MachineCapacity,
         spec: &JobSpec,
         free: &Resources,
@@ -356,7 +365,7 @@
         spec.need.fits_in(&left) && self.allowed(view, room, spec)
     }
 
-    fn best_fit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
+    fn best_fit(&self, view: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
         view.may_fit(spec)
             .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
             .min_by(|a, b| a.0.total_cmp(&b.0))
@@ -364,7 +373,13 @@
     }
 
     /// How good a room is for a task that fits there; the lowest is the best.
-    fn cost(&self, view: &Snapshot, index: usize, spec: &JobSpec, now: Duration) -> Option<f64> {
+    fn cost(
+        &self,
+        view: &CapacitySnapshot,
+        index: usize,
+        spec: &JobSpec,
+        now: Duration,
+    ) -> Option<f64> {
         let room = &view.machines[index];
         if !self.fits(view, room, spec, &room.free) {
             return None;
@@ -432,7 +447,7 @@
     /// Preemption for the waiting tasks of a job that hold no nomination yet.
     fn make_room(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
@@ -466,7 +481,7 @@
 
     /// A task whose nominated machine still has victims stopping does not
     /// preempt again; one whose victims are gone, and which still did not fit, may.
-    fn drop_spent(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
+    fn drop_spent(&mut self, view: &mut CapacitySnapshot, id: &JobId, now: Duration) {
         let machines = &self.machines;
         let job = self.jobs.get_mut(id).expect("job at hand");
         let before = job.nominations.len();
@@ -482,7 +497,7 @@
         }
     }
 
-    fn best_plan(&self, view: &Snapshot, spec: &JobSpec) -> Option<Plan> {
+    fn best_plan(&self, view: &CapacitySnapshot, spec: &JobSpec) -> Option<Plan> {
         let reclaims = self.within_guarantee(view, spec);
         let mut best: Option<Plan> = None;
         for (index, room) in view.machines.iter().enumerate() {
@@ -530,7 +545,13 @@
     }
 
     /// Sets aside every task that may make room, then restores those that can stay.
-    fn plan(&self, view: &Snapshot, index: usize, spec: &JobSpec, reclaims: bool) -> Option<Plan> {
+    fn plan(
+        &self,
+        view: &CapacitySnapshot,
+        index: usize,
+        spec: &JobSpec,
+        reclaims: bool,
+    ) -> Option<Plan> {
         let room = &view.machines[index];
         let machine = &self.machines[&room.id];
         let mut free = room.free;
@@ -609,7 +630,7 @@
 
     /// One more task of the job, beside all that its team runs or has room held
     /// for, is within the team's guarantee.
-    fn within_guarantee(&self, view: &Snapshot, spec: &JobSpec) -> bool {
+    fn within_guarantee(&self, view: &CapacitySnapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
         };
@@ -625,7 +646,7 @@
     /// aside. A higher priority is left alone: it would only preempt back.
     fn may_reclaim(
         &self,
-        view: &Snapshot,
+        view: &CapacitySnapshot,
         leaving: &Usage,
         spec: &JobSpec,
         victim: &JobSpec,
@@ -655,7 +676,7 @@
 
     fn nominate(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &JobSpec,
         plan: Plan,
@@ -684,7 +705,7 @@
     }
 
     /// A higher nomination that leaves no room clears the lower ones.
-    fn clear_lower(&mut self, view: &mut Snapshot, index: usize, spec: &JobSpec) {
+    fn clear_lower(&mut self, view: &mut CapacitySnapshot, index: usize, spec: &JobSpec) {
         let machine = self.machines[&view.machines[index].id].clone();
         let mut lower: Vec<(Priority, JobId, Resources)> = Vec::new();
         let mut free = machine.free();
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -4,7 +4,7 @@
 
 use super::ClusterState;
 use crate::core::{
-    capacity_snapshot::{MachineCapacity, Snapshot, depends_on_zones},
+    capacity_snapshot::{CapacitySnapshot, MachineCapacity, depends_on_zones},
     cluster::Slot,
     job::{JobId, JobSpec, Resources, TaskId},
     reconciliation::DeferredAction,
@@ -14,7 +14,7 @@
     /// A gang starts whole, once nothing of its last attempt is left anywhere.
     pub(super) fn place_gang(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
@@ -70,7 +70,7 @@
     /// the end of the pass: the next one looks again. Whatever is lower would be stopped
     /// again as soon as the rest is there, and until then it would keep the gang waiting;
     /// its equals may go first, but not for ever.
-    fn gather(&self, view: &mut Snapshot, id: &JobId, spec: &JobSpec, tasks: usize) {
+    fn gather(&self, view: &mut CapacitySnapshot, id: &JobId, spec: &JobSpec, tasks: usize) {
         let mut best: Vec<usize> = Vec::new();
         for zones in view.gang_zones(spec) {
             let there = view.may_fit(spec).filter(|index| {
@@ -99,7 +99,7 @@
     /// Rooms for every task of a gang, tried on the view and put back.
     fn fit_gang(
         &self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         spec: &JobSpec,
         tasks: &[u32],
         zones: &[Arc<str>],
@@ -135,7 +135,7 @@
     /// Victims for a whole gang, or none at all.
     fn make_room_for_gang(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         tasks: &[u32],
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -398,7 +398,8 @@
         .pop()
         .expect("a start to send");
     assert_eq!(direct.commands.len(), 1);
-    c.cluster.direct_reply(&direct, DirectReply::Unclear, c.now);
+    c.cluster
+        .apply_direct_reply(&direct, DirectReply::Unclear, c.now);
     c.report("vm-1");
     c.report("vm-1");
     assert_eq!(c.machines_of(&job), ["vm-1"], "it may still be executed");
@@ -595,7 +596,8 @@
             c.cluster.tick(c.now);
             for direct in c.cluster.direct_commands(c.now) {
                 detector.record_unanswered(&direct.machine);
-                c.cluster.direct_reply(&direct, DirectReply::Unclear, c.now);
+                c.cluster
+                    .apply_direct_reply(&direct, DirectReply::Unclear, c.now);
             }
             if let Some(CloudRequest::Release { machines }) = c.cluster.cloud_work(c.now) {
                 released.extend(machines);
@@ -991,7 +993,7 @@
     let report = c.build_report("vm-1", 2, c.cluster.token);
     c.now = Duration::from_secs(104);
     c.cluster
-        .direct_reply(&direct, DirectReply::Executed(report), c.now);
+        .apply_direct_reply(&direct, DirectReply::Executed(report), c.now);
     let standing = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
         c.cluster.claim_proven_at = c.now;
@@ -1035,7 +1037,7 @@
     };
     let report = c.build_report("vm-1", 1, c.cluster.token);
     let executed = DirectReply::Executed(report);
-    c.cluster.direct_reply(&direct, executed, c.now);
+    c.cluster.apply_direct_reply(&direct, executed, c.now);
     let forgets = |commands: &[Command]| {
         let mut commands = commands.iter();
         commands.any(|command| matches!(command, Command::Forget { .. }))
