--- a/src/core/assignment_index/answers.rs
+++ b/src/core/assignment_index/answers.rs
@@ -71,7 +71,7 @@
                 return;
             };
             match self.machines.get_mut(&listed.machine) {
-                // A machine that was removed and returned is no longer a member.
+                // A machine that was removed and came back is no longer a member.
                 Some(machine) if machine.assignment.shard == Some(listing.shard) => {
                     let entry = &mut machine.assignment;
                     entry.may_be_written = false;
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -109,7 +109,7 @@
     pub(super) start_rate: StartRate,
     /// Statistics of usual job arrivals.
     pub(super) arrivals: Arrivals,
-    /// Highest priority that is no longer admitted, see `priority_to_close`.
+    /// Highest priority whose jobs are not placed for now, see `priority_to_close`.
     pub(super) closed_priority: Option<super::job::Priority>,
     /// Handover data of machines that have not reported yet.
     pub(super) pending_handover: HandoverSnapshot,
@@ -152,7 +152,7 @@
     pub starts: u64,
     /// Tasks preempted by tasks of a higher priority.
     pub victims: u64,
-    /// Machines held for waiting tasks.
+    /// Machines nominated for waiting tasks.
     pub nominations: u64,
     /// Nominations that were withdrawn.
     pub cleared: u64,
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -67,7 +67,11 @@
     fn end_former_session(&mut self, id: &MachineId, now: Duration) {
         let tasks = self.machines[id].tasks.len();
         if tasks > 0 {
-            info!(machine = %id, tasks, "worker lease expired; ending the tasks of its former session");
+            info!(
+                machine = %id,
+                tasks,
+                "worker lease expired; ending the tasks of its former session"
+            );
         }
         self.end_session(id, now);
     }
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -69,7 +69,13 @@
                     job.probes += 1;
                     let wait = Duration::from_secs(1 << job.probes.min(MAX_RETRY_EXPONENT));
                     job.retry_at = now + wait;
-                    info!(task = %task, machine = %id, failures, next = ?wait, "job fails on every machine; delaying its next attempt");
+                    info!(
+                        task = %task,
+                        machine = %id,
+                        failures,
+                        next = ?wait,
+                        "job fails on every machine; delaying its next attempt"
+                    );
                 }
                 job.nominations.clear();
                 self.clear_machine_failures(&task.job);
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -137,8 +137,8 @@
     /// Decided, but not sent in any message.
     Decided,
     /// Sent with the answer to the report numbered `seq`. A worker has one report in flight and
-    /// drops late answers, so the next report shows the result. A start sent directly under the
-    /// token `direct_token` may be executed late, until the worker has seen a higher token.
+    /// drops late answers, so the next report shows the result. A start sent directly under
+    /// `direct_token` may be executed late, until the worker has seen a higher token.
     Sent { seq: u64, direct_token: Option<u64> },
     /// Seen in a report.
     Seen(TaskPhase),
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -2,8 +2,8 @@
 //!
 //! Generation 1 stores one key per job. From generation 2 on, one key stores the terminal states of
 //! all jobs whose ids differ only in the last two digits. Outside of migrations one read finds a
-//! terminal state in either form. During a migration it is stored in exactly one of the two places,
-//! and the place from which it is moved is read first.
+//! terminal state in either layout. During a migration it is stored in exactly one of the two, and
+//! the layout from which it is moved is read first.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,7 +25,7 @@
     forms: &["ends/RANGE", "live/generation", "pulse.told"],
 };
 
-/// Place where the terminal state of a job may be stored.
+/// Layout in which the terminal state of a job may be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Layout {
     Single,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns the places in the order in which to read them, so that a record moved meanwhile is
+/// Returns the layouts in the order in which to read them, so that a record rewritten meanwhile is
 /// found.
 pub fn layouts(cluster: &Cluster) -> Vec<Layout> {
     let mut layouts: Vec<Layout> = cluster.read().map(layout).collect();
@@ -202,7 +202,7 @@
     over.then_some(record)
 }
 
-/// Returns the job id in a key of the single form.
+/// Returns the job id in a key of the single layout.
 pub fn single_id(key: &str) -> Option<JobId> {
     JobId::parse(key.strip_prefix(TERMINAL_STATES)?)
 }
@@ -219,7 +219,8 @@
 #[derive(Debug, Default)]
 pub struct TerminalRanges {
     known: HashMap<JobIdRange, KnownRange>,
-    /// Ranges that the leader reads or writes now (none), or may write again at the given time.
+    /// Ranges in use by the leader: none while it reads or writes them, otherwise the time from
+    /// which they may be written again.
     busy: HashMap<JobIdRange, Option<Duration>>,
 }
 
@@ -274,8 +275,8 @@
     }
 }
 
-/// Returns the conditions which prove that a job has no terminal state in any place; none if its
-/// range is unknown or contains it.
+/// Returns the conditions which prove that a job has no terminal state in any layout; none if
+/// its range is unknown or contains it.
 pub fn absence_conditions(
     cluster: &Cluster,
     id: &JobId,
@@ -298,8 +299,8 @@
     Some(conditions)
 }
 
-/// Write of the terminal states of jobs of one range in the current form. The caller has read the
-/// range if the form needs it.
+/// Write of the terminal states of jobs of one range in the current layout. The caller has read the
+/// range if the layout needs it.
 pub struct TerminalWrite {
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
@@ -337,7 +338,7 @@
     }
 }
 
-/// Rewrite of the records of one range into the other form.
+/// Rewrite of the records of one range into the other layout.
 pub struct Rewrite {
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
@@ -346,7 +347,8 @@
     pub records: usize,
 }
 
-/// Moves single records into their range. The caller limits them to the size of a transaction.
+/// Builds the move of single records into their range. The caller limits them to the size of a
+/// transaction.
 pub fn pack(
     range: &JobIdRange,
     singles: &[(JobId, TerminalRecord, u64)],
@@ -371,7 +373,7 @@
     }
 }
 
-/// Moves records from a range back to keys of their own.
+/// Builds the move of records from a range back to keys of their own.
 pub fn unpack(range: &JobIdRange, known: &KnownRange, max_changes: usize) -> Option<Rewrite> {
     let mut states = known.states.clone();
     let taken = states.split_off(max_changes.saturating_sub(1).max(1));
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -62,7 +62,7 @@
     let mut node = Node::new(config);
     let outputs = step(&mut node, 1, Input::Tick);
     let call = state_call(&outputs, |r| matches!(r, StateRequest::List { .. }));
-    let call = call.expect("the live keys are read");
+    let call = call.expect("request for the live keys");
     let reply = StateReply::Entries {
         entries: vec![Entry {
             key: LEADER.into(),
@@ -339,7 +339,7 @@
         assert!(answers(&outputs).is_empty(), "{machines} machines");
         let call = leading
             .pending_partition_write
-            .expect("the zone is taken off the list");
+            .expect("write that removes the zone from the list");
         let revision = leading.revision + 1;
         leading.revision = revision;
         let reply = StateReply::Committed { revision };
@@ -448,7 +448,7 @@
                 }
             }
         }
-        assert!(token > 0, "the workers are commanded");
+        assert!(token > 0, "workers receive a token");
         let hints = (0..500).find_map(|_| {
             let outputs = leading.run(Input::Tick);
             outputs.into_iter().find_map(|output| match output {
--- a/tests/result_parts.rs
+++ b/tests/result_parts.rs
@@ -71,7 +71,7 @@
         let names: Vec<String> = results.chunks().iter().map(ChunkPart::name).collect();
         assert!(
             stored.keys().all(|name| names.contains(name)),
-            "all are deleted at the end"
+            "every stored key is listed for deletion"
         );
     }
 }
