--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -303,7 +303,12 @@
         self.commands_unanswered = false;
         self.answered_at = Some(now);
         if matches!(self.state, MachineState::Booting | MachineState::Lost) {
-            info!(machine = %self.id, kind = %self.machine_type, zone = %self.zone, "machine is up");
+            info!(
+                machine = %self.id,
+                kind = %self.machine_type,
+                zone = %self.zone,
+                "machine is up"
+            );
             self.state = MachineState::Up;
             self.idle_since = now;
         }
