--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -299,74 +299,72 @@
         max_changes: usize,
     ) -> Option<(Vec<ShardWrite>, Vec<Condition>, Vec<Change>)> {
         let due = self.due_shards(urgent);
-        let (mut listings, mut conditions, mut changes) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut writes, mut conditions, mut changes) = (Vec::new(), Vec::new(), Vec::new());
         // Two values of full size leave room in one transaction for other changes.
         let max_writes = max_changes.min(2);
         for id in due {
-            if listings.len() == max_writes {
+            if writes.len() == max_writes {
                 break;
             }
-            let (listing, record) = self.build_shard(id);
+            let (write, record) = self.build_shard(id);
             let too_large = encoded_len(&record) > self.assignment_index.max_value_bytes;
             self.assignment_index.write_count += 1;
             let shard = self.assignment_index.shards.get_mut(&id)?;
             shard.last_write = self.assignment_index.write_count;
-            shard.crowded = listing.crowded;
+            shard.crowded = write.crowded;
             if too_large {
                 self.split_shard(id);
                 continue;
             }
-            if !shard.stale
-                && !listing.deletes_oversized
-                && shard.stored_digest == Some(listing.digest)
+            if !shard.stale && !write.deletes_oversized && shard.stored_digest == Some(write.digest)
             {
-                self.detach_from_crowded(&listing);
+                self.detach_from_crowded(&write);
                 continue;
             }
             shard.stale = false;
-            if listing.empty && shard.version == 0 {
+            if write.empty && shard.version == 0 {
                 shard.oversized = false;
-                self.nothing_listed(&listing);
+                self.record_empty_shard(&write);
                 continue;
             }
             shard.writing = true;
             let key = shard_key(id);
             conditions.push(when(&key, shard.version));
-            changes.push(match listing.empty {
+            changes.push(match write.empty {
                 true => delete(key),
                 false => put(key, &record),
             });
-            self.write_sent(&listing);
-            listings.push(listing);
+            self.write_sent(&write);
+            writes.push(write);
         }
-        (!listings.is_empty()).then_some((listings, conditions, changes))
+        (!writes.is_empty()).then_some((writes, conditions, changes))
     }
 
     /// Records a write in flight. Until its answer only jobs listed both before and after count: a
     /// start for a job that this write drops must not be sent.
-    fn write_sent(&mut self, listing: &ShardWrite) {
-        for listed in &listing.machines {
-            let Some(machine) = self.machines.get_mut(&listed.machine) else {
+    fn write_sent(&mut self, write: &ShardWrite) {
+        for listing in &write.machines {
+            let Some(machine) = self.machines.get_mut(&listing.machine) else {
                 continue;
             };
             let entry = &mut machine.assignment;
-            if !listing.deletes_oversized
-                && listed.jobs.is_empty()
+            if !write.deletes_oversized
+                && listing.jobs.is_empty()
                 && self.assignment_index.is_moving(entry)
             {
                 // The machine found no room, and its current listing stays.
                 continue;
             }
-            entry.jobs.retain(|id| listed.jobs.contains(id));
-            entry.may_be_stored |= !listed.jobs.is_empty();
-            entry.may_be_written |= !listed.jobs.is_empty();
+            entry.jobs.retain(|id| listing.jobs.contains(id));
+            entry.may_be_stored |= !listing.jobs.is_empty();
+            entry.may_be_written |= !listing.jobs.is_empty();
         }
     }
 
     /// Records that nothing is stored of a shard that lists nothing.
-    fn nothing_listed(&mut self, listing: &ShardWrite) {
-        for listed in &listing.machines {
-            let Some(machine) = self.machines.get_mut(&listed.machine) else {
+    fn record_empty_shard(&mut self, write: &ShardWrite) {
+        for listing in &write.machines {
+            let Some(machine) = self.machines.get_mut(&listing.machine) else {
                 continue;
             };
             if !self.assignment_index.is_moving(&machine.assignment) {
@@ -397,25 +395,25 @@
     }
 
     /// Detaches machines that found no room in a crowded shard, so that they get another one.
-    fn detach_from_crowded(&mut self, listing: &ShardWrite) {
-        if !listing.crowded || listing.empty {
+    fn detach_from_crowded(&mut self, write: &ShardWrite) {
+        if !write.crowded || write.empty {
             return;
         }
-        for listed in listing.machines.iter().filter(|l| l.jobs.is_empty()) {
-            let Some(machine) = self.machines.get_mut(&listed.machine) else {
+        for listing in write.machines.iter().filter(|l| l.jobs.is_empty()) {
+            let Some(machine) = self.machines.get_mut(&listing.machine) else {
                 continue;
             };
-            let own = machine.assignment.listed_in == Some(listing.shard);
+            let own = machine.assignment.listed_in == Some(write.shard);
             if own
                 || machine.assignment.may_be_written
-                || machine.assignment.shard != Some(listing.shard)
+                || machine.assignment.shard != Some(write.shard)
             {
                 continue;
             }
             machine.assignment.shard = None;
             let entry_bytes = expected_entry_bytes(machine);
-            if let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) {
-                shard.remove_member(&listed.machine, entry_bytes);
+            if let Some(shard) = self.assignment_index.shards.get_mut(&write.shard) {
+                shard.remove_member(&listing.machine, entry_bytes);
                 shard.crowded = true;
             }
         }
@@ -509,7 +507,7 @@
     fn build_deletion(&self, id: u32) -> (ShardWrite, ShardRecord) {
         let machines = self.machines.values();
         let listed = machines.filter(|m| m.assignment.listed_in == Some(id));
-        let listing = ShardWrite {
+        let write = ShardWrite {
             shard: id,
             machines: listed.map(MachineListing::empty).collect(),
             empty: true,
@@ -517,7 +515,7 @@
             deletes_oversized: true,
             crowded: false,
         };
-        (listing, ShardRecord::default())
+        (write, ShardRecord::default())
     }
 
     /// Builds the current contents of a shard.
@@ -571,7 +569,7 @@
                 crowded = true;
             }
         }
-        let listing = ShardWrite {
+        let write = ShardWrite {
             shard: id,
             machines,
             empty: builder.record.is_empty(),
@@ -579,7 +577,7 @@
             deletes_oversized: false,
             crowded,
         };
-        (listing, builder.record)
+        (write, builder.record)
     }
 
     /// Returns the jobs that may have tasks on a machine or are about to, including finished jobs
--- a/src/core/assignment_index/answers.rs
+++ b/src/core/assignment_index/answers.rs
@@ -5,32 +5,32 @@
 use super::{ClusterState, ShardWrite, StateReply};
 
 impl ClusterState {
-    pub fn assignment_index_written(&mut self, listings: Vec<ShardWrite>, reply: &StateReply) {
+    pub fn assignment_index_written(&mut self, writes: Vec<ShardWrite>, reply: &StateReply) {
         if self.closed_priority.is_some() && matches!(reply, StateReply::Committed { .. }) {
             // Without other events, nothing else would return parked jobs to the queue.
             self.requeue();
         }
-        let lists = listings.iter().any(|listing| !listing.empty);
+        let lists = writes.iter().any(|write| !write.empty);
         match reply {
             StateReply::Rejected if lists => self.pause_rentals(true),
             StateReply::Committed { .. } => self.pause_rentals(false),
             _ => {}
         }
-        for listing in listings {
-            let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) else {
+        for write in writes {
+            let Some(shard) = self.assignment_index.shards.get_mut(&write.shard) else {
                 continue;
             };
             shard.writing = false;
             match reply {
                 StateReply::Committed { revision } => {
-                    shard.version = if listing.empty { 0 } else { *revision };
-                    shard.stored_digest = Some(listing.digest);
-                    self.write_stored(listing);
+                    shard.version = if write.empty { 0 } else { *revision };
+                    shard.stored_digest = Some(write.digest);
+                    self.write_stored(write);
                 }
                 // The write was not applied and never will be.
                 StateReply::Refused { .. } | StateReply::Rejected => {
                     shard.stale = true;
-                    self.write_refused(&listing);
+                    self.write_refused(&write);
                 }
                 // The write may have been applied, or may be applied later.
                 _ => {
@@ -51,52 +51,51 @@
         }
     }
 
-    fn write_refused(&mut self, listing: &ShardWrite) {
-        for listed in &listing.machines {
-            if let Some(machine) = self.machines.get_mut(&listed.machine)
-                && machine.assignment.shard == Some(listing.shard)
+    fn write_refused(&mut self, write: &ShardWrite) {
+        for listing in &write.machines {
+            if let Some(machine) = self.machines.get_mut(&listing.machine)
+                && machine.assignment.shard == Some(write.shard)
             {
-                machine.assignment.may_be_written = listed.may_be_written;
+                machine.assignment.may_be_written = listing.may_be_written;
             }
         }
     }
 
-    fn write_stored(&mut self, listing: ShardWrite) {
-        if listing.deletes_oversized {
-            self.oversized_shard_deleted(&listing);
+    fn write_stored(&mut self, write: ShardWrite) {
+        if write.deletes_oversized {
+            self.oversized_shard_deleted(&write);
             return;
         }
-        for listed in &listing.machines {
-            let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) else {
+        for listing in &write.machines {
+            let Some(shard) = self.assignment_index.shards.get_mut(&write.shard) else {
                 return;
             };
-            match self.machines.get_mut(&listed.machine) {
+            match self.machines.get_mut(&listing.machine) {
                 // A machine that was removed and came back is no longer a member.
-                Some(machine) if machine.assignment.shard == Some(listing.shard) => {
+                Some(machine) if machine.assignment.shard == Some(write.shard) => {
                     let entry = &mut machine.assignment;
                     entry.may_be_written = false;
-                    if listed.jobs.is_empty() && self.assignment_index.is_moving(entry) {
+                    if listing.jobs.is_empty() && self.assignment_index.is_moving(entry) {
                         continue;
                     }
-                    entry.may_be_stored = !listed.jobs.is_empty();
-                    entry.listed_in = entry.may_be_stored.then_some(listing.shard);
-                    entry.jobs = listed.jobs.clone();
+                    entry.may_be_stored = !listing.jobs.is_empty();
+                    entry.listed_in = entry.may_be_stored.then_some(write.shard);
+                    entry.jobs = listing.jobs.clone();
                 }
-                _ => shard.stale |= !listed.jobs.is_empty(),
+                _ => shard.stale |= !listing.jobs.is_empty(),
             }
         }
-        self.detach_from_crowded(&listing);
+        self.detach_from_crowded(&write);
     }
 
     /// Records the deletion of an oversized shard.
-    fn oversized_shard_deleted(&mut self, listing: &ShardWrite) {
-        if let Some(shard) = self.assignment_index.shards.get_mut(&listing.shard) {
+    fn oversized_shard_deleted(&mut self, write: &ShardWrite) {
+        if let Some(shard) = self.assignment_index.shards.get_mut(&write.shard) {
             (shard.oversized, shard.stale) = (false, false);
         }
-        for listed in &listing.machines {
-            let machine = self.machines.get_mut(&listed.machine);
-            if let Some(machine) = machine.filter(|m| m.assignment.listed_in == Some(listing.shard))
-            {
+        for listing in &write.machines {
+            let machine = self.machines.get_mut(&listing.machine);
+            if let Some(machine) = machine.filter(|m| m.assignment.listed_in == Some(write.shard)) {
                 machine.assignment.listed_in = None;
                 machine.assignment.may_be_stored = machine.assignment.may_be_written;
             }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -443,8 +443,13 @@
                 };
                 let request = machine as RequestId;
                 let outputs = leading.run_at_once(Input::Report { request, report });
-                if let [Answer::Commands { token: told, .. }] = answers(&outputs)[..] {
-                    token = *told;
+                if let [
+                    Answer::Commands {
+                        token: new_token, ..
+                    },
+                ] = answers(&outputs)[..]
+                {
+                    token = *new_token;
                 }
             }
         }
