--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -56,7 +56,7 @@
     },
     ReadTerminalState(Box<user_requests::TerminalRead>),
     /// Reads whether a job that a submission names is active.
-    ReadNeed(Box<user_requests::NeedsCheck>),
+    ReadNeed(Box<user_requests::DependencyCheck>),
     ReadRange {
         request: RequestId,
         id: JobId,
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -17,7 +17,7 @@
     cluster::ClusterState,
     job::{JobId, JobSpec, JobState, Priority, TerminalRecord},
     state_cache::LiveJob,
-    user_requests::{Question, TerminalRead},
+    user_requests::{JobQuery, TerminalRead},
 };
 
 /// Ends that the leader reads at a time.
@@ -212,7 +212,7 @@
             }
             let again = now + LOOKUP_AGAIN;
             self.dependencies.lookups.insert(id.clone(), again);
-            self.look_for_end(INTERNAL, id, Question::Status);
+            self.look_for_end(INTERNAL, id, JobQuery::Status);
         }
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// Looks for the stored end of a job that is not active.
-    pub(super) fn look_for_end(&mut self, request: RequestId, id: JobId, question: Question) {
+    pub(super) fn look_for_end(&mut self, request: RequestId, id: JobId, question: JobQuery) {
         let read = TerminalRead::new(request, id, question, &self.cache.cluster);
         self.read_terminal_state(read);
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -65,7 +65,7 @@
 use provisioning::{CloudReply, CloudRequest};
 use state_cache::StateCache;
 use store::{StateReply, StateRequest};
-use user_requests::{Question, UserRequests};
+use user_requests::{JobQuery, UserRequests};
 
 pub use message::{Answer, CallId, Clock, INTERNAL, Input, Output, RequestId};
 
@@ -173,8 +173,8 @@
         self.clock = clock;
         match input {
             Input::Submit { request, spec } => self.submit(request, spec),
-            Input::Status { request, id } => self.queue_question(request, id, Question::Status),
-            Input::Withdraw { request, id } => self.queue_question(request, id, Question::Withdraw),
+            Input::Status { request, id } => self.queue_query(request, id, JobQuery::Status),
+            Input::Withdraw { request, id } => self.queue_query(request, id, JobQuery::Withdraw),
             Input::Ready { request } => self.answer(request, Answer::Ready(self.is_ready())),
             Input::Licences { request } => self.licences(request),
             Input::Rollout { request, ask } => self.rollout_asked(request, ask),
@@ -235,7 +235,7 @@
         self.drive_partitions();
         self.drive_maintenance();
         self.drive_dependencies();
-        self.drive_proofs();
+        self.drive_sync();
         self.drive_forwarding();
         self.drive_handover();
         self.drive_leader();
@@ -411,7 +411,7 @@
             } => self.accepted(request, spec, accepted_ms, tries, reply),
             Purpose::Cancel { request, id, ends } => self.cancelled(request, id, ends, reply),
             Purpose::ReadTerminalState(read) => self.terminal_state_read(*read, reply),
-            Purpose::ReadNeed(check) => self.need_read(*check, &reply),
+            Purpose::ReadNeed(check) => self.dependency_read(*check, &reply),
             Purpose::ReadRange { request, id, then } => {
                 self.range_read(request, id, then, &reply);
             }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -18,22 +18,22 @@
 
 /// Request about a job, answered once the job's state has been confirmed.
 #[derive(Debug, Clone)]
-pub enum Question {
+pub enum JobQuery {
     Status,
     /// Submission of a job that may exist already, and the number of attempts to store it.
-    Repeat(Arc<JobSpec>, u8),
+    Resubmit(Arc<JobSpec>, u8),
     /// Submission to be rejected with this reason, unless the job was accepted before.
     Reject(String),
     Withdraw,
     /// A submission names this job as a dependency.
-    Named(Box<NeedsCheck>),
+    ForSubmission(Box<DependencyCheck>),
     /// Request about a job that depends on this one.
-    NeededBy(Box<PendingQuestion>),
+    ForDependent(Box<PendingQuery>),
 }
 
 /// Submission whose dependencies are not all known to have been accepted yet.
 #[derive(Debug, Clone)]
-pub struct NeedsCheck {
+pub struct DependencyCheck {
     request: RequestId,
     spec: Arc<JobSpec>,
     /// Dependencies that remain to be checked, the next one last.
@@ -42,10 +42,10 @@
 
 /// Job query and the request that it answers.
 #[derive(Debug, Clone)]
-pub struct PendingQuestion {
+pub struct PendingQuery {
     request: RequestId,
     id: JobId,
-    question: Question,
+    query: JobQuery,
 }
 
 /// Search for the stored terminal state of a job.
@@ -53,7 +53,7 @@
 pub struct TerminalRead {
     id: JobId,
     request: RequestId,
-    question: Question,
+    query: JobQuery,
     /// Places that remain to be read.
     places: Vec<Place>,
     /// Revision of the generation record from which the places were derived.
@@ -65,13 +65,13 @@
     pub(super) fn new(
         request: RequestId,
         id: JobId,
-        question: Question,
+        query: JobQuery,
         (cluster, generation): &(Cluster, u64),
     ) -> Self {
         Self {
             id,
             request,
-            question,
+            query,
             places: terminal_states::places(cluster),
             generation: *generation,
         }
@@ -81,10 +81,10 @@
 #[derive(Debug, Default)]
 pub struct UserRequests {
     /// Queries that wait for the next sync of the state cache.
-    unproven: Vec<PendingQuestion>,
+    queued: Vec<PendingQuery>,
     /// Queries that the sync in flight covers.
-    proving: Vec<PendingQuestion>,
-    in_flight: bool,
+    syncing: Vec<PendingQuery>,
+    sync_in_flight: bool,
     next_sync: Duration,
 }
 
@@ -95,32 +95,32 @@
     Cancel,
 }
 
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Attempts to store a submission that conflicts with other writes.
-const TRIES: u8 = 4;
+const MAX_STORE_ATTEMPTS: u8 = 4;
 
 impl Node {
     pub(super) fn submit(&mut self, request: RequestId, spec: Arc<JobSpec>) {
-        let able = self.cache.loaded && !self.cannot_read_state();
-        let Some(types) = self.cache.types.clone().filter(|_| able) else {
-            self.answer(request, Answer::Later { retry: RETRY });
+        let is_available = self.cache.loaded && !self.cannot_read_state();
+        let Some(types) = self.cache.types.clone().filter(|_| is_available) else {
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         };
         let id = spec.id.clone();
         if self.cache.jobs.contains_key(&id) || self.terminal_cache.contains_key(&id) {
-            self.queue_question(request, id, Question::Repeat(spec, TRIES));
+            self.queue_query(request, id, JobQuery::Resubmit(spec, MAX_STORE_ATTEMPTS));
             return;
         }
-        let objection = self.reason_it_never_runs(&spec, &types);
-        if let Some(reason) = objection.or_else(|| self.never_stored(&spec)) {
-            self.queue_question(request, id, Question::Reject(reason));
+        let rejection = self.infeasible_reason(&spec, &types);
+        if let Some(reason) = rejection.or_else(|| self.oversize_reason(&spec)) {
+            self.queue_query(request, id, JobQuery::Reject(reason));
             return;
         }
         if !spec.needs.is_empty() && !self.all_know_dependencies() {
-            self.answer(request, Answer::Later { retry: RETRY });
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         }
-        self.check_needs(NeedsCheck {
+        self.check_dependencies(DependencyCheck {
             request,
             unchecked: spec.needs.clone(),
             spec,
@@ -130,18 +130,18 @@
     /// Checks each dependency of a submission, and stores the submission once all of them are
     /// known to have been accepted. A dependency that is cancelled meanwhile does no harm: the
     /// new job is cancelled with it, whichever write comes first.
-    fn check_needs(&mut self, mut check: NeedsCheck) {
-        while let Some(need) = check.unchecked.last() {
-            if let Some(job) = self.cache.jobs.get(need) {
+    fn check_dependencies(&mut self, mut check: DependencyCheck) {
+        while let Some(dependency) = check.unchecked.last() {
+            if let Some(job) = self.cache.jobs.get(dependency) {
                 if job.record.spec.kind == Kind::Service {
-                    self.refuse_need(check, "is a service");
+                    self.reject_for_dependency(check, "is a service");
                     return;
                 }
-            } else if self.cache.is_unreadable(need) {
-                self.answer(check.request, Answer::Later { retry: RETRY });
+            } else if self.cache.is_unreadable(dependency) {
+                self.answer(check.request, Answer::Later { retry: RETRY_DELAY });
                 return;
-            } else if !self.terminal_cache.contains_key(need) {
-                let key = job_key(need);
+            } else if !self.terminal_cache.contains_key(dependency) {
+                let key = job_key(dependency);
                 self.call(
                     Purpose::ReadNeed(Box::new(check)),
                     StateRequest::Get { key },
@@ -154,42 +154,46 @@
     }
 
     /// Rejects a submission because of a dependency, unless the job was accepted before.
-    fn refuse_need(&mut self, check: NeedsCheck, why: &str) {
-        let Some(need) = check.unchecked.last() else {
+    fn reject_for_dependency(&mut self, check: DependencyCheck, why: &str) {
+        let Some(dependency) = check.unchecked.last() else {
             return;
         };
-        let reason = format!("waits_on: {need} {why}");
+        let reason = format!("waits_on: {dependency} {why}");
         let id = check.spec.id.clone();
-        self.queue_question(check.request, id, Question::Reject(reason));
+        self.queue_query(check.request, id, JobQuery::Reject(reason));
     }
 
     /// Handles the read of a dependency's job record.
-    pub(super) fn need_read(&mut self, mut check: NeedsCheck, reply: &StateReply) {
-        let Some(need) = check.unchecked.last().cloned() else {
+    pub(super) fn dependency_read(&mut self, mut check: DependencyCheck, reply: &StateReply) {
+        let Some(dependency) = check.unchecked.last().cloned() else {
             return;
         };
         match reply {
             StateReply::Entry(entry) => {
                 match serde_json::from_str::<JobRecord>(entry.value.get()) {
                     Ok(record) if record.spec.kind == Kind::Service => {
-                        self.refuse_need(check, "is a service");
+                        self.reject_for_dependency(check, "is a service");
                     }
                     Ok(_) => {
                         check.unchecked.pop();
-                        self.check_needs(check);
+                        self.check_dependencies(check);
                     }
                     Err(_) => {
                         self.report_unreadable(&entry.key);
-                        self.answer(check.request, Answer::Later { retry: RETRY });
+                        self.answer(check.request, Answer::Later { retry: RETRY_DELAY });
                     }
                 }
             }
             // Not active: if it was ever accepted, its terminal state is stored by now.
             StateReply::Missing => {
                 let request = check.request;
-                self.look_for_end(request, need, Question::Named(Box::new(check)));
+                self.look_for_end(
+                    request,
+                    dependency,
+                    JobQuery::ForSubmission(Box::new(check)),
+                );
             }
-            _ => self.answer(check.request, Answer::Later { retry: RETRY }),
+            _ => self.answer(check.request, Answer::Later { retry: RETRY_DELAY }),
         }
     }
 
@@ -202,7 +206,7 @@
             let range = Range::of(&id).0;
             match self.ranges.get(&range).is_some() {
                 // The range holds a terminal state of this job.
-                true => self.queue_question(request, id, Question::Repeat(spec, TRIES)),
+                true => self.queue_query(request, id, JobQuery::Resubmit(spec, MAX_STORE_ATTEMPTS)),
                 false => self.read_range(request, id, AfterRangeRead::Accept(spec, tries)),
             }
             return;
@@ -242,7 +246,7 @@
         reply: &StateReply,
     ) {
         if self.learn_range(&Range::of(&id).0, reply).is_none() {
-            self.answer(request, Answer::Later { retry: RETRY });
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         }
         match then {
@@ -273,17 +277,18 @@
     }
 
     /// Returns the reason why a job's record is too large to be stored, if it is.
-    fn never_stored(&self, spec: &Arc<JobSpec>) -> Option<String> {
+    fn oversize_reason(&self, spec: &Arc<JobSpec>) -> Option<String> {
         let record = JobRecord {
             spec: spec.clone(),
             accepted_ms: self.clock.wall_ms,
         };
-        let (bytes, most) = (encoded_len(&record), self.limits.value_bytes);
-        (bytes > most).then(|| format!("job record has {bytes} bytes; at most {most} are allowed"))
+        let (bytes, max_bytes) = (encoded_len(&record), self.limits.value_bytes);
+        (bytes > max_bytes)
+            .then(|| format!("job record has {bytes} bytes; at most {max_bytes} are allowed"))
     }
 
     /// Returns the reason why a job can never run, if there is one.
-    fn reason_it_never_runs(&self, spec: &JobSpec, types: &[MachineType]) -> Option<String> {
+    fn infeasible_reason(&self, spec: &JobSpec, types: &[MachineType]) -> Option<String> {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return Some("unknown team".into());
         };
@@ -298,7 +303,7 @@
         if !fits {
             return Some("no allowed machine type has room for a task".into());
         }
-        let at_once = match spec.kind {
+        let concurrent_tasks = match spec.kind {
             Kind::Array => 1,
             Kind::Gang | Kind::Service => spec.tasks,
         };
@@ -307,14 +312,14 @@
             let Some(licence) = licences.and_then(|l| l.licences.get(name)) else {
                 return Some(format!("unknown licence {name}"));
             };
-            let wanted = u64::from(*seats) * u64::from(at_once);
+            let wanted = u64::from(*seats) * u64::from(concurrent_tasks);
             if wanted > u64::from(licence.most_for(&spec.team)) {
                 return Some(format!("needs more seats of {name} than the team may use"));
             }
         }
-        let sum = Resources::default().plus_times(&spec.need, f64::from(at_once));
-        let over = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
-        (over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus))
+        let total = Resources::default().plus_times(&spec.need, f64::from(concurrent_tasks));
+        let exceeds = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
+        (exceeds(team.cpus_max, total.cpus) || exceeds(team.gpus_max, total.gpus))
             .then(|| "exceeds the team's limit".into())
     }
 
@@ -338,100 +343,90 @@
             // The job exists already, or the range or the generation has changed.
             StateReply::Conflict => {
                 self.ranges.forget(&Range::of(&id).0);
-                self.queue_question(request, id, Question::Repeat(spec, tries + 1));
+                self.queue_query(request, id, JobQuery::Resubmit(spec, tries + 1));
             }
             StateReply::Refused { retry, .. } => {
-                let retry = retry.unwrap_or(RETRY);
+                let retry = retry.unwrap_or(RETRY_DELAY);
                 self.answer(request, Answer::Later { retry });
             }
-            _ => self.answer(request, Answer::Later { retry: RETRY }),
+            _ => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
         }
     }
 
-    pub(super) fn queue_question(&mut self, request: RequestId, id: JobId, question: Question) {
+    pub(super) fn queue_query(&mut self, request: RequestId, id: JobId, query: JobQuery) {
         if let Some(record) = self.terminal_cache.get(&id).copied() {
-            self.answer_terminal_state(request, &id, &question, record);
+            self.answer_terminal_state(request, &id, &query, record);
         } else if !self.cache.loaded
             || self.cannot_read_state()
-            || self.user_requests.unproven.len() >= self.config.requests_most
+            || self.user_requests.queued.len() >= self.config.requests_most
         {
-            self.answer(request, Answer::Later { retry: RETRY });
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
         } else {
-            self.user_requests.unproven.push(PendingQuestion {
-                request,
-                id,
-                question,
-            });
+            self.user_requests
+                .queued
+                .push(PendingQuery { request, id, query });
         }
     }
 
-    pub(super) fn drive_proofs(&mut self) {
+    pub(super) fn drive_sync(&mut self) {
         let now = self.now();
-        if self.user_requests.unproven.is_empty()
-            || self.user_requests.in_flight
+        if self.user_requests.queued.is_empty()
+            || self.user_requests.sync_in_flight
             || now < self.user_requests.next_sync
         {
             return;
         }
         if !self.cache.loaded {
-            self.user_requests.proving = std::mem::take(&mut self.user_requests.unproven);
+            self.user_requests.syncing = std::mem::take(&mut self.user_requests.queued);
             self.synced(false);
             return;
         }
-        self.user_requests.in_flight = true;
+        self.user_requests.sync_in_flight = true;
         self.user_requests.next_sync = now + self.config.sync_every;
-        self.user_requests.proving = std::mem::take(&mut self.user_requests.unproven);
+        self.user_requests.syncing = std::mem::take(&mut self.user_requests.queued);
         let watch = self.watch(Duration::ZERO);
         self.call(Purpose::Sync, watch);
     }
 
-    pub(super) fn synced(&mut self, proven: bool) {
-        self.user_requests.in_flight = false;
-        for pending in std::mem::take(&mut self.user_requests.proving) {
-            if proven {
+    pub(super) fn synced(&mut self, is_current: bool) {
+        self.user_requests.sync_in_flight = false;
+        for pending in std::mem::take(&mut self.user_requests.syncing) {
+            if is_current {
                 self.resolve(pending);
             } else {
-                self.answer(pending.request, Answer::Later { retry: RETRY });
+                self.answer(pending.request, Answer::Later { retry: RETRY_DELAY });
             }
         }
     }
 
     /// Answers a query from a cache that is more recent than the request.
-    fn resolve(&mut self, pending: PendingQuestion) {
-        let PendingQuestion {
-            request,
-            id,
-            question,
-        } = pending;
+    fn resolve(&mut self, pending: PendingQuery) {
+        let PendingQuery { request, id, query } = pending;
         if self.cannot_read_state() || self.cache.is_unreadable(&id) {
             // The stored record has a format that this build can't read.
-            self.answer(request, Answer::Later { retry: RETRY });
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         }
         let Some(_) = self.cache.jobs.get(&id) else {
             if let Some(record) = self.terminal_cache.get(&id).copied() {
-                self.answer_terminal_state(request, &id, &question, record);
+                self.answer_terminal_state(request, &id, &query, record);
                 return;
             }
             // Neither active nor in a known terminal state: a terminal state is stored in
             // the same transaction that deletes the active job.
-            self.look_for_end(request, id, question);
+            self.look_for_end(request, id, query);
             return;
         };
         let waits_on = match self.dependencies.status(&id) {
             Status::Cancelled => {
-                self.answer_terminal_state(request, &id, &question, TerminalRecord::cancelled(0));
+                self.answer_terminal_state(request, &id, &query, TerminalRecord::cancelled(0));
                 return;
             }
             // Cancelled or not, depending on a terminal state that is not cached yet.
-            Status::Unknown { mut ends } if !matches!(question, Question::Withdraw) => {
+            Status::Unknown { mut ends } if !matches!(query, JobQuery::Withdraw) => {
                 if let Some(end) = ends.pop() {
-                    let pending = PendingQuestion {
-                        request,
-                        id,
-                        question,
-                    };
-                    self.look_for_end(request, end, Question::NeededBy(Box::new(pending)));
+                    let pending = PendingQuery { request, id, query };
+                    self.look_for_end(request, end, JobQuery::ForDependent(Box::new(pending)));
                 }
                 return;
             }
@@ -443,13 +438,13 @@
             0 => JobState::Pending,
             _ => JobState::Running,
         };
-        match question {
-            Question::Status if !waits_on.is_empty() => {
+        match query {
+            JobQuery::Status if !waits_on.is_empty() => {
                 self.answer(request, Answer::Waiting(id, waits_on));
             }
-            Question::Status => self.answer(request, Answer::Status(id, state, done, running)),
-            Question::Withdraw => self.cancel(request, id),
-            Question::Repeat(spec, _) if !self.names_the_same(&id, &spec) => {
+            JobQuery::Status => self.answer(request, Answer::Status(id, state, done, running)),
+            JobQuery::Withdraw => self.cancel(request, id),
+            JobQuery::Resubmit(spec, _) if !self.has_same_dependencies(&id, &spec) => {
                 let reason = "waits_on: differs from the accepted submission";
                 self.answer(request, Answer::Impossible(reason.into()));
             }
@@ -458,17 +453,17 @@
     }
 
     /// Returns whether a repeated submission names the same dependencies, in any order.
-    fn names_the_same(&self, id: &JobId, spec: &JobSpec) -> bool {
-        let named = |spec: &JobSpec| spec.needs.iter().cloned().collect::<BTreeSet<JobId>>();
-        let accepted = self.cache.jobs.get(id);
-        accepted.is_none_or(|job| named(&job.record.spec) == named(spec))
+    fn has_same_dependencies(&self, id: &JobId, spec: &JobSpec) -> bool {
+        let dependencies = |spec: &JobSpec| spec.needs.iter().cloned().collect::<BTreeSet<JobId>>();
+        let active = self.cache.jobs.get(id);
+        active.is_none_or(|job| dependencies(&job.record.spec) == dependencies(spec))
     }
 
     /// Stores a job as cancelled, in the format of the current generation.
     pub(super) fn cancel(&mut self, request: RequestId, id: JobId) {
         let Some(job) = self.cache.jobs.get(&id) else {
             // The job ended while its range was read.
-            self.queue_question(request, id, Question::Withdraw);
+            self.queue_query(request, id, JobQuery::Withdraw);
             return;
         };
         let job = when(job_key(&id), job.version);
@@ -523,8 +518,8 @@
                 self.answer(request, Answer::Known(id, JobState::Cancelled));
             }
             // Done or cancelled meanwhile: query the job again.
-            StateReply::Conflict => self.queue_question(request, id, Question::Withdraw),
-            _ => self.answer(request, Answer::Later { retry: RETRY }),
+            StateReply::Conflict => self.queue_query(request, id, JobQuery::Withdraw),
+            _ => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
         }
     }
 
@@ -571,7 +566,7 @@
                     Some(record) => Some((record, entry.version)),
                     None => {
                         self.report_unreadable(&entry.key);
-                        self.answer(read.request, Answer::Later { retry: RETRY });
+                        self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
                         return;
                     }
                 }
@@ -581,7 +576,7 @@
                 match self.learn_range(&range, reply) {
                     Some(known) => known.ends.get(name).map(|record| (record, known.version)),
                     None => {
-                        self.answer(read.request, Answer::Later { retry: RETRY });
+                        self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
                         return;
                     }
                 }
@@ -591,16 +586,16 @@
                 return;
             }
             _ => {
-                self.answer(read.request, Answer::Later { retry: RETRY });
+                self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
                 return;
             }
         };
         if let Some((record, revision)) = found {
-            self.end_read(&read.id, record, revision);
-            match read.question {
-                Question::Named(check) => self.check_needs(*check),
-                Question::NeededBy(pending) => self.resolve(*pending),
-                question => self.answer_terminal_state(read.request, &read.id, &question, record),
+            self.terminal_state_found(&read.id, record, revision);
+            match read.query {
+                JobQuery::ForSubmission(check) => self.check_dependencies(*check),
+                JobQuery::ForDependent(pending) => self.resolve(*pending),
+                query => self.answer_terminal_state(read.request, &read.id, &query, record),
             }
             return;
         }
@@ -614,7 +609,7 @@
 
     /// Caches a terminal state that was read at this revision. It takes precedence over the
     /// active job, which may still be in the cache or come back by an older event.
-    fn end_read(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
+    fn terminal_state_found(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
         let now = self.now();
         self.cache_terminal_state(id.clone(), record);
         self.cache.committed_end(id, revision);
@@ -626,14 +621,18 @@
     /// Answers a query about a job that is not stored anywhere.
     fn answer_unknown_job(&mut self, read: TerminalRead) {
         let request = read.request;
-        match read.question {
-            Question::Status | Question::Withdraw => self.answer(request, Answer::NotFound),
-            Question::Reject(reason) => self.answer(request, Answer::Impossible(reason)),
-            Question::Repeat(spec, tries) if tries < TRIES => self.accept(request, spec, tries),
-            Question::Repeat(..) | Question::NeededBy(_) => {
-                self.answer(request, Answer::Later { retry: RETRY });
+        match read.query {
+            JobQuery::Status | JobQuery::Withdraw => self.answer(request, Answer::NotFound),
+            JobQuery::Reject(reason) => self.answer(request, Answer::Impossible(reason)),
+            JobQuery::Resubmit(spec, tries) if tries < MAX_STORE_ATTEMPTS => {
+                self.accept(request, spec, tries)
+            }
+            JobQuery::Resubmit(..) | JobQuery::ForDependent(_) => {
+                self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            }
+            JobQuery::ForSubmission(check) => {
+                self.reject_for_dependency(*check, "was never accepted")
             }
-            Question::Named(check) => self.refuse_need(*check, "was never accepted"),
         }
     }
 
@@ -641,11 +640,11 @@
         &mut self,
         request: RequestId,
         id: &JobId,
-        question: &Question,
+        query: &JobQuery,
         record: TerminalRecord,
     ) {
-        let answer = match question {
-            Question::Status => Answer::Status(id.clone(), record.state, record.done, 0),
+        let answer = match query {
+            JobQuery::Status => Answer::Status(id.clone(), record.state, record.done, 0),
             _ => Answer::Known(id.clone(), record.state),
         };
         self.answer(request, answer);
