--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -307,7 +307,7 @@
             return;
         }
         let job = Job::new(live, saved.into());
-        self.arrivals.came(&job.spec, job.accepted_ms);
+        self.arrivals.record(&job.spec, job.accepted_ms);
         self.queue.push(id, &job);
         self.jobs.insert(id.clone(), job);
         self.request_pass();
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -23,7 +23,7 @@
     /// Takes in a report and says what to answer, or none where it came too late.
     pub fn report(&mut self, report: &WorkerReport, now: Duration) -> Option<(u64, Vec<Command>)> {
         let id = report.machine.clone();
-        if self.provisioning.was_returned(&id) {
+        if self.provisioning.was_released(&id) {
             // It is gone: this was held back on its way, and nobody waits for an answer.
             debug!(machine = %id, "report of a machine that was returned");
             return None;
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -37,7 +37,7 @@
                 }
                 self.provisioning.next_consolidation = now + Duration::from_secs(1);
                 if self.unresolved() || self.jobs.values().any(|j| j.waiting_count() > 0) {
-                    self.provisioning.waited_at = now;
+                    self.provisioning.last_waiting_at = now;
                     return;
                 }
                 let Some(id) = self.underused_machine(now) else {
@@ -60,7 +60,7 @@
             .values()
             .filter(|m| self.usable(m, now) && !m.direct)
             // What comes next may need it: it is kept as long as an idle one.
-            .filter(|m| now > self.provisioning.waited_at + self.idle_time(&m.machine_type))
+            .filter(|m| now > self.provisioning.last_waiting_at + self.idle_time(&m.machine_type))
             .filter(|m| {
                 let used = m.size.minus(&m.free());
                 m.busy() && used.share_of(&m.size) * USED_ONE_IN <= 1.0
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -301,7 +301,7 @@
         Some(RoundWork {
             needs_proof,
             directs: cluster.direct_commands(now),
-            cloud: cluster.cloud_work(now),
+            cloud: cluster.due_cloud_request(now),
         })
     }
 
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -25,7 +25,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProvisioningRequest {
-    pub request: String,
+    pub id: String,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
@@ -60,10 +60,10 @@
 
 /// Provisioning request without a final answer.
 #[derive(Debug)]
-struct Open {
-    rental: ProvisioningRequest,
+struct OpenRequest {
+    request: ProvisioningRequest,
     in_flight: bool,
-    next_try: Duration,
+    retry_at: Duration,
 }
 
 /// State of the leader's requests to the cloud.
@@ -72,17 +72,17 @@
     /// Prefix of every request ID, unique to this leader.
     prefix: String,
     request_count: u64,
-    open: Vec<Open>,
+    open: Vec<OpenRequest>,
     listing: Option<Vec<ListedMachine>>,
     /// Time at which the last completely read list was requested.
-    pub(super) list_read: Option<Duration>,
-    list_asked: Duration,
+    pub(super) complete_list_requested_at: Option<Duration>,
+    list_requested_at: Duration,
     next_list: Duration,
     next_types: Duration,
     next_plan: Duration,
     pub(super) next_consolidation: Duration,
     /// Time at which a task was last seen waiting.
-    pub(super) waited_at: Duration,
+    pub(super) last_waiting_at: Duration,
     next_call: Duration,
     releasing: BTreeSet<MachineId>,
     /// Machine kinds that the cloud refused, and the time until which none are requested.
@@ -90,7 +90,7 @@
     /// Adaptive bound on the number of open requests.
     pace: Pace,
     /// Released machines and the time of their release; the cloud's list lags behind.
-    returned: BTreeMap<MachineId, Duration>,
+    released: BTreeMap<MachineId, Duration>,
 }
 
 impl Provisioning {
@@ -100,24 +100,24 @@
             request_count: 0,
             open: Vec::new(),
             listing: None,
-            list_read: None,
-            list_asked: Duration::ZERO,
+            complete_list_requested_at: None,
+            list_requested_at: Duration::ZERO,
             next_list: Duration::ZERO,
             next_types: Duration::ZERO,
             next_plan: Duration::ZERO,
             next_consolidation: Duration::ZERO,
-            waited_at: Duration::ZERO,
+            last_waiting_at: Duration::ZERO,
             next_call: Duration::ZERO,
             releasing: BTreeSet::new(),
             refused: HashMap::new(),
-            pace: Pace::new(OPEN_MOST),
-            returned: BTreeMap::new(),
+            pace: Pace::new(MAX_OPEN_REQUESTS),
+            released: BTreeMap::new(),
         }
     }
 
     /// Returns whether the machine was released. The cloud never reuses a machine ID.
-    pub(super) fn was_returned(&self, id: &MachineId) -> bool {
-        self.returned.contains_key(id)
+    pub(super) fn was_released(&self, id: &MachineId) -> bool {
+        self.released.contains_key(id)
     }
 
     /// Returns whether the adaptive bound allows another open request.
@@ -127,26 +127,26 @@
 
     /// Returns the requests without a final answer.
     pub(super) fn open_requests(&self) -> impl Iterator<Item = &ProvisioningRequest> {
-        self.open.iter().map(|open| &open.rental)
+        self.open.iter().map(|open| &open.request)
     }
 
     /// Queues a request, and returns the ID assigned to it.
-    pub(super) fn open_request(&mut self, mut rental: ProvisioningRequest) -> &str {
+    pub(super) fn open_request(&mut self, mut request: ProvisioningRequest) -> &str {
         self.request_count += 1;
-        rental.request = format!("{}-{}", self.prefix, self.request_count);
-        self.open.push(Open {
-            rental,
+        request.id = format!("{}-{}", self.prefix, self.request_count);
+        self.open.push(OpenRequest {
+            request,
             in_flight: false,
-            next_try: Duration::ZERO,
+            retry_at: Duration::ZERO,
         });
-        self.open.last().map_or("", |open| &open.rental.request)
+        self.open.last().map_or("", |open| &open.request.id)
     }
 
     pub(super) fn is_refused(&self, kind: &MachineKind) -> bool {
         self.refused.contains_key(kind)
     }
 
-    pub(super) fn forget_refusals(&mut self, now: Duration) {
+    pub(super) fn expire_refusals(&mut self, now: Duration) {
         self.refused.retain(|_, until| *until > now);
     }
 
@@ -169,19 +169,19 @@
         for (kind, left) in refused {
             self.refused
                 .entry(kind)
-                .or_insert(now + left.min(REFUSED_FOR));
+                .or_insert(now + left.min(REFUSAL_TTL));
         }
     }
 
     /// Returns whether a release of the machine is in flight.
-    pub(super) fn is_being_returned(&self, id: &MachineId) -> bool {
+    pub(super) fn is_being_released(&self, id: &MachineId) -> bool {
         self.releasing.contains(id)
     }
 }
 
 impl ClusterState {
     /// Returns the next request to the cloud, if one is due. Requests are spaced evenly.
-    pub fn cloud_work(&mut self, now: Duration) -> Option<CloudRequest> {
+    pub fn due_cloud_request(&mut self, now: Duration) -> Option<CloudRequest> {
         if now < self.provisioning.next_call {
             return None;
         }
@@ -202,19 +202,23 @@
                 self.plan_scale_out(now);
             }
         }
-        let silent = self.plan_unresponsive_returns(now);
-        if !silent.is_empty() {
-            self.provisioning.releasing.extend(silent.iter().cloned());
-            return Some(CloudRequest::Release { machines: silent });
+        let unresponsive = self.plan_unresponsive_returns(now);
+        if !unresponsive.is_empty() {
+            self.provisioning
+                .releasing
+                .extend(unresponsive.iter().cloned());
+            return Some(CloudRequest::Release {
+                machines: unresponsive,
+            });
         }
         if let Some(open) = self
             .provisioning
             .open
             .iter_mut()
-            .find(|o| !o.in_flight && now >= o.next_try)
+            .find(|o| !o.in_flight && now >= o.retry_at)
         {
             open.in_flight = true;
-            return Some(CloudRequest::Provision(open.rental.clone()));
+            return Some(CloudRequest::Provision(open.request.clone()));
         }
         let leaving: Vec<MachineId> = self
             .machines
@@ -234,7 +238,7 @@
         if now >= self.provisioning.next_list {
             self.provisioning.next_list = now + self.config.list_lag.max(Duration::from_secs(4));
             self.provisioning.listing = Some(Vec::new());
-            self.provisioning.list_asked = now;
+            self.provisioning.list_requested_at = now;
             return Some(CloudRequest::List {
                 after: String::new(),
             });
@@ -253,24 +257,24 @@
         now: Duration,
     ) -> Option<CloudRequest> {
         match (request, reply) {
-            (CloudRequest::Provision(rental), reply) => self.provision_reply(rental, reply, now),
+            (CloudRequest::Provision(request), reply) => self.provision_reply(request, reply, now),
             (CloudRequest::Release { machines }, reply) => {
                 for id in machines {
                     self.provisioning.releasing.remove(id);
                     if matches!(reply, CloudReply::Released) {
                         // Nothing runs on the machine any more once the cloud has answered.
                         self.machine_gone(id, now);
-                        self.provisioning.returned.insert(id.clone(), now);
+                        self.provisioning.released.insert(id.clone(), now);
                     }
                 }
                 // The list may still show released machines, and late copies of their reports
                 // may arrive: the latest releases are kept, whatever the machines' names.
-                while self.provisioning.returned.len() > RETURNED_KEPT {
-                    let oldest = self.provisioning.returned.iter().min_by_key(|(_, at)| **at);
+                while self.provisioning.released.len() > MAX_RELEASED_KEPT {
+                    let oldest = self.provisioning.released.iter().min_by_key(|(_, at)| **at);
                     let Some(oldest) = oldest.map(|(id, _)| id.clone()) else {
                         break;
                     };
-                    self.provisioning.returned.remove(&oldest);
+                    self.provisioning.released.remove(&oldest);
                 }
                 self.requeue();
             }
@@ -284,8 +288,9 @@
                     return Some(CloudRequest::List { after });
                 }
                 let listing = self.provisioning.listing.take().unwrap_or_default();
-                self.provisioning.list_read = Some(self.provisioning.list_asked);
-                self.compare_list(&listing, now);
+                self.provisioning.complete_list_requested_at =
+                    Some(self.provisioning.list_requested_at);
+                self.merge_list(&listing, now);
                 self.reconcile_list(now);
             }
             (CloudRequest::Types, CloudReply::Types(types)) => self.types = Arc::new(types),
@@ -294,8 +299,8 @@
         None
     }
 
-    fn provision_reply(&mut self, rental: &ProvisioningRequest, reply: CloudReply, now: Duration) {
-        let kind = rental.kind();
+    fn provision_reply(&mut self, request: &ProvisioningRequest, reply: CloudReply, now: Duration) {
+        let kind = request.kind();
         self.provisioning.pace.step(match reply {
             CloudReply::Provisioned(_) => Outcome::Done,
             CloudReply::NoCapacity => Outcome::Refused,
@@ -304,40 +309,46 @@
         match reply {
             CloudReply::Provisioned(ids) => {
                 info!(
-                    request = %rental.request,
+                    request = %request.id,
                     got = ids.len(),
-                    asked = rental.count,
+                    asked = request.count,
                     "machines provisioned"
                 );
-                if (ids.len() as u32) < rental.count {
-                    self.provisioning.refused.insert(kind, now + REFUSED_FOR);
+                if (ids.len() as u32) < request.count {
+                    self.provisioning.refused.insert(kind, now + REFUSAL_TTL);
                 }
                 for id in ids {
-                    self.ensure_machine(&id, &rental.machine_type, &rental.zone, rental.spot, now);
+                    self.ensure_machine(
+                        &id,
+                        &request.machine_type,
+                        &request.zone,
+                        request.spot,
+                        now,
+                    );
                 }
-                self.provisioning.open.retain(|o| o.rental != *rental);
+                self.provisioning.open.retain(|o| o.request != *request);
             }
             CloudReply::NoCapacity => {
-                self.provisioning.refused.insert(kind, now + REFUSED_FOR);
-                self.provisioning.open.retain(|o| o.rental != *rental);
+                self.provisioning.refused.insert(kind, now + REFUSAL_TTL);
+                self.provisioning.open.retain(|o| o.request != *request);
             }
             _ => {
                 // Retried under the same ID, which the cloud executes at most once.
                 for open in &mut self.provisioning.open {
-                    if open.rental == *rental {
+                    if open.request == *request {
                         open.in_flight = false;
-                        open.next_try = now + Duration::from_secs(2);
+                        open.retry_at = now + Duration::from_secs(2);
                     }
                 }
             }
         }
     }
 
-    fn compare_list(&mut self, listing: &[ListedMachine], now: Duration) {
+    fn merge_list(&mut self, listing: &[ListedMachine], now: Duration) {
         for listed in listing {
             let lagging = self
                 .provisioning
-                .returned
+                .released
                 .get(&listed.id)
                 .is_some_and(|at| now < *at + self.config.list_lag * 3);
             if lagging {
@@ -364,36 +375,36 @@
     /// unresponsive, fail tasks repeatedly, or are idle.
     fn plan_scale_in(&mut self, now: Duration) {
         let unresolved = self.unresolved();
-        let boot: HashMap<Arc<str>, f64> = self
+        let boot_times: HashMap<Arc<str>, f64> = self
             .types
             .iter()
             .map(|t| (t.name.clone(), t.boot_s))
             .collect();
-        let mut leave: Vec<(MachineId, &'static str)> = Vec::new();
+        let mut leaving: Vec<(MachineId, &'static str)> = Vec::new();
         for m in self.machines.values() {
-            let boot = boot.get(&m.machine_type).copied().unwrap_or(60.0);
-            let boot_limit = Duration::from_secs_f64(boot * 4.0 + 30.0);
-            let silent = m.heard_at.unwrap_or(m.first_seen);
+            let boot_s = boot_times.get(&m.machine_type).copied().unwrap_or(60.0);
+            let boot_timeout = Duration::from_secs_f64(boot_s * 4.0 + 30.0);
+            let last_heard = m.heard_at.unwrap_or(m.first_seen);
             match m.standing {
                 Standing::Leaving => {}
-                _ if m.listed_failed && now > silent + self.config.worker_lease_bound => {
-                    leave.push((m.id.clone(), "failed"));
+                _ if m.listed_failed && now > last_heard + self.config.worker_lease_bound => {
+                    leaving.push((m.id.clone(), "failed"));
                 }
-                Standing::Booting if !m.unresolved && now > m.first_seen + boot_limit => {
-                    leave.push((m.id.clone(), "boot timed out"));
+                Standing::Booting if !m.unresolved && now > m.first_seen + boot_timeout => {
+                    leaving.push((m.id.clone(), "boot timed out"));
                 }
-                Standing::Lost if now > silent + self.config.worker_lease_bound * 5 => {
-                    leave.push((m.id.clone(), "unresponsive"));
+                Standing::Lost if now > last_heard + self.config.worker_lease_bound * 5 => {
+                    leaving.push((m.id.clone(), "unresponsive"));
                 }
-                Standing::Up if m.failures.len() >= 2 => leave.push((m.id.clone(), "faulty")),
+                Standing::Up if m.failures.len() >= 2 => leaving.push((m.id.clone(), "faulty")),
                 _ => {}
             }
         }
         if !unresolved {
             let idle = self.idle_machines(now).into_iter();
-            leave.extend(idle.map(|id| (id, "idle")));
+            leaving.extend(idle.map(|id| (id, "idle")));
         }
-        for (id, why) in leave {
+        for (id, why) in leaving {
             info!(machine = %id, why, "machine marked for release");
             let machine = self.machines.get_mut(&id).expect("just listed");
             machine.standing = Standing::Leaving;
@@ -412,12 +423,13 @@
             .collect();
         idle.sort_by(|a, b| {
             let price = |m: &Machine| self.price(&m.machine_type, m.spot);
-            let dearer = price(b).total_cmp(&price(a));
-            dearer.then(a.image_value.total_cmp(&b.image_value))
+            let by_price = price(b).total_cmp(&price(a));
+            by_price.then(a.image_value.total_cmp(&b.image_value))
         });
-        let holds = |spec: &JobSpec, m: &Machine| {
-            let may = spec.allows_type(&m.machine_type) && spec.allows_place(&m.zone, m.spot);
-            if may {
+        let slots_on = |spec: &JobSpec, m: &Machine| {
+            let is_allowed =
+                spec.allows_type(&m.machine_type) && spec.allows_place(&m.zone, m.spot);
+            if is_allowed {
                 spec.need.times_in(&m.free())
             } else {
                 0
@@ -425,25 +437,28 @@
         };
         // Capacity for two replicas of each service class, and for the expected arrivals.
         let services = self.services().into_iter().map(|spec| (spec, 2));
-        let wanted: Vec<(Arc<JobSpec>, u32)> = services.chain(self.expected()).collect();
+        let wanted: Vec<(Arc<JobSpec>, u32)> = services.chain(self.expected_arrivals()).collect();
         let mut spare: Vec<(Arc<JobSpec>, u32)> = Vec::new();
         for (spec, wanted) in wanted {
             let usable = self.machines.values().filter(|m| self.usable(m, now));
-            let slots: u32 = usable.map(|m| holds(&spec, m)).sum();
-            spare.push((spec, slots.saturating_sub(wanted)));
+            let total: u32 = usable.map(|m| slots_on(&spec, m)).sum();
+            spare.push((spec, total.saturating_sub(wanted)));
         }
-        let mut go = Vec::new();
+        let mut removable = Vec::new();
         for machine in idle {
             let usable = self.usable(machine, now);
-            let takes = |spec: &JobSpec| if usable { holds(spec, machine) } else { 0 };
-            if spare.iter().all(|(spec, left)| *left >= takes(spec)) {
+            let slots = |spec: &JobSpec| if usable { slots_on(spec, machine) } else { 0 };
+            if spare
+                .iter()
+                .all(|(spec, remaining)| *remaining >= slots(spec))
+            {
                 spare
                     .iter_mut()
-                    .for_each(|(spec, left)| *left -= takes(spec));
-                go.push(machine.id.clone());
+                    .for_each(|(spec, remaining)| *remaining -= slots(spec));
+                removable.push(machine.id.clone());
             }
         }
-        go
+        removable
     }
 
     /// Time that a machine may stay idle: a multiple of its boot time, since the cost of
@@ -477,8 +492,8 @@
 }
 
 /// Maximum number of provisioning requests without a final answer.
-const OPEN_MOST: usize = 8;
+const MAX_OPEN_REQUESTS: usize = 8;
 /// Number of released machines to remember: the cloud's list may still show a whole fleet.
-const RETURNED_KEPT: usize = 16_384;
+const MAX_RELEASED_KEPT: usize = 16_384;
 /// Time during which a refused machine kind is not requested again.
-const REFUSED_FOR: Duration = Duration::from_secs(15);
+const REFUSAL_TTL: Duration = Duration::from_secs(15);
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -29,7 +29,7 @@
 impl ClusterState {
     /// Requests machines for waiting work that running and booting machines won't take soon.
     pub(super) fn plan_scale_out(&mut self, now: Duration) {
-        self.provisioning.forget_refusals(now);
+        self.provisioning.expire_refusals(now);
         if self.unlisted(now) || self.starts_rejected() {
             return;
         }
@@ -47,16 +47,16 @@
         let MachineKind { zone, spot, .. } = &kind;
         let mut wanted = order.count;
         while wanted > 0 && self.provisioning.may_request() {
-            let count = wanted.min(CALL_MOST);
+            let count = wanted.min(MAX_MACHINES_PER_REQUEST);
             wanted -= count;
-            let rental = ProvisioningRequest {
-                request: String::new(),
+            let request = ProvisioningRequest {
+                id: String::new(),
                 machine_type: kind.machine_type.clone(),
                 zone: zone.clone(),
                 spot: *spot,
                 count,
             };
-            let request = self.provisioning.open_request(rental);
+            let request = self.provisioning.open_request(request);
             info!(
                 request,
                 kind = %kind.machine_type,
@@ -78,19 +78,19 @@
         for machine in self.machines.values() {
             plan.count_machines(&machine.zone, 1);
             if machine.standing == Standing::Booting {
-                plan.coming.add(&machine.kind(), machine.size, 1);
+                plan.upcoming.add(&machine.kind(), machine.size, 1);
             } else if !machine.busy() && self.usable(machine, now) {
                 idle.add(&machine.kind(), machine.size, 1);
             }
         }
-        for rental in self.provisioning.open_requests() {
-            let size = self.size(&rental.machine_type);
-            plan.coming.add(&rental.kind(), size, rental.count);
+        for request in self.provisioning.open_requests() {
+            let size = self.size(&request.machine_type);
+            plan.upcoming.add(&request.kind(), size, request.count);
         }
         for demand in self.demands(now) {
             self.plan_demand(demand, &mut plan, &mut idle);
         }
-        self.order_ahead(now, &mut plan);
+        self.plan_expected_arrivals(now, &mut plan);
         plan.into_orders()
     }
 
@@ -103,17 +103,17 @@
     ) {
         let spec = demand.spec.clone();
         if !spec.one_zone {
-            demand.tasks = plan.coming.fill(&spec, None, demand.tasks);
-        } else if let Some(zone) = whole_in(&spec, demand.tasks, &plan.coming, idle) {
+            demand.tasks = plan.upcoming.fill(&spec, None, demand.tasks);
+        } else if let Some(zone) = zone_with_room(&spec, demand.tasks, &plan.upcoming, idle) {
             let left = idle.fill(&spec, Some(&zone), demand.tasks);
-            demand.tasks = plan.coming.fill(&spec, Some(&zone), left);
+            demand.tasks = plan.upcoming.fill(&spec, Some(&zone), left);
         }
         if demand.tasks == 0 || self.awaits_capacity(&spec, DeferredAction::Provision) {
             return;
         }
         while demand.tasks > 0 {
             let room_in = |zone: &str| match spec.one_zone {
-                true => plan.coming.takes(&spec, Some(zone)) + idle.takes(&spec, Some(zone)),
+                true => plan.upcoming.slots(&spec, Some(zone)) + idle.slots(&spec, Some(zone)),
                 false => 0,
             };
             let Some((kind, count)) = self.choose_machine_kind(&demand, room_in, plan) else {
@@ -122,49 +122,50 @@
             plan.order(&kind, self.size(&kind.machine_type), count, &spec);
             if spec.one_zone {
                 demand.tasks = idle.fill(&spec, Some(&kind.zone), demand.tasks);
-                demand.tasks = plan.coming.fill(&spec, Some(&kind.zone), demand.tasks);
+                demand.tasks = plan.upcoming.fill(&spec, Some(&kind.zone), demand.tasks);
             } else {
-                demand.tasks = plan.coming.fill(&spec, None, demand.tasks);
+                demand.tasks = plan.upcoming.fill(&spec, None, demand.tasks);
             }
         }
     }
 
     /// Orders machines for the expected arrivals of classes whose objective is shorter than
     /// the boot of a machine requested on arrival.
-    fn order_ahead(&self, now: Duration, plan: &mut ScaleOutPlan) {
-        let expected = self.expected();
+    fn plan_expected_arrivals(&self, now: Duration, plan: &mut ScaleOutPlan) {
+        let expected = self.expected_arrivals();
         if expected.is_empty() {
             return;
         }
         for machine in self.machines.values().filter(|m| self.usable(m, now)) {
             let free = machine.free();
             if expected.iter().any(|(spec, _)| spec.need.fits_in(&free)) {
-                plan.coming.add(&machine.kind(), free, 1);
+                plan.upcoming.add(&machine.kind(), free, 1);
             }
         }
-        let mut left = self.limits_left();
+        let mut remaining = self.remaining_limits();
         for (spec, mut tasks) in expected {
-            if let Some(left) = left.get_mut(&spec.team) {
+            if let Some(left) = remaining.get_mut(&spec.team) {
                 tasks = tasks.min(spec.need.times_in(left));
                 *left = left.plus_times(&spec.need, -f64::from(tasks));
             }
-            tasks = plan.coming.fill(&spec, None, tasks);
+            tasks = plan.upcoming.fill(&spec, None, tasks);
             while tasks > 0 {
                 let demand = Demand {
                     spec: spec.clone(),
-                    tasks: tasks.min(spec.need.times_in(&self.largest(&spec)) * ZONE_BATCH_MOST),
+                    tasks: tasks
+                        .min(spec.need.times_in(&self.largest_size(&spec)) * MAX_ZONE_BATCH),
                 };
                 let Some((kind, count)) = self.choose_machine_kind(&demand, |_| 0, plan) else {
                     break;
                 };
                 plan.order(&kind, self.size(&kind.machine_type), count, &spec);
-                tasks = plan.coming.fill(&spec, None, tasks);
+                tasks = plan.upcoming.fill(&spec, None, tasks);
             }
         }
     }
 
     /// Size of the largest machine type that the job may use.
-    fn largest(&self, spec: &JobSpec) -> Resources {
+    fn largest_size(&self, spec: &JobSpec) -> Resources {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
         let largest = types.max_by_key(|t| spec.need.times_in(&t.size));
         largest.map(|t| t.size).unwrap_or_default()
@@ -172,18 +173,18 @@
 
     /// Expected arrivals by class during the boot of a machine, for the classes that can't
     /// wait for one.
-    pub(super) fn expected(&self) -> Vec<(Arc<JobSpec>, u32)> {
-        let within = |spec: &JobSpec| match self.patience(spec) > 0.0 {
+    pub(super) fn expected_arrivals(&self) -> Vec<(Arc<JobSpec>, u32)> {
+        let within = |spec: &JobSpec| match self.wait_budget_s(spec) > 0.0 {
             true => Duration::ZERO,
-            false => crate::settings::seconds(self.boot_s(spec)),
+            false => crate::settings::seconds(self.min_boot_s(spec)),
         };
         self.arrivals.expected(self.wall_ms, within)
     }
 
-    fn boot_s(&self, spec: &JobSpec) -> f64 {
+    fn min_boot_s(&self, spec: &JobSpec) -> f64 {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
-        let least = types.map(|t| t.boot_s).reduce(f64::min);
-        least.unwrap_or(0.0)
+        let min = types.map(|t| t.boot_s).reduce(f64::min);
+        min.unwrap_or(0.0)
     }
 
     fn size(&self, machine_type: &str) -> Resources {
@@ -197,39 +198,39 @@
     /// Waiting tasks by job, the highest priority first. Of arrays, only the tasks that the
     /// machines that are up won't have completed by the time new ones have booted.
     fn demands(&self, now: Duration) -> Vec<Demand> {
-        let finite = self.batch_capacity();
-        let silent = jobs_on_unresolved(&self.machines);
-        let held = |id: &JobId, job: &Job| job.version < self.claim && silent.contains(id);
+        let batch_capacity = self.batch_capacity();
+        let unresolved = jobs_on_unresolved(&self.machines);
+        let is_held = |id: &JobId, job: &Job| job.version < self.claim && unresolved.contains(id);
         let mut jobs: Vec<_> = self
             .jobs
             .iter()
-            .filter(|(id, j)| j.retry_at <= now && !j.faulty() && !held(id, j))
+            .filter(|(id, j)| j.retry_at <= now && !j.faulty() && !is_held(id, j))
             .map(|(_, j)| j)
             .filter(|j| j.waiting_count() as usize > j.nominations.len())
             .collect();
         jobs.sort_by_key(|j| (std::cmp::Reverse(j.spec.priority), j.ready_ms, j.version));
-        let mut ahead = 0.0;
-        let mut left = self.limits_left();
+        let mut backlog = 0.0;
+        let mut remaining = self.remaining_limits();
         let mut demands = Vec::new();
         for job in jobs {
             let spec = &job.spec;
             let waiting = job.waiting_count() - job.nominations.len() as u32;
             let mut tasks = waiting;
             if spec.kind == Kind::Array {
-                let share = spec.need.share_of(&finite);
+                let share = spec.need.share_of(&batch_capacity);
                 if share.is_finite() {
                     let work = share * spec.estimate_s.max(1.0) * f64::from(waiting);
                     // Work completed while a new machine boots needs no new machine.
-                    let over = (ahead + work - self.patience(spec)).max(0.0);
-                    ahead += work;
+                    let excess = (backlog + work - self.wait_budget_s(spec)).max(0.0);
+                    backlog += work;
                     let horizon = SCALE_OUT_HORIZON.as_secs_f64().max(spec.estimate_s);
-                    let wanted = over / (share.max(1e-9) * horizon);
+                    let wanted = excess / (share.max(1e-9) * horizon);
                     tasks = waiting.min(wanted.ceil() as u32);
                 }
             }
             // A machine for tasks beyond the team's limit or licence seats would stay idle.
             tasks = tasks.min(self.seats_for(spec, now));
-            if let Some(left) = left.get_mut(&spec.team) {
+            if let Some(left) = remaining.get_mut(&spec.team) {
                 tasks = tasks.min(spec.need.times_in(left));
                 *left = left.plus_times(&spec.need, -f64::from(tasks));
             }
@@ -245,23 +246,23 @@
 
     /// Seconds of work that may be queued for the machines that are up before new ones are
     /// requested: zero if the wait objective is shorter than boot and image fetch.
-    fn patience(&self, spec: &JobSpec) -> f64 {
-        let aims = self.config.objectives.iter();
-        let aims = aims.filter(|o| o.kind == "wait" && *o.class == *spec.class);
-        let tightest = aims.map(|o| o.within_s).fold(f64::INFINITY, f64::min);
-        let left = tightest - self.boot_s(spec) - self.fetch_alone(spec);
+    fn wait_budget_s(&self, spec: &JobSpec) -> f64 {
+        let objectives = self.config.objectives.iter();
+        let objectives = objectives.filter(|o| o.kind == "wait" && *o.class == *spec.class);
+        let tightest = objectives.map(|o| o.within_s).fold(f64::INFINITY, f64::min);
+        let left = tightest - self.min_boot_s(spec) - self.fetch_alone(spec);
         left.clamp(0.0, SCALE_OUT_HORIZON.as_secs_f64())
     }
 
     /// Resources that teams with a limit may still use.
-    fn limits_left(&self) -> HashMap<Arc<str>, Resources> {
-        let most = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
+    fn remaining_limits(&self) -> HashMap<Arc<str>, Resources> {
+        let limit_or_infinity = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         let teams = self.config.teams.iter();
-        let mut left: HashMap<Arc<str>, Resources> = teams
+        let mut remaining: HashMap<Arc<str>, Resources> = teams
             .map(|(name, team)| {
                 let limit = Resources {
-                    cpus: most(team.cpus_max),
-                    gpus: most(team.gpus_max),
+                    cpus: limit_or_infinity(team.cpus_max),
+                    gpus: limit_or_infinity(team.gpus_max),
                     memory_gb: f64::INFINITY,
                 };
                 (name.clone(), limit)
@@ -270,20 +271,20 @@
         let tasks = self.machines.values().flat_map(|m| m.tasks.values());
         for placement in tasks.filter(|p| !p.exited()) {
             if let Some(spec) = &placement.spec
-                && let Some(left) = left.get_mut(&spec.team)
+                && let Some(left) = remaining.get_mut(&spec.team)
             {
                 *left = left.minus(&placement.need);
             }
         }
-        left
+        remaining
     }
 
     /// Returns the cheapest machine kind for the tasks that the cloud has not refused, and the
-    /// number of machines. `there` returns the number of tasks that already fit in a zone.
+    /// number of machines. `existing_slots` returns the tasks that already fit in a zone.
     fn choose_machine_kind(
         &self,
         demand: &Demand,
-        there: impl Fn(&str) -> u32,
+        existing_slots: impl Fn(&str) -> u32,
         plan: &ScaleOutPlan,
     ) -> Option<(MachineKind, u32)> {
         let spec = &demand.spec;
@@ -294,7 +295,7 @@
                 continue;
             }
             for zone in &t.zones {
-                let tasks = demand.tasks.saturating_sub(there(zone)).max(1);
+                let tasks = demand.tasks.saturating_sub(existing_slots(zone)).max(1);
                 for spot in [true, false] {
                     let kind = MachineKind {
                         machine_type: t.name.clone(),
@@ -308,17 +309,18 @@
                         continue;
                     }
                     // A gang runs only as a whole.
-                    let most = match spec.one_zone {
+                    let max_count = match spec.one_zone {
                         true => u32::MAX,
-                        false => ZONE_BATCH_MOST,
+                        false => MAX_ZONE_BATCH,
                     };
-                    let count = tasks.div_ceil(slots).min(most);
+                    let count = tasks.div_ceil(slots).min(max_count);
                     let price = if spot { t.spot_price } else { t.price };
-                    let held = match spec.one_zone {
+                    let placed = match spec.one_zone {
                         true => demand.tasks,
                         false => tasks.min(slots * count),
                     };
-                    let cost = price * f64::from(count) / f64::from(held) * (1.0 + t.boot_s / 60.0)
+                    let cost = price * f64::from(count) / f64::from(placed)
+                        * (1.0 + t.boot_s / 60.0)
                         + 1e-4 * plan.machines_in(zone) as f64;
                     if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
                         best = Some((cost, kind, count));
@@ -331,23 +333,26 @@
 }
 
 /// Returns a zone that has room for all tasks of a job.
-fn whole_in(
+fn zone_with_room(
     spec: &JobSpec,
     tasks: u32,
-    ahead: &UpcomingCapacity,
+    upcoming: &UpcomingCapacity,
     idle: &UpcomingCapacity,
 ) -> Option<Arc<str>> {
-    let zones = ahead.zones().chain(idle.zones());
-    let whole = |zone: &&Arc<str>| {
+    let zones = upcoming.zones().chain(idle.zones());
+    let has_room = |zone: &&Arc<str>| {
         let zone = Some(&***zone);
-        idle.takes(spec, zone) + ahead.takes(spec, zone) >= tasks
+        idle.slots(spec, zone) + upcoming.slots(spec, zone) >= tasks
     };
-    zones.min_by_key(|zone| !whole(zone)).filter(whole).cloned()
+    zones
+        .min_by_key(|zone| !has_room(zone))
+        .filter(has_room)
+        .cloned()
 }
 
 /// Maximum number of machines ordered in one zone at a time, to spread a job over zones.
-const ZONE_BATCH_MOST: u32 = 16;
+const MAX_ZONE_BATCH: u32 = 16;
 /// Maximum number of machines in one provisioning request, by the protocol.
-const CALL_MOST: u32 = 50;
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
 /// Waiting work that the existing machines complete within this time needs no new ones.
 const SCALE_OUT_HORIZON: Duration = Duration::from_secs(20);
--- a/src/core/scale_out/arrivals.rs
+++ b/src/core/scale_out/arrivals.rs
@@ -9,11 +9,11 @@
 
 use crate::core::job::JobSpec;
 
-const SPAN: Duration = Duration::from_secs(10);
+const WINDOW: Duration = Duration::from_secs(10);
 /// Number of completed windows that are considered.
-const SPANS: usize = 5;
+const WINDOW_COUNT: usize = 5;
 
-struct Class {
+struct ClassArrivals {
     /// Latest job of the class, which represents all of them.
     spec: Arc<JobSpec>,
     /// Number of tasks by window.
@@ -21,22 +21,22 @@
 }
 
 #[derive(Default)]
-pub struct Arrivals(BTreeMap<Arc<str>, Class>);
+pub struct Arrivals(BTreeMap<Arc<str>, ClassArrivals>);
 
-fn span(ms: u64) -> u64 {
-    ms / SPAN.as_millis() as u64
+fn window_index(ms: u64) -> u64 {
+    ms / WINDOW.as_millis() as u64
 }
 
 impl Arrivals {
-    pub fn came(&mut self, spec: &Arc<JobSpec>, accepted_ms: u64) {
+    pub fn record(&mut self, spec: &Arc<JobSpec>, accepted_ms: u64) {
         let class = self.0.entry(spec.class.clone());
-        let class = class.or_insert_with(|| Class {
+        let class = class.or_insert_with(|| ClassArrivals {
             spec: spec.clone(),
             tasks: BTreeMap::new(),
         });
         class.spec = spec.clone();
-        *class.tasks.entry(span(accepted_ms)).or_insert(0) += spec.tasks;
-        while class.tasks.len() > SPANS * 2 {
+        *class.tasks.entry(window_index(accepted_ms)).or_insert(0) += spec.tasks;
+        while class.tasks.len() > WINDOW_COUNT * 2 {
             class.tasks.pop_first();
         }
     }
@@ -47,18 +47,18 @@
         now_ms: u64,
         within: impl Fn(&JobSpec) -> Duration,
     ) -> Vec<(Arc<JobSpec>, u32)> {
-        let now = span(now_ms);
-        let expected = |class: &Class| {
-            let mut came: Vec<u32> = (1..=SPANS as u64)
+        let now = window_index(now_ms);
+        let expected = |class: &ClassArrivals| {
+            let mut counts: Vec<u32> = (1..=WINDOW_COUNT as u64)
                 .filter_map(|ago| now.checked_sub(ago))
-                .map(|span| class.tasks.get(&span).copied().unwrap_or(0))
+                .map(|window| class.tasks.get(&window).copied().unwrap_or(0))
                 .collect();
-            came.sort_unstable();
-            let usual = came.get(SPANS / 2).copied().unwrap_or(0);
-            let spans = within(&class.spec).as_secs_f64() / SPAN.as_secs_f64();
+            counts.sort_unstable();
+            let median = counts.get(WINDOW_COUNT / 2).copied().unwrap_or(0);
+            let windows = within(&class.spec).as_secs_f64() / WINDOW.as_secs_f64();
             (
                 class.spec.clone(),
-                (f64::from(usual) * spans).round() as u32,
+                (f64::from(median) * windows).round() as u32,
             )
         };
         let expected = self.0.values().map(expected);
@@ -70,25 +70,25 @@
 mod tests {
     use super::{super::upcoming_capacity::tests::spec, *};
 
-    fn after(spans: &[u32]) -> u32 {
+    fn expected_after(windows: &[u32]) -> u32 {
         let mut arrivals = Arrivals::default();
-        for (at, jobs) in spans.iter().enumerate() {
+        for (at, jobs) in windows.iter().enumerate() {
             for _ in 0..*jobs {
-                let ms = at as u64 * SPAN.as_millis() as u64 + 5;
-                arrivals.came(&Arc::new(spec(1.0, 1.0, false)), ms);
+                let ms = at as u64 * WINDOW.as_millis() as u64 + 5;
+                arrivals.record(&Arc::new(spec(1.0, 1.0, false)), ms);
             }
         }
-        let now = (spans.len() as u64) * SPAN.as_millis() as u64 + 1;
-        let expected = arrivals.expected(now, |_| SPAN * 2);
+        let now = (windows.len() as u64) * WINDOW.as_millis() as u64 + 1;
+        let expected = arrivals.expected(now, |_| WINDOW * 2);
         expected.first().map_or(0, |(_, tasks)| *tasks)
     }
 
     #[test]
-    fn the_usual_counts_and_neither_a_rush_nor_a_pause() {
-        assert_eq!(after(&[500, 80, 4, 5, 6]), 12);
-        assert_eq!(after(&[4, 5, 6, 0, 0]), 8);
-        assert_eq!(after(&[5, 5, 5, 0, 0, 0, 0]), 0);
+    fn the_median_ignores_bursts_and_pauses() {
+        assert_eq!(expected_after(&[500, 80, 4, 5, 6]), 12);
+        assert_eq!(expected_after(&[4, 5, 6, 0, 0]), 8);
+        assert_eq!(expected_after(&[5, 5, 5, 0, 0, 0, 0]), 0);
         // Too few windows to estimate a rate.
-        assert_eq!(after(&[500, 80]), 0);
+        assert_eq!(expected_after(&[500, 80]), 0);
     }
 }
--- a/src/core/scale_out/plan.rs
+++ b/src/core/scale_out/plan.rs
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub struct ScaleOutPlan {
     /// Capacity of machines that are booting or requested.
-    pub coming: UpcomingCapacity,
+    pub upcoming: UpcomingCapacity,
     /// Number of machines by zone, including those that are ordered.
     machines_in_zone: HashMap<Arc<str>, usize>,
     orders: Vec<ScaleOutOrder>,
@@ -39,7 +39,7 @@
 
     /// Orders machines of this kind and size; orders for the same kind are merged.
     pub fn order(&mut self, kind: &MachineKind, size: Resources, count: u32, job: &JobSpec) {
-        self.coming.add(kind, size, count);
+        self.upcoming.add(kind, size, count);
         self.count_machines(&kind.zone, count as usize);
         match self.orders.iter_mut().find(|order| order.kind == *kind) {
             Some(order) => order.count += count,
--- a/src/core/scale_out/upcoming_capacity.rs
+++ b/src/core/scale_out/upcoming_capacity.rs
@@ -8,24 +8,24 @@
     machine::MachineKind,
 };
 
-struct Alike {
+struct CapacityGroup {
     kind: MachineKind,
     free: Resources,
     count: u32,
 }
 
-impl Alike {
+impl CapacityGroup {
     /// Returns the number of tasks of the job that fit on each machine.
-    fn slots(&self, spec: &JobSpec, zone: Option<&str>) -> u32 {
+    fn slots_per_machine(&self, spec: &JobSpec, zone: Option<&str>) -> u32 {
         let MachineKind {
             machine_type,
             zone: in_zone,
             spot,
         } = &self.kind;
-        let may = zone.is_none_or(|zone| zone == &**in_zone)
+        let is_allowed = zone.is_none_or(|zone| zone == &**in_zone)
             && spec.allows_type(machine_type)
             && spec.allows_place(in_zone, *spot);
-        match may {
+        match is_allowed {
             true => spec.need.times_in(&self.free),
             false => 0,
         }
@@ -33,17 +33,17 @@
 }
 
 #[derive(Default)]
-pub struct UpcomingCapacity(Vec<Alike>);
+pub struct UpcomingCapacity(Vec<CapacityGroup>);
 
 impl UpcomingCapacity {
     pub fn add(&mut self, kind: &MachineKind, free: Resources, count: u32) {
         if count == 0 {
             return;
         }
-        let same = |a: &&mut Alike| a.free == free && a.kind == *kind;
+        let same = |a: &&mut CapacityGroup| a.free == free && a.kind == *kind;
         match self.0.iter_mut().find(same) {
-            Some(alike) => alike.count += count,
-            None => self.0.push(Alike {
+            Some(group) => group.count += count,
+            None => self.0.push(CapacityGroup {
                 kind: kind.clone(),
                 free,
                 count,
@@ -52,45 +52,45 @@
     }
 
     pub fn zones(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.0.iter().map(|alike| &alike.kind.zone)
+        self.0.iter().map(|group| &group.kind.zone)
     }
 
     /// Returns the number of tasks of the job that fit, in one zone if one is given.
-    pub fn takes(&self, spec: &JobSpec, zone: Option<&str>) -> u32 {
-        let takes = |a: &Alike| a.slots(spec, zone).saturating_mul(a.count);
-        self.0.iter().map(takes).fold(0, u32::saturating_add)
+    pub fn slots(&self, spec: &JobSpec, zone: Option<&str>) -> u32 {
+        let slots = |a: &CapacityGroup| a.slots_per_machine(spec, zone).saturating_mul(a.count);
+        self.0.iter().map(slots).fold(0, u32::saturating_add)
     }
 
     /// Places up to that many tasks, and returns the number that did not fit. Machines with
     /// the least room are filled first, which keeps empty ones for tasks that need all of it.
     pub fn fill(&mut self, spec: &JobSpec, zone: Option<&str>, mut tasks: u32) -> u32 {
-        let rooms = self.0.iter().enumerate();
-        let mut order: Vec<(u32, usize)> = rooms
-            .map(|(at, alike)| (alike.slots(spec, zone), at))
+        let groups = self.0.iter().enumerate();
+        let mut order: Vec<(u32, usize)> = groups
+            .map(|(at, group)| (group.slots_per_machine(spec, zone), at))
             .filter(|(slots, _)| *slots > 0)
             .collect();
         order.sort_unstable();
-        let mut changed: Vec<Alike> = Vec::new();
+        let mut changed: Vec<CapacityGroup> = Vec::new();
         for (slots, at) in order {
-            let alike = &mut self.0[at];
-            let full = (tasks / slots).min(alike.count);
-            let rest = match full < alike.count {
+            let group = &mut self.0[at];
+            let full = (tasks / slots).min(group.count);
+            let rest = match full < group.count {
                 true => tasks % slots,
                 false => 0,
             };
             for (each, count) in [(slots, full), (rest, u32::from(rest > 0))] {
-                changed.push(Alike {
-                    kind: alike.kind.clone(),
-                    free: alike.free.plus_times(&spec.need, -f64::from(each)),
+                changed.push(CapacityGroup {
+                    kind: group.kind.clone(),
+                    free: group.free.plus_times(&spec.need, -f64::from(each)),
                     count,
                 });
-                alike.count -= count;
+                group.count -= count;
                 tasks -= each * count;
             }
         }
-        self.0.retain(|alike| alike.count > 0);
-        for alike in changed {
-            self.add(&alike.kind, alike.free, alike.count);
+        self.0.retain(|group| group.count > 0);
+        for group in changed {
+            self.add(&group.kind, group.free, group.count);
         }
         tasks
     }
@@ -144,10 +144,10 @@
 
     /// Checks grouped capacity against a plain list of machines.
     #[test]
-    fn rooms_counted_together_take_what_single_ones_take() {
+    fn grouped_capacity_matches_single_machines() {
         let mut rng = StdRng::seed_from_u64(11);
         for _ in 0..300 {
-            let (mut ahead, mut plain) = (UpcomingCapacity::default(), Vec::new());
+            let (mut upcoming, mut plain) = (UpcomingCapacity::default(), Vec::new());
             for _ in 0..rng.random_range(1..6) {
                 let zone = ["a", "b"][rng.random_range(0..2)];
                 let kind = kind(zone, rng.random_bool(0.5));
@@ -157,7 +157,7 @@
                     memory_gb: 50.0,
                 };
                 let count = rng.random_range(0..4u32);
-                ahead.add(&kind, free, count);
+                upcoming.add(&kind, free, count);
                 plain.extend((0..count).map(|_| (kind.clone(), free)));
             }
             for _ in 0..4 {
@@ -166,22 +166,22 @@
                 let spec = spec(cpus, gpus, rng.random_bool(0.5));
                 let zone = [None, Some("a"), Some("b")][rng.random_range(0..3)];
                 let asked = rng.random_range(0..12);
-                let may = |kind: &MachineKind| {
+                let is_allowed = |kind: &MachineKind| {
                     zone.is_none_or(|zone| zone == &*kind.zone) && (spec.spot || !kind.spot)
                 };
-                let takes: u32 = plain
+                let slots: u32 = plain
                     .iter()
-                    .filter(|(kind, _)| may(kind))
+                    .filter(|(kind, _)| is_allowed(kind))
                     .map(|(_, free)| spec.need.times_in(free))
                     .sum();
-                assert_eq!(ahead.takes(&spec, zone), takes);
-                let left = ahead.fill(&spec, zone, asked);
-                assert_eq!(left, asked.saturating_sub(takes));
+                assert_eq!(upcoming.slots(&spec, zone), slots);
+                let left = upcoming.fill(&spec, zone, asked);
+                assert_eq!(left, asked.saturating_sub(slots));
                 // Any machines may have been filled: continue with the remaining capacity.
                 plain.clear();
-                for alike in &ahead.0 {
-                    let one = (alike.kind.clone(), alike.free);
-                    plain.extend((0..alike.count).map(|_| one.clone()));
+                for group in &upcoming.0 {
+                    let one = (group.kind.clone(), group.free);
+                    plain.extend((0..group.count).map(|_| one.clone()));
                 }
             }
         }
@@ -190,19 +190,19 @@
     /// Guards against small jobs that take a machine each: the rest of those machines was
     /// counted as capacity for arrays, for which no machines were then ordered.
     #[test]
-    fn small_jobs_share_a_room_and_leave_the_others_whole() {
+    fn small_jobs_share_a_machine_and_keep_others_empty() {
         let kind = kind("a", false);
         let (small, whole) = (spec(5.0, 1.0, false), spec(57.0, 8.0, false));
-        let mut ahead = UpcomingCapacity::default();
+        let mut upcoming = UpcomingCapacity::default();
         let free = Resources {
             cpus: 64.0,
             gpus: 8.0,
             memory_gb: 50.0,
         };
-        ahead.add(&kind, free, 3);
+        upcoming.add(&kind, free, 3);
         for _ in 0..2 {
-            assert_eq!(ahead.fill(&small, None, 4), 0);
+            assert_eq!(upcoming.fill(&small, None, 4), 0);
         }
-        assert_eq!(ahead.takes(&whole, None), 2);
+        assert_eq!(upcoming.slots(&whole, None), 2);
     }
 }
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -53,7 +53,10 @@
         let lag = self.config.list_lag * 2;
         let since = machine.heard_at.unwrap_or(machine.first_seen);
         let missed = now > since + self.config.report * 5 / 4 + REPORT_LATE;
-        let (shown, read) = (machine.listed_at, self.provisioning.list_read);
+        let (shown, read) = (
+            machine.listed_at,
+            self.provisioning.complete_list_requested_at,
+        );
         missed && shown.zip(read).is_some_and(|(at, read)| read > at + lag)
     }
 
@@ -75,7 +78,7 @@
                     || self.has_vanished(m, now)
             })
             .map(|m| (Reverse(m.endless_tasks()), m.id.clone()))
-            .filter(|(_, id)| !self.provisioning.is_being_returned(id))
+            .filter(|(_, id)| !self.provisioning.is_being_released(id))
             .collect();
         go.sort();
         go.truncate(RETURNED_MOST);
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -70,7 +70,7 @@
 
 pub fn rental(rental: &ProvisioningRequest) -> String {
     let message = RentalMessage {
-        charter: &rental.request,
+        charter: &rental.id,
         frame: &rental.machine_type,
         field: &rental.zone,
         gusts: rental.spot,
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -587,7 +587,7 @@
                 detector.record_unanswered(&direct.machine);
                 c.cluster.direct_reply(&direct, DirectReply::Unclear, c.now);
             }
-            if let Some(CloudRequest::Release { machines }) = c.cluster.cloud_work(c.now) {
+            if let Some(CloudRequest::Release { machines }) = c.cluster.due_cloud_request(c.now) {
                 released.extend(machines);
             }
         }
@@ -644,7 +644,7 @@
             c.report("vm-1");
             c.report("vm-2");
             c.now = at;
-            c.cluster.cloud_work(c.now);
+            c.cluster.due_cloud_request(c.now);
             most = most.max(c.victims("vm-1").len());
             assert!(c.victims("vm-2").is_empty(), "second {second}");
         }
@@ -792,7 +792,7 @@
     let mut rented = 0;
     for _ in 0..200 {
         c.now += Duration::from_millis(500);
-        let Some(request) = c.cluster.cloud_work(c.now) else {
+        let Some(request) = c.cluster.due_cloud_request(c.now) else {
             continue;
         };
         let CloudRequest::Provision(rental) = &request else {
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -68,7 +68,7 @@
         c.now += Duration::from_millis(250);
         c.cluster.proven = c.now;
         c.cluster.tick(c.now);
-        match c.cluster.cloud_work(c.now) {
+        match c.cluster.due_cloud_request(c.now) {
             Some(list @ CloudRequest::List { .. }) => {
                 c.cluster.cloud_reply(&list, listed(names), c.now);
             }
@@ -161,7 +161,7 @@
         c.now += Duration::from_millis(250);
         c.cluster.proven = c.now;
         c.cluster.tick(c.now);
-        let Some(request) = c.cluster.cloud_work(c.now) else {
+        let Some(request) = c.cluster.due_cloud_request(c.now) else {
             return false;
         };
         let lists = matches!(request, CloudRequest::List { .. });
--- a/tests/scheduling/starting.rs
+++ b/tests/scheduling/starting.rs
@@ -83,7 +83,7 @@
     // As high, so that nobody makes room for the other.
     let low = spec(1, Kind::Array, Priority::High, 1, 4.0);
     let mut c = began(&[&low, &wanted]);
-    let list = c.cluster.cloud_work(c.now).expect("a request");
+    let list = c.cluster.due_cloud_request(c.now).expect("a request");
     assert!(matches!(list, CloudRequest::List { .. }), "{list:?}");
     let none = CloudReply::Machines {
         machines: Vec::new(),
@@ -93,7 +93,7 @@
     let next = |c: &mut Cluster, ms: u64| {
         c.now += Duration::from_millis(ms);
         looks(c);
-        c.cluster.cloud_work(c.now)
+        c.cluster.due_cloud_request(c.now)
     };
     let rents = |request: Option<CloudRequest>| matches!(request, Some(CloudRequest::Provision(_)));
     // The stored machines may have room.
@@ -120,7 +120,7 @@
         (from..to).any(|second| {
             c.now = Duration::from_secs(100 + second);
             looks(c);
-            let request = c.cluster.cloud_work(c.now);
+            let request = c.cluster.due_cloud_request(c.now);
             matches!(request, Some(CloudRequest::Provision(_)))
         })
     };
--- a/tests/world/sim/cloud.rs
+++ b/tests/world/sim/cloud.rs
@@ -52,7 +52,7 @@
                 }
             }
             CloudRequest::Provision(rental) => {
-                if let Some(names) = self.rentals.get(&rental.request) {
+                if let Some(names) = self.rentals.get(&rental.id) {
                     return CloudReply::Provisioned(names.clone());
                 }
                 let zone = ZONES
@@ -69,7 +69,7 @@
                 if names.is_empty() {
                     return CloudReply::NoCapacity;
                 }
-                self.rentals.insert(rental.request, names.clone());
+                self.rentals.insert(rental.id, names.clone());
                 CloudReply::Provisioned(names)
             }
             CloudRequest::Release { machines } => {
