--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -56,16 +56,16 @@
     })
 }
 
-fn state_call(outputs: &[Output], which: fn(&StateRequest) -> bool) -> Option<CallId> {
+fn state_call(outputs: &[Output], matching: fn(&StateRequest) -> bool) -> Option<CallId> {
     outputs.iter().find_map(|output| match output {
-        Output::State { call, request, .. } if which(request) => Some(*call),
+        Output::State { call, request, .. } if matching(request) => Some(*call),
         _ => None,
     })
 }
 
 /// A submission that can't be stored is answered immediately, so that its user retries.
 #[test]
-fn a_submission_that_cannot_be_taken_is_answered_in_the_same_step() {
+fn a_submission_that_cannot_be_stored_is_answered_in_the_same_step() {
     let settings = node_settings::with_peers(2);
     let mut node = Node::new(Config::new(&settings, Options::default()));
     let is_list = |request: &StateRequest| matches!(request, StateRequest::List { .. });
@@ -151,20 +151,20 @@
     (node, watch.expect("a watch"))
 }
 
-fn is_proof(request: &StateRequest) -> bool {
+fn is_sync(request: &StateRequest) -> bool {
     matches!(request, StateRequest::Watch { wait, .. } if wait.is_zero())
 }
 
 /// Status polls share one sync request, and those beyond the queue limit are answered at once.
 #[test]
-fn a_storm_of_polls_costs_one_request_and_waits_in_bounds() {
+fn a_burst_of_polls_takes_one_request_and_a_bounded_queue() {
     let (mut node, _) = loaded(Vec::new());
     let id = JobId::parse("run-000001").expect("an id");
-    let (mut proofs, mut refused) = (0, 0);
+    let (mut syncs, mut refused) = (0, 0);
     for request in 100..10_100 {
         let id = id.clone();
         let outputs = step(&mut node, 10, Input::Status { request, id });
-        proofs += usize::from(state_call(&outputs, is_proof).is_some());
+        syncs += usize::from(state_call(&outputs, is_sync).is_some());
         refused += outputs
             .iter()
             .filter(|o| {
@@ -178,14 +178,14 @@
             })
             .count();
     }
-    assert_eq!(proofs, 1);
+    assert_eq!(syncs, 1);
     assert!((5_000..10_000).contains(&refused), "{refused} refused");
 }
 
 /// Every change ends the watch of every node: with immediate repeats, the watches used up the
 /// request rate that submissions need.
 #[test]
-fn a_watch_that_brought_events_is_not_repeated_at_once() {
+fn a_watch_that_returned_events_is_not_repeated_at_once() {
     let (mut node, mut watch) = loaded(Vec::new());
     let mut watches = 0;
     for ms in 10..2_010 {
@@ -205,7 +205,7 @@
     assert!((5..=12).contains(&watches), "{watches} in 2 s");
 }
 
-fn leads(node: &str) -> Box<serde_json::value::RawValue> {
+fn leader_record(node: &str) -> Box<serde_json::value::RawValue> {
     let record = LeaderRecord {
         node: node.into(),
         superseded: false,
@@ -217,7 +217,7 @@
     worker_reports::report_of(machine, token, Vec::new())
 }
 
-fn answered(outputs: &[Output]) -> Option<(u64, Answer)> {
+fn first_answer(outputs: &[Output]) -> Option<(u64, Answer)> {
     outputs.iter().find_map(|output| match output {
         Output::Answer { request, answer } => Some((*request, answer.clone())),
         _ => None,
@@ -227,13 +227,13 @@
 fn led_by_n1() -> Vec<Entry> {
     vec![Entry {
         key: LEADER.into(),
-        value: leads("n1"),
+        value: leader_record("n1"),
         version: 9,
     }]
 }
 
 /// Returns the number under which a node relays the report of a worker that comes back to it.
-fn relays(node: &mut Node, machine: &str) -> u64 {
+fn relay_number(node: &mut Node, machine: &str) -> u64 {
     let heartbeat = NodeHeartbeat {
         claim: 9,
         ..NodeHeartbeat::default()
@@ -261,27 +261,27 @@
 /// The answer to a report that a former process relayed is not delivered to a worker of the
 /// restarted process. Without the incarnation, both would use the same relay number.
 #[test]
-fn an_answer_to_the_process_before_is_nobodys() {
-    let given = |incarnations: [u32; 2]| {
+fn an_answer_to_a_previous_process_is_dropped() {
+    let delivered = |incarnations: [u32; 2]| {
         let [(mut former, _), (mut next, _)] =
             incarnations.map(|incarnation| loaded_as(incarnation, led_by_n1()));
-        let relay = relays(&mut former, "vm-1");
-        relays(&mut next, "vm-2");
+        let relay = relay_number(&mut former, "vm-1");
+        relay_number(&mut next, "vm-2");
         let answer = Some(Answer::Commands {
             token: 9 << 16,
             commands: Vec::new(),
         });
         let (from, message) = ("n1".to_owned(), PeerMessage::Reported { relay, answer });
-        answered(&step(&mut next, 6, Input::Peer { from, message }))
+        first_answer(&step(&mut next, 6, Input::Peer { from, message }))
     };
-    assert!(given([0, 0]).is_some(), "nothing tells them apart");
-    assert_eq!(given([1, 2]), None);
+    assert!(delivered([0, 0]).is_some(), "nothing tells them apart");
+    assert_eq!(delivered([1, 2]), None);
 }
 
 /// A leader that this node can't hear, but whose stored heartbeat changes: workers are
 /// redirected to it, and those that come back from it are not held up.
 #[test]
-fn workers_are_sent_to_a_leader_that_only_the_state_service_hears() {
+fn workers_are_redirected_to_a_leader_known_only_by_its_stored_heartbeat() {
     let (mut node, watch) = loaded(led_by_n1());
     let at = |request| Input::Report {
         request,
@@ -301,11 +301,14 @@
     step(&mut node, 8_000, Input::State { call: watch, reply });
     let to_leader = Answer::Redirect(Some("n1".into()));
     assert_eq!(
-        answered(&step(&mut node, 8_100, at(1))),
+        first_answer(&step(&mut node, 8_100, at(1))),
         Some((1, to_leader))
     );
     let next = Answer::Redirect(None);
-    assert_eq!(answered(&step(&mut node, 8_600, at(2))), Some((2, next)));
+    assert_eq!(
+        first_answer(&step(&mut node, 8_600, at(2))),
+        Some((2, next))
+    );
     // Another node hears the leader, and can relay: between two zones that can't reach each
     // other, workers that were redirected to the leader itself lost their leases.
     let heartbeat = NodeHeartbeat {
@@ -315,15 +318,18 @@
     let (from, message) = ("n2".to_owned(), PeerMessage::Heartbeat(heartbeat));
     step(&mut node, 8_700, Input::Peer { from, message });
     let relayer = Answer::Redirect(Some("n2".into()));
-    assert_eq!(answered(&step(&mut node, 8_800, at(4))), Some((4, relayer)));
+    assert_eq!(
+        first_answer(&step(&mut node, 8_800, at(4))),
+        Some((4, relayer))
+    );
     // The leader is silent again: a report waits for the next leader.
-    assert_eq!(answered(&step(&mut node, 20_000, at(3))), None);
+    assert_eq!(first_answer(&step(&mut node, 20_000, at(3))), None);
 }
 
 /// Guards against redirecting workers while there is no leader: some were redirected to the
 /// node that was gone, and their leases expired meanwhile.
 #[test]
-fn a_worker_without_a_leader_waits_until_there_is_one() {
+fn a_report_without_a_leader_waits_until_there_is_one() {
     let (mut node, watch) = loaded(led_by_n1());
     let report = report_of("vm-1", 9 << 16);
     let alive = PeerMessage::Heartbeat(NodeHeartbeat::default());
@@ -336,23 +342,26 @@
         report: report.clone(),
     };
     // At the time limit it is redirected to a node that is alive, not just to any other one.
-    assert_eq!(answered(&step(&mut node, 3_000, at(1))), None);
-    assert_eq!(answered(&step(&mut node, 6_000, heartbeat(alive))), None);
+    assert_eq!(first_answer(&step(&mut node, 3_000, at(1))), None);
+    assert_eq!(
+        first_answer(&step(&mut node, 6_000, heartbeat(alive))),
+        None
+    );
     let outputs = step(&mut node, 6_500, Input::Tick);
     let to = |node: &str| Some(Answer::Redirect(Some(node.into())));
-    assert_eq!(answered(&outputs), to("n2").map(|answer| (1, answer)));
+    assert_eq!(first_answer(&outputs), to("n2").map(|answer| (1, answer)));
     // Another node leads.
-    assert_eq!(answered(&step(&mut node, 7_000, at(2))), None);
+    assert_eq!(first_answer(&step(&mut node, 7_000, at(2))), None);
     let reply = StateReply::Events {
         events: vec![Event {
             key: LEADER.into(),
-            value: Some(leads("n2")),
+            value: Some(leader_record("n2")),
             revision: 12,
         }],
         revision: 12,
     };
     let outputs = step(&mut node, 7_500, Input::State { call: watch, reply });
-    assert_eq!(answered(&outputs), to("n2").map(|answer| (2, answer)));
+    assert_eq!(first_answer(&outputs), to("n2").map(|answer| (2, answer)));
 }
 
 /// A process that was suspended after its decision sends no commands when it resumes.
--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -12,12 +12,13 @@
 
 async fn submit(site: &Site, node: usize, job: &Value) {
     let body = Some(job.to_string());
-    let taken = |status, _: &Value| matches!(status, 200 | 201);
-    site.until(node, Method::POST, "/work", body, taken).await;
+    let is_accepted = |status, _: &Value| matches!(status, 200 | 201);
+    site.until(node, Method::POST, "/work", body, is_accepted)
+        .await;
 }
 
 #[tokio::test]
-async fn the_api_answers_as_the_protocol_says() {
+async fn the_api_follows_the_protocol() {
     let site = Site::of("api", vec![Build::default(); 1]).await;
     let good = submission("run-000001", "array", 3);
     let with = |field: &str, value: Value| {
@@ -139,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn jobs_outlive_every_node() {
+async fn jobs_survive_restarts_of_every_node() {
     let mut site = Site::of("outlive", vec![Build::default(); 3]).await;
     submit(&site, 0, &submission("run-000001", "array", 2)).await;
     submit(&site, 1, &submission("run-500002", "standing", 1)).await;
@@ -178,7 +179,7 @@
 
 /// A process that restarts quickly may find its address still in use, and retries.
 #[tokio::test]
-async fn an_address_that_is_still_taken_is_tried_again() {
+async fn binding_an_address_in_use_is_retried() {
     let mut site = Site::of("taken", vec![Build::default()]).await;
     submit(&site, 0, &submission("run-000001", "array", 1)).await;
     site.kill(0);
@@ -263,7 +264,7 @@
 /// A leader's hints about 6,000 machines with long names take more than a megabyte in one
 /// line: a node with a lower limit drops the connection, and each report relayed on it.
 #[tokio::test]
-async fn a_line_between_nodes_may_name_a_whole_fleet() {
+async fn a_line_between_nodes_may_cover_a_whole_fleet() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let site = Site::of("line", vec![Build::default(); 2]).await;
     let worker = |machine: usize| {
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -25,26 +25,26 @@
         "landby_s": 60.0})
 }
 
-const MAY_BE_NULL: [&str; 3] = ["frames", "field", "landby_s"];
+const OPTIONAL_FIELDS: [&str; 3] = ["frames", "field", "landby_s"];
 
-fn refused(body: &Value) -> String {
+fn rejection(body: &Value) -> String {
     let body = body.to_string();
     let parsed = parse_submission(body.as_bytes(), true);
     parsed.expect_err(&body)
 }
 
 #[test]
-fn a_missing_field_is_named_and_one_that_may_be_null_may_be_left_out() {
+fn a_missing_field_is_named_unless_it_is_optional() {
     let whole = submission();
     for field in whole.as_object().expect("an object").keys() {
         let mut job = submission();
         job.as_object_mut().expect("an object").remove(field);
-        match MAY_BE_NULL.contains(&field.as_str()) {
+        match OPTIONAL_FIELDS.contains(&field.as_str()) {
             true => assert!(parse_submission(job.to_string().as_bytes(), true).is_ok()),
             false => {
-                assert!(refused(&job).contains(&format!("`{field}`")), "{field}");
+                assert!(rejection(&job).contains(&format!("`{field}`")), "{field}");
                 job[field] = Value::Null;
-                assert!(refused(&job).contains(field), "{field}");
+                assert!(rejection(&job).contains(field), "{field}");
             }
         }
     }
@@ -96,14 +96,14 @@
     for (field, value) in invalid {
         let mut job = submission();
         job[field] = value;
-        let message = refused(&job);
+        let message = rejection(&job);
         assert!(message.contains(field), "{field}: {message}");
     }
 }
 
 /// An array of the values in field order is not accepted as a submission.
 #[test]
-fn what_is_not_an_object_is_refused() {
+fn a_body_that_is_not_an_object_is_rejected() {
     let values = json!([
         "run-000001",
         "work",
@@ -128,26 +128,26 @@
         null
     ]);
     for body in [values, json!(7), json!("run-000001"), Value::Null] {
-        assert_eq!(refused(&body), "expected a JSON object");
+        assert_eq!(rejection(&body), "expected a JSON object");
     }
     let twice = format!("{}{}", submission(), submission());
     assert!(parse_submission(twice.as_bytes(), true).is_err());
 }
 
 /// Node whose requests to the state service are answered by the test.
-struct Asked {
+struct TestNode {
     node: Node,
     ms: u64,
     outputs: Vec<Output>,
 }
 
-impl Asked {
+impl TestNode {
     fn new() -> Self {
-        Self::with(0, Options::default())
+        Self::with_peers(0, Options::default())
     }
 
     /// Creates one of several nodes.
-    fn with(peers: usize, options: Options) -> Self {
+    fn with_peers(peers: usize, options: Options) -> Self {
         let settings = node_settings::with_peers(peers);
         let node = Node::new(Config::new(&settings, options));
         let outputs = Vec::new();
@@ -168,9 +168,9 @@
     }
 
     /// Returns the last matching request to the state service.
-    fn sent(&mut self, which: fn(&StateRequest) -> bool) -> CallId {
+    fn last_call(&mut self, matching: fn(&StateRequest) -> bool) -> CallId {
         let call = self.outputs.iter().rev().find_map(|output| match output {
-            Output::State { call, request, .. } if which(request) => Some(*call),
+            Output::State { call, request, .. } if matching(request) => Some(*call),
             _ => None,
         });
         call.expect("such a request")
@@ -180,7 +180,7 @@
         self.step(Input::State { call, reply });
     }
 
-    fn ask(&mut self, request: u64) {
+    fn query_status(&mut self, request: u64) {
         let id = id();
         self.step(Input::Status { request, id });
     }
@@ -192,8 +192,8 @@
         })
     }
 
-    fn loads(&mut self, entries: Vec<Entry>, revision: u64) {
-        let call = self.sent(|r| matches!(r, StateRequest::List { .. }));
+    fn complete_load(&mut self, entries: Vec<Entry>, revision: u64) {
+        let call = self.last_call(|r| matches!(r, StateRequest::List { .. }));
         let more = false;
         self.reply(
             call,
@@ -207,20 +207,20 @@
 
     /// Ends the watch as too old while a sync is in flight, so that the node reloads its state
     /// cache. Returns the sync request.
-    fn falls_behind(&mut self) -> CallId {
+    fn fall_behind(&mut self) -> CallId {
         self.step(Input::Tick);
-        self.loads(vec![entry(5)], 10);
-        self.ask(1);
-        let proof = self.sent(is_proof);
-        let watch = self.sent(is_watch);
+        self.complete_load(vec![entry(5)], 10);
+        self.query_status(1);
+        let sync = self.last_call(is_sync);
+        let watch = self.last_call(is_watch);
         self.reply(watch, StateReply::TooOld);
         self.step(Input::Tick);
-        proof
+        sync
     }
 }
 
 /// Dependencies named by a submission, and answers about a job that has dependencies.
-mod needs {
+mod dependencies {
     use kiteyard::core::{
         job::JobState,
         rollout::{FEATURES, JOB_DEPENDENCIES},
@@ -271,7 +271,7 @@
         }
     }
 
-    fn end(number: u32, state: &str, version: u64) -> StateReply {
+    fn terminal_state(number: u32, state: &str, version: u64) -> StateReply {
         let text = json!({"state": state, "done": 1}).to_string();
         StateReply::Entry(text_entry(
             &format!("final/{}", id_of(number)),
@@ -289,24 +289,24 @@
         matches!(request, StateRequest::Get { key } if key.starts_with("live/job/"))
     }
 
-    fn is_end_read(request: &StateRequest) -> bool {
+    fn is_terminal_state_read(request: &StateRequest) -> bool {
         matches!(request, StateRequest::Get { key } if key.starts_with("final/"))
     }
 
-    impl Asked {
+    impl TestNode {
         /// Creates a node whose state cache holds these active jobs.
         fn with_jobs(jobs: &[Value]) -> Self {
             Self::new().with_active(jobs, Vec::new())
         }
 
         fn with_active(self, jobs: &[Value], mut entries: Vec<Entry>) -> Self {
-            let mut asked = self;
-            asked.step(Input::Tick);
+            let mut test_node = self;
+            test_node.step(Input::Tick);
             let numbered = jobs.iter().zip(2..);
             entries.extend(numbered.map(|(job, at)| entry_of(job, at)));
             entries.push(text_entry("live/types", TYPES, 1));
-            asked.loads(entries, 10);
-            asked
+            test_node.complete_load(entries, 10);
+            test_node
         }
 
         fn submit(&mut self, request: u64, job: &Value) {
@@ -321,16 +321,16 @@
         }
 
         /// Answers the sync: nothing has changed.
-        fn prove(&mut self) {
-            let proof = self.sent(is_proof);
-            self.reply(proof, none_new(10));
+        fn complete_sync(&mut self) {
+            let sync = self.last_call(is_sync);
+            self.reply(sync, no_events(10));
         }
 
         /// Checks that a submission is rejected once its job is known to be new.
-        fn is_impossible(&mut self, to: u64, about: &str) {
+        fn assert_rejected(&mut self, to: u64, about: &str) {
             assert_eq!(self.answer(to), None);
-            self.prove();
-            let read = self.sent(is_end_read);
+            self.complete_sync();
+            let read = self.last_call(is_terminal_state_read);
             self.reply(read, StateReply::Missing);
             match self.answer(to) {
                 Some(Answer::Impossible(reason)) => {
@@ -343,8 +343,8 @@
             }
         }
 
-        fn ended(&mut self, number: u32, revision: u64) {
-            let watch = self.sent(is_watch);
+        fn remove_active(&mut self, number: u32, revision: u64) {
+            let watch = self.last_call(is_watch);
             let event = Event {
                 key: job_key(&id_of(number)),
                 value: None,
@@ -356,7 +356,7 @@
     }
 
     #[test]
-    fn a_malformed_list_is_refused_and_named() {
+    fn malformed_dependencies_are_rejected_and_named() {
         let lists = [
             json!("run-000002"),
             json!(5),
@@ -374,7 +374,7 @@
         for list in lists {
             let mut job = submission();
             job["waits_on"] = list.clone();
-            let message = refused(&job);
+            let message = rejection(&job);
             assert!(message.contains("waits_on"), "{list}: {message}");
         }
         for list in [Value::Null, json!([])] {
@@ -386,47 +386,47 @@
     }
 
     #[test]
-    fn a_job_that_names_a_service_is_refused() {
-        let mut asked = Asked::with_jobs(&[service(2)]);
-        asked.submit(1, &submission_of(1, &[2]));
-        asked.is_impossible(1, "run-000002");
+    fn a_job_that_depends_on_a_service_is_rejected() {
+        let mut test_node = TestNode::with_jobs(&[service(2)]);
+        test_node.submit(1, &submission_of(1, &[2]));
+        test_node.assert_rejected(1, "run-000002");
         // A service that the node's state cache does not hold yet.
-        let mut asked = Asked::with_jobs(&[]);
-        asked.submit(1, &submission_of(1, &[2]));
-        let read = asked.sent(is_job_read);
-        asked.reply(read, StateReply::Entry(entry_of(&service(2), 12)));
-        asked.is_impossible(1, "run-000002");
+        let mut test_node = TestNode::with_jobs(&[]);
+        test_node.submit(1, &submission_of(1, &[2]));
+        let read = test_node.last_call(is_job_read);
+        test_node.reply(read, StateReply::Entry(entry_of(&service(2), 12)));
+        test_node.assert_rejected(1, "run-000002");
     }
 
     #[test]
-    fn a_job_that_names_one_that_was_never_accepted_is_refused() {
-        let mut asked = Asked::with_jobs(&[submission_of(3, &[])]);
-        asked.submit(1, &submission_of(1, &[2, 3]));
-        let read = asked.sent(is_job_read);
-        asked.reply(read, StateReply::Missing);
-        let read = asked.sent(is_end_read);
-        asked.reply(read, StateReply::Missing);
-        asked.is_impossible(1, "run-000002");
+    fn a_job_that_depends_on_an_unknown_job_is_rejected() {
+        let mut test_node = TestNode::with_jobs(&[submission_of(3, &[])]);
+        test_node.submit(1, &submission_of(1, &[2, 3]));
+        let read = test_node.last_call(is_job_read);
+        test_node.reply(read, StateReply::Missing);
+        let read = test_node.last_call(is_terminal_state_read);
+        test_node.reply(read, StateReply::Missing);
+        test_node.assert_rejected(1, "run-000002");
     }
 
     #[test]
-    fn no_answer_about_a_named_job_is_no_proof_that_it_was_never_accepted() {
+    fn an_unanswered_read_does_not_make_a_dependency_unknown() {
         for active_is_known in [false, true] {
-            let mut asked = Asked::with_jobs(&[]);
-            asked.submit(1, &submission_of(1, &[2]));
-            let mut read = asked.sent(is_job_read);
+            let mut test_node = TestNode::with_jobs(&[]);
+            test_node.submit(1, &submission_of(1, &[2]));
+            let mut read = test_node.last_call(is_job_read);
             if active_is_known {
-                asked.reply(read, StateReply::Missing);
-                read = asked.sent(is_end_read);
+                test_node.reply(read, StateReply::Missing);
+                read = test_node.last_call(is_terminal_state_read);
             }
-            asked.reply(read, StateReply::Unclear);
-            let answer = asked.answer(1).expect("an answer");
+            test_node.reply(read, StateReply::Unclear);
+            let answer = test_node.answer(1).expect("an answer");
             assert!(matches!(answer, Answer::Later { .. }), "{answer:?}");
         }
     }
 
     /// Creates one of two nodes with stored feature lists and rollouts enabled.
-    fn two_nodes(other_features: &Value) -> Asked {
+    fn one_of_two_nodes(other_features: &Value) -> TestNode {
         let file = include_str!("../deploy/rollout.toml");
         let config = kiteyard_rollout::config::Config::parse(file, FEATURES).expect("a file");
         let options = Options {
@@ -434,25 +434,25 @@
             ..Options::default()
         };
         let entry = |node: &str, features: &Value| {
-            let ability = json!({"build": "b", "least": 1, "most": 4, "features": features});
-            text_entry(&format!("live/node/{node}"), &ability.to_string(), 1)
+            let record = json!({"build": "b", "least": 1, "most": 4, "features": features});
+            text_entry(&format!("live/node/{node}"), &record.to_string(), 1)
         };
         let own = json!([JOB_DEPENDENCIES]);
-        let said = vec![entry("n0", &own), entry("n1", other_features)];
-        Asked::with(1, options).with_active(&[submission_of(2, &[])], said)
+        let nodes = vec![entry("n0", &own), entry("n1", other_features)];
+        TestNode::with_peers(1, options).with_active(&[submission_of(2, &[])], nodes)
     }
 
     #[test]
-    fn jobs_that_name_others_wait_until_every_node_knows_them() {
-        let mut asked = two_nodes(&json!(["drains"]));
-        asked.submit(1, &submission_of(1, &[2]));
-        let answer = asked.answer(1).expect("an answer");
+    fn dependencies_are_not_accepted_until_every_node_supports_them() {
+        let mut test_node = one_of_two_nodes(&json!(["drains"]));
+        test_node.submit(1, &submission_of(1, &[2]));
+        let answer = test_node.answer(1).expect("an answer");
         assert!(matches!(answer, Answer::Later { .. }), "{answer:?}");
-        let mut asked = two_nodes(&json!(["drains", JOB_DEPENDENCIES]));
-        asked.submit(1, &submission_of(1, &[2]));
-        let accept = asked.sent(is_accept);
-        asked.reply(accept, StateReply::Committed { revision: 11 });
-        assert_eq!(asked.answer(1), Some(Answer::Accepted(id_of(1))));
+        let mut test_node = one_of_two_nodes(&json!(["drains", JOB_DEPENDENCIES]));
+        test_node.submit(1, &submission_of(1, &[2]));
+        let accept = test_node.last_call(is_accept);
+        test_node.reply(accept, StateReply::Committed { revision: 11 });
+        assert_eq!(test_node.answer(1), Some(Answer::Accepted(id_of(1))));
     }
 
     /// Matches a transaction that stores a job, unlike one that stores the node's features.
@@ -462,92 +462,96 @@
     }
 
     #[test]
-    fn a_job_that_names_one_that_is_over_is_accepted() {
+    fn a_job_that_depends_on_a_terminated_job_is_accepted() {
         for state in ["done", "cancelled"] {
-            let mut asked = Asked::with_jobs(&[]);
-            asked.submit(1, &submission_of(1, &[2]));
-            let read = asked.sent(is_job_read);
-            asked.reply(read, StateReply::Missing);
-            let read = asked.sent(is_end_read);
-            asked.reply(read, end(2, state, 9));
-            let accept = asked.sent(is_txn);
-            asked.reply(accept, StateReply::Committed { revision: 11 });
-            assert_eq!(asked.answer(1), Some(Answer::Accepted(id_of(1))), "{state}");
+            let mut test_node = TestNode::with_jobs(&[]);
+            test_node.submit(1, &submission_of(1, &[2]));
+            let read = test_node.last_call(is_job_read);
+            test_node.reply(read, StateReply::Missing);
+            let read = test_node.last_call(is_terminal_state_read);
+            test_node.reply(read, terminal_state(2, state, 9));
+            let accept = test_node.last_call(is_txn);
+            test_node.reply(accept, StateReply::Committed { revision: 11 });
+            assert_eq!(
+                test_node.answer(1),
+                Some(Answer::Accepted(id_of(1))),
+                "{state}"
+            );
         }
     }
 
     #[test]
-    fn a_repeated_submission_names_the_same_jobs_in_any_order() {
+    fn a_repeated_submission_has_the_same_dependencies_in_any_order() {
         let jobs = [
             submission_of(2, &[]),
             submission_of(3, &[]),
             submission_of(1, &[2, 3]),
         ];
-        let mut asked = Asked::with_jobs(&jobs);
-        asked.submit(1, &submission_of(1, &[3, 2]));
-        asked.prove();
+        let mut test_node = TestNode::with_jobs(&jobs);
+        test_node.submit(1, &submission_of(1, &[3, 2]));
+        test_node.complete_sync();
         let known = Answer::Known(id_of(1), JobState::Pending);
-        assert_eq!(asked.answer(1), Some(known));
+        assert_eq!(test_node.answer(1), Some(known));
         for (request, other) in [(2, &[2][..]), (3, &[2, 3, 4]), (4, &[])] {
-            asked.submit(request, &submission_of(1, other));
-            asked.prove();
-            let answer = asked.answer(request).expect("an answer");
+            test_node.submit(request, &submission_of(1, other));
+            test_node.complete_sync();
+            let answer = test_node.answer(request).expect("an answer");
             let named = matches!(&answer, Answer::Impossible(why) if why.contains("waits_on"));
             assert!(named, "{other:?}: {answer:?}");
         }
     }
 
     #[test]
-    fn a_job_is_pending_and_names_what_it_waits_for() {
+    fn a_pending_job_lists_the_dependencies_it_waits_for() {
         let jobs = [
             submission_of(2, &[]),
             submission_of(3, &[]),
             submission_of(1, &[2, 3]),
         ];
-        let mut asked = Asked::with_jobs(&jobs);
-        asked.status_of(1, 1);
-        asked.prove();
-        let waits = Answer::Waiting(id_of(1), vec![id_of(2), id_of(3)]);
-        assert_eq!(asked.answer(1), Some(waits));
+        let mut test_node = TestNode::with_jobs(&jobs);
+        test_node.status_of(1, 1);
+        test_node.complete_sync();
+        let waiting = Answer::Waiting(id_of(1), vec![id_of(2), id_of(3)]);
+        assert_eq!(test_node.answer(1), Some(waiting));
         // The absence of an active job does not tell its terminal state.
-        asked.ended(2, 11);
-        asked.status_of(2, 1);
-        let proof = asked.sent(is_proof);
-        asked.reply(proof, none_new(11));
-        assert_eq!(asked.answer(2), None);
-        let read = asked.sent(is_end_read);
-        asked.reply(read, end(2, "done", 11));
-        let waits = Answer::Waiting(id_of(1), vec![id_of(3)]);
-        assert_eq!(asked.answer(2), Some(waits));
+        test_node.remove_active(2, 11);
+        test_node.status_of(2, 1);
+        let sync = test_node.last_call(is_sync);
+        test_node.reply(sync, no_events(11));
+        assert_eq!(test_node.answer(2), None);
+        let read = test_node.last_call(is_terminal_state_read);
+        test_node.reply(read, terminal_state(2, "done", 11));
+        let waiting = Answer::Waiting(id_of(1), vec![id_of(3)]);
+        assert_eq!(test_node.answer(2), Some(waiting));
     }
 
     /// Cancellation follows from the stored state of the cancelled dependency, even transitively.
     #[test]
-    fn a_job_is_cancelled_with_one_that_it_needs() {
+    fn a_job_is_cancelled_with_its_dependency() {
         let jobs = [
             submission_of(2, &[]),
             submission_of(3, &[2]),
             submission_of(1, &[3]),
         ];
-        let mut asked = Asked::with_jobs(&jobs);
-        asked.ended(2, 11);
-        asked.status_of(1, 1);
-        let proof = asked.sent(is_proof);
-        asked.reply(proof, none_new(11));
-        let read = asked.sent(is_end_read);
-        asked.reply(read, end(2, "cancelled", 11));
+        let mut test_node = TestNode::with_jobs(&jobs);
+        test_node.remove_active(2, 11);
+        test_node.status_of(1, 1);
+        let sync = test_node.last_call(is_sync);
+        test_node.reply(sync, no_events(11));
+        let read = test_node.last_call(is_terminal_state_read);
+        test_node.reply(read, terminal_state(2, "cancelled", 11));
         let cancelled = Answer::Status(id_of(1), JobState::Cancelled, 0, 0);
-        assert_eq!(asked.answer(1), Some(cancelled));
+        assert_eq!(test_node.answer(1), Some(cancelled));
         let id = id_of(3);
-        asked.step(Input::Withdraw { request: 2, id });
-        let proof = asked.sent(is_proof);
-        asked.reply(proof, none_new(11));
+        test_node.step(Input::Withdraw { request: 2, id });
+        let sync = test_node.last_call(is_sync);
+        test_node.reply(sync, no_events(11));
         let known = Answer::Known(id_of(3), JobState::Cancelled);
-        assert_eq!(asked.answer(2), Some(known));
+        assert_eq!(test_node.answer(2), Some(known));
     }
 }
 
-fn is_proof(request: &StateRequest) -> bool {
+fn is_sync(request: &StateRequest) -> bool {
     matches!(request, StateRequest::Watch { wait, .. } if wait.is_zero())
 }
 
@@ -572,7 +576,7 @@
     }
 }
 
-fn none_new(revision: u64) -> StateReply {
+fn no_events(revision: u64) -> StateReply {
     let events = Vec::new();
     StateReply::Events { events, revision }
 }
@@ -580,20 +584,20 @@
 /// A sync that was requested for the previous state cache doesn't cover the reloaded one:
 /// counted as valid, it made a known job look unknown.
 #[test]
-fn a_job_is_not_unknown_while_everything_is_read_again() {
-    let mut asked = Asked::new();
-    let proof = asked.falls_behind();
-    asked.reply(proof, none_new(10));
-    let answer = asked.answer(1).expect("an answer at once");
+fn a_job_is_not_unknown_while_the_cache_reloads() {
+    let mut test_node = TestNode::new();
+    let sync = test_node.fall_behind();
+    test_node.reply(sync, no_events(10));
+    let answer = test_node.answer(1).expect("an answer at once");
     assert!(matches!(answer, Answer::Later { .. }), "{answer:?}");
 }
 
 /// Events from before a reload are ignored: a key set and then deleted would stay in the
 /// state cache, and a terminated job would be reported as pending.
 #[test]
-fn events_from_before_everything_was_read_again_are_passed_over() {
-    let mut asked = Asked::new();
-    let proof = asked.falls_behind();
+fn events_from_before_a_reload_are_ignored() {
+    let mut test_node = TestNode::new();
+    let sync = test_node.fall_behind();
     let job = entry(12);
     let event = Event {
         key: job.key,
@@ -601,30 +605,30 @@
         revision: 12,
     };
     let (events, revision) = (vec![event], 12);
-    asked.reply(proof, StateReply::Events { events, revision });
-    asked.loads(Vec::new(), 20);
-    asked.ask(2);
-    let proof = asked.sent(is_proof);
-    asked.reply(proof, none_new(20));
-    let read = asked.sent(|r| matches!(r, StateRequest::Get { .. }));
-    asked.reply(read, StateReply::Missing);
-    assert_eq!(asked.answer(2), Some(Answer::NotFound));
+    test_node.reply(sync, StateReply::Events { events, revision });
+    test_node.complete_load(Vec::new(), 20);
+    test_node.query_status(2);
+    let sync = test_node.last_call(is_sync);
+    test_node.reply(sync, no_events(20));
+    let read = test_node.last_call(|r| matches!(r, StateRequest::Get { .. }));
+    test_node.reply(read, StateReply::Missing);
+    assert_eq!(test_node.answer(2), Some(Answer::NotFound));
 }
 
 /// Guards against an older watch event that arrives after this node has stored the job's
 /// terminal state: the leader then scheduled the job again.
 #[test]
-fn an_older_change_does_not_bring_back_a_job_that_this_node_has_ended() {
+fn an_older_event_does_not_restore_a_job_that_this_node_has_ended() {
     let change = |value: Option<_>, revision| Event {
         key: job_key(&id()),
         value,
         revision,
     };
-    let mut copy = StateCache::default();
-    copy.advance(&[], 10);
-    copy.committed_end(&id(), 13);
-    assert_eq!(copy.advance(&[change(Some(entry(12).value), 12)], 12), []);
-    assert!(copy.jobs.is_empty());
-    assert_eq!(copy.advance(&[change(None, 13)], 13), []);
-    assert!(copy.jobs.is_empty());
+    let mut cache = StateCache::default();
+    cache.advance(&[], 10);
+    cache.committed_end(&id(), 13);
+    assert_eq!(cache.advance(&[change(Some(entry(12).value), 12)], 12), []);
+    assert!(cache.jobs.is_empty());
+    assert_eq!(cache.advance(&[change(None, 13)], 13), []);
+    assert!(cache.jobs.is_empty());
 }
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -15,7 +15,7 @@
 /// Guards against arrays that take the machines a gang waits for one by one, only to be
 /// preempted as soon as the last of them is up.
 #[test]
-fn a_gang_gathers_room_against_lower_priorities() {
+fn a_gang_reserves_capacity_against_lower_priorities() {
     let mut c = Cluster::new(4.0);
     c.machine("vm-1");
     let gang = c.job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
@@ -33,7 +33,7 @@
 
 /// Guards against starvation of a gang by jobs of equal priority.
 #[test]
-fn a_gang_that_has_waited_keeps_room_from_its_equals() {
+fn a_gang_that_has_waited_reserves_capacity_against_equal_priority() {
     let mut c = Cluster::new(4.0);
     c.machine("vm-1");
     let gang = c.job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
@@ -46,7 +46,7 @@
     assert_eq!(c.on(&gang), ["vm-1", "vm-2"]);
 }
 
-fn listed(names: &[&str]) -> CloudReply {
+fn list_reply(names: &[&str]) -> CloudReply {
     let machine = |name: &&str| ListedMachine {
         id: Arc::from(*name),
         machine_type: Arc::from("m"),
@@ -62,7 +62,7 @@
 }
 
 /// Answers the cloud's lists with these machines, and returns the machines that are released.
-fn released(c: &mut Cluster, seconds: u64, names: &[&str]) -> Vec<String> {
+fn released_within(c: &mut Cluster, seconds: u64, names: &[&str]) -> Vec<String> {
     let mut released = Vec::new();
     for _ in 0..seconds * 4 {
         c.now += Duration::from_millis(250);
@@ -70,7 +70,7 @@
         c.cluster.tick(c.now);
         match c.cluster.due_cloud_request(c.now) {
             Some(list @ CloudRequest::List { .. }) => {
-                c.cluster.cloud_reply(&list, listed(names), c.now);
+                c.cluster.cloud_reply(&list, list_reply(names), c.now);
             }
             Some(CloudRequest::Release { machines }) => {
                 released.extend(machines.iter().map(|m| m.to_string()));
@@ -85,21 +85,21 @@
 /// worker's lease. Neither a list that may be older than the one that showed the machine,
 /// nor any list while the machine reports, proves that it is gone.
 #[test]
-fn a_silent_machine_that_the_list_shows_no_more_is_proven_gone() {
+fn a_silent_machine_missing_from_the_list_is_gone() {
     let mut c = Cluster::new(4.0);
     c.cluster.reachability = Reachability::default();
     c.machine("vm-1");
     let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
     c.runs("vm-1", &job, 0);
-    assert!(released(&mut c, 2, &["vm-1"]).is_empty());
+    assert!(released_within(&mut c, 2, &["vm-1"]).is_empty());
     // Lists lag by 10 s, so for 20 s a list may be older than the one before.
     for _ in 0..9 {
         c.report("vm-1");
-        assert!(released(&mut c, 2, &[]).is_empty(), "it reports");
+        assert!(released_within(&mut c, 2, &[]).is_empty(), "it reports");
     }
     c.report("vm-1");
     assert_eq!(
-        released(&mut c, 9, &[]).first().map(String::as_str),
+        released_within(&mut c, 9, &[]).first().map(String::as_str),
         Some("vm-1")
     );
 }
@@ -107,11 +107,11 @@
 /// Guards against forgetting released machines in the order of their names instead of their
 /// release: a late copy of a report then revived a machine that was gone.
 #[test]
-fn a_machine_returned_last_stays_returned_whatever_its_name() {
+fn a_recently_released_machine_stays_released_whatever_its_name() {
     let mut c = Cluster::new(4.0);
-    for hundred in (0..30).rev() {
+    for batch in (0..30).rev() {
         c.now += Duration::from_secs(1);
-        let machines = (0..100).map(|i| Arc::from(format!("vm-{:06}", hundred * 100 + i)));
+        let machines = (0..100).map(|i| Arc::from(format!("vm-{:06}", batch * 100 + i)));
         let release = CloudRequest::Release {
             machines: machines.collect(),
         };
@@ -125,7 +125,7 @@
 
 /// Where GPUs are scarce, free CPUs don't tell how full a machine is.
 #[test]
-fn the_share_that_binds_is_the_largest() {
+fn the_share_of_a_machine_is_its_largest_resource_share() {
     let whole = Resources {
         cpus: 64.0,
         gpus: 8.0,
@@ -146,30 +146,30 @@
 /// The cloud's list lags and still shows released machines: none of them counts as a new
 /// one, even if a whole fleet was released at once.
 #[test]
-fn none_of_a_returned_fleet_is_met_again() {
+fn no_machine_of_a_released_fleet_is_added_again() {
     const MACHINES: usize = 6000;
     let mut c = Cluster::new(4.0);
     let names: Vec<String> = (0..MACHINES).map(|i| format!("vm-{i:06}")).collect();
-    for some in names.chunks(100) {
-        let machines = some.iter().map(|name| Arc::from(name.as_str())).collect();
+    for chunk in names.chunks(100) {
+        let machines = chunk.iter().map(|name| Arc::from(name.as_str())).collect();
         let request = CloudRequest::Release { machines };
         c.cluster.cloud_reply(&request, CloudReply::Released, c.now);
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     // A list is due next.
-    let lists = (0..40).any(|_| {
+    let list_requested = (0..40).any(|_| {
         c.now += Duration::from_millis(250);
         c.cluster.proven = c.now;
         c.cluster.tick(c.now);
         let Some(request) = c.cluster.due_cloud_request(c.now) else {
             return false;
         };
-        let lists = matches!(request, CloudRequest::List { .. });
-        if lists {
-            c.cluster.cloud_reply(&request, listed(&names), c.now);
+        let is_list = matches!(request, CloudRequest::List { .. });
+        if is_list {
+            c.cluster.cloud_reply(&request, list_reply(&names), c.now);
         }
-        lists
+        is_list
     });
-    assert!(lists, "a list is requested");
+    assert!(list_requested, "a list is requested");
     assert_eq!(c.cluster.machines.len(), 0);
 }
