--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -365,7 +365,10 @@
                 );
                 machine.first_seen = now.saturating_sub(age);
             }
-            let machine = self.machines.get_mut(&listed.id).expect("met");
+            let machine = self
+                .machines
+                .get_mut(&listed.id)
+                .expect("machine was added");
             machine.listed_at = Some(now);
             machine.listed_failed = listed.state == ListedState::Failed;
         }
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -280,7 +280,7 @@
     }
 
     /// Returns the cheapest machine kind for the tasks that the cloud has not refused, and the
-    /// number of machines. `existing_slots` returns the tasks that already fit in a zone.
+    /// number of machines. `existing_slots` returns the tasks that fit in a zone already.
     fn choose_machine_kind(
         &self,
         demand: &Demand,
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -1,6 +1,6 @@
 //! Connections between nodes. Each node connects to every other one, and only writes on
-//! those connections. Messages that can't be sent immediately are dropped, since every
-//! sender that waits for an answer has a timeout.
+//! those connections. Messages to an unreachable or slow peer are dropped, since every sender
+//! that waits for an answer has a timeout.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -274,7 +274,10 @@
         let (from, message) = ("n1".to_owned(), PeerMessage::Reported { relay, answer });
         first_answer(&step(&mut next, 6, Input::Peer { from, message }))
     };
-    assert!(delivered([0, 0]).is_some(), "nothing tells them apart");
+    assert!(
+        delivered([0, 0]).is_some(),
+        "both processes use the same relay number"
+    );
     assert_eq!(delivered([1, 2]), None);
 }
 
--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -188,7 +188,10 @@
     // The peer address is bound after the API address, so it is not bound yet.
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     let child = site.running[0].as_mut().expect("a process");
-    assert!(child.try_wait().expect("its state").is_none(), "it ended");
+    assert!(
+        child.try_wait().expect("its state").is_none(),
+        "the process ended"
+    );
     assert!(std::net::TcpStream::connect(site.nodes[0].1).is_err());
     drop(former);
     site.becomes(0, "run-000001", "done").await;
