--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -225,7 +225,7 @@
                 self.old_records(&entries, more);
             }
             (MigrationRequest::Read(range), reply) => {
-                if self.learn_range(&range, &reply).is_none() {
+                if self.cache_range(&range, &reply).is_none() {
                     self.rollout.migration.retry = now + BACK_OFF * 4;
                 }
             }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -245,7 +245,7 @@
         then: AfterRangeRead,
         reply: &StateReply,
     ) {
-        if self.learn_range(&Range::of(&id).0, reply).is_none() {
+        if self.cache_range(&Range::of(&id).0, reply).is_none() {
             self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         }
@@ -256,7 +256,7 @@
     }
 
     /// Caches the contents of a range that was just read. Returns `None` if they are unknown.
-    pub(super) fn learn_range(&mut self, range: &Range, reply: &StateReply) -> Option<KnownRange> {
+    pub(super) fn cache_range(&mut self, range: &Range, reply: &StateReply) -> Option<KnownRange> {
         let known = match reply {
             StateReply::Missing => KnownRange::default(),
             StateReply::Entry(entry) => match serde_json::from_str(entry.value.get()) {
@@ -433,7 +433,7 @@
             Status::Waiting { on } => on,
             _ => Vec::new(),
         };
-        let (done, running) = self.counts(&id);
+        let (done, running) = self.task_counts(&id);
         let state = match running {
             0 => JobState::Pending,
             _ => JobState::Running,
@@ -468,7 +468,7 @@
         };
         let job = when(job_key(&id), job.version);
         let (cluster, generation) = self.cache.cluster;
-        let record = TerminalRecord::cancelled(self.counts(&id).0);
+        let record = TerminalRecord::cancelled(self.task_counts(&id).0);
         let ended = [(id.clone(), record)];
         let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges)
         else {
@@ -492,7 +492,7 @@
         );
     }
 
-    fn counts(&self, id: &JobId) -> (u32, u32) {
+    fn task_counts(&self, id: &JobId) -> (u32, u32) {
         match &self.cluster {
             Some(cluster) => cluster.job_counts(id).unwrap_or((0, 0)),
             None => self.forwarded.counts(id),
@@ -573,7 +573,7 @@
             }
             (Some(Place::Packed), reply) => {
                 let (range, name) = Range::of(&read.id);
-                match self.learn_range(&range, reply) {
+                match self.cache_range(&range, reply) {
                     Some(known) => known.ends.get(name).map(|record| (record, known.version)),
                     None => {
                         self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -462,7 +462,7 @@
                 self.range_written(&ended[0].0, ends.clone(), &reply);
             }
             QueuedWrite::ReadRange { range, .. } => {
-                let read = self.learn_range(range, &reply).is_some();
+                let read = self.cache_range(range, &reply).is_some();
                 let rest = if read { Duration::ZERO } else { BACK_OFF };
                 self.ranges.release(range, now + rest, now);
             }
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -51,14 +51,14 @@
     }
     let config = Config::new(&settings, options);
     let max_requests = config.requests_most;
-    let (calls, mut incoming) = mpsc::channel::<IncomingRequest>(max_requests);
+    let (requests, mut incoming) = mpsc::channel::<IncomingRequest>(max_requests);
     let sockets = settings.params.resources.sockets;
     let listener = server::bind(settings.listen, sockets).await?;
     let peer_listener = server::bind(settings.peer_listen, sockets).await?;
     let local_set = tokio::task::LocalSet::new();
     local_set
         .run_until(async move {
-            tokio::task::spawn_local(server::serve(listener, calls, licensed, max_requests));
+            tokio::task::spawn_local(server::serve(listener, requests, licensed, max_requests));
             let (results, mut replies) = mpsc::unbounded_channel::<Input>();
             let peer_count = settings.peers.len();
             tokio::task::spawn_local(peer::listen(peer_listener, peer_count * 4, results.clone()));
@@ -67,7 +67,7 @@
             tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
             let driver = Driver {
                 node: RefCell::new(Node::new(config)),
-                waiting: RefCell::default(),
+                pending_answers: RefCell::default(),
                 started: Instant::now(),
                 client: Rc::new(client),
                 peers: peer::Peers::new(&settings, max_requests),
@@ -91,10 +91,10 @@
                         driver.step(Input::Tick);
                     }
                     Some(input) = replies.recv() => driver.step(input),
-                    Some(call) = incoming.recv() => {
+                    Some(request) = incoming.recv() => {
                         next_request += 1;
-                        driver.waiting.borrow_mut().insert(next_request, call.answer);
-                        driver.step((call.into_input)(next_request));
+                        driver.pending_answers.borrow_mut().insert(next_request, request.answer);
+                        driver.step((request.into_input)(next_request));
                     }
                 }
             }
@@ -104,7 +104,7 @@
 
 struct Driver {
     node: RefCell<Node>,
-    waiting: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
+    pending_answers: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
     started: Instant,
     client: Rc<client::Client>,
     peers: peer::Peers,
@@ -137,9 +137,9 @@
             };
             match output {
                 Output::Answer { request, answer } => {
-                    if let Some(waiting) = self.waiting.borrow_mut().remove(&request) {
+                    if let Some(sender) = self.pending_answers.borrow_mut().remove(&request) {
                         // The client may have disconnected, and then needs no answer.
-                        let _ = waiting.send(answer);
+                        let _ = sender.send(answer);
                     }
                 }
                 Output::State {
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -72,7 +72,7 @@
 
 #[derive(Clone)]
 struct Api {
-    calls: mpsc::Sender<IncomingRequest>,
+    requests: mpsc::Sender<IncomingRequest>,
     permits: Arc<Semaphore>,
     /// Whether licences are configured.
     licensed: bool,
@@ -81,13 +81,13 @@
 /// Serves a limited number of concurrent requests; others are told to retry later.
 pub async fn serve(
     listener: TcpListener,
-    calls: mpsc::Sender<IncomingRequest>,
+    requests: mpsc::Sender<IncomingRequest>,
     licensed: bool,
     max_requests: usize,
 ) -> std::io::Result<()> {
     let acceptor = TcpAcceptor::from_tokio(listener)?;
     let api = Api {
-        calls,
+        requests,
         permits: Arc::new(Semaphore::new(max_requests)),
         licensed,
     };
@@ -250,11 +250,11 @@
 impl Api {
     async fn ask(&self, into_input: impl FnOnce(RequestId) -> Input + Send + 'static) -> Response {
         let (answer, answered) = oneshot::channel();
-        let call = IncomingRequest {
+        let request = IncomingRequest {
             into_input: Box::new(into_input),
             answer,
         };
-        if self.calls.try_send(call).is_err() {
+        if self.requests.try_send(request).is_err() {
             return retry_later(Duration::from_secs(1));
         }
         match tokio::time::timeout(ANSWER_TIMEOUT, answered).await {
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -22,8 +22,8 @@
     uid: String,
     flight: String,
     crew: String,
-    shape: Shape,
-    lift: Lift,
+    shape: WireKind,
+    lift: WirePriority,
     strings: u32,
     cpus: f64,
     gpus: f64,
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Shape {
+enum WireKind {
     Array,
     Group,
     Standing,
@@ -58,7 +58,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Lift {
+enum WirePriority {
     Production,
     Urgent,
     Standard,
@@ -147,15 +147,15 @@
         class: Arc::from(s.flight),
         team: Arc::from(s.crew),
         kind: match s.shape {
-            Shape::Array => Kind::Array,
-            Shape::Group => Kind::Gang,
-            Shape::Standing => Kind::Service,
+            WireKind::Array => Kind::Array,
+            WireKind::Group => Kind::Gang,
+            WireKind::Standing => Kind::Service,
         },
         priority: match s.lift {
-            Lift::Production => Priority::Production,
-            Lift::Urgent => Priority::High,
-            Lift::Standard => Priority::Normal,
-            Lift::BestEffort => Priority::Low,
+            WirePriority::Production => Priority::Production,
+            WirePriority::Urgent => Priority::High,
+            WirePriority::Standard => Priority::Normal,
+            WirePriority::BestEffort => Priority::Low,
         },
         tasks: s.strings,
         need: Resources {
