--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command-line flags and variables of the program.
+//! Command-line flags and environment variables.
 
 use std::{
     path::{Path, PathBuf},
@@ -16,39 +16,39 @@
 #[derive(Debug, Parser)]
 #[command(name = "kiteyard", version)]
 pub struct Cli {
-    /// Settings file (JSON) that the platform hands over
+    /// Settings file of the platform (JSON)
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
 
-    /// Licences with counted seats (TOML); without it, submissions' `licences` are ignored
+    /// Licence configuration (TOML); without it, `licences` of submissions are ignored
     #[arg(long, value_name = "FILE")]
     pub licences: Option<PathBuf>,
 
-    /// Roll out changes of the stored state (TOML); without it, none is switched on
+    /// Rollout configuration for new state formats (TOML); without it, none is enabled
     #[arg(long, value_name = "FILE")]
     pub rollout: Option<PathBuf>,
 
-    /// Budgets of disruption by team (TOML); without it, machines can't be drained
+    /// Disruption budgets by team (TOML); without it, machines can't be drained
     #[arg(long, value_name = "FILE")]
     pub maintenance: Option<PathBuf>,
 
-    /// Check the settings file, and the other files given, and exit
+    /// Validate the settings file and the other given files, and exit
     #[arg(long)]
     pub check: bool,
 
-    /// How much is logged on standard error: error, info or debug
+    /// Log level on standard error: error, info or debug
     #[arg(long, env = "LOG_LEVEL", default_value = "info", value_name = "LEVEL")]
     pub log_level: tracing::Level,
 
-    /// How long a machine may be idle before it is returned, in times of what another takes to boot
-    #[arg(long, env = "KITEYARD_IDLE_BOOTS", default_value_t = 2.0, value_name = "TIMES", value_parser = times)]
+    /// Idle time after which a machine is released, as a multiple of the boot time of its type
+    #[arg(long, env = "KITEYARD_IDLE_BOOTS", default_value_t = 2.0, value_name = "TIMES", value_parser = parse_multiple)]
     pub idle_boots: f64,
 
-    /// Grace in seconds for tasks stopped to make room
-    #[arg(long, env = "KITEYARD_GRACE_S", default_value_t = 10.0, value_name = "SECONDS", value_parser = seconds)]
+    /// Grace period in seconds for preempted tasks
+    #[arg(long, env = "KITEYARD_GRACE_S", default_value_t = 10.0, value_name = "SECONDS", value_parser = parse_seconds)]
     pub grace_s: f64,
 
-    /// Tasks of one service that may be stopping at a time before it counts as a breach
+    /// Tasks of one service that may be stopping at a time; more violate its disruption budget
     #[arg(
         long,
         env = "KITEYARD_DISRUPTION_BUDGET",
@@ -57,56 +57,57 @@
     )]
     pub disruption_budget: u32,
 
-    /// Seconds after which a gang that waits keeps what room there is from its equals
-    #[arg(long, env = "KITEYARD_GATHER_AFTER_S", default_value_t = 60.0, value_name = "SECONDS", value_parser = seconds)]
+    /// Seconds after which a waiting gang reserves free capacity against jobs of equal priority
+    #[arg(long, env = "KITEYARD_GATHER_AFTER_S", default_value_t = 60.0, value_name = "SECONDS", value_parser = parse_seconds)]
     pub gather_after_s: f64,
 }
 
-fn times(text: &str) -> Result<f64, String> {
+fn parse_multiple(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
         Ok(value) if (0.0..=1000.0).contains(&value) => Ok(value),
         _ => Err("expected a number between 0 and 1000".into()),
     }
 }
 
-fn seconds(text: &str) -> Result<f64, String> {
+fn parse_seconds(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
         Ok(value) if (0.0..=86_400.0).contains(&value) => Ok(value),
         _ => Err("expected seconds between 0 and 86400".into()),
     }
 }
 
-/// A file of the operators', if one is named, or what is wrong with it.
-fn checked<T, E: std::fmt::Display>(
+/// Loads an optional configuration file.
+fn load_config<T, E: std::fmt::Display>(
     path: Option<&Path>,
-    what: &str,
+    name: &str,
     parse: impl Fn(&str) -> Result<T, E>,
 ) -> Result<Option<Arc<T>>, String> {
     let Some(path) = path else { return Ok(None) };
     let text = std::fs::read_to_string(path)
-        .map_err(|error| format!("cannot read {what} {}: {error}", path.display()))?;
+        .map_err(|error| format!("cannot read {name} {}: {error}", path.display()))?;
     let config = parse(&text).map_err(|error| format!("{}: {error}", path.display()))?;
     Ok(Some(Arc::new(config)))
 }
 
 impl Cli {
-    /// The licences, or what is wrong with their file.
+    /// Loads the licence configuration.
     pub fn licences(&self) -> Result<Option<Arc<kiteyard_licences::config::Config>>, String> {
         let parse = kiteyard_licences::config::Config::parse;
-        checked(self.licences.as_deref(), "licences", parse)
+        load_config(self.licences.as_deref(), "licences", parse)
     }
 
-    /// How changes of the stored state are rolled out, or what is wrong with the file.
+    /// Loads the rollout configuration.
     pub fn rollout(&self) -> Result<Option<Arc<kiteyard_rollout::config::Config>>, String> {
         let parse = |text: &str| kiteyard_rollout::config::Config::parse(text, FEATURES);
-        checked(self.rollout.as_deref(), "rollout", parse)
+        load_config(self.rollout.as_deref(), "rollout", parse)
     }
 
-    /// Budgets of disruption, or what is wrong with the file.
+    /// Loads the disruption budgets.
     pub fn maintenance(&self) -> Result<Option<Arc<kiteyard_maintenance::config::Config>>, String> {
-        let tasks = self.disruption_budget;
-        let parse = |text: &str| kiteyard_maintenance::config::Config::parse(text, tasks);
-        checked(self.maintenance.as_deref(), "maintenance", parse)
+        let disruption_budget = self.disruption_budget;
+        let parse =
+            |text: &str| kiteyard_maintenance::config::Config::parse(text, disruption_budget);
+        load_config(self.maintenance.as_deref(), "maintenance", parse)
     }
 
     pub fn options(&self) -> Options {
--- a/src/core/assignment_index/record.rs
+++ b/src/core/assignment_index/record.rs
@@ -1,4 +1,4 @@
-//! What one shard of the assignment index says, as stored, and how it is put together.
+//! Stored form of one shard of the assignment index, and its construction.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -13,8 +13,8 @@
     machine::{Machine, MachineId},
 };
 
-/// What one key of the assignment index holds. Types, zones and jobs are named once, and
-/// machines refer to them by number.
+/// Value of one key of the assignment index. Types, zones and jobs are named once; machines refer
+/// to them by number.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardRecord {
@@ -26,7 +26,7 @@
 /// Machine type, zone, and whether it is a spot machine.
 type Kind = (Arc<str>, Arc<str>, bool);
 
-/// A machine in the assignment index.
+/// Machine listed in the assignment index.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AssignedMachine {
     pub id: MachineId,
@@ -37,8 +37,8 @@
 }
 
 impl ShardRecord {
-    /// A shard as stored, unless anything in it can't be understood: a machine that is
-    /// passed over would be one where nothing can run.
+    /// Parses a stored shard, or returns none if any part of it is invalid: a skipped machine would
+    /// be taken for one that can't run anything.
     pub fn parse(text: &str) -> Option<Self> {
         let record: Self = serde_json::from_str(text).ok()?;
         let known = |(_, kind, jobs): &(MachineId, usize, Vec<usize>)| {
@@ -65,25 +65,25 @@
         })
     }
 }
-/// Tells one stored value of a shard from another.
+/// Returns a digest that distinguishes stored values of a shard.
 pub(super) fn digest(record: &ShardRecord) -> u64 {
     let mut hasher = DefaultHasher::new();
     serde_json::to_string(record).ok().hash(&mut hasher);
     hasher.finish()
 }
 
-/// A record under way, and the bytes that it takes at most.
+/// Record under construction, with an upper bound of its encoded size.
 pub(super) struct Builder {
     pub(super) record: ShardRecord,
     kinds: HashMap<Kind, usize>,
     jobs: HashMap<JobId, usize>,
-    places: HashMap<MachineId, usize>,
+    positions: HashMap<MachineId, usize>,
     bytes: usize,
 }
 
-/// Digits, quotes, brackets and commas around a number or a name.
-const NUMBER: usize = 7;
-const NAME: usize = 4;
+/// Maximum bytes of a number, and quotes and separators around a name.
+const NUMBER_BYTES: usize = 7;
+const NAME_OVERHEAD_BYTES: usize = 4;
 
 impl Builder {
     pub(super) fn new() -> Self {
@@ -91,48 +91,51 @@
             record: ShardRecord::default(),
             kinds: HashMap::new(),
             jobs: HashMap::new(),
-            places: HashMap::new(),
+            positions: HashMap::new(),
             bytes: 64,
         }
     }
 
-    /// Lists all these jobs with a machine, or none where they have no room.
+    /// Lists all given jobs with a machine, or none if they don't fit.
     pub(super) fn list_all(
         &mut self,
         machine: &Machine,
         jobs: &BTreeSet<JobId>,
-        most: usize,
+        max_bytes: usize,
     ) -> bool {
         let names = jobs.iter().filter(|job| !self.jobs.contains_key(*job));
-        let names: usize = names.map(|job| job.as_str().len() + NAME).sum();
-        let kind = machine.machine_type.len() + machine.zone.len() + 3 * NAME;
-        let place = machine.id.len() + NAME + 2 * NUMBER;
-        let fits = self.bytes + names + kind + place + jobs.len() * NUMBER <= most;
+        let name_bytes: usize = names
+            .map(|job| job.as_str().len() + NAME_OVERHEAD_BYTES)
+            .sum();
+        let kind_bytes = machine.machine_type.len() + machine.zone.len() + 3 * NAME_OVERHEAD_BYTES;
+        let position_bytes = machine.id.len() + NAME_OVERHEAD_BYTES + 2 * NUMBER_BYTES;
+        let fits =
+            self.bytes + name_bytes + kind_bytes + position_bytes + jobs.len() * NUMBER_BYTES
+                <= max_bytes;
         for job in jobs.iter().filter(|_| fits) {
             self.list(machine, job, usize::MAX);
         }
         fits
     }
 
-    /// Lists a job with a machine, unless that would make the value larger than
-    /// `most`.
-    pub(super) fn list(&mut self, machine: &Machine, job: &JobId, most: usize) -> bool {
+    /// Lists a job with a machine, unless the value would then exceed `max_bytes` bytes.
+    pub(super) fn list(&mut self, machine: &Machine, job: &JobId, max_bytes: usize) -> bool {
         let kind = (
             machine.machine_type.clone(),
             machine.zone.clone(),
             machine.spot,
         );
-        let mut bytes = NUMBER;
+        let mut bytes = NUMBER_BYTES;
         if !self.jobs.contains_key(job) {
-            bytes += job.as_str().len() + NAME;
+            bytes += job.as_str().len() + NAME_OVERHEAD_BYTES;
         }
         if !self.kinds.contains_key(&kind) {
-            bytes += kind.0.len() + kind.1.len() + 3 * NAME;
+            bytes += kind.0.len() + kind.1.len() + 3 * NAME_OVERHEAD_BYTES;
         }
-        if !self.places.contains_key(&machine.id) {
-            bytes += machine.id.len() + NAME + 2 * NUMBER;
+        if !self.positions.contains_key(&machine.id) {
+            bytes += machine.id.len() + NAME_OVERHEAD_BYTES + 2 * NUMBER_BYTES;
         }
-        if self.bytes + bytes > most {
+        if self.bytes + bytes > max_bytes {
             return false;
         }
         self.bytes += bytes;
@@ -146,11 +149,11 @@
             record.jobs.len() - 1
         });
         let id = &machine.id;
-        let place = *self.places.entry(id.clone()).or_insert_with(|| {
+        let position = *self.positions.entry(id.clone()).or_insert_with(|| {
             record.machines.push((id.clone(), kind, Vec::new()));
             record.machines.len() - 1
         });
-        record.machines[place].2.push(job);
+        record.machines[position].2.push(job);
         true
     }
 }
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -1,10 +1,10 @@
-//! Calls to other services, why they were made, and what waits for their answers.
+//! Calls to other services, with the purpose of each, until they are answered.
 
 use std::{sync::Arc, time::Duration};
 
 use super::{
     CallId, Node, Output, RequestId, STATE_TIMEOUT,
-    cluster::Direct,
+    cluster::DirectCommands,
     election,
     job::{JobId, JobSpec},
     limits::WriteSize,
@@ -14,11 +14,11 @@
     terminal_states, user_requests, write_queue,
 };
 
-/// Why a call was made.
+/// Purpose of a call.
 #[derive(Debug)]
 pub(super) enum Purpose {
     Load {
-        after: bool,
+        is_next_page: bool,
     },
     Watch,
     Sync,
@@ -26,11 +26,11 @@
     Renew {
         sent: Duration,
     },
-    /// Proves the claim and the cache after a renewal that was asked for at `renewed`.
+    /// Proves the claim and the cache after a renewal that was sent at `renewal_sent`.
     Verify {
         claim: u64,
-        renewed: Duration,
-        asked: Duration,
+        renewal_sent: Duration,
+        sent: Duration,
     },
     Claim {
         lease: u64,
@@ -52,11 +52,11 @@
     Cancel {
         request: RequestId,
         id: JobId,
-        ends: Option<(terminal_states::Range, terminal_states::TerminalStates)>,
+        ends: Option<(terminal_states::JobIdRange, terminal_states::TerminalStates)>,
     },
     ReadTerminalState(Box<user_requests::TerminalRead>),
-    /// Reads whether a job that a submission names is active.
-    ReadNeed(Box<user_requests::NeedsCheck>),
+    /// Reads whether a job that a submission depends on is active.
+    ReadDependency(Box<user_requests::DependencyCheck>),
     ReadRange {
         request: RequestId,
         id: JobId,
@@ -80,21 +80,24 @@
     QueuedWrite(write_queue::QueuedWrite),
     StoreTypes,
     Cloud(CloudRequest),
-    Direct(Direct),
+    Direct(DirectCommands),
 }
 
-/// A call that waits for its answer.
+/// Call in flight.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) purpose: Purpose,
-    /// How large it is, where it changes what is stored.
-    pub(super) write: Option<WriteSize>,
+    /// Size of the write, if the call is one.
+    pub(super) write_size: Option<WriteSize>,
 }
 
 impl From<Purpose> for Call {
     fn from(purpose: Purpose) -> Self {
-        let write = None;
-        Self { purpose, write }
+        let write_size = None;
+        Self {
+            purpose,
+            write_size,
+        }
     }
 }
 
@@ -104,58 +107,73 @@
             StateRequest::Watch { wait, .. } => *wait + STATE_TIMEOUT,
             _ => STATE_TIMEOUT,
         };
-        self.call_within(timeout, purpose, request);
+        self.call_with_timeout(timeout, purpose, request);
     }
 
-    pub(super) fn call_within(
+    pub(super) fn call_with_timeout(
         &mut self,
         timeout: Duration,
         purpose: Purpose,
         request: StateRequest,
     ) {
-        self.next_call += 1;
-        let write = WriteSize::of(&request);
-        self.calls.insert(self.next_call, Call { purpose, write });
-        self.out.push(Output::State {
-            call: self.next_call,
+        self.last_call += 1;
+        let write_size = WriteSize::of(&request);
+        self.calls.insert(
+            self.last_call,
+            Call {
+                purpose,
+                write_size,
+            },
+        );
+        self.outputs.push(Output::State {
+            call: self.last_call,
             request,
             timeout,
         });
     }
 
     pub(super) fn call_cloud(&mut self, request: CloudRequest) {
-        self.next_call += 1;
+        self.last_call += 1;
         self.calls
-            .insert(self.next_call, Purpose::Cloud(request.clone()).into());
-        self.out.push(Output::Cloud {
-            call: self.next_call,
+            .insert(self.last_call, Purpose::Cloud(request.clone()).into());
+        self.outputs.push(Output::Cloud {
+            call: self.last_call,
             request,
         });
     }
 
-    /// Sends commands straight to a worker.
-    pub(super) fn call_worker(&mut self, direct: Direct) {
-        self.next_call += 1;
-        let call = self.next_call;
+    /// Sends commands directly to a worker.
+    pub(super) fn call_worker(&mut self, direct: DirectCommands) {
+        self.last_call += 1;
+        let call = self.last_call;
         self.calls
             .insert(call, Purpose::Direct(direct.clone()).into());
-        self.out.push(Output::Direct { call, direct });
+        self.outputs.push(Output::Direct { call, direct });
     }
 
-    /// Why a call was made whose answer has come.
-    pub(super) fn purpose_of(&mut self, call: CallId) -> Option<Purpose> {
+    /// Removes an answered call and returns its purpose.
+    pub(super) fn take_purpose(&mut self, call: CallId) -> Option<Purpose> {
         self.calls.remove(&call).map(|call| call.purpose)
     }
 
-    /// What an answer to a write teaches of the limits, before anything follows from it.
-    pub(super) fn note_write_reply(&mut self, write: Option<&WriteSize>, reply: &StateReply) {
+    /// Updates the limits in use from the reply to a write, before the reply is handled.
+    pub(super) fn update_write_limits(
+        &mut self,
+        write_size: Option<&WriteSize>,
+        reply: &StateReply,
+    ) {
         let now = self.now();
-        match (write, reply) {
+        match (write_size, reply) {
             (Some(size), StateReply::Rejected) => {
                 let lowered = self.limits.rejected(size, now);
                 self.write_queue.rejected(lowered);
             }
-            (Some(_), StateReply::Refused { limited: true, .. }) => self.write_queue.limited(now),
+            (
+                Some(_),
+                StateReply::Refused {
+                    rate_limited: true, ..
+                },
+            ) => self.write_queue.rate_limited(now),
             _ => {}
         }
     }
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -1,5 +1,5 @@
-//! What one pass sees: the machines that may be given tasks, what teams use, and what
-//! was found out on the way. Nothing here decides.
+//! Snapshot for one scheduling pass: the machines that may be given tasks, the usage of teams, and
+//! intermediate findings of the pass. Makes no decisions.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -11,8 +11,8 @@
     machine::{AttemptKey, Machine, MachineId},
 };
 
-/// A machine as one pass sees it. A pass looks at every room for most jobs, so
-/// what rules a room out is kept at hand: most are ruled out by numbers alone.
+/// Machine as seen by one pass. A pass checks every machine for most jobs, so the figures that rule
+/// machines out are kept here: most are ruled out by these numbers alone.
 pub(super) struct MachineCapacity {
     pub id: MachineId,
     pub machine_type: Arc<str>,
@@ -20,19 +20,19 @@
     pub spot: bool,
     size: Resources,
     pub free: Resources,
-    /// What tasks that are stopping will leave.
+    /// Resources of tasks that are stopping.
     stopping: Resources,
-    /// What tasks that could be stopped hold, by priority.
-    pub kept: [Resources; Priority::ALL.len()],
-    /// Held for parked tasks, by job.
-    pub held: Vec<(Priority, JobId, Resources)>,
-    /// Set aside as victims in this pass.
+    /// Resources of tasks that could be preempted, by priority.
+    pub preemptible: [Resources; Priority::ALL.len()],
+    /// Reservations for parked tasks, by job.
+    pub reservations: Vec<(Priority, JobId, Resources)>,
+    /// Tasks selected as victims in this pass.
     pub victims: HashSet<AttemptKey>,
 }
 
 impl MachineCapacity {
     pub fn new(machine: &Machine) -> Self {
-        let mut room = Self {
+        let mut capacity = Self {
             id: machine.id.clone(),
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
@@ -40,57 +40,59 @@
             size: machine.size,
             free: machine.size,
             stopping: Resources::default(),
-            kept: Default::default(),
-            held: Vec::new(),
+            preemptible: Default::default(),
+            reservations: Vec::new(),
             victims: HashSet::new(),
         };
-        room.count(machine);
-        room
+        capacity.recompute(machine);
+        capacity
     }
 
-    /// Takes in what the machine holds now.
-    pub fn count(&mut self, machine: &Machine) {
+    /// Recalculates the resources from the machine's current tasks.
+    pub fn recompute(&mut self, machine: &Machine) {
         self.free = self.size;
         self.stopping = Resources::default();
-        self.kept = Default::default();
+        self.preemptible = Default::default();
         for placement in machine.tasks.values().filter(|p| !p.exited()) {
             self.free = self.free.minus(&placement.need);
             if placement.stopping() {
                 self.stopping = self.stopping.plus(&placement.need);
             } else if let Some(spec) = &placement.spec {
-                let kept = &mut self.kept[spec.priority as usize];
-                *kept = kept.plus(&placement.need);
+                let sum = &mut self.preemptible[spec.priority as usize];
+                *sum = sum.plus(&placement.need);
             }
         }
     }
 
-    /// The most that could be free for a task of this priority: everything that
-    /// is stopping, and whatever might be stopped for it.
-    pub fn most_free(&self, priority: Priority, reclaims: bool) -> Resources {
+    /// Returns the maximum resources that could become free for a task of this priority: those of
+    /// all stopping tasks, and of all tasks that might be preempted for it.
+    pub fn max_free(&self, priority: Priority, reclaims: bool) -> Resources {
         let below = priority as usize + usize::from(reclaims);
-        let most = self.free.plus(&self.stopping);
-        self.kept[..below].iter().fold(most, |sum, r| sum.plus(r))
+        let max_free = self.free.plus(&self.stopping);
+        self.preemptible[..below]
+            .iter()
+            .fold(max_free, |sum, r| sum.plus(r))
     }
 }
 
 impl MachineCapacity {
-    /// At least so high is the highest victim of whoever makes room here for the job.
-    pub fn least_highest(&self, spec: &JobSpec, reclaims: bool) -> Option<Priority> {
+    /// Returns a lower bound of the highest victim's priority if room is made here for the job.
+    pub fn min_highest_victim(&self, spec: &JobSpec, reclaims: bool) -> Option<Priority> {
         if spec.need.fits_in(&self.free.plus(&self.stopping)) {
             return None;
         }
         let below = spec.priority as usize + usize::from(reclaims);
-        let some = |kept: &Resources| *kept != Resources::default();
-        let lowest = self.kept[..below].iter().position(some)?;
+        let some = |resources: &Resources| *resources != Resources::default();
+        let lowest = self.preemptible[..below].iter().position(some)?;
         Priority::ALL.get(lowest).copied()
     }
 }
 
-/// A room with no more than this left is full.
-const LEAST: f64 = 1e-3;
+/// Amount of a free resource up to which a machine counts as full.
+const FULL_THRESHOLD: f64 = 1e-3;
 
-/// What teams' tasks take. There are few teams, and every task of every machine
-/// is counted in every pass: a list beats a map.
+/// Resources used by each team's tasks. A list is faster than a map here: teams are few, and every
+/// task of every machine is counted in every pass.
 #[derive(Clone, Default)]
 pub(super) struct Usage(Vec<(Arc<str>, Resources)>);
 
@@ -108,9 +110,9 @@
     }
 }
 
-/// A task that found neither room nor victims in this pass. Others that ask for
-/// the same kinds of machine, for as much or more, would find none either: with a
-/// long queue most jobs need not look at every machine.
+/// Task that found neither room nor victims in this pass. Tasks that need the same kinds of machine
+/// and at least as many resources would find none either, so that with a long queue most jobs need
+/// not check every machine.
 pub(super) struct Unplaceable {
     pub spec: Arc<JobSpec>,
 }
@@ -127,75 +129,79 @@
     }
 }
 
-pub(super) struct Snapshot {
-    /// Emptied when nominations change, and with them what is held and stopped.
+pub(super) struct CapacitySnapshot {
+    /// Cleared when nominations change, because reservations and stopping tasks change with them.
     pub unplaceable: Vec<Unplaceable>,
-    pub rooms: Vec<MachineCapacity>,
-    /// Where they are.
+    pub machines: Vec<MachineCapacity>,
+    /// Zones of the machines.
     all_zones: Vec<Arc<str>>,
-    /// Rooms that are not full, and some that have become so since. In a rush nearly all
-    /// are full, and each of thousands of waiting jobs asks.
-    open: Vec<usize>,
-    /// The same by GPUs, where those are what runs out.
-    open_gpus: Vec<usize>,
-    /// What each team's tasks take, those that unresponsive machines may hold included.
+    /// Indexes of machines that are not full, and some that have become full since. Under high load
+    /// nearly all are full, and thousands of waiting jobs each look for one.
+    open_machines: Vec<usize>,
+    /// The same by free GPUs.
+    open_gpu_machines: Vec<usize>,
+    /// Resources of each team's tasks, including those that unresponsive machines may hold.
     pub usage: Usage,
-    /// The part of it that is stopping.
-    pub leaving: Usage,
-    /// Tasks of the job at hand by zone, and the replicas by machine.
-    pub zones: BTreeMap<Arc<str>, u32>,
-    /// Jobs that unresponsive machines list.
+    /// Part of `usage` that is stopping.
+    pub stopping_usage: Usage,
+    /// Tasks of the selected job by zone, including stopping ones.
+    pub job_zones: BTreeMap<Arc<str>, u32>,
+    /// Jobs that are listed for unresponsive machines.
     pub on_unresolved: HashSet<JobId>,
-    /// Tasks by job and zone, as counted when they were asked for first.
-    by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
+    /// Tasks by job and zone, counted at the first use.
+    tasks_by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
 }
 
-impl Snapshot {
+impl CapacitySnapshot {
     pub fn new(
-        rooms: Vec<MachineCapacity>,
+        machines: Vec<MachineCapacity>,
         usage: Usage,
-        leaving: Usage,
+        stopping_usage: Usage,
         on_unresolved: HashSet<JobId>,
     ) -> Self {
-        let zones: BTreeSet<&Arc<str>> = rooms.iter().map(|room| &room.zone).collect();
-        let mut view = Self {
+        let zones: BTreeSet<&Arc<str>> = machines.iter().map(|capacity| &capacity.zone).collect();
+        let mut snapshot = Self {
             all_zones: zones.into_iter().cloned().collect(),
             unplaceable: Vec::new(),
-            rooms,
-            open: Vec::new(),
-            open_gpus: Vec::new(),
+            machines,
+            open_machines: Vec::new(),
+            open_gpu_machines: Vec::new(),
             usage,
-            leaving,
-            zones: BTreeMap::new(),
+            stopping_usage,
+            job_zones: BTreeMap::new(),
             on_unresolved,
-            by_zone: None,
+            tasks_by_zone: None,
         };
-        view.look_for_open();
-        view
+        snapshot.find_open_machines();
+        snapshot
     }
 
-    fn look_for_open(&mut self) {
+    fn find_open_machines(&mut self) {
         let open = |free: fn(&Resources) -> f64| {
-            let rooms = self.rooms.iter().enumerate();
-            let open = rooms.filter(|(_, room)| free(&room.free) > LEAST);
+            let machines = self.machines.iter().enumerate();
+            let open = machines.filter(|(_, capacity)| free(&capacity.free) > FULL_THRESHOLD);
             open.map(|(index, _)| index).collect()
         };
-        (self.open, self.open_gpus) = (open(|free| free.cpus), open(|free| free.gpus));
+        (self.open_machines, self.open_gpu_machines) =
+            (open(|free| free.cpus), open(|free| free.gpus));
     }
 
-    /// Rooms that may have room for such a task as they are.
+    /// Returns the machines that may currently have room for such a task.
     pub fn may_fit(&self, spec: &JobSpec) -> impl Iterator<Item = usize> {
-        // One that needs next to nothing may fit anywhere.
-        let (open, all) = match (spec.need.gpus > 2.0 * LEAST, spec.need.cpus > 2.0 * LEAST) {
-            (true, _) => (&self.open_gpus[..], 0..0),
-            (false, true) => (&self.open[..], 0..0),
-            (false, false) => (&[][..], 0..self.rooms.len()),
+        // A task that needs almost nothing may fit on any machine.
+        let (open, all) = match (
+            spec.need.gpus > 2.0 * FULL_THRESHOLD,
+            spec.need.cpus > 2.0 * FULL_THRESHOLD,
+        ) {
+            (true, _) => (&self.open_gpu_machines[..], 0..0),
+            (false, true) => (&self.open_machines[..], 0..0),
+            (false, false) => (&[][..], 0..self.machines.len()),
         };
         open.iter().copied().chain(all)
     }
 
-    /// The zones to try for a gang, each alone where it must stay in one. Gathered from the
-    /// machines for each waiting gang, they were most of a pass.
+    /// Returns the sets of zones to try for a gang: each zone alone if it must stay in one. The
+    /// zones are collected once, because collecting them for each waiting gang took most of a pass.
     pub fn gang_zones(&self, spec: &JobSpec) -> Vec<Vec<Arc<str>>> {
         match spec.one_zone {
             true => self.all_zones.iter().map(|z| vec![z.clone()]).collect(),
@@ -203,8 +209,8 @@
         }
     }
 
-    /// Whether so many tasks may find room in these zones, by numbers alone: `free` tells
-    /// what a room may give.
+    /// Returns whether the given number of tasks may fit in these zones by resources alone; `free`
+    /// returns the resources that a machine may provide.
     pub fn may_hold(
         &self,
         spec: &JobSpec,
@@ -213,12 +219,12 @@
         free: impl Fn(&MachineCapacity) -> Resources,
     ) -> bool {
         let mut left = tasks as u32;
-        for room in &self.rooms {
-            let free = free(room);
-            if !spec.need.fits_in(&free) || !zones.contains(&room.zone) {
+        for capacity in &self.machines {
+            let free = free(capacity);
+            if !spec.need.fits_in(&free) || !zones.contains(&capacity.zone) {
                 continue;
             }
-            left = left.saturating_sub(spec.need.times_in(&free));
+            left = left.saturating_sub(spec.need.count_fitting(&free));
             if left == 0 {
                 return true;
             }
@@ -226,68 +232,71 @@
         false
     }
 
-    /// Another job like it found no room. A nominated one may have room that is held
-    /// for itself alone.
+    /// Returns whether a similar job found no room. A nominated job may still use room that is
+    /// reserved for it alone.
     pub fn rules_out(&self, spec: &JobSpec, nominated: bool) -> bool {
-        !nominated && self.unplaceable.iter().any(|h| h.covers(spec))
+        !nominated && self.unplaceable.iter().any(|task| task.covers(spec))
     }
 
-    /// The zones of a job's tasks, the stopping ones included, are to be at hand. Looked
-    /// up at every machine for each waiting service, they were most of a pass.
+    /// Selects a job and looks up its tasks by zone, including the stopping ones. The tasks are
+    /// counted once, because a lookup at every machine for each waiting service took most of a
+    /// pass.
     pub fn select_job(&mut self, spec: &JobSpec, machines: &BTreeMap<MachineId, Machine>) {
-        self.zones.clear();
-        if !by_zone(spec) {
+        self.job_zones.clear();
+        if !depends_on_zones(spec) {
             return;
         }
-        let counted = self.by_zone.get_or_insert_with(|| count_by_zone(machines));
+        let counted = self
+            .tasks_by_zone
+            .get_or_insert_with(|| count_by_zone(machines));
         if let Some(zones) = counted.get(&spec.id) {
-            self.zones.clone_from(zones);
+            self.job_zones.clone_from(zones);
         }
     }
 
-    /// A task of the job at hand was put there.
-    pub fn put(&mut self, room: usize, spec: &JobSpec) {
-        let room = &mut self.rooms[room];
-        room.free = room.free.minus(&spec.need);
-        let kept = &mut room.kept[spec.priority as usize];
-        *kept = kept.plus(&spec.need);
+    /// Records that a task of the selected job was placed on a machine.
+    pub fn record_placement(&mut self, index: usize, spec: &JobSpec) {
+        let capacity = &mut self.machines[index];
+        capacity.free = capacity.free.minus(&spec.need);
+        let sum = &mut capacity.preemptible[spec.priority as usize];
+        *sum = sum.plus(&spec.need);
         self.usage.add(&spec.team, &spec.need);
-        *self.zones.entry(room.zone.clone()).or_insert(0) += 1;
-        if let (Some(counted), true) = (&mut self.by_zone, by_zone(spec)) {
+        *self.job_zones.entry(capacity.zone.clone()).or_insert(0) += 1;
+        if let (Some(counted), true) = (&mut self.tasks_by_zone, depends_on_zones(spec)) {
             let zones = counted.entry(spec.id.clone()).or_default();
-            *zones.entry(room.zone.clone()).or_insert(0) += 1;
+            *zones.entry(capacity.zone.clone()).or_insert(0) += 1;
         }
     }
 
-    /// Tasks are being stopped there, and some may have been taken back.
-    pub fn recount(&mut self, room: usize, machine: &Machine) {
-        self.by_zone = None;
-        self.rooms[room].count(machine);
-        self.look_for_open();
+    /// Recalculates a machine on which tasks were stopped or starts were withdrawn.
+    pub fn recount(&mut self, index: usize, machine: &Machine) {
+        self.tasks_by_zone = None;
+        self.machines[index].recompute(machine);
+        self.find_open_machines();
     }
 
-    /// The nominations of one job have changed.
-    pub fn refresh_held(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
+    /// Updates the reservations after the nominations of one job have changed.
+    pub fn refresh_reservations(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
         self.unplaceable.clear();
-        for room in &mut self.rooms {
-            room.held.retain(|(_, held, _)| *held != spec.id);
+        for capacity in &mut self.machines {
+            capacity.reservations.retain(|(_, job, _)| *job != spec.id);
         }
-        self.hold(spec, nominations);
+        self.reserve(spec, nominations);
     }
 
-    pub fn hold(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
+    pub fn reserve(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
         for machine in nominations {
-            // Rooms are in the order of the machines' names.
-            if let Ok(at) = self.rooms.binary_search_by(|r| r.id.cmp(machine)) {
-                let held = (spec.priority, spec.id.clone(), spec.need);
-                self.rooms[at].held.push(held);
+            // Machines are sorted by id.
+            if let Ok(at) = self.machines.binary_search_by(|c| c.id.cmp(machine)) {
+                let reservation = (spec.priority, spec.id.clone(), spec.need);
+                self.machines[at].reservations.push(reservation);
             }
         }
     }
 }
 
-/// Where the other tasks of the job are counts for where one may be, or is best.
-pub(super) fn by_zone(spec: &JobSpec) -> bool {
+/// Returns whether the locations of the job's other tasks restrict or influence a placement.
+pub(super) fn depends_on_zones(spec: &JobSpec) -> bool {
     spec.one_zone || spec.spread || spec.kind == Kind::Service
 }
 
@@ -297,7 +306,7 @@
     let mut counted: HashMap<JobId, BTreeMap<Arc<str>, u32>> = HashMap::new();
     for machine in machines.values() {
         for ((task, _), p) in &machine.tasks {
-            if p.exited() || p.spec.as_ref().is_some_and(|spec| !by_zone(spec)) {
+            if p.exited() || p.spec.as_ref().is_some_and(|spec| !depends_on_zones(spec)) {
                 continue;
             }
             let zones = counted.entry(task.job.clone()).or_default();
@@ -307,10 +316,10 @@
     counted
 }
 
-/// Jobs that machines list of which it is not known yet what they hold.
+/// Returns the jobs listed for machines whose tasks are not known yet.
 pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
     let on_unresolved = machines.values().filter(|m| m.unresolved);
     on_unresolved
-        .flat_map(|m| m.assignment.may_list().cloned())
+        .flat_map(|m| m.assignment.possible_jobs().cloned())
         .collect()
 }
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -1,25 +1,25 @@
 //! Ends the leases of silent workers, and resolves machines that are proven empty.
 //!
-//! Nothing ends here by this node's clock alone: the claim must be known to have stood after
-//! the lease was over, or a leader that took over may have answered the worker meanwhile.
+//! The clock of this node alone never ends a lease: the claim must be known to have been valid
+//! after the lease expired, since a newer leader may otherwise have answered the worker meanwhile.
 
 use std::time::Duration;
 
 use tracing::info;
 
 use super::ClusterState;
-use crate::core::machine::{Machine, MachineId, Standing};
+use crate::core::machine::{Machine, MachineId, MachineState};
 
 impl ClusterState {
-    /// What time brings: leases that are over, and unresponsive machines proven empty.
+    /// Processes elapsed time: expired leases, and unresponsive machines proven empty.
     ///
-    /// A lease ends only if no other leader has answered the worker meanwhile. One
-    /// that has taken this one's place can have done so from its claim on; so the
-    /// time that counts is not now, but when this claim was last known to stand.
+    /// A lease ends only if no other leader has answered the worker meanwhile. A successor can do
+    /// so from its claim on, so the deciding time is not `now` but the last time at which this
+    /// claim was known to be valid.
     pub fn tick(&mut self, now: Duration) {
         self.log_counts(now);
         self.reconcile(now);
-        // Where nothing else happens, nothing else would bring it back to the heap.
+        // Without other events, nothing else would return the job to the queue.
         if self.next_retry.take_if(|at| now >= *at).is_some() {
             self.requeue();
         }
@@ -28,14 +28,15 @@
         self.resolve_empty_machines();
     }
 
-    /// Machines whose worker's lease is over are lost, and so are their tasks. Returns how many.
+    /// Marks machines whose worker's lease has expired as lost, with their tasks; returns their
+    /// number.
     fn end_leases(&mut self, now: Duration) -> usize {
-        let proven = self.proven;
+        let claim_proven_at = self.claim_proven_at;
         let lost: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| holds_lease(m))
-            .filter(|m| self.lease_end(m).is_some_and(|at| proven > at))
+            .filter(|m| has_current_session(m))
+            .filter(|m| self.lease_end(m).is_some_and(|at| claim_proven_at > at))
             .map(|m| m.id.clone())
             .collect();
         for id in &lost {
@@ -46,23 +47,23 @@
 
     fn lose_machine(&mut self, id: &MachineId, now: Duration) {
         let machine = self.machines.get_mut(id).expect("just listed");
-        machine.dead_session = machine.session;
+        machine.expired_session = machine.session;
         machine.fenced = false;
-        // Heard once under this claim, so its lease was counted from then.
+        // The machine was heard under this claim, so its lease was counted from then.
         machine.unresolved = false;
-        if machine.standing == Standing::Up {
-            machine.standing = Standing::Lost;
+        if machine.state == MachineState::Up {
+            machine.state = MachineState::Lost;
         }
         self.counts.lost += 1;
-        info!(machine = %id, tasks = machine.tasks.len(), "machine lost");
+        info!(machine = %id, tasks = machine.tasks.len(), "worker lease expired; machine lost");
         self.end_session(id, now);
     }
 
-    /// Unresponsive machines hold nothing any more once every lease that they may have is over.
+    /// Marks unresponsive machines as empty once all leases that they may have are over.
     fn resolve_empty_machines(&mut self) {
-        let proven = self.proven;
+        let claim_proven_at = self.claim_proven_at;
         let unresolved = self.machines.values().filter(|m| m.unresolved);
-        let empty = unresolved.filter(|m| proven > self.resolved_by(m));
+        let empty = unresolved.filter(|m| claim_proven_at > self.presumed_empty_at(m));
         let empty: Vec<MachineId> = empty.map(|m| m.id.clone()).collect();
         if empty.is_empty() {
             return;
@@ -71,44 +72,46 @@
             info!(machine = %id, "unresponsive machine proven empty");
             let machine = self.machines.get_mut(&id).expect("just listed");
             machine.unresolved = false;
-            if machine.standing == Standing::Booting {
-                machine.standing = Standing::Lost;
+            if machine.state == MachineState::Booting {
+                machine.state = MachineState::Lost;
             }
         }
         self.requeue();
     }
 
-    /// By then a machine whose tasks are not known is empty, if it stays silent: one that
-    /// this leader answered, a lease after that.
-    fn resolved_by(&self, machine: &Machine) -> Duration {
-        let zone = self.zone_lease_ends.get(&machine.zone).copied();
-        let unmet = zone.map_or(self.resolve_by, |over| over.min(self.resolve_by));
-        self.lease_end(machine).unwrap_or(unmet)
+    /// Returns the time by which a silent machine with unknown tasks is empty: if this leader
+    /// answered it, one lease after that answer.
+    fn presumed_empty_at(&self, machine: &Machine) -> Duration {
+        let zone_end = self.zone_lease_ends.get(&machine.zone).copied();
+        let previous_end = zone_end.map_or(self.previous_leases_end, |end| {
+            end.min(self.previous_leases_end)
+        });
+        self.lease_end(machine).unwrap_or(previous_end)
     }
 
-    /// When the lease of a worker that stays silent is over. One that has not seen
-    /// this leader's token may have been answered by a previous leader until that
-    /// one stopped: an answer to a report that was held back proves nothing.
+    /// Returns the time at which the lease of a silent worker expires. A worker that has not seen
+    /// this leader's token may have been answered by a previous leader until that one stopped: an
+    /// answer to a delayed report proves nothing.
     fn lease_end(&self, machine: &Machine) -> Option<Duration> {
-        let over = machine.answered_at? + self.config.worker_lease_bound;
+        let expiry = machine.answered_at? + self.config.worker_lease_bound;
         Some(match machine.fenced {
-            true => over,
-            false => over.max(self.resolve_by),
+            true => expiry,
+            false => expiry.max(self.previous_leases_end),
         })
     }
 
-    /// A lease would be over if the claim were known to stand still.
-    pub fn needs_proof(&self, now: Duration) -> bool {
-        let over = |end: Duration| now > end && self.proven <= end;
+    /// Returns whether a lease would end if the claim were known to be still valid.
+    pub fn needs_claim_proof(&self, now: Duration) -> bool {
+        let has_passed = |end: Duration| now > end && self.claim_proven_at <= end;
         self.machines.values().any(|m| {
-            let lost = holds_lease(m) && self.lease_end(m).is_some_and(over);
-            lost || (m.unresolved && over(self.resolved_by(m)))
+            let lost = has_current_session(m) && self.lease_end(m).is_some_and(has_passed);
+            lost || (m.unresolved && has_passed(self.presumed_empty_at(m)))
         })
     }
 }
 
-/// The worker's session counts, so that its lease may end.
-fn holds_lease(machine: &Machine) -> bool {
-    matches!(machine.standing, Standing::Up | Standing::Leaving)
-        && machine.session > machine.dead_session
+/// Returns whether the worker has a current session, whose lease may end.
+fn has_current_session(machine: &Machine) -> bool {
+    matches!(machine.state, MachineState::Up | MachineState::Leaving)
+        && machine.session > machine.expired_session
 }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -1,35 +1,38 @@
-//! What workers are told: with the answers to their reports, or straight away.
+//! Commands to workers, sent with the answers to their reports or directly.
 
 use std::{cmp::Reverse, collections::BTreeSet, time::Duration};
 
 use super::{
     Answer, Node,
-    cluster::{ClusterState, Direct},
+    cluster::{ClusterState, DirectCommands},
     job::Kind,
     machine::{
-        Command, DirectReply, ExitReason, MachineId, Phase, Standing, Stop, TaskPhase, WorkerReport,
+        Command, DirectReply, ExitReason, MachineId, MachineState, Phase, Stop, TaskPhase,
+        WorkerReport,
     },
 };
 use tracing::debug;
 
-/// Machines that are called at a time after a failover.
-const CONTACTED_MOST: usize = 128;
-/// Machines of one zone that are asked at a time whether they answer.
-const PROBED_PER_ZONE: usize = 4;
+/// Maximum number of machines contacted at a time after a failover.
+const MAX_CONTACTS_IN_FLIGHT: usize = 128;
+/// Maximum number of machines of one zone probed at a time.
+const MAX_PROBES_PER_ZONE: usize = 4;
 
-/// Commands in one answer at most: it stays under the protocol's limit for one line.
-const COMMANDS_MOST: usize = 400;
+/// Maximum number of commands in one answer, which keeps it below the protocol's line limit.
+const MAX_COMMANDS_PER_ANSWER: usize = 400;
 
 impl Node {
-    /// While it takes over, a worker's lease is kept alive, and its tasks of jobs that are
-    /// over are stopped: a lease that is renewed without that would carry cancelled tasks
-    /// through one failover after the other. Other commands come later, and the report is
-    /// not counted as heard.
+    /// Renews a worker's lease during a failover and stops its tasks of finished jobs: a lease
+    /// renewed without that would carry cancelled tasks through successive failovers. Other
+    /// commands come later, and the report does not count as heard.
     pub(super) fn keep_lease_alive(&self, report: &WorkerReport) -> Option<Answer> {
         let token = self.election.token()?;
-        let over = |job| !self.cache.jobs.contains_key(job) && !self.cache.is_unreadable(job);
-        let left = report.tasks.iter().filter(|t| !t.phase.exited());
-        let commands = left.filter(|t| over(&t.task.job)).take(COMMANDS_MOST);
+        let is_finished =
+            |job| !self.cache.jobs.contains_key(job) && !self.cache.is_unreadable(job);
+        let active_tasks = report.tasks.iter().filter(|t| !t.phase.exited());
+        let commands = active_tasks
+            .filter(|t| is_finished(&t.task.job))
+            .take(MAX_COMMANDS_PER_ANSWER);
         let commands = commands.map(|t| Command::Stop {
             task: t.task.clone(),
             attempt: t.attempt,
@@ -43,75 +46,76 @@
 }
 
 impl ClusterState {
-    /// Commands that need not wait for the next report. A worker that does not
-    /// know this leader's token yet gets it at once, and its tasks become known.
-    pub fn direct_commands(&mut self, now: Duration) -> Vec<Direct> {
+    /// Returns commands that can't wait for the next report. A worker that does not know this
+    /// leader's token yet is sent it at once, and its reply reveals its tasks.
+    pub fn direct_commands(&mut self, now: Duration) -> Vec<DirectCommands> {
         let machines_to_probe = self.machines_to_probe(now);
         let machines_to_contact = self.machines_to_contact(now);
         let due: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| !m.direct && now >= m.direct_retry)
-            .filter(|m| matches!(m.standing, Standing::Up | Standing::Leaving))
+            .filter(|m| !m.direct_in_flight && now >= m.direct_retry)
+            .filter(|m| matches!(m.state, MachineState::Up | MachineState::Leaving))
             .filter(|m| {
                 let silence = now.saturating_sub(m.heard_at.unwrap_or_default());
-                let silent = m.heard_at.is_none() || silence > self.config.report * 2;
-                (!silent && (!m.fenced || m.urgent()))
+                let silent = m.heard_at.is_none() || silence > self.config.report_interval * 2;
+                (!silent && (!m.fenced || m.has_urgent_command()))
                     || self.should_probe(m, now)
                     || machines_to_probe.contains(&m.id)
             })
             .map(|m| m.id.clone())
             .collect();
         let due = due.into_iter().chain(machines_to_contact);
-        due.filter_map(|id| self.direct(id)).collect()
+        due.filter_map(|id| self.build_direct_commands(id))
+            .collect()
     }
 
-    /// Some machines of each zone that is heard no more, to learn whether they answer.
+    /// Selects machines of each zone without reports, to find out whether they answer.
     fn machines_to_probe(&self, now: Duration) -> BTreeSet<MachineId> {
         let mut machines_to_probe = BTreeSet::new();
         for zone in &self.zones_to_probe {
             let machines = self.machines.values().filter(|m| m.zone == *zone);
-            let known = machines.filter(|m| m.standing == Standing::Up && m.addr.is_some());
-            let under_way = known.clone().filter(|m| m.direct).count();
-            let idle = known.filter(|m| !m.direct && now >= m.direct_retry);
-            // Those heard last answer most likely.
+            let known = machines.filter(|m| m.state == MachineState::Up && m.addr.is_some());
+            let in_flight = known.clone().filter(|m| m.direct_in_flight).count();
+            let idle = known.filter(|m| !m.direct_in_flight && now >= m.direct_retry);
+            // Those heard last are the most likely to answer.
             let mut idle: Vec<_> = idle.map(|m| (Reverse(m.heard_at), &m.id)).collect();
             idle.sort();
-            let more = PROBED_PER_ZONE.saturating_sub(under_way);
-            machines_to_probe.extend(idle.into_iter().take(more).map(|(_, id)| id.clone()));
+            let remaining = MAX_PROBES_PER_ZONE.saturating_sub(in_flight);
+            machines_to_probe.extend(idle.into_iter().take(remaining).map(|(_, id)| id.clone()));
         }
         machines_to_probe
     }
 
-    /// After a failover, machines that may hold tasks and have not reported yet: asked
-    /// where the previous leader found them, they need not come by themselves first.
+    /// Returns machines that may hold tasks and have not reported since the failover. They are
+    /// contacted at the address known to the previous leader instead of waiting for their reports.
     fn machines_to_contact(&self, now: Duration) -> Vec<MachineId> {
-        let not_heard = self.machines.values().filter(|m| m.session == 0);
-        let not_heard = not_heard.filter(|m| m.unresolved && m.last_known_worker.is_some());
-        let under_way = not_heard.clone().filter(|m| m.direct).count();
-        let idle = not_heard.filter(|m| !m.direct && now >= m.direct_retry);
-        let more = CONTACTED_MOST.saturating_sub(under_way);
-        idle.map(|m| m.id.clone()).take(more).collect()
+        let unheard = self.machines.values().filter(|m| m.session == 0);
+        let unheard = unheard.filter(|m| m.unresolved && m.last_known_worker.is_some());
+        let in_flight = unheard.clone().filter(|m| m.direct_in_flight).count();
+        let idle = unheard.filter(|m| !m.direct_in_flight && now >= m.direct_retry);
+        let remaining = MAX_CONTACTS_IN_FLIGHT.saturating_sub(in_flight);
+        idle.map(|m| m.id.clone()).take(remaining).collect()
     }
 
-    /// A machine that was called has answered. It has seen this leader's token, so
-    /// nothing that a former one sent can begin there any more, and this is what it
-    /// holds. Its lease began with its last answered report, or with its session, which
-    /// may be a new one: before this answer in any case, and not sooner than that is known.
+    /// Records the answer of a contacted machine. It has seen this leader's token, so no start sent
+    /// by a previous leader can take effect there, and the answer lists all its tasks. Its lease
+    /// began with its last answered report or with its session, which may be a new one: before this
+    /// answer in any case, so counting from now is safe.
     fn record_direct_heartbeat(&mut self, id: &MachineId, report: &WorkerReport, now: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        debug!(machine = %id, "direct heartbeat");
+        debug!(machine = %id, "machine answered direct commands for the first time");
         machine.addr = Some(report.addr);
         machine.session = report.session;
         machine.answered_at = Some(now);
-        if machine.standing == Standing::Booting {
-            machine.standing = Standing::Up;
+        if machine.state == MachineState::Booting {
+            machine.state = MachineState::Up;
         }
     }
 
-    fn direct(&mut self, id: MachineId) -> Option<Direct> {
+    fn build_direct_commands(&mut self, id: MachineId) -> Option<DirectCommands> {
         let machine = &self.machines[&id];
         let (addr, session) = match machine.addr {
             Some(addr) => (addr, machine.session),
@@ -119,8 +123,8 @@
         };
         let commands = self.commands(&id, None);
         let machine = self.machines.get_mut(&id)?;
-        machine.direct = true;
-        Some(Direct {
+        machine.direct_in_flight = true;
+        Some(DirectCommands {
             addr,
             token: machine.token,
             session,
@@ -129,30 +133,35 @@
         })
     }
 
-    pub fn direct_reply(&mut self, direct: &Direct, reply: DirectReply, now: Duration) {
+    pub fn apply_direct_reply(
+        &mut self,
+        direct: &DirectCommands,
+        reply: DirectReply,
+        now: Duration,
+    ) {
         let Some(machine) = self.machines.get_mut(&direct.machine) else {
             return;
         };
-        machine.direct = false;
-        let not_heard = machine.session == 0;
+        machine.direct_in_flight = false;
+        let unheard = machine.session == 0;
         let (executed, report) = match reply {
             DirectReply::Executed(report) => (true, report),
             DirectReply::Refused(report) => (false, report),
             DirectReply::Unclear => {
-                // It may still be executed, until the worker sees a higher token.
+                // The commands may still be executed, until the worker sees a higher token.
                 if !direct.commands.is_empty() {
                     machine.token += 1;
                 }
                 machine.commands_unanswered = true;
-                machine.direct_retry = now + self.config.report * 2;
+                machine.direct_retry = now + self.config.report_interval * 2;
                 return;
             }
         };
         if !executed {
-            machine.direct_retry = now + self.config.report;
+            machine.direct_retry = now + self.config.report_interval;
         }
-        if not_heard {
-            // Another session, or another leader: where it is now is known at least.
+        if unheard {
+            // The worker has another session or leader, but its current address is known now.
             machine.last_known_worker = Some((report.addr, report.session));
             if !executed || report.session != direct.session {
                 return;
@@ -166,10 +175,13 @@
             return;
         }
         for placement in machine.tasks.values_mut() {
-            if let Phase::Sent { seq, direct: sent } = &mut placement.phase
+            if let Phase::Sent {
+                seq,
+                direct_token: sent,
+            } = &mut placement.phase
                 && *sent == Some(direct.token)
             {
-                // It is over: what was executed is in the list.
+                // The command is over: the report lists the tasks that it started.
                 *sent = None;
                 if !executed && *seq == 0 {
                     placement.phase = Phase::Decided;
@@ -192,51 +204,52 @@
         self.requeue();
     }
 
-    /// Everything the worker should do now, in order: room is made before it is used.
+    /// Returns all commands for the worker in order: stops come before starts, to free resources.
     pub(super) fn commands(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<Command> {
         let machine = self.machines.get_mut(id).expect("known machine");
-        let withheld =
-            self.withheld.contains(&machine.zone) || self.drains.machines.contains_key(&**id);
-        let (mut ends, mut starts) = (Vec::new(), Vec::new());
+        let starts_blocked = self.start_blocked_zones.contains(&machine.zone)
+            || self.drains.machines.contains_key(&**id);
+        let (mut stops_and_forgets, mut starts) = (Vec::new(), Vec::new());
         for ((task, attempt), placement) in &mut machine.tasks {
             let (task, attempt) = (task.clone(), *attempt);
             match (placement.phase, placement.stop) {
-                (Phase::Seen(TaskPhase::Exited(why)), _) => {
+                (Phase::Seen(TaskPhase::Exited(reason)), _) => {
                     // A result must be stored before the worker forgets it.
                     let stored = match self.jobs.get(&task.job) {
-                        Some(job) if why == ExitReason::Done => {
+                        Some(job) if reason == ExitReason::Done => {
                             job.spec.kind == Kind::Service || job.saved.contains(task.index)
                         }
                         _ => true,
                     };
-                    let settled = placement.offered == 0 || placement.offered < machine.report_seq;
-                    if stored && settled {
-                        ends.push(Command::Forget { task, attempt });
+                    let start_acknowledged = placement.start_sent_seq == 0
+                        || placement.start_sent_seq < machine.report_seq;
+                    if stored && start_acknowledged {
+                        stops_and_forgets.push(Command::Forget { task, attempt });
                     }
                 }
                 (Phase::Decided | Phase::Sent { .. }, None)
                     if machine.fenced
-                        && !withheld
+                        && !starts_blocked
                         && machine.assignment.jobs.contains(&task.job) =>
                 {
-                    let (last, direct) = match placement.phase {
-                        Phase::Sent { seq, direct } => (seq, direct),
+                    let (last_seq, direct_token) = match placement.phase {
+                        Phase::Sent { seq, direct_token } => (seq, direct_token),
                         _ => (0, None),
                     };
                     if let Some(seq) = seq {
-                        placement.offered = seq;
+                        placement.start_sent_seq = seq;
                     }
                     placement.phase = match seq {
-                        Some(seq) => Phase::Sent { seq, direct },
+                        Some(seq) => Phase::Sent { seq, direct_token },
                         None => Phase::Sent {
-                            seq: last,
-                            direct: Some(machine.token),
+                            seq: last_seq,
+                            direct_token: Some(machine.token),
                         },
                     };
                     starts.push(Command::Start { task, attempt });
                 }
                 (Phase::Seen(_), Some(stop)) => {
-                    ends.push(Command::Stop {
+                    stops_and_forgets.push(Command::Stop {
                         task,
                         attempt,
                         grace: stop.grace,
@@ -246,8 +259,8 @@
                 _ => {}
             }
         }
-        ends.extend(starts);
-        ends.truncate(COMMANDS_MOST);
-        ends
+        stops_and_forgets.extend(starts);
+        stops_and_forgets.truncate(MAX_COMMANDS_PER_ANSWER);
+        stops_and_forgets
     }
 }
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -1,4 +1,4 @@
-//! What the core needs of the settings, in its own terms.
+//! Configuration of the core, derived from the settings and the command-line options.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -8,44 +8,44 @@
 
 use kiteyard_rollout::generation::Ability;
 
-use crate::settings::{DRIFT, MARGIN, Settings, Team, seconds};
+use crate::settings::{CLOCK_MARGIN, MAX_CLOCK_DRIFT, Settings, Team, seconds};
 
-/// Of the requests that the state service takes, all nodes' proofs together use
-/// one in so many, and so do the followers' watches.
-const PROOF_SHARE: f64 = 6.0;
-const WATCH_SHARE: f64 = 5.0;
-/// Of the changes that the state service takes, the leader plans with so many.
+/// Divisors of the state service's request rate: the proofs of all nodes together use one request
+/// in six, and the followers' watches one in five.
+const PROOF_RATE_DIVISOR: f64 = 6.0;
+const WATCH_RATE_DIVISOR: f64 = 5.0;
+/// Share of the state service's change rate that the leader plans with.
 const WRITE_SHARE: f64 = 0.9;
-/// A round looks at every machine. It takes the same part of the processor however
-/// many there are: for each this time of a whole core, and a larger share of one
-/// allows for more rounds.
-const ROUND_PER_MACHINE: Duration = Duration::from_micros(18);
-/// A leader's lease lasts no longer, however much time a cancellation has.
-const TTL_MOST: Duration = Duration::from_secs(30);
+/// Pause between two leader rounds per machine, on a whole core; longer with a smaller CPU share.
+/// A round visits every machine, so this keeps its CPU usage independent of the fleet's size.
+const ROUND_PAUSE_PER_MACHINE: Duration = Duration::from_micros(18);
+/// Maximum duration of a leader's lease, even if cancellations may take longer.
+const MAX_LEADER_TTL: Duration = Duration::from_secs(30);
 
-/// Machines of a fleet that may all report to one node at once, on however small a box.
-const FLEET_LEAST: usize = 4096;
-/// Tasks that reports which wait at a node may list in all: they take memory, which a box
-/// with more sockets has more of.
-const WAITING_TASKS_LEAST: usize = 20_000;
+/// Lower bound of the limit on waiting requests: all machines of a fleet may report to one node at
+/// once, even on a small host.
+const MIN_WAITING_REQUESTS: usize = 4096;
+/// Limit on the tasks listed in all waiting reports of a node: the larger of a minimum and a number
+/// per socket. The tasks take memory, and a host that allows more sockets has more of it.
+const MIN_WAITING_TASKS: usize = 20_000;
 const WAITING_TASKS_PER_SOCKET: usize = 10;
 
-/// Choices of the operators.
+/// Operators' options.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// How long a machine may be idle, in times of what another takes to boot.
+    /// Maximum idle time of a machine, as a multiple of the boot time.
     pub idle_boots: f64,
     pub grace: Duration,
     pub disruption_budget: u32,
-    /// A gang that has waited for so long keeps what room there is for it from its equals.
+    /// Waiting time after which a gang reserves free capacity ahead of jobs of the same priority.
     pub gather_after: Duration,
-    /// Licences with counted seats, if there are any.
+    /// Licences with counted seats, if any are configured.
     pub licences: Option<Arc<kiteyard_licences::config::Config>>,
-    /// How changes of the stored state are rolled out, if they are.
+    /// Rollouts of changes of the stored state, if enabled.
     pub rollout: Option<Arc<kiteyard_rollout::config::Config>>,
-    /// Budgets of disruption, where machines may be emptied.
+    /// Disruption budgets, if machines may be drained.
     pub maintenance: Option<Arc<kiteyard_maintenance::config::Config>>,
-    /// A number that no other process of this node has, as far as chance goes.
+    /// Random number that distinguishes this process from others of the same node.
     pub incarnation: u32,
 }
 
@@ -67,55 +67,55 @@
 #[derive(Debug)]
 pub struct Config {
     pub node: String,
-    pub nodes: usize,
+    pub node_count: usize,
     pub peers: Vec<String>,
-    /// Where the nodes are.
+    /// Zone of each node.
     pub zones: BTreeMap<String, String>,
-    /// The stored forms that this process reads and writes.
+    /// Generations of stored records that this process reads and writes.
     pub ability: Ability,
     pub teams: HashMap<Arc<str>, Team>,
     pub objectives: Vec<crate::settings::Objective>,
-    pub report: Duration,
+    pub report_interval: Duration,
     pub gang_wait: Duration,
-    /// By then a worker's lease is over, counted from when it was last answered.
+    /// Time after the last answer to a worker by which its lease has certainly expired.
     pub worker_lease_bound: Duration,
-    /// How long the leader's own lease lasts.
+    /// Duration of the leader's own lease.
     pub leader_ttl: Duration,
-    /// How long the leader may act, counted from when it asked for the renewal.
+    /// Time for which the leader may act after it sent a renewal.
     pub leader_term: Duration,
-    pub renew_every: Duration,
-    /// What each machine adds to the time between two of the leader's rounds.
-    pub round_per_machine: Duration,
-    /// A leader that was not heard for so long is missed. A process that ended is
-    /// mostly back by then and knows more than any other node; in the time that is
-    /// left of a worker's lease another one has to take over and answer it.
+    pub renew_interval: Duration,
+    /// Time that each machine adds to the pause between two leader rounds.
+    pub round_pause_per_machine: Duration,
+    /// Time without a heartbeat after which the leader is considered failed. A restarted process
+    /// is mostly back before that, with more state than any other node. The rest of a worker's
+    /// lease has to suffice for another node to take over and answer the worker.
     pub leader_silence_limit: Duration,
-    /// Least time between two requests that prove this node's cache.
-    pub sync_every: Duration,
-    /// Least time between two watches of a follower; the leader's follow at once.
-    pub watch_every: Duration,
-    /// Changes a second for everything, users' submissions first.
-    pub writes: f64,
-    /// The same once the state service's limits have fallen, where that is to come.
-    pub writes_next: Option<f64>,
-    /// Changes in a transaction, now and once the limits have fallen.
-    pub txn_ops: usize,
-    /// Bytes that a stored value may have, now and once the limits have fallen.
-    pub value_most: usize,
-    pub cloud_every: Duration,
+    /// Minimum time between two requests that prove this node's cache.
+    pub sync_interval: Duration,
+    /// Minimum time between two watches of a follower. The leader does not pause between watches.
+    pub watch_interval: Duration,
+    /// Rate of all writes in changes per second; users' submissions come first.
+    pub write_rate: f64,
+    /// The same after the announced reduction of the state service's limits, if there is one.
+    pub announced_write_rate: Option<f64>,
+    /// Maximum changes per transaction, within present and announced limits.
+    pub max_txn_ops: usize,
+    /// Maximum size of a stored value in bytes, within present and announced limits.
+    pub max_value_bytes: usize,
+    pub cloud_request_interval: Duration,
     pub list_lag: Duration,
-    /// The time of day may be off by so much.
-    pub wall_error: Duration,
-    /// Requests that wait for an answer at a time. Each has a connection, so the sockets
-    /// bound them on a small box.
-    pub requests_most: usize,
-    /// Tasks that all reports which wait for a leader, or for their zone, may list.
-    pub waiting_tasks_most: usize,
+    /// Maximum error of the wall clock.
+    pub max_wall_clock_error: Duration,
+    /// Maximum number of requests waiting for an answer. Each one has a connection, so on a small
+    /// host the sockets are the limit.
+    pub max_waiting_requests: usize,
+    /// Maximum number of tasks listed in all reports that wait for a leader or for their zone.
+    pub max_waiting_tasks: usize,
     pub options: Options,
 }
 
 impl Config {
-    /// What may be taken down on purpose.
+    /// Disruption budgets for voluntary disruptions.
     pub fn budgets(&self) -> kiteyard_maintenance::config::Config {
         match &self.options.maintenance {
             Some(config) => (**config).clone(),
@@ -126,12 +126,12 @@
     pub fn new(settings: &Settings, options: Options) -> Self {
         let params = &settings.params;
         let workers = &params.workers;
-        let nodes = settings.nodes();
-        let next_writes = params.state.next.as_ref().and_then(|next| next.write_rps);
-        let leader_ttl = workers.left_to_cancel().min(TTL_MOST);
+        let node_count = settings.node_count();
+        let announced_rps = params.state.next.as_ref().and_then(|next| next.write_rps);
+        let leader_ttl = workers.max_cancellation_lag().min(MAX_LEADER_TTL);
         Self {
             node: settings.node.clone(),
-            nodes,
+            node_count,
             peers: settings.peers.iter().map(|p| p.node.clone()).collect(),
             zones: settings
                 .peers
@@ -146,28 +146,30 @@
                 .map(|t| (Arc::from(t.name.as_str()), t.clone()))
                 .collect(),
             objectives: params.objectives.clone(),
-            report: seconds(workers.report_s),
+            report_interval: seconds(workers.report_s),
             gang_wait: seconds(workers.gang_wait_s),
             worker_lease_bound: workers.lease_bound(),
             leader_ttl,
-            leader_term: leader_ttl.mul_f64(1.0 - 2.0 * DRIFT).saturating_sub(MARGIN),
+            leader_term: leader_ttl
+                .mul_f64(1.0 - 2.0 * MAX_CLOCK_DRIFT)
+                .saturating_sub(CLOCK_MARGIN),
             leader_silence_limit: super::heartbeat::leader_silence_limit(seconds(workers.lease_s)),
-            round_per_machine: ROUND_PER_MACHINE
+            round_pause_per_machine: ROUND_PAUSE_PER_MACHINE
                 .div_f64(params.resources.cpu_share.clamp(0.05, 1.0)),
-            renew_every: (leader_ttl / 8).min(Duration::from_millis(1500)),
-            sync_every: seconds(PROOF_SHARE * nodes as f64 / params.state.rps),
-            watch_every: seconds(WATCH_SHARE * nodes as f64 / params.state.rps),
-            writes: params.state.write_rps * WRITE_SHARE,
-            writes_next: next_writes.map(|rate| rate * WRITE_SHARE),
-            txn_ops: params.state.lowest_txn_ops(),
-            value_most: (params.state.lowest_value_kb() * 1024.0) as usize,
-            // Nearly all calls are the leader's; the rest is for lists of types.
-            cloud_every: seconds(1.25 / params.cloud.rps),
-            wall_error: seconds(params.time_bound_ms / 1000.0),
+            renew_interval: (leader_ttl / 8).min(Duration::from_millis(1500)),
+            sync_interval: seconds(PROOF_RATE_DIVISOR * node_count as f64 / params.state.rps),
+            watch_interval: seconds(WATCH_RATE_DIVISOR * node_count as f64 / params.state.rps),
+            write_rate: params.state.write_rps * WRITE_SHARE,
+            announced_write_rate: announced_rps.map(|rate| rate * WRITE_SHARE),
+            max_txn_ops: params.state.lowest_txn_ops(),
+            max_value_bytes: (params.state.lowest_value_kb() * 1024.0) as usize,
+            // Nearly all calls are the leader's. The rest is for lists of machine types.
+            cloud_request_interval: seconds(1.25 / params.cloud.rps),
+            max_wall_clock_error: seconds(params.time_bound_ms / 1000.0),
             list_lag: seconds(params.cloud.list_lag_s),
-            requests_most: params.resources.sockets.max(FLEET_LEAST),
-            waiting_tasks_most: (params.resources.sockets * WAITING_TASKS_PER_SOCKET)
-                .max(WAITING_TASKS_LEAST),
+            max_waiting_requests: params.resources.sockets.max(MIN_WAITING_REQUESTS),
+            max_waiting_tasks: (params.resources.sockets * WAITING_TASKS_PER_SOCKET)
+                .max(MIN_WAITING_TASKS),
             options,
         }
     }
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -13,7 +13,7 @@
 use super::{
     cluster::ClusterState,
     job::{JobId, Kind},
-    machine::{AttemptKey, Machine, MachineId, Phase, Standing, TaskPhase},
+    machine::{AttemptKey, Machine, MachineId, MachineState, Phase, TaskPhase},
 };
 
 /// A machine is worth emptying when it is used for less than one part in so many.
@@ -27,7 +27,7 @@
         let draining = self
             .machines
             .values()
-            .find(|m| m.standing == Standing::Leaving && m.busy())
+            .find(|m| m.state == MachineState::Leaving && m.busy())
             .map(|m| m.id.clone());
         let id = match draining {
             Some(id) => id,
@@ -36,8 +36,10 @@
                     return;
                 }
                 self.provisioning.next_consolidation = now + Duration::from_secs(1);
-                if self.unresolved() || self.jobs.values().any(|j| j.waiting_count() > 0) {
-                    self.provisioning.waited_at = now;
+                if self.has_unresolved_machines()
+                    || self.jobs.values().any(|j| j.waiting_count() > 0)
+                {
+                    self.provisioning.last_waiting_at = now;
                     return;
                 }
                 let Some(id) = self.underused_machine(now) else {
@@ -45,7 +47,7 @@
                 };
                 info!(machine = %id, why = "hardly used", "leaving");
                 let machine = self.machines.get_mut(&id).expect("just seen");
-                machine.standing = Standing::Leaving;
+                machine.state = MachineState::Leaving;
                 id
             }
         };
@@ -58,12 +60,12 @@
         let dear = self
             .machines
             .values()
-            .filter(|m| self.usable(m, now) && !m.direct)
+            .filter(|m| self.usable(m, now) && !m.direct_in_flight)
             // What comes next may need it: it is kept as long as an idle one.
-            .filter(|m| now > self.provisioning.waited_at + self.idle_time(&m.machine_type))
+            .filter(|m| now > self.provisioning.last_waiting_at + self.idle_time(&m.machine_type))
             .filter(|m| {
                 let used = m.size.minus(&m.free());
-                m.busy() && used.share_of(&m.size) * USED_ONE_IN <= 1.0
+                m.busy() && used.dominant_share_of(&m.size) * USED_ONE_IN <= 1.0
             })
             .filter(|m| {
                 m.tasks.values().filter(|p| !p.exited()).all(|p| {
@@ -95,7 +97,7 @@
                 // Within its zone a replica breaks no rule of where the others are.
                 (m.zone == machine.zone || !(spec.one_zone || spec.spread))
                     && spec.allows_type(&m.machine_type)
-                    && spec.allows_place(&m.zone, m.spot)
+                    && spec.allows_placement(&m.zone, m.spot)
                     && m.has_image(&spec.image)
                     && spec.need.fits_in(free)
             });
@@ -131,8 +133,8 @@
                 service: Some(service),
                 lost: Duration::ZERO,
             };
-            if self.ledger.ask(now, &ask).is_ok() {
-                self.ledger.take(now, &ask);
+            if self.disruption_ledger.ask(now, &ask).is_ok() {
+                self.disruption_ledger.take(now, &ask);
                 *stops += 1;
                 self.stop(id, &key, self.config.options.grace, now);
             }
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -11,7 +11,7 @@
 use super::{
     cluster::{ClusterState, Job},
     job::{JobId, JobSpec, Kind, Resources},
-    machine::Standing,
+    machine::MachineState,
 };
 
 /// A finite job as far as its order is concerned. Times in seconds from now.
@@ -112,7 +112,7 @@
         dues.retain(|due| *due >= run);
         Some(Entry {
             id: id.clone(),
-            work: spec.need.share_of(finite).min(SHARE_MOST)
+            work: spec.need.dominant_share_of(finite).min(SHARE_MOST)
                 * run
                 * f64::from(spec.tasks - job.done_count),
             least: run,
@@ -158,7 +158,7 @@
     pub(super) fn batch_capacity(&self) -> Resources {
         let mut sum = Resources::default();
         let up = self.machines.values();
-        for machine in up.filter(|m| m.standing == Standing::Up && m.notice_at.is_none()) {
+        for machine in up.filter(|m| m.state == MachineState::Up && m.notice_at.is_none()) {
             sum = sum.plus(&machine.size);
             let others = machine
                 .tasks
--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -7,12 +7,12 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::super::{
-    BACK_OFF, Node, Purpose, STATE_TIMEOUT,
+    Node, Purpose, RETRY_DELAY, STATE_TIMEOUT,
     assignment_index::ShardRecord,
     cluster::{ClusterState, StoredClusterState},
     job::JobId,
     results::{ChunkPart, Results},
-    store::{ASSIGNMENTS, Entry, PROGRESS, StateReply, StateRequest},
+    store::{ASSIGNMENTS_PREFIX, Entry, PROGRESS_PREFIX, StateReply, StateRequest},
 };
 
 /// State that a new leader loads before it acts.
@@ -61,7 +61,7 @@
         self.reads_in_flight -= 1;
         self.started = false;
         self.has_failed = true;
-        self.retry_at = if reply_lost { now } else { now + BACK_OFF };
+        self.retry_at = if reply_lost { now } else { now + RETRY_DELAY };
     }
 
     /// Adds a page and returns the key of its first unreadable entry, if any.
@@ -91,7 +91,7 @@
 
     /// Adds a shard of the assignment index; returns `None` if it can't be read.
     fn add_shard(&mut self, entry: &Entry) -> Option<()> {
-        let shard = entry.key.strip_prefix(ASSIGNMENTS)?.parse().ok()?;
+        let shard = entry.key.strip_prefix(ASSIGNMENTS_PREFIX)?.parse().ok()?;
         let record = ShardRecord::parse(entry.value.get())?;
         self.partial_index.push((shard, record, entry.version));
         Some(())
@@ -99,7 +99,7 @@
 
     /// Adds the finished tasks of an array; returns `None` if they can't be read.
     fn add_progress(&mut self, entry: &Entry) -> Option<()> {
-        let (id, chunk) = entry.key.strip_prefix(PROGRESS)?.split_once('/')?;
+        let (id, chunk) = entry.key.strip_prefix(PROGRESS_PREFIX)?.split_once('/')?;
         let (id, chunk) = (JobId::parse(id)?, ChunkPart::parse(chunk)?);
         let text: String = serde_json::from_str(entry.value.get()).ok()?;
         let results = self.partial_progress.entry(id).or_default();
@@ -154,7 +154,7 @@
     /// Builds the cluster state of the new term from the loaded state.
     fn take_over(&mut self, claim: u64) {
         let now = self.now();
-        let Some(types) = self.cache.types.clone() else {
+        let Some(types) = self.cache.machine_types.clone() else {
             return;
         };
         let Some(loader) = self.election.loader.take() else {
@@ -164,7 +164,7 @@
             jobs: &self.cache.jobs,
             progress: loader.progress.unwrap_or_default(),
             assignment_index: loader.index.unwrap_or_default(),
-            resolve_by: self.election.previous_stopped_at + self.config.worker_lease_bound,
+            previous_leases_end: self.election.previous_stopped_at + self.config.worker_lease_bound,
             zone_lease_ends: self.zone_lease_ends(),
         };
         let mut cluster = ClusterState::new(self.config.clone(), claim, types, stored, now);
@@ -182,10 +182,10 @@
 
     fn read_failover_page(&mut self, read: FailoverRead, after: Option<String>) {
         let prefix = match read {
-            FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS,
-            FailoverRead::Progress { .. } => PROGRESS,
+            FailoverRead::AssignmentIndex { .. } => ASSIGNMENTS_PREFIX,
+            FailoverRead::Progress { .. } => PROGRESS_PREFIX,
         };
-        self.call_within(
+        self.call_with_timeout(
             self.failover_timeout(),
             Purpose::Failover(read),
             StateRequest::List {
--- a/src/core/election/key_removal.rs
+++ b/src/core/election/key_removal.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use super::super::{
-    BACK_OFF, Node, Purpose,
-    store::{LEADER, StateReply, StateRequest, delete, when},
+    Node, Purpose, RETRY_DELAY,
+    store::{LEADER_KEY, StateReply, StateRequest, delete, if_version},
 };
 
 #[derive(Debug)]
@@ -52,14 +52,14 @@
         self.call(
             Purpose::RemoveLeaderKey { claim },
             StateRequest::Txn {
-                conditions: vec![when(LEADER, claim)],
-                changes: vec![delete(LEADER)],
+                conditions: vec![if_version(LEADER_KEY, claim)],
+                changes: vec![delete(LEADER_KEY)],
             },
         );
     }
 
     pub(in crate::core) fn key_removal_answered(&mut self, claim: u64, reply: &StateReply) {
-        let retry_at = self.now() + BACK_OFF;
+        let retry_at = self.now() + RETRY_DELAY;
         match reply {
             StateReply::Committed { .. } | StateReply::Conflict => {
                 self.election
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -17,11 +17,11 @@
 use tracing::info;
 
 use super::{
-    BACK_OFF, Node, Purpose,
+    Node, Purpose, RETRY_DELAY,
     state_cache::LeaderRecord,
     store::{
-        CLAIMS, GENERATION, LEADER, PARTITIONED, SETTLED, StateReply, StateRequest, put,
-        put_leased, when,
+        CLAIMS_KEY, GENERATION_KEY, LEADER_KEY, PARTITIONED_ZONES_KEY, SETTLED_CLAIM_KEY,
+        StateReply, StateRequest, if_version, put, put_leased,
     },
 };
 use failover::FailoverLoader;
@@ -138,7 +138,7 @@
             && now >= self.election.next_renewal
         {
             self.election.renewal_in_flight = true;
-            self.election.next_renewal = now + self.config.renew_every;
+            self.election.next_renewal = now + self.config.renew_interval;
             self.call(Purpose::Renew { sent: now }, StateRequest::Renew { lease });
         }
     }
@@ -188,14 +188,14 @@
             // A process with an outdated generation or an outdated list of partitioned zones can't
             // claim: it would misread the records, or answer workers that it must not answer.
             conditions: vec![
-                when(LEADER, version),
-                when(CLAIMS, self.cache.claims),
-                when(GENERATION, self.cache.cluster.1),
-                when(PARTITIONED, self.cache.partitioned_zones.1),
+                if_version(LEADER_KEY, version),
+                if_version(CLAIMS_KEY, self.cache.last_claim),
+                if_version(GENERATION_KEY, self.cache.generation.1),
+                if_version(PARTITIONED_ZONES_KEY, self.cache.partitioned_zones.1),
             ],
             changes: vec![
-                put_leased(LEADER, &record, Some(lease)),
-                put(CLAIMS, &self.config.node),
+                put_leased(LEADER_KEY, &record, Some(lease)),
+                put(CLAIMS_KEY, &self.config.node),
             ],
         }
     }
@@ -207,7 +207,7 @@
             // saw, may have superseded a leader that still acts.
             let has_stopped = self.election.observed.as_ref().is_some_and(|observed| {
                 !observed.has_superseded
-                    || self.cache.settled == observed.version
+                    || self.cache.settled_claim == observed.version
                     || self.now() > observed.first_seen + self.config.leader_ttl
             });
             return Some(match has_stopped {
@@ -220,7 +220,10 @@
             // need not wait for its lease to expire. If it superseded another leader, though, it
             // may have exited before the end of that leader's term.
             return Some(
-                match (self.cache.unsettled(), self.election.has_requested_claim) {
+                match (
+                    self.cache.has_unsettled_claim(),
+                    self.election.has_requested_claim,
+                ) {
                     (true, _) => PreviousLeader::Superseded,
                     (false, false) => PreviousLeader::SameNode,
                     (false, true) => PreviousLeader::LeaseExpired,
@@ -252,7 +255,7 @@
                 // The claim follows at once. A renewal determines the start of the term.
                 self.election.next_renewal = self.now();
             }
-            _ => self.election.retry_at = self.now() + BACK_OFF,
+            _ => self.election.retry_at = self.now() + RETRY_DELAY,
         }
     }
 
@@ -270,7 +273,7 @@
                 self.election.valid_until = Duration::ZERO;
                 self.drop_leadership("the lease has expired in the state service");
             }
-            _ => self.election.next_renewal = self.now() + BACK_OFF,
+            _ => self.election.next_renewal = self.now() + RETRY_DELAY,
         }
     }
 
@@ -281,20 +284,20 @@
         let Some(claim) = self.claim() else { return };
         let (asked, renewed) = (self.now(), self.election.last_renewal_sent);
         self.election.verification_sent_at = asked;
-        self.call_within(
+        self.call_with_timeout(
             self.failover_timeout(),
             Purpose::Verify {
                 claim,
-                renewed,
-                asked,
+                renewal_sent: renewed,
+                sent: asked,
             },
-            self.watch(Duration::ZERO),
+            self.watch_request(Duration::ZERO),
         );
     }
 
     /// Verifies the claim ahead of the next renewal, for work that depends on the result.
     pub(super) fn expedite_verification(&mut self) {
-        if self.now() > self.election.verification_sent_at + BACK_OFF {
+        if self.now() > self.election.verification_sent_at + RETRY_DELAY {
             self.verify_claim();
         }
     }
@@ -313,7 +316,7 @@
         asked: Duration,
         reply: StateReply,
     ) {
-        let is_cache_current = self.take_events(reply);
+        let is_cache_current = self.apply_watch_reply(reply);
         let stored_claim = self.cache.leader.as_ref().map(|(_, version)| *version);
         // A replaced claim was dropped while the events were applied.
         if is_cache_current && self.election.claim == Some(claim) && stored_claim == Some(claim) {
@@ -342,7 +345,7 @@
             }
             // Unclear: the watch shows whether the claim was written. If it was, the
             // leadership is claimed again from this node's own key.
-            _ => self.election.retry_at = now + BACK_OFF,
+            _ => self.election.retry_at = now + RETRY_DELAY,
         }
     }
 
@@ -412,11 +415,11 @@
     /// wait for it.
     fn store_settled_claim(&mut self) {
         let now = self.now();
-        if !self.cache.unsettled()
+        if !self.cache.has_unsettled_claim()
             || !self.is_leader()
             || !self.has_previous_leader_stopped()
             || self.election.settled_write_in_flight
-            || now < self.election.settled_retry_base + BACK_OFF
+            || now < self.election.settled_retry_base + RETRY_DELAY
         {
             return;
         }
@@ -425,14 +428,14 @@
         self.call(
             Purpose::StoreSettledClaim,
             StateRequest::Txn {
-                conditions: vec![when(LEADER, claim)],
-                changes: vec![put(SETTLED, &claim)],
+                conditions: vec![if_version(LEADER_KEY, claim)],
+                changes: vec![put(SETTLED_CLAIM_KEY, &claim)],
             },
         );
     }
 
     pub(super) fn settled_claim_answered(&mut self) {
         self.election.settled_write_in_flight = false;
-        self.election.settled_retry_base = self.now() + BACK_OFF;
+        self.election.settled_retry_base = self.now() + RETRY_DELAY;
     }
 }
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -1,8 +1,8 @@
-//! Tasks that fail: whether the machine is at fault or the job.
+//! Handling of task failures: attributing them to the machine or to the job.
 //!
-//! A faulty machine fails tasks of many jobs and is returned. A job that was
-//! submitted with a mistake fails on every machine until its user cancels it; it
-//! must not make machines look faulty, nor take what healthy work needs.
+//! A faulty machine fails tasks of many jobs and is returned. A job submitted with an error fails
+//! on every machine until its user cancels it; it must not make machines look faulty, nor take
+//! resources from healthy jobs.
 
 use std::time::Duration;
 
@@ -14,66 +14,65 @@
     machine::{AttemptKey, ExitReason, MachineId, Phase, Placement, Stop, TaskPhase},
 };
 
-/// A job that failed on so many machines, and nowhere else was done, is at fault.
-const MACHINES: usize = 3;
-/// Machines that are remembered of one job.
-const MACHINES_MOST: usize = 16;
-/// Failures further apart than this have nothing to do with one another.
-const UNRELATED_AFTER: Duration = Duration::from_secs(60);
-/// A job at fault is tried again after twice as long each time, up to this power of
-/// two in seconds.
-const WAIT_MOST: u32 = 6;
+/// Number of machines on which a job has to fail, without any task done, to count as faulty.
+const FAULTY_JOB_MACHINES: usize = 3;
+/// Maximum number of failed machines remembered for one job.
+const MAX_FAILED_MACHINES: usize = 16;
+/// Interval after which failures are considered unrelated.
+const FAILURE_WINDOW: Duration = Duration::from_secs(60);
+/// Maximum binary exponent of the delay in seconds before a faulty job is retried; the delay
+/// doubles each time.
+const MAX_RETRY_EXPONENT: u32 = 6;
 
 impl Job {
-    /// The job fails wherever it runs, so its failures say nothing of machines. One
-    /// of which a task is done, or a replica runs, does not: there the machines are
-    /// at fault.
+    /// Returns whether the job fails on every machine, so that its failures say nothing about
+    /// machines. If one of its tasks is done or a replica runs, the machines are at fault.
     pub fn faulty(&self) -> bool {
-        let serves = self.spec.kind == Kind::Service && self.running > 0;
-        let works = serves || self.done_count > 0;
-        !works && (self.inherited_faulty || self.failed_on.len() >= MACHINES)
+        let has_running_replica = self.spec.kind == Kind::Service && self.running > 0;
+        let has_succeeded = has_running_replica || self.done_count > 0;
+        !has_succeeded && (self.inherited_faulty || self.failed_on.len() >= FAULTY_JOB_MACHINES)
     }
 
-    /// Of a job that fails everywhere one task at a time is tried.
-    pub fn tries_enough(&self) -> bool {
+    /// Returns whether a faulty job has a task placed already; its tasks are tried one at a time.
+    pub fn has_enough_probes(&self) -> bool {
         self.faulty() && self.placed > 0
     }
 }
 
 impl ClusterState {
-    /// A task ended without being done.
-    pub(super) fn failed(
+    /// Processes the end of a task that is not done.
+    pub(super) fn task_failed(
         &mut self,
         id: &MachineId,
         task: &TaskId,
-        why: Option<ExitReason>,
+        reason: Option<ExitReason>,
         now: Duration,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if why == Some(ExitReason::Error) {
+        if reason == Some(ExitReason::Error) {
             job.failures += 1;
-            // Failures far apart, as of replicas that run for long, say nothing of it.
-            if !job.faulty() && now > job.failed_at + UNRELATED_AFTER {
+            // Failures far apart, such as those of long-running replicas, are unrelated.
+            if !job.faulty() && now > job.failed_at + FAILURE_WINDOW {
                 job.failed_on.clear();
             }
             job.failed_at = now;
-            if job.failed_on.len() < MACHINES_MOST {
+            if job.failed_on.len() < MAX_FAILED_MACHINES {
                 job.failed_on.insert(id.clone());
             }
             let failures = job.failures;
             let faulty = job.faulty();
             if faulty {
-                // Its owner must cancel it; until then it is tried ever more seldom.
+                // Its owner must cancel it; until then it is retried at increasing intervals.
                 if job.placed == 0 {
                     job.probes += 1;
-                    let wait = Duration::from_secs(1 << job.probes.min(WAIT_MOST));
+                    let wait = Duration::from_secs(1 << job.probes.min(MAX_RETRY_EXPONENT));
                     job.retry_at = now + wait;
-                    info!(task = %task, machine = %id, failures, next = ?wait, "job fails everywhere");
+                    info!(task = %task, machine = %id, failures, next = ?wait, "job fails on every machine; delaying its next attempt");
                 }
                 job.nominations.clear();
-                self.unmark(&task.job);
+                self.clear_machine_failures(&task.job);
             } else {
                 info!(task = %task, machine = %id, failures, "task failed");
                 let machine = self.machines.get_mut(id).expect("known machine");
@@ -85,47 +84,47 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if matches!(why, Some(ExitReason::Unknown | ExitReason::Busy)) {
-            job.retry_at = now + self.config.report * 2;
+        if matches!(reason, Some(ExitReason::Unknown | ExitReason::Busy)) {
+            job.retry_at = now + self.config.report_interval * 2;
         }
         if job.spec.kind == Kind::Gang {
             let id = task.job.clone();
-            debug!(job = %id, ?why, "gang broken");
-            match why {
-                Some(ExitReason::Incomplete) => self.gather_again(&id, now),
+            debug!(job = %id,why = ?reason, "task of a gang ended before the gang was done");
+            match reason {
+                Some(ExitReason::Incomplete) => self.continue_fetching(&id, now),
                 _ => self.break_gang(&id, Duration::ZERO, now),
             }
         }
     }
 
-    /// A gang was not complete in time, mostly because some of its tasks fetched an image
-    /// that others had. Those that fetch go on until they have it: stopped, they would
-    /// begin anew with the next attempt, and be as late again and again.
-    fn gather_again(&mut self, id: &JobId, now: Duration) {
-        let fetching = |p: &Placement| {
+    /// Keeps the fetching tasks of a gang that was not complete in time, usually because some tasks
+    /// fetched an image that others had. If they were stopped, they would start to fetch anew with
+    /// the next attempt and be late again.
+    fn continue_fetching(&mut self, id: &JobId, now: Duration) {
+        let is_fetching = |p: &Placement| {
             matches!(
                 p.phase,
                 Phase::Sent { .. } | Phase::Seen(TaskPhase::Fetching)
             )
         };
-        let fetching = self
+        let any_fetching = self
             .machines
             .values()
             .flat_map(|m| m.tasks.iter())
-            .any(|((task, _), p)| task.job == *id && p.stop.is_none() && fetching(p));
-        if let (Some(job), true) = (self.jobs.get_mut(id), fetching) {
-            job.gathers = true;
+            .any(|((task, _), p)| task.job == *id && p.stop.is_none() && is_fetching(p));
+        if let (Some(job), true) = (self.jobs.get_mut(id), any_fetching) {
+            job.fetches_between_attempts = true;
         } else {
             self.break_gang(id, Duration::ZERO, now);
         }
     }
 
-    /// Stops a task of a gang that is not complete any more, now that it has the image.
-    pub(super) fn has_gathered(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
+    /// Stops a task of an incomplete gang once it has the image.
+    pub(super) fn stop_after_fetch(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
         let Some(job) = self.jobs.get(&key.0.job) else {
             return;
         };
-        if !job.gathers || job.placed >= job.spec.tasks {
+        if !job.fetches_between_attempts || job.placed >= job.spec.tasks {
             return;
         }
         if let Some(placement) = self.machines.get_mut(id).and_then(|m| m.tasks.get_mut(key)) {
@@ -133,9 +132,9 @@
         }
     }
 
-    /// Takes back what a job's failures said of machines before it was found out.
-    /// Two such jobs made good machines look faulty, and they were returned.
-    fn unmark(&mut self, id: &JobId) {
+    /// Removes the failures that a job recorded on machines before it was found to be faulty. Two
+    /// such jobs could otherwise make healthy machines look faulty and cause their return.
+    fn clear_machine_failures(&mut self, id: &JobId) {
         for machine in self.machines.values_mut() {
             machine.failures.retain(|(job, _)| job != id);
         }
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -61,7 +61,10 @@
     pub(super) fn record_state_reply(&mut self, reply: &StateReply) {
         let failed = matches!(
             reply,
-            StateReply::Refused { limited: false, .. } | StateReply::Unclear
+            StateReply::Refused {
+                rate_limited: false,
+                ..
+            } | StateReply::Unclear
         );
         self.membership
             .nodes
@@ -78,7 +81,7 @@
     /// Returns whether the claim is old enough for all workers to report to its leader.
     pub(super) fn workers_have_moved(&self, claim: u64) -> bool {
         let since = self.membership.nodes.leader_since(claim);
-        since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report))
+        since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report_interval))
     }
 
     pub(super) fn hears_leader(&self) -> bool {
@@ -132,12 +135,12 @@
             },
             state_service_silence: nodes.state_service_silence(now),
             machines_heard: self.membership.detector.machines_heard(),
-            told: self.told(),
+            told: self.announced_state(),
         };
         let needs_probe = heartbeat.state_service_silence > HEARTBEAT_INTERVAL;
         for to in self.config.peers.clone() {
             let message = PeerMessage::Heartbeat(heartbeat.clone());
-            self.out.push(Output::Peer { to, message });
+            self.outputs.push(Output::Peer { to, message });
         }
         // A node without other requests would not learn whether it is served.
         if needs_probe {
@@ -148,7 +151,7 @@
     fn probe_state_service(&mut self) {
         if !self.heartbeats.probe_in_flight && self.cache.loaded {
             self.heartbeats.probe_in_flight = true;
-            let key = store::LEADER.to_owned();
+            let key = store::LEADER_KEY.to_owned();
             self.call(Purpose::Probe, store::StateRequest::Get { key });
         }
     }
@@ -160,7 +163,7 @@
         };
         if matches!(reply, StateReply::Entry(entry) if entry.version == claim) {
             let message = PeerMessage::Resign { claim };
-            self.out.push(Output::Peer { to, message });
+            self.outputs.push(Output::Peer { to, message });
         }
     }
 
@@ -195,7 +198,7 @@
             return;
         }
         self.drop_leadership("the state service refuses this node but serves others");
-        self.out.push(Output::Peer {
+        self.outputs.push(Output::Peer {
             to: from,
             message: PeerMessage::Resigned { claim },
         });
@@ -244,7 +247,8 @@
             return;
         }
         let best_peer = self.membership.nodes.best_peer(now);
-        let has_settled = self.membership.leading_for(now) > worker_move_time(self.config.report);
+        let has_settled =
+            self.membership.leading_for(now) > worker_move_time(self.config.report_interval);
         // Evaluated only if another node hears machines, as it iterates over all machines.
         let own_machines = || {
             self.membership
@@ -273,7 +277,7 @@
         let delay = match to {
             Some(to) => {
                 let message = PeerMessage::Resigned { claim };
-                self.out.push(Output::Peer { to, message });
+                self.outputs.push(Output::Peer { to, message });
                 TRANSFER_TIMEOUT
             }
             None => Duration::ZERO,
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -144,7 +144,7 @@
             deadline: self.now() + FORWARD_TIMEOUT,
         };
         self.forwarded.pending.insert(relay, pending);
-        self.out.push(Output::Peer {
+        self.outputs.push(Output::Peer {
             to: leader,
             message: PeerMessage::Report { relay, report },
         });
@@ -189,8 +189,8 @@
         let last_answer = self.forwarded.answered_at.get(machine);
         let is_urgent = last_answer.is_none_or(|at| self.now() > *at + half_lease);
         let limit = match is_urgent {
-            true => self.config.requests_most * 2,
-            false => self.config.requests_most,
+            true => self.config.max_waiting_requests * 2,
+            false => self.config.max_waiting_requests,
         };
         self.forwarded.pending.len() >= limit
     }
@@ -225,8 +225,8 @@
     fn hold_report(&mut self, request: RequestId, report: WorkerReport) {
         let now = self.now();
         let tasks = report.tasks.len();
-        let is_full = self.forwarded.held.len() >= self.config.requests_most
-            || self.forwarded.held_tasks + tasks > self.config.waiting_tasks_most;
+        let is_full = self.forwarded.held.len() >= self.config.max_waiting_requests
+            || self.forwarded.held_tasks + tasks > self.config.max_waiting_tasks;
         match self.peer_hearing_leader() {
             Some(node) => self.answer(request, Answer::Redirect(Some(node))),
             None if is_full => self.answer(request, Answer::Redirect(None)),
@@ -288,7 +288,7 @@
                     return;
                 };
                 let answer = self.answer_as_leader(&report);
-                self.out.push(Output::Peer {
+                self.outputs.push(Output::Peer {
                     to: from,
                     message: PeerMessage::Reported { relay, answer },
                 });
@@ -352,7 +352,7 @@
         let licences = cluster.licence_view();
         for to in self.config.peers.clone() {
             let (jobs, licences) = (jobs.clone(), licences.clone());
-            self.out.push(Output::Peer {
+            self.outputs.push(Output::Peer {
                 to,
                 message: PeerMessage::Digest { jobs, licences },
             });
--- a/src/core/image_locality.rs
+++ b/src/core/image_locality.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use super::{
-    capacity_snapshot::Snapshot,
+    capacity_snapshot::CapacitySnapshot,
     cluster::{ClusterState, Job},
     job::{JobId, Kind},
 };
@@ -32,7 +32,7 @@
     /// The job takes rooms with its image before any other.
     pub(super) fn prefers_image_locality(&self, job: &Job, now: Duration) -> bool {
         let spec = &job.spec;
-        let patience = Duration::from_secs_f64(self.fetch_alone(spec).min(3600.0));
+        let patience = Duration::from_secs_f64(self.uncontended_fetch_secs(spec).min(3600.0));
         spec.kind == Kind::Array
             && job.nominations.is_empty()
             && job
@@ -40,7 +40,12 @@
                 .is_none_or(|since| now < since + patience)
     }
 
-    pub(super) fn place_with_image(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
+    pub(super) fn place_with_image(
+        &mut self,
+        view: &mut CapacitySnapshot,
+        id: &JobId,
+        now: Duration,
+    ) {
         let Some(job) = self.jobs.get(id) else { return };
         let (spec, before) = (job.spec.clone(), job.placed);
         view.select_job(&spec, &self.machines);
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their tasks, as every node sees them.
+//! Jobs and their tasks, as seen by every node.
 
 use std::{
     cmp::Ordering,
@@ -11,32 +11,32 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A job's name, unique for ever.
+/// Id of a job, never reused.
 ///
-/// Names are compared for every task of every report, so their first digits are
-/// kept as a number as well, which alone decides most comparisons.
+/// Ids are compared for every task of every report, so their first digits are also kept as a
+/// number, which alone decides most comparisons.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct JobId {
-    lead: u64,
+    leading_digits: u64,
     text: Arc<str>,
 }
 
 const JOB_PREFIX: &str = "run-";
-/// Digits that `lead` holds.
-const LEAD: usize = 8;
+/// Number of digits kept in `leading_digits`.
+const LEADING_DIGITS: usize = 8;
 
 impl JobId {
-    /// Only ids of the agreed form are taken, so that an id can stand in a key or a path.
+    /// Parses an id, accepting only the agreed form, so that an id can be part of a key or a path.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(JOB_PREFIX)?.as_bytes();
         let fits = (1..=40).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
-        let mut lead = [0; LEAD];
-        for (to, digit) in lead.iter_mut().zip(digits) {
+        let mut leading_digits = [0; LEADING_DIGITS];
+        for (to, digit) in leading_digits.iter_mut().zip(digits) {
             *to = *digit;
         }
         fits.then(|| Self {
-            lead: u64::from_be_bytes(lead),
+            leading_digits: u64::from_be_bytes(leading_digits),
             text: Arc::from(text),
         })
     }
@@ -45,19 +45,19 @@
         &self.text
     }
 
-    /// Nothing follows the digits in `lead`.
-    fn short(&self) -> bool {
-        self.text.len() <= JOB_PREFIX.len() + LEAD
+    /// Returns whether `leading_digits` holds all digits.
+    fn is_short(&self) -> bool {
+        self.text.len() <= JOB_PREFIX.len() + LEADING_DIGITS
     }
 }
 
 impl Ord for JobId {
-    /// The order of the texts, so that keys in the state service have it too.
+    /// Compares the texts, so that keys in the state service have the same order.
     fn cmp(&self, other: &Self) -> Ordering {
-        let lead = self.lead.cmp(&other.lead);
-        match self.short() && other.short() {
-            true => lead,
-            false => lead.then_with(|| self.text.cmp(&other.text)),
+        let order = self.leading_digits.cmp(&other.leading_digits);
+        match self.is_short() && other.is_short() {
+            true => order,
+            false => order.then_with(|| self.text.cmp(&other.text)),
         }
     }
 }
@@ -78,7 +78,7 @@
 
 impl Hash for JobId {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.lead.hash(state);
+        self.leading_digits.hash(state);
     }
 }
 
@@ -86,7 +86,7 @@
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        Self::parse(&text).ok_or("not a job id")
+        Self::parse(&text).ok_or("job id must be run- followed by 1 to 40 digits")
     }
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// One task of a job.
+/// Task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskId {
     pub job: JobId,
@@ -118,9 +118,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     Array,
-    /// All tasks run at the same time or none does.
+    /// All tasks run at the same time, or none does.
     Gang,
     /// Replicas that run until the job is cancelled.
     Service,
@@ -136,16 +136,16 @@
 }
 
 impl Priority {
-    /// Every priority, the lowest first.
+    /// All priorities in ascending order.
     pub const ALL: [Self; 4] = [Self::Low, Self::Normal, Self::High, Self::Production];
 
-    /// The next lower one.
-    pub fn below(self) -> Option<Self> {
+    /// Returns the next lower priority.
+    pub fn next_lower(self) -> Option<Self> {
         Self::ALL.get((self as usize).checked_sub(1)?).copied()
     }
 }
 
-/// What a user is told about a job.
+/// State of a job as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
@@ -155,7 +155,7 @@
     Cancelled,
 }
 
-/// What a task takes, or what a machine has.
+/// Resources that a task needs or a machine has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
@@ -164,63 +164,63 @@
     pub memory_gb: f64,
 }
 
-/// Amounts are decimal numbers, so sums are compared with a little slack.
-const SLACK: f64 = 1e-6;
+/// Tolerance of comparisons, since sums of decimal amounts are rounded.
+const TOLERANCE: f64 = 1e-6;
 
 impl Resources {
     pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + SLACK
-            && self.gpus <= room.gpus + SLACK
-            && self.memory_gb <= room.memory_gb + SLACK
+        self.cpus <= room.cpus + TOLERANCE
+            && self.gpus <= room.gpus + TOLERANCE
+            && self.memory_gb <= room.memory_gb + TOLERANCE
     }
 
     pub fn plus(&self, other: &Resources) -> Resources {
-        self.plus_times(other, 1.0)
+        self.plus_scaled(other, 1.0)
     }
 
     pub fn minus(&self, other: &Resources) -> Resources {
-        self.plus_times(other, -1.0)
+        self.plus_scaled(other, -1.0)
     }
 
-    pub fn plus_times(&self, other: &Resources, times: f64) -> Resources {
+    pub fn plus_scaled(&self, other: &Resources, factor: f64) -> Resources {
         Resources {
-            cpus: self.cpus + other.cpus * times,
-            gpus: self.gpus + other.gpus * times,
-            memory_gb: self.memory_gb + other.memory_gb * times,
+            cpus: self.cpus + other.cpus * factor,
+            gpus: self.gpus + other.gpus * factor,
+            memory_gb: self.memory_gb + other.memory_gb * factor,
         }
     }
 
-    /// How many tasks of this size fit into `room`.
-    pub fn times_in(&self, room: &Resources) -> u32 {
-        let part = |need: f64, have: f64| {
+    /// Returns the number of tasks of this size that fit into `room`.
+    pub fn count_fitting(&self, room: &Resources) -> u32 {
+        let ratio = |need: f64, have: f64| {
             if need <= 0.0 {
                 f64::INFINITY
             } else {
-                ((have + SLACK) / need).floor().max(0.0)
+                ((have + TOLERANCE) / need).floor().max(0.0)
             }
         };
-        part(self.cpus, room.cpus)
-            .min(part(self.gpus, room.gpus))
-            .min(part(self.memory_gb, room.memory_gb))
+        ratio(self.cpus, room.cpus)
+            .min(ratio(self.gpus, room.gpus))
+            .min(ratio(self.memory_gb, room.memory_gb))
             .min(1e6) as u32
     }
 
-    /// The largest share that this is of any one resource of the whole: what binds. Of
-    /// what the whole has none of, nothing but nothing is a part (Ghodsi and others,
-    /// "Dominant Resource Fairness", 2011).
-    pub fn share_of(&self, whole: &Resources) -> f64 {
-        let part = |need: f64, have: f64| match (need <= SLACK, have <= SLACK) {
+    /// Returns the largest share that this takes of any one resource of `whole`, its dominant share
+    /// (Ghodsi and others, "Dominant Resource Fairness", 2011). For a resource that `whole` lacks,
+    /// the share is infinite unless none of it is needed.
+    pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
+        let ratio = |need: f64, have: f64| match (need <= TOLERANCE, have <= TOLERANCE) {
             (true, _) => 0.0,
             (false, true) => f64::INFINITY,
             (false, false) => need / have,
         };
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.memory_gb, whole.memory_gb))
+        ratio(self.cpus, whole.cpus)
+            .max(ratio(self.gpus, whole.gpus))
+            .max(ratio(self.memory_gb, whole.memory_gb))
     }
 }
 
-/// What a user asked for. Stored as it is, and never changed.
+/// Job as specified by its user. Stored unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
@@ -233,7 +233,7 @@
     pub need: Resources,
     pub image: Arc<str>,
     pub image_gb: f64,
-    // These are always stored: one that is left out is of another form.
+    // These are always stored: a record that lacks one has an unknown form.
     #[serde(deserialize_with = "Option::deserialize")]
     pub types: Option<Vec<String>>,
     #[serde(deserialize_with = "Option::deserialize")]
@@ -246,11 +246,11 @@
     pub save_s: f64,
     #[serde(deserialize_with = "Option::deserialize")]
     pub deadline_s: Option<f64>,
-    /// Seats that each task takes, by licence.
+    /// Licence seats that each task takes, by licence.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub licences: BTreeMap<String, u32>,
-    /// Jobs that have to be done before any task of this one starts. Left out where there
-    /// are none, so that such a record reads as it did before there were dependencies.
+    /// Jobs that have to be done before any task of this one starts. Omitted if empty, so that
+    /// records without dependencies keep their original form.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<JobId>,
 }
@@ -262,11 +262,11 @@
             .is_none_or(|types| types.iter().any(|t| t == name))
     }
 
-    pub fn allows_place(&self, zone: &str, spot: bool) -> bool {
+    pub fn allows_placement(&self, zone: &str, spot: bool) -> bool {
         (self.spot || !spot) && self.zone.as_ref().is_none_or(|z| z == zone)
     }
 
-    /// Tasks that one zone may hold at most.
+    /// Returns the maximum number of tasks in one zone.
     pub fn zone_limit(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -276,29 +276,29 @@
     }
 }
 
-/// An accepted job in the state service.
+/// Accepted job in the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobRecord {
     pub spec: Arc<JobSpec>,
-    /// When the job was accepted, in milliseconds of the time of day.
+    /// Time at which the job was accepted, in milliseconds of the time of day.
     pub accepted_ms: u64,
 }
 
-/// What is kept of a job for ever.
+/// Permanent record of an ended job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TerminalRecord {
     pub state: JobState,
     pub done: u32,
-    /// When it ended, in milliseconds of the time of day. Stored only where an active job
-    /// waited for this one: its times count from then, under any later leader.
+    /// Time at which the job ended, in milliseconds of the time of day. Stored only if an active
+    /// job waited for this one: its times count from then, under any later leader.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
 }
 
 impl TerminalRecord {
-    /// The record of a cancelled job.
+    /// Returns the record of a cancelled job.
     pub fn cancelled(done: u32) -> Self {
         Self {
             state: JobState::Cancelled,
@@ -308,15 +308,14 @@
     }
 }
 
-/// The tasks of a job that are done, as a set of numbers kept in chunks of the
-/// state service's values.
+/// Set of done tasks of a job, divided into chunks that fit the state service's values.
 #[derive(Debug, Clone, Default)]
 pub struct TaskSet {
     words: Vec<u64>,
 }
 
-/// Tasks in one stored chunk.
-pub const CHUNK: u32 = 16_384;
+/// Number of tasks in one stored chunk.
+pub const TASKS_PER_CHUNK: u32 = 16_384;
 
 impl TaskSet {
     pub fn contains(&self, index: u32) -> bool {
@@ -341,57 +340,57 @@
         })
     }
 
-    /// The chunks that hold any task.
+    /// Returns the chunks that contain any task.
     pub fn chunks(&self) -> Vec<u32> {
-        let per = CHUNK as usize / 64;
+        let words_per_chunk = TASKS_PER_CHUNK as usize / 64;
         self.words
-            .chunks(per)
+            .chunks(words_per_chunk)
             .enumerate()
             .filter(|(_, words)| words.iter().any(|w| *w != 0))
             .map(|(chunk, _)| chunk as u32)
             .collect()
     }
 
-    /// The chunks in which this set differs from an earlier one.
-    pub fn chunks_beyond(&self, earlier: &TaskSet) -> Vec<u32> {
-        let mut more = self.clone();
-        for (word, had) in more.words.iter_mut().zip(&earlier.words) {
-            *word &= !had;
+    /// Returns the chunks in which this set has tasks that an earlier one lacks.
+    pub fn chunks_added_since(&self, earlier: &TaskSet) -> Vec<u32> {
+        let mut added = self.clone();
+        for (word, earlier_word) in added.words.iter_mut().zip(&earlier.words) {
+            *word &= !earlier_word;
         }
-        more.chunks()
+        added.chunks()
     }
 
-    /// Whether this set has more than an earlier one in these words.
-    pub fn is_beyond(&self, earlier: &TaskSet, range: &Range<usize>) -> bool {
-        let had = |at: usize| earlier.words.get(at).copied().unwrap_or(0);
+    /// Returns whether this set has tasks in these words that an earlier one lacks.
+    pub fn has_added_since(&self, earlier: &TaskSet, range: &Range<usize>) -> bool {
+        let earlier_word = |at: usize| earlier.words.get(at).copied().unwrap_or(0);
         let words = self.words.iter().enumerate().take(range.end);
         let mut words = words.skip(range.start);
-        words.any(|(at, word)| word & !had(at) != 0)
+        words.any(|(at, word)| word & !earlier_word(at) != 0)
     }
 
-    /// Takes in what another set holds in these words.
-    pub fn include(&mut self, other: &TaskSet, range: Range<usize>) {
-        let most = range.end.min(other.words.len());
-        if self.words.len() < most {
-            self.words.resize(most, 0);
+    /// Adds the tasks that another set has in these words.
+    pub fn merge_words(&mut self, other: &TaskSet, range: Range<usize>) {
+        let end = range.end.min(other.words.len());
+        if self.words.len() < end {
+            self.words.resize(end, 0);
         }
-        for at in range.start..most {
+        for at in range.start..end {
             self.words[at] |= other.words[at];
         }
     }
 
-    /// The words of a chunk.
+    /// Returns the range of words of a chunk.
     pub fn chunk_words(chunk: u32) -> Range<usize> {
-        let per = CHUNK as usize / 64;
-        chunk as usize * per..(chunk as usize + 1) * per
+        let words_per_chunk = TASKS_PER_CHUNK as usize / 64;
+        chunk as usize * words_per_chunk..(chunk as usize + 1) * words_per_chunk
     }
 
-    /// The chunk as text: one hexadecimal number per 64 tasks.
+    /// Encodes a chunk as text: one hexadecimal number per 64 tasks.
     pub fn encode_chunk(&self, chunk: u32) -> String {
         self.encode_words(chunk, &Self::chunk_words(chunk))
     }
 
-    /// The same with these words of the chunk alone: those before them are zero.
+    /// Encodes only these words of a chunk; the words before them are zero.
     pub fn encode_words(&self, chunk: u32, range: &Range<usize>) -> String {
         let first = Self::chunk_words(chunk).start;
         let end = range.end.min(self.words.len()).max(first);
@@ -403,8 +402,8 @@
         words.join(",")
     }
 
-    /// Takes a stored chunk in. False where it can't be read: a task that is taken for
-    /// not done for that reason alone would run again.
+    /// Adds the tasks of a stored chunk. Returns false if it can't be parsed: tasks wrongly taken
+    /// for not done would run again.
     #[must_use]
     pub fn decode_chunk(&mut self, chunk: u32, text: &str) -> bool {
         let range = Self::chunk_words(chunk);
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -1,133 +1,133 @@
-//! Rewriting old records in the form of the new generation: the leader's work, as slow as
-//! its share of the state service's changes, and behind everything else that it writes.
+//! Migration of old records to the form of the new generation. The leader does it within a
+//! configured share of the state service's change rate, after all its other writes.
 //!
-//! Nothing is remembered of how far it is: what is left is what a listing still finds. So
-//! it goes on after a failover as after a pause, and it is over when a listing that began
-//! after the new form was switched on finds nothing. Nobody writes the old form after that
-//! switch, since every such write depends on the generation's record.
+//! No progress is stored: a listing finds the records that are left. So the migration continues
+//! in the same way after a failover and after a pause, and it is finished when a listing that
+//! began after the switch to the new form finds nothing. Nobody writes the old form after the
+//! switch, since every such write is conditional on the generation's record.
 
 use std::{collections::VecDeque, time::Duration};
 
 use tracing::info;
 
 use super::{
-    BACK_OFF, Node, Purpose,
+    Node, Purpose, RETRY_DELAY,
     job::{JobId, TerminalRecord},
     store::{
-        Entry, GENERATION, LEADER, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, when,
+        Entry, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, TERMINAL_RANGES_PREFIX,
+        TERMINAL_STATES_PREFIX, if_version,
     },
-    terminal_states::{self, Place, Range, Rewrite},
+    terminal_states::{self, JobIdRange, Layout, Rewrite},
 };
 use kiteyard_rollout::generation::Stage;
 
-/// Records of one range that are still in the old form.
+/// Records of one range in the old form.
 #[derive(Debug)]
-enum Work {
-    Pack(Range, VecDeque<(JobId, TerminalRecord, u64)>),
-    Unpack(Range),
+enum PendingRange {
+    Pack(JobIdRange, VecDeque<(JobId, TerminalRecord, u64)>),
+    Unpack(JobIdRange),
 }
 
-impl Work {
-    fn range(&self) -> &Range {
+impl PendingRange {
+    fn range(&self) -> &JobIdRange {
         match self {
-            Work::Pack(range, _) | Work::Unpack(range) => range,
+            PendingRange::Pack(range, _) | PendingRange::Unpack(range) => range,
         }
     }
 }
 
 #[derive(Debug, Default)]
 pub struct Migration {
-    /// The revision of the generation's record that this is about, and the claim.
-    about: (u64, u64),
-    /// Where the listing goes on.
-    after: Option<String>,
-    queue: VecDeque<Work>,
-    /// Records that this listing found, and those of them that were rewritten.
+    /// Revision of the generation's record, and the claim, that this migration belongs to.
+    scope: (u64, u64),
+    /// Last key of the previous page, if the listing continues.
+    list_after: Option<String>,
+    queue: VecDeque<PendingRange>,
+    /// Records that the present listing found, and how many of them were rewritten.
     found: u64,
     rewritten: u64,
     listed: bool,
-    clean: bool,
-    /// A request is under way.
-    busy: bool,
-    retry: Duration,
-    /// Changes that may be made now.
+    is_finished: bool,
+    request_in_flight: bool,
+    retry_at: Duration,
+    /// Number of changes that the budget allows now.
     allowance: f64,
-    refilled: Duration,
-    moved: u64,
+    refilled_at: Duration,
+    total_rewritten: u64,
 }
 
 impl Migration {
-    /// Nothing old is left, under the record of that revision.
-    pub fn clean(&self, revision: u64) -> bool {
-        self.clean && self.about.0 == revision
+    /// Returns whether no old records are left under the generation's record of that revision.
+    pub fn is_finished(&self, revision: u64) -> bool {
+        self.is_finished && self.scope.0 == revision
     }
 
-    pub fn moved(&self) -> u64 {
-        self.moved
+    pub fn total_rewritten(&self) -> u64 {
+        self.total_rewritten
     }
 
-    /// Records found and not yet rewritten; none before any listing.
-    pub fn left(&self) -> Option<u64> {
+    /// Number of records found and not yet rewritten, or `None` before the first listing.
+    pub fn remaining(&self) -> Option<u64> {
         (self.listed || self.found > 0).then(|| self.found.saturating_sub(self.rewritten))
     }
 
-    /// From the beginning: what failed is found again.
-    fn again(&mut self) {
-        self.after = None;
+    /// Restarts the listing, which finds the records whose rewrite failed.
+    fn restart(&mut self) {
+        self.list_after = None;
         self.queue.clear();
         (self.found, self.rewritten) = (0, 0);
     }
 }
 
-/// What a request of the migration was.
+/// Request that the migration sent.
 #[derive(Debug)]
 pub enum MigrationRequest {
     List,
-    Read(Range),
-    Rewrite(Range, terminal_states::TerminalStates, u64),
+    Read(JobIdRange),
+    Rewrite(JobIdRange, terminal_states::TerminalStates, u64),
 }
 
 impl Node {
-    /// Does the next bit, after all else that the leader had to write.
+    /// Sends the next request of the migration, after all other writes of the leader.
     pub(super) fn drive_migration(&mut self) {
         let now = self.now();
-        let (cluster, revision) = self.cache.cluster;
+        let (generation, revision) = self.cache.generation;
         let Some(config) = self.config.options.rollout.clone() else {
             return;
         };
         let Some(claim) = self.cluster.as_ref().map(|cluster| cluster.claim) else {
             return;
         };
-        if cluster.stage != Stage::Migrating || self.cache.orders.0.paused {
+        if generation.stage != Stage::Migrating || self.cache.orders.0.paused {
             return;
         }
-        let rate = self.config.writes * config.share;
-        let most = self.limits.txn_ops;
+        let rate = self.config.write_rate * config.share;
+        let max_ops = self.limits.txn_ops;
         let migration = &mut self.rollout.migration;
-        if migration.about != (revision, claim) {
+        if migration.scope != (revision, claim) {
             *migration = Migration {
-                about: (revision, claim),
-                moved: migration.moved,
-                refilled: now,
+                scope: (revision, claim),
+                total_rewritten: migration.total_rewritten,
+                refilled_at: now,
                 ..Migration::default()
             };
         }
-        if terminal_states::place(cluster.from) == terminal_states::place(cluster.to) {
-            migration.clean = true;
+        if terminal_states::layout(generation.from) == terminal_states::layout(generation.to) {
+            migration.is_finished = true;
         }
-        let passed = now.saturating_sub(migration.refilled).as_secs_f64();
-        migration.refilled = now;
-        migration.allowance = (migration.allowance + passed * rate).min(most as f64);
-        if migration.busy || migration.clean || now < migration.retry {
+        let passed = now.saturating_sub(migration.refilled_at).as_secs_f64();
+        migration.refilled_at = now;
+        migration.allowance = (migration.allowance + passed * rate).min(max_ops as f64);
+        if migration.request_in_flight || migration.is_finished || now < migration.retry_at {
             return;
         }
-        let Some(work) = migration.queue.front() else {
-            migration.busy = true;
-            let prefix = match terminal_states::place(cluster.from) {
-                Place::Single => TERMINAL_STATES,
-                Place::Packed => TERMINAL_RANGES,
+        let Some(pending) = migration.queue.front() else {
+            migration.request_in_flight = true;
+            let prefix = match terminal_states::layout(generation.from) {
+                Layout::Single => TERMINAL_STATES_PREFIX,
+                Layout::Packed => TERMINAL_RANGES_PREFIX,
             };
-            let after = migration.after.clone();
+            let after = migration.list_after.clone();
             self.call(
                 Purpose::Migrate((revision, claim), MigrationRequest::List),
                 StateRequest::List {
@@ -137,16 +137,16 @@
             );
             return;
         };
-        let range = work.range().clone();
-        // Whoever waits for a change comes first, and so do the terminal states of jobs.
+        let range = pending.range().clone();
+        // Writes that someone waits for come first, and so do terminal states of jobs.
         if migration.allowance < 1.0
             || !self.write_queue.has_spare_budget()
-            || !self.ranges.free(&range, now)
+            || !self.ranges.is_available(&range, now)
         {
             return;
         }
         let Some(known) = self.ranges.get(&range) else {
-            migration.busy = true;
+            migration.request_in_flight = true;
             let key = range.key();
             self.call(
                 Purpose::Migrate((revision, claim), MigrationRequest::Read(range)),
@@ -155,35 +155,35 @@
             return;
         };
         let rewrite = match migration.queue.front_mut() {
-            Some(Work::Pack(range, alone)) => {
-                let count = alone.len().min(most - 1);
-                let some: Vec<_> = alone.drain(..count).collect();
-                let rewrite = terminal_states::pack(range, &some, known);
-                if alone.is_empty() {
+            Some(PendingRange::Pack(range, records_left)) => {
+                let count = records_left.len().min(max_ops - 1);
+                let batch: Vec<_> = records_left.drain(..count).collect();
+                let rewrite = terminal_states::pack(range, &batch, known);
+                if records_left.is_empty() {
                     migration.queue.pop_front();
                 }
                 Some(rewrite)
             }
-            Some(Work::Unpack(range)) => terminal_states::unpack(range, known, most),
+            Some(PendingRange::Unpack(range)) => terminal_states::unpack(range, known, max_ops),
             None => None,
         };
         let Some(rewrite) = rewrite.filter(|rewrite| rewrite.records > 0) else {
             migration.queue.pop_front();
             return;
         };
-        migration.busy = true;
+        migration.request_in_flight = true;
         let Rewrite {
             mut conditions,
             changes,
             range,
-            ends,
+            states: ends,
             records,
         } = rewrite;
-        conditions.push(when(GENERATION, revision));
-        conditions.push(when(LEADER, claim));
+        conditions.push(if_version(GENERATION_KEY, revision));
+        conditions.push(if_version(LEADER_KEY, claim));
         migration.allowance -= changes.len() as f64;
         self.write_queue.charge(changes.len() as f64);
-        self.ranges.take(&range);
+        self.ranges.mark_busy(&range);
         let step = MigrationRequest::Rewrite(range, ends, records as u64);
         self.call(
             Purpose::Migrate((revision, claim), step),
@@ -194,9 +194,9 @@
         );
     }
 
-    pub(super) fn migrated(
+    pub(super) fn migration_answered(
         &mut self,
-        about: (u64, u64),
+        scope: (u64, u64),
         step: MigrationRequest,
         reply: StateReply,
     ) {
@@ -204,94 +204,99 @@
         if let MigrationRequest::Rewrite(range, ends, _) = &step {
             match &reply {
                 StateReply::Committed { revision } => {
-                    // Emptied, it was removed.
+                    // An empty range is stored by deleting its key.
                     let known = terminal_states::KnownRange {
                         version: if ends.is_empty() { 0 } else { *revision },
-                        ends: ends.clone(),
+                        states: ends.clone(),
                     };
                     self.ranges.forget(range);
-                    self.ranges.learn(range.clone(), known);
+                    self.ranges.update(range.clone(), known);
                 }
                 _ => self.ranges.forget(range),
             }
             self.ranges.release(range, now, now);
         }
-        if self.rollout.migration.about != about {
+        if self.rollout.migration.scope != scope {
             return;
         }
-        self.rollout.migration.busy = false;
+        self.rollout.migration.request_in_flight = false;
         match (step, reply) {
             (MigrationRequest::List, StateReply::Entries { entries, more, .. }) => {
-                self.old_records(&entries, more);
+                self.queue_old_records(&entries, more);
             }
             (MigrationRequest::Read(range), reply) => {
-                if self.learn_range(&range, &reply).is_none() {
-                    self.rollout.migration.retry = now + BACK_OFF * 4;
+                if self.cache_range(&range, &reply).is_none() {
+                    self.rollout.migration.retry_at = now + RETRY_DELAY * 4;
                 }
             }
             (MigrationRequest::Rewrite(range, ends, records), StateReply::Committed { .. }) => {
                 let migration = &mut self.rollout.migration;
-                migration.moved += records;
+                migration.total_rewritten += records;
                 migration.rewritten += records;
-                let over = ends.is_empty();
+                let is_empty = ends.is_empty();
                 let front = migration.queue.front();
-                if matches!(front, Some(Work::Unpack(r)) if *r == range && over) {
+                if matches!(front, Some(PendingRange::Unpack(r)) if *r == range && is_empty) {
                     migration.queue.pop_front();
                 }
             }
-            // It may have been done, or something came between: listed again.
+            // The outcome is unknown, or another write came in between: list again.
             _ => {
                 let migration = &mut self.rollout.migration;
-                migration.again();
-                migration.retry = now + BACK_OFF;
+                migration.restart();
+                migration.retry_at = now + RETRY_DELAY;
             }
         }
     }
 
-    /// A page of records in the old form.
-    fn old_records(&mut self, entries: &[Entry], more: bool) {
-        let mut unread = None;
+    /// Queues a page of records in the old form.
+    fn queue_old_records(&mut self, entries: &[Entry], more: bool) {
+        let mut unreadable_key = None;
         let migration = &mut self.rollout.migration;
         for entry in entries {
             let text = entry.value.get();
-            let alone = terminal_states::single_id(&entry.key);
-            let read = match alone {
+            let single_id = terminal_states::single_id(&entry.key);
+            let read = match single_id {
                 Some(id) => terminal_states::parse_single(text).map(|record| {
-                    let range = Range::of(&id).0;
+                    let range = JobIdRange::containing(&id).0;
                     let record = (id, record, entry.version);
                     match migration.queue.back_mut() {
-                        Some(Work::Pack(last, alone)) if *last == range => alone.push_back(record),
+                        Some(PendingRange::Pack(last, records)) if *last == range => {
+                            records.push_back(record)
+                        }
                         _ => migration
                             .queue
-                            .push_back(Work::Pack(range, [record].into())),
+                            .push_back(PendingRange::Pack(range, [record].into())),
                     }
                     1
                 }),
-                None => Range::of_key(&entry.key).and_then(|range| {
+                None => JobIdRange::from_key(&entry.key).and_then(|range| {
                     let ends: terminal_states::TerminalStates = serde_json::from_str(text).ok()?;
-                    migration.queue.push_back(Work::Unpack(range));
+                    migration.queue.push_back(PendingRange::Unpack(range));
                     Some(ends.len() as u64)
                 }),
             };
             match read {
                 Some(records) => migration.found += records,
-                // It stays, and keeps the rollout where it is.
+                // An unreadable record stays and blocks the rollout.
                 None => {
                     migration.found += 1;
-                    unread = Some(entry.key.clone());
+                    unreadable_key = Some(entry.key.clone());
                 }
             }
         }
         migration.listed |= !more;
-        migration.after = entries.last().map(|e| e.key.clone()).filter(|_| more);
+        migration.list_after = entries.last().map(|e| e.key.clone()).filter(|_| more);
         if !more && migration.found == 0 {
-            migration.clean = true;
-            info!(moved = migration.moved, "nothing old is left");
+            migration.is_finished = true;
+            info!(
+                moved = migration.total_rewritten,
+                "migration finished, no old records are left"
+            );
         } else if !more && migration.queue.is_empty() {
-            migration.again();
-            migration.retry = self.clock.now + BACK_OFF * 10;
+            migration.restart();
+            migration.retry_at = self.clock.now + RETRY_DELAY * 10;
         }
-        if let Some(key) = unread {
+        if let Some(key) = unreadable_key {
             self.report_unreadable(&key);
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! The service as a state machine: inputs go in, and what to send, write and
-//! answer comes out. Nothing here reads a clock or touches a socket.
+//! The service as a state machine: it takes inputs and returns what to send, write and answer.
+//! Nothing here reads a clock or uses a socket.
 
 pub mod active_job;
 pub mod admission;
@@ -55,7 +55,7 @@
 use tracing::warn;
 
 use calls::{Call, Purpose};
-use cluster::{ClusterState, Direct};
+use cluster::{ClusterState, DirectCommands};
 use config::Config;
 use election::Election;
 use heartbeat_forwarding::ForwardedReports;
@@ -65,65 +65,63 @@
 use provisioning::{CloudReply, CloudRequest};
 use state_cache::StateCache;
 use store::{StateReply, StateRequest};
-use user_requests::{Question, UserRequests};
+use user_requests::{JobQuery, UserRequests};
 
 pub use message::{Answer, CallId, Clock, INTERNAL, Input, Output, RequestId};
 
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-const BACK_OFF: Duration = Duration::from_millis(300);
-/// The least time between two rounds of what the leader does by itself.
-const ROUND: Duration = Duration::from_millis(20);
-/// Final states kept in memory, so that polls for them need no request.
-const TERMINAL_CACHE_MOST: usize = 4096;
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Minimum time between two periodic rounds of the leader.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of terminal states kept in memory, so that polls for them need no request.
+const MAX_CACHED_TERMINAL_STATES: usize = 4096;
 
-/// What a round of the leader has found to be done by others.
+/// Requests that result from a round of the leader.
 struct RoundWork {
-    /// Something waits for a fresh proof of the claim.
+    /// A decision waits for a new proof of the claim.
     needs_proof: bool,
-    directs: Vec<Direct>,
-    cloud: Option<CloudRequest>,
+    direct_commands: Vec<DirectCommands>,
+    cloud_request: Option<CloudRequest>,
 }
 
-/// Schedules what waits, where that is due.
+/// Runs a scheduling pass if one is due.
 fn run_due_pass(cluster: &mut ClusterState, now: Duration) {
     if cluster.queue.dirty && now >= cluster.next_pass {
         cluster.pass(now);
     }
 }
-
-/// One controller node.
 pub struct Node {
     config: Arc<Config>,
     clock: Clock,
-    out: Vec<Output>,
-    next_call: CallId,
+    outputs: Vec<Output>,
+    last_call: CallId,
     calls: HashMap<CallId, Call>,
     limits: limits::WriteLimits,
     cache: StateCache,
     loading: bool,
-    retry_load: Duration,
+    load_retry_at: Duration,
     watching: bool,
-    retry_watch: Duration,
+    watch_retry_at: Duration,
     user_requests: UserRequests,
     terminal_cache: HashMap<JobId, TerminalRecord>,
     terminal_cache_order: VecDeque<JobId>,
     election: Election,
     cluster: Option<ClusterState>,
-    types_call: bool,
-    retry_types: Duration,
+    types_requested: bool,
+    types_retry_at: Duration,
     write_queue: write_queue::WriteQueue,
     rollout: rollout::Rollout,
     partitioned_zones: partitioned_zones::PartitionedZones,
     maintenance: maintenance::Maintenance,
     dependencies: dependencies::Dependencies,
-    /// Terminal states of jobs by range, where they are stored so.
+    /// Terminal states of jobs by range, if they are stored that way.
     ranges: terminal_states::TerminalRanges,
     forwarded: ForwardedReports,
     heartbeats: heartbeat::Heartbeats,
     heartbeat_writer: stored_heartbeat::HeartbeatWriter,
     membership: Membership,
-    /// What the leader told for the next one.
+    /// Snapshot that the leader sent for its successor.
     handover: handover::HandoverSnapshot,
     next_handover: Duration,
 }
@@ -142,20 +140,20 @@
             forwarded: ForwardedReports::new(config.options.incarnation),
             heartbeats: heartbeat::Heartbeats::default(),
             heartbeat_writer: stored_heartbeat::HeartbeatWriter::default(),
-            membership: Membership::new(config.report, config.worker_lease_bound),
+            membership: Membership::new(config.report_interval, config.worker_lease_bound),
             config,
             clock: Clock {
                 now: Duration::ZERO,
                 wall_ms: 0,
             },
-            out: Vec::new(),
-            next_call: 0,
+            outputs: Vec::new(),
+            last_call: 0,
             calls: HashMap::new(),
             cache: StateCache::default(),
             loading: false,
-            retry_load: Duration::ZERO,
+            load_retry_at: Duration::ZERO,
             watching: false,
-            retry_watch: Duration::ZERO,
+            watch_retry_at: Duration::ZERO,
             user_requests: UserRequests::default(),
             terminal_cache: HashMap::new(),
             terminal_cache_order: VecDeque::new(),
@@ -163,23 +161,23 @@
             cluster: None,
             handover: handover::HandoverSnapshot::default(),
             next_handover: Duration::ZERO,
-            types_call: false,
-            retry_types: Duration::ZERO,
+            types_requested: false,
+            types_retry_at: Duration::ZERO,
         }
     }
 
-    /// Takes one input and returns everything that follows from it.
+    /// Handles one input and returns the resulting outputs.
     pub fn step(&mut self, clock: Clock, input: Input) -> Vec<Output> {
         self.clock = clock;
         match input {
             Input::Submit { request, spec } => self.submit(request, spec),
-            Input::Status { request, id } => self.queue_question(request, id, Question::Status),
-            Input::Withdraw { request, id } => self.queue_question(request, id, Question::Withdraw),
+            Input::Status { request, id } => self.queue_query(request, id, JobQuery::Status),
+            Input::Withdraw { request, id } => self.queue_query(request, id, JobQuery::Withdraw),
             Input::Ready { request } => self.answer(request, Answer::Ready(self.is_ready())),
             Input::Licences { request } => self.answer_licences(request),
-            Input::Rollout { request, ask } => self.rollout_asked(request, ask),
-            Input::Maintenance { request, ask } => self.maintenance_asked(request, ask),
-            Input::Retire => self.retire(),
+            Input::Rollout { request, action } => self.handle_rollout_action(request, action),
+            Input::Maintenance { request, action } => self.maintenance_asked(request, action),
+            Input::Shutdown => self.begin_shutdown(),
             Input::Report { request, report } => self.report_received(request, report),
             Input::State { call, reply } => self.state_service_answered(call, reply),
             Input::Cloud { call, reply } => self.cloud_answered(call, reply),
@@ -188,27 +186,29 @@
             Input::Tick => {}
         }
         self.drive();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// It leads and has taken over.
-    pub fn places(&self) -> bool {
+    /// Returns whether this node leads and has completed the failover.
+    pub fn has_taken_over(&self) -> bool {
         self.cluster.is_some() && self.is_leader()
     }
 
-    /// There are machines whose tasks it does not know yet.
-    pub fn unresolved(&self) -> bool {
-        self.cluster.as_ref().is_some_and(ClusterState::unresolved)
+    /// Returns whether there are machines whose tasks are not known yet.
+    pub fn has_unresolved_machines(&self) -> bool {
+        self.cluster
+            .as_ref()
+            .is_some_and(ClusterState::has_unresolved_machines)
     }
 
-    /// Until then what a step has decided as the leader may go out.
+    /// Time until which outputs that a step decided as the leader may be sent.
     pub fn may_act_until(&self) -> Duration {
         self.election.may_act_until()
     }
 
     fn is_ready(&self) -> bool {
         self.cache.loaded
-            && self.cache.types.is_some()
+            && self.cache.machine_types.is_some()
             && !self.is_refused_alone()
             && self.accepts_requests()
     }
@@ -221,10 +221,10 @@
         if request == INTERNAL {
             return;
         }
-        self.out.push(Output::Answer { request, answer });
+        self.outputs.push(Output::Answer { request, answer });
     }
 
-    /// Whatever is due now.
+    /// Runs everything that is due now.
     fn drive(&mut self) {
         self.drive_watch();
         self.drive_types();
@@ -235,13 +235,13 @@
         self.drive_partitions();
         self.drive_maintenance();
         self.drive_dependencies();
-        self.drive_proofs();
+        self.drive_sync();
         self.drive_forwarding();
         self.drive_handover();
         self.drive_leader();
     }
 
-    /// What a leader does by itself once it has taken over.
+    /// Runs the leader's periodic work once the failover is complete.
     fn drive_leader(&mut self) {
         let now = self.now();
         if !self.is_leader() {
@@ -251,13 +251,13 @@
             return;
         };
         cluster.wall_ms = self.clock.wall_ms;
-        // A round looks at every machine, and reports come by the hundred a second: it is
-        // done for all that came meanwhile.
+        // A round visits every machine, and hundreds of reports arrive each second, so one
+        // round serves all reports since the last one.
         if now >= cluster.next_round {
             self.run_leader_round();
-        } else if self.write_queue.has_news {
-            // Writes do not wait for the round, or the larger the fleet the fewer would
-            // go out.
+        } else if self.write_queue.has_new_replies {
+            // Writes do not wait for the round: rounds are rarer in a larger fleet, and fewer
+            // writes would be sent.
             self.drive_write_queue();
         }
     }
@@ -269,10 +269,10 @@
         let Some(work) = self.plan_leader_round(proven) else {
             return;
         };
-        for direct in work.directs {
+        for direct in work.direct_commands {
             self.call_worker(direct);
         }
-        if let Some(request) = work.cloud {
+        if let Some(request) = work.cloud_request {
             self.call_cloud(request);
         }
         if work.needs_proof {
@@ -281,31 +281,31 @@
         self.drive_write_queue();
     }
 
-    /// The larger the fleet, the longer the pause between two rounds.
+    /// Schedules the next round. The pause grows with the number of machines.
     fn schedule_next_round(&mut self) {
         let now = self.now();
         if let Some(cluster) = &mut self.cluster {
-            let pause = self.config.round_per_machine * cluster.machines.len() as u32;
-            cluster.next_round = now + ROUND + pause;
+            let pause = self.config.round_pause_per_machine * cluster.machines.len() as u32;
+            cluster.next_round = now + MIN_ROUND_INTERVAL + pause;
         }
     }
 
-    /// Decides what is to be sent; none where this node has just stopped leading.
+    /// Plans a round. Returns `None` if this node has just stopped leading.
     fn plan_leader_round(&mut self, proven: Duration) -> Option<RoundWork> {
         let now = self.now();
         let cluster = self.cluster.as_mut()?;
-        cluster.proven = proven;
+        cluster.claim_proven_at = proven;
         cluster.tick(now);
-        let needs_proof = cluster.needs_proof(now);
+        let needs_proof = cluster.needs_claim_proof(now);
         run_due_pass(cluster, now);
         Some(RoundWork {
             needs_proof,
-            directs: cluster.direct_commands(now),
-            cloud: cluster.cloud_work(now),
+            direct_commands: cluster.direct_commands(now),
+            cloud_request: cluster.due_cloud_request(now),
         })
     }
 
-    fn direct_reply(&mut self, direct: &Direct, reply: DirectReply) {
+    fn direct_reply(&mut self, direct: &DirectCommands, reply: DirectReply) {
         let now = self.now();
         match &reply {
             DirectReply::Executed(report) | DirectReply::Refused(report) => {
@@ -316,35 +316,39 @@
         if let Some(cluster) = &mut self.cluster
             && direct.token >> 16 == cluster.claim
         {
-            cluster.direct_reply(direct, reply, now);
+            cluster.apply_direct_reply(direct, reply, now);
         }
     }
 
-    /// Machine types are stored, so that a restart in a cloud outage can judge jobs.
+    /// Fetches the machine types if none are stored. They are stored so that a node restarted in
+    /// a cloud outage can decide whether a job can run.
     fn drive_types(&mut self) {
         let now = self.now();
         if self.cache.loaded
-            && self.cache.types.is_none()
-            && !self.cache.unreadable.contains_key(store::TYPES)
-            && !self.types_call
-            && now >= self.retry_types
+            && self.cache.machine_types.is_none()
+            && !self.cache.unreadable.contains_key(store::MACHINE_TYPES_KEY)
+            && !self.types_requested
+            && now >= self.types_retry_at
         {
-            self.types_call = true;
+            self.types_requested = true;
             self.call_cloud(CloudRequest::Types);
         }
     }
 
-    /// Stores the machine types; where they are too large for that, this process keeps them.
+    /// Stores the machine types, or keeps them in this process only if they are too large.
     fn store_types(&mut self, types: &[MachineType]) {
         let (bytes, most) = (store::encoded_len(&types), self.limits.value_bytes);
         if bytes > most {
-            warn!(bytes, most, "machine types are not stored: too large");
-            self.cache.types = Some(Arc::new(types.to_vec()));
+            warn!(
+                bytes,
+                most, "machine types exceed the value limit and are kept in memory only"
+            );
+            self.cache.machine_types = Some(Arc::new(types.to_vec()));
             return;
         }
         let request = StateRequest::Txn {
-            conditions: vec![store::when(store::TYPES, 0)],
-            changes: vec![store::put(store::TYPES, &types)],
+            conditions: vec![store::if_version(store::MACHINE_TYPES_KEY, 0)],
+            changes: vec![store::put(store::MACHINE_TYPES_KEY, &types)],
         };
         self.call(Purpose::StoreTypes, request);
     }
@@ -352,9 +356,9 @@
     fn cloud_reply(&mut self, request: &CloudRequest, reply: CloudReply) {
         let now = self.now();
         if let CloudRequest::Types = request {
-            self.types_call = false;
-            self.retry_types = now + Duration::from_secs(2);
-            if let (CloudReply::Types(types), None) = (&reply, &self.cache.types) {
+            self.types_requested = false;
+            self.types_retry_at = now + Duration::from_secs(2);
+            if let (CloudReply::Types(types), None) = (&reply, &self.cache.machine_types) {
                 self.store_types(types);
             }
         }
@@ -367,37 +371,37 @@
 
     fn state_service_answered(&mut self, call: CallId, reply: StateReply) {
         if let Some(call) = self.calls.remove(&call) {
-            self.note_write_reply(call.write.as_ref(), &reply);
+            self.update_write_limits(call.write_size.as_ref(), &reply);
             self.state_reply(call.purpose, reply);
         }
     }
 
     fn cloud_answered(&mut self, call: CallId, reply: CloudReply) {
-        if let Some(Purpose::Cloud(request)) = self.purpose_of(call) {
+        if let Some(Purpose::Cloud(request)) = self.take_purpose(call) {
             self.cloud_reply(&request, reply);
         }
     }
 
     fn worker_answered(&mut self, call: CallId, reply: DirectReply) {
-        if let Some(Purpose::Direct(direct)) = self.purpose_of(call) {
+        if let Some(Purpose::Direct(direct)) = self.take_purpose(call) {
             self.direct_reply(&direct, reply);
         }
     }
 
-    /// Hands an answer of the state service to whatever asked for it.
+    /// Passes a reply of the state service to the code that sent the request.
     fn state_reply(&mut self, purpose: Purpose, reply: StateReply) {
         self.record_state_reply(&reply);
         match purpose {
-            Purpose::Load { after } => self.loaded(after, reply),
+            Purpose::Load { is_next_page } => self.load_answered(is_next_page, reply),
             Purpose::Watch => self.watch_answered(reply),
             Purpose::Sync => self.sync_answered(reply),
             Purpose::Grant => self.grant_answered(reply),
             Purpose::Renew { sent } => self.renewal_answered(sent, reply),
             Purpose::Verify {
                 claim,
-                renewed,
-                asked,
-            } => self.verification_answered(claim, renewed, asked, reply),
+                renewal_sent,
+                sent,
+            } => self.verification_answered(claim, renewal_sent, sent, reply),
             Purpose::Claim { lease, sent, prior } => self.claim_answered(lease, sent, prior, reply),
             Purpose::Probe => self.probe_answered(&reply),
             Purpose::StoredHeartbeat => self.heartbeat_write_answered(),
@@ -411,14 +415,14 @@
             } => self.accepted(request, spec, accepted_ms, tries, reply),
             Purpose::Cancel { request, id, ends } => self.cancelled(request, id, ends, reply),
             Purpose::ReadTerminalState(read) => self.terminal_state_read(*read, reply),
-            Purpose::ReadNeed(check) => self.need_read(*check, &reply),
+            Purpose::ReadDependency(check) => self.dependency_read(*check, &reply),
             Purpose::ReadRange { request, id, then } => {
                 self.range_read(request, id, then, &reply);
             }
             Purpose::Announce => self.announced(&reply),
             Purpose::StoreGeneration => self.generation_stored(&reply),
             Purpose::Order { request } => self.order_stored(request, &reply),
-            Purpose::Migrate(about, asked) => self.migrated(about, asked, reply),
+            Purpose::Migrate(scope, step) => self.migration_answered(scope, step, reply),
             Purpose::StoreDrains { request, drains } => {
                 self.drains_stored(request, drains, &reply);
             }
@@ -433,19 +437,20 @@
 
     fn watch_answered(&mut self, reply: StateReply) {
         self.watching = false;
-        // Each change ends the watch of every node, and all of them ask again: with many
-        // small jobs that alone was more than the state service takes, and submissions were
-        // refused. Events gather, but for the leader: what it learns late starts late.
-        let pause = match (self.take_events(reply), self.is_leader()) {
-            (false, _) => BACK_OFF,
+        // Each change ends the watch of every node, and each node sends another one. With many
+        // small jobs, these alone exceeded the state service's request limit, and submissions
+        // were refused. So followers pause to batch events. The leader does not, since a delay
+        // would postpone the start of jobs.
+        let pause = match (self.apply_watch_reply(reply), self.is_leader()) {
+            (false, _) => RETRY_DELAY,
             (true, true) => Duration::ZERO,
-            (true, false) => self.config.watch_every,
+            (true, false) => self.config.watch_interval,
         };
-        self.retry_watch = self.now() + pause;
+        self.watch_retry_at = self.now() + pause;
     }
 
     fn sync_answered(&mut self, reply: StateReply) {
-        let proven = self.take_events(reply);
+        let proven = self.apply_watch_reply(reply);
         self.synced(proven);
     }
 
@@ -453,7 +458,7 @@
         self.end_in_graph(&id, record);
         if self.terminal_cache.insert(id.clone(), record).is_none() {
             self.terminal_cache_order.push_back(id);
-            if self.terminal_cache_order.len() > TERMINAL_CACHE_MOST
+            if self.terminal_cache_order.len() > MAX_CACHED_TERMINAL_STATES
                 && let Some(oldest) = self.terminal_cache_order.pop_front()
             {
                 self.terminal_cache.remove(&oldest);
@@ -461,8 +466,8 @@
         }
     }
 
-    /// What the leader answers to a report, whichever way it came; none where
-    /// this node does not lead.
+    /// Answers a report, whether it was received directly or forwarded. Returns `None` if this
+    /// node does not lead.
     fn answer_as_leader(&mut self, report: &WorkerReport) -> Option<Answer> {
         let answer = self.answer_report(report);
         if let Some(Answer::Commands { .. }) = answer {
@@ -480,7 +485,7 @@
             return self.keep_lease_alive(report);
         };
         if report.token >> 16 > cluster.claim {
-            // Somebody with a later claim has commanded it.
+            // The worker has received commands under a later claim.
             self.drop_leadership("a worker knows a higher token");
             return None;
         }
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -23,11 +23,14 @@
 use tracing::info;
 
 use super::{
-    Answer, BACK_OFF, Node, Output, Purpose, RequestId,
+    Answer, Node, Output, Purpose, RETRY_DELAY, RequestId,
     heartbeat::worker_move_time,
     machine::WorkerReport,
     peer_message::PeerMessage,
-    store::{GENERATION, LEADER, PARTITIONED, StateReply, StateRequest, put, when},
+    store::{
+        GENERATION_KEY, LEADER_KEY, PARTITIONED_ZONES_KEY, StateReply, StateRequest, if_version,
+        put,
+    },
 };
 
 pub const PARTITIONED_ZONES_FEATURE: Feature = Feature {
@@ -83,7 +86,7 @@
 impl Node {
     /// Returns whether the stored generation includes the list of partitioned zones.
     fn stores_partitioned_zones(&self) -> bool {
-        self.cache.cluster.0.written() >= PARTITIONED_ZONES_FEATURE.since
+        self.cache.generation.0.written() >= PARTITIONED_ZONES_FEATURE.since
     }
 
     /// Returns whether the zone is or may be listed, so that its workers must not be answered.
@@ -141,8 +144,8 @@
             report,
         };
         let tasks = self.partitioned_zones.deferred_tasks + deferred.report.tasks.len();
-        let is_full = self.partitioned_zones.deferred.len() >= self.config.requests_most
-            || tasks > self.config.waiting_tasks_most;
+        let is_full = self.partitioned_zones.deferred.len() >= self.config.max_waiting_requests
+            || tasks > self.config.max_waiting_tasks;
         if is_full {
             self.redirect_report(deferred.origin);
             return None;
@@ -158,7 +161,7 @@
             ReportOrigin::Node(to, relay) => {
                 let answer = None;
                 let message = PeerMessage::Reported { relay, answer };
-                self.out.push(Output::Peer { to, message });
+                self.outputs.push(Output::Peer { to, message });
             }
         }
     }
@@ -200,7 +203,7 @@
                 ReportOrigin::Node(to, relay) => {
                     let answer = self.answer_as_leader(&deferred.report);
                     let message = PeerMessage::Reported { relay, answer };
-                    self.out.push(Output::Peer { to, message });
+                    self.outputs.push(Output::Peer { to, message });
                 }
             }
         }
@@ -226,12 +229,13 @@
         let Some(cluster) = &mut self.cluster else {
             return;
         };
-        if !listed.is_empty() || !unconfirmed.is_empty() || !cluster.withheld.is_empty() {
+        if !listed.is_empty() || !unconfirmed.is_empty() || !cluster.start_blocked_zones.is_empty()
+        {
             let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unconfirmed).cloned().collect();
             // The machines of a zone that is no longer withheld may not have changed, so their
             // reports alone would not return the waiting jobs to the heap.
-            if withheld != cluster.withheld {
-                cluster.withheld = withheld;
+            if withheld != cluster.start_blocked_zones {
+                cluster.start_blocked_zones = withheld;
                 cluster.requeue();
             }
         }
@@ -263,7 +267,7 @@
             return Vec::new();
         };
         let lease = self.config.worker_lease_bound;
-        let silence = worker_move_time(self.config.report).min(lease / 3);
+        let silence = worker_move_time(self.config.report_interval).min(lease / 3);
         let partitioned_zones = cluster.reachability.partitioned_zones.iter();
         let partitioned_zones = partitioned_zones.filter(|zone| !self.is_partitioned(zone));
         let is_silent = |zone: &Arc<str>| self.now() > self.last_answered(zone) + silence;
@@ -293,12 +297,12 @@
         let new_zones: BTreeSet<Arc<str>> = new_zones.cloned().collect();
         info!(zones = ?zones.keys().collect::<Vec<_>>(), "storing the list of partitioned zones");
         let conditions = vec![
-            when(LEADER, claim),
-            when(PARTITIONED, *version),
-            when(GENERATION, self.cache.cluster.1),
+            if_version(LEADER_KEY, claim),
+            if_version(PARTITIONED_ZONES_KEY, *version),
+            if_version(GENERATION_KEY, self.cache.generation.1),
         ];
         let record = PartitionedZonesRecord { zones };
-        let changes = vec![put(PARTITIONED, &record)];
+        let changes = vec![put(PARTITIONED_ZONES_KEY, &record)];
         // New zones count as listed from now on.
         self.partitioned_zones.unconfirmed.extend(new_zones);
         self.partitioned_zones.write_in_flight = true;
@@ -319,7 +323,7 @@
     ) {
         let now = self.now();
         self.partitioned_zones.write_in_flight = false;
-        self.partitioned_zones.retry_at = now + BACK_OFF;
+        self.partitioned_zones.retry_at = now + RETRY_DELAY;
         if self.claim() != Some(claim) {
             return;
         }
@@ -343,7 +347,7 @@
     pub(super) fn zone_lease_ends(&self) -> BTreeMap<Arc<str>, Duration> {
         let now = self.now();
         // Both ends of the interval were read from clocks that may be off by `wall_error`.
-        let lease = self.config.worker_lease_bound + self.config.wall_error * 2;
+        let lease = self.config.worker_lease_bound + self.config.max_wall_clock_error * 2;
         let zones = self.cache.partitioned_zones.0.zones.iter();
         let lease_ends = zones.map(|(zone, at)| {
             let elapsed = Duration::from_millis(self.clock.wall_ms.saturating_sub(*at));
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -1,4 +1,4 @@
-//! Renting and returning machines.
+//! Provisioning and releasing machines.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -12,7 +12,9 @@
 use super::{
     cluster::ClusterState,
     job::{JobSpec, Kind},
-    machine::{ListedMachine, ListedState, Machine, MachineId, MachineKind, MachineType, Standing},
+    machine::{
+        ListedMachine, ListedState, Machine, MachineId, MachineKind, MachineState, MachineType,
+    },
 };
 
 #[derive(Debug, Clone)]
@@ -25,7 +27,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProvisioningRequest {
-    pub request: String,
+    pub id: String,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
@@ -52,45 +54,45 @@
     Provisioned(Vec<MachineId>),
     NoCapacity,
     Released,
-    /// Not executed: over the limit or in an outage.
+    /// Not executed: rate limited, or the cloud has an outage.
     Refused,
-    /// No answer: it may have been executed, or may be later.
+    /// No answer: the request may have been executed, or may still be.
     Unclear,
 }
 
-/// A rental that has no final answer yet.
+/// Provisioning request without a final answer.
 #[derive(Debug)]
-struct Open {
-    rental: ProvisioningRequest,
+struct OpenRequest {
+    request: ProvisioningRequest,
     in_flight: bool,
-    next_try: Duration,
+    retry_at: Duration,
 }
 
-/// What the leader has going with the cloud.
+/// State of the leader's requests to the cloud.
 #[derive(Debug)]
 pub struct Provisioning {
-    /// Begins the name of every rental, so that no other leader uses it.
+    /// Prefix of every request ID, unique to this leader.
     prefix: String,
     request_count: u64,
-    open: Vec<Open>,
+    open: Vec<OpenRequest>,
     listing: Option<Vec<ListedMachine>>,
-    /// When the last list that was read whole was asked for.
-    pub(super) list_read: Option<Duration>,
-    list_asked: Duration,
+    /// Time at which the last completely read list was requested.
+    pub(super) complete_list_requested_at: Option<Duration>,
+    list_requested_at: Duration,
     next_list: Duration,
     next_types: Duration,
     next_plan: Duration,
     pub(super) next_consolidation: Duration,
-    /// When a task waited last.
-    pub(super) waited_at: Duration,
+    /// Time at which a task was last seen waiting.
+    pub(super) last_waiting_at: Duration,
     next_call: Duration,
     releasing: BTreeSet<MachineId>,
-    /// Kinds of machine that were refused, until when they are not asked for again.
+    /// Machine kinds that the cloud refused, and the time until which none are requested.
     refused: HashMap<MachineKind, Duration>,
-    /// How many scale-out requests may be without an answer.
+    /// Adaptive bound on the number of open requests.
     pace: Pace,
-    /// Machines that were returned; the list may still show them for a while.
-    returned: BTreeMap<MachineId, Duration>,
+    /// Released machines and the time of their release; the cloud's list lags behind.
+    released: BTreeMap<MachineId, Duration>,
 }
 
 impl Provisioning {
@@ -100,57 +102,57 @@
             request_count: 0,
             open: Vec::new(),
             listing: None,
-            list_read: None,
-            list_asked: Duration::ZERO,
+            complete_list_requested_at: None,
+            list_requested_at: Duration::ZERO,
             next_list: Duration::ZERO,
             next_types: Duration::ZERO,
             next_plan: Duration::ZERO,
             next_consolidation: Duration::ZERO,
-            waited_at: Duration::ZERO,
+            last_waiting_at: Duration::ZERO,
             next_call: Duration::ZERO,
             releasing: BTreeSet::new(),
             refused: HashMap::new(),
-            pace: Pace::new(OPEN_MOST),
-            returned: BTreeMap::new(),
+            pace: Pace::new(MAX_OPEN_REQUESTS),
+            released: BTreeMap::new(),
         }
     }
 
-    /// The cloud has taken it back. Names are never used again.
-    pub(super) fn was_returned(&self, id: &MachineId) -> bool {
-        self.returned.contains_key(id)
+    /// Returns whether the machine was released. The cloud never reuses a machine ID.
+    pub(super) fn was_released(&self, id: &MachineId) -> bool {
+        self.released.contains_key(id)
     }
 
-    /// No more orders than the cloud answers.
+    /// Returns whether the adaptive bound allows another open request.
     pub(super) fn may_request(&self) -> bool {
         self.open.len() < self.pace.window()
     }
 
-    /// Rentals without a final answer.
+    /// Returns the requests without a final answer.
     pub(super) fn open_requests(&self) -> impl Iterator<Item = &ProvisioningRequest> {
-        self.open.iter().map(|open| &open.rental)
+        self.open.iter().map(|open| &open.request)
     }
 
-    /// Takes an order, and says the name that it gets.
-    pub(super) fn open_request(&mut self, mut rental: ProvisioningRequest) -> &str {
+    /// Queues a request, and returns the ID assigned to it.
+    pub(super) fn open_request(&mut self, mut request: ProvisioningRequest) -> &str {
         self.request_count += 1;
-        rental.request = format!("{}-{}", self.prefix, self.request_count);
-        self.open.push(Open {
-            rental,
+        request.id = format!("{}-{}", self.prefix, self.request_count);
+        self.open.push(OpenRequest {
+            request,
             in_flight: false,
-            next_try: Duration::ZERO,
+            retry_at: Duration::ZERO,
         });
-        self.open.last().map_or("", |open| &open.rental.request)
+        self.open.last().map_or("", |open| &open.request.id)
     }
 
     pub(super) fn is_refused(&self, kind: &MachineKind) -> bool {
         self.refused.contains_key(kind)
     }
 
-    pub(super) fn forget_refusals(&mut self, now: Duration) {
+    pub(super) fn expire_refusals(&mut self, now: Duration) {
         self.refused.retain(|_, until| *until > now);
     }
 
-    /// What was refused lately, and for how long that still counts.
+    /// Returns the refusals in effect, with the time that each one has left.
     pub(super) fn refusals(&self, now: Duration) -> Vec<(MachineKind, Duration)> {
         let left = self
             .refused
@@ -160,7 +162,7 @@
         left.map(|(kind, left)| (kind.clone(), left)).collect()
     }
 
-    /// What the previous leader was refused is not asked for again at once.
+    /// Takes over the refusals that the previous leader received.
     pub(super) fn restore_refusals(
         &mut self,
         refused: Vec<(MachineKind, Duration)>,
@@ -169,32 +171,32 @@
         for (kind, left) in refused {
             self.refused
                 .entry(kind)
-                .or_insert(now + left.min(REFUSED_FOR));
+                .or_insert(now + left.min(REFUSAL_TTL));
         }
     }
 
-    /// The machine is being returned.
-    pub(super) fn is_being_returned(&self, id: &MachineId) -> bool {
+    /// Returns whether a release of the machine is in flight.
+    pub(super) fn is_being_released(&self, id: &MachineId) -> bool {
         self.releasing.contains(id)
     }
 }
 
 impl ClusterState {
-    /// The next request to the cloud, if one is due. Calls are spaced evenly.
-    pub fn cloud_work(&mut self, now: Duration) -> Option<CloudRequest> {
+    /// Returns the next request to the cloud, if one is due. Requests are spaced evenly.
+    pub fn due_cloud_request(&mut self, now: Duration) -> Option<CloudRequest> {
         if now < self.provisioning.next_call {
             return None;
         }
         let request = self.next_cloud_request(now)?;
-        self.provisioning.next_call = now + self.config.cloud_every;
+        self.provisioning.next_call = now + self.config.cloud_request_interval;
         Some(request)
     }
 
     fn next_cloud_request(&mut self, now: Duration) -> Option<CloudRequest> {
         if now >= self.provisioning.next_plan {
             self.provisioning.next_plan = now + Duration::from_millis(500);
-            self.value_images();
-            // One that hears nobody can't tell what is needed.
+            self.update_image_values();
+            // A leader that receives no reports can't tell which machines are needed.
             if !self.reachability.is_uncertain {
                 self.plan_scale_in(now);
                 self.plan_drains(now);
@@ -202,39 +204,43 @@
                 self.plan_scale_out(now);
             }
         }
-        let silent = self.plan_unresponsive_returns(now);
-        if !silent.is_empty() {
-            self.provisioning.releasing.extend(silent.iter().cloned());
-            return Some(CloudRequest::Release { machines: silent });
+        let unresponsive = self.plan_unresponsive_returns(now);
+        if !unresponsive.is_empty() {
+            self.provisioning
+                .releasing
+                .extend(unresponsive.iter().cloned());
+            return Some(CloudRequest::Release {
+                machines: unresponsive,
+            });
         }
         if let Some(open) = self
             .provisioning
             .open
             .iter_mut()
-            .find(|o| !o.in_flight && now >= o.next_try)
+            .find(|o| !o.in_flight && now >= o.retry_at)
         {
             open.in_flight = true;
-            return Some(CloudRequest::Provision(open.rental.clone()));
+            return Some(CloudRequest::Provision(open.request.clone()));
         }
         let leaving: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.standing == Standing::Leaving && m.tasks.is_empty() && !m.unresolved)
-            // Off the assignment index first: a next leader need not wait for it then.
-            .filter(|m| !m.assignment.stored)
+            .filter(|m| m.state == MachineState::Leaving && m.tasks.is_empty() && !m.unresolved)
+            // Removed from the assignment index first, so that a new leader doesn't wait for it.
+            .filter(|m| !m.assignment.may_be_stored)
             .filter(|m| !self.provisioning.releasing.contains(&m.id))
             .map(|m| m.id.clone())
             .take(100)
             .collect();
         if !leaving.is_empty() {
-            info!(machines = ?leaving, "scale in");
+            info!(machines = ?leaving, "releasing machines");
             self.provisioning.releasing.extend(leaving.iter().cloned());
             return Some(CloudRequest::Release { machines: leaving });
         }
         if now >= self.provisioning.next_list {
             self.provisioning.next_list = now + self.config.list_lag.max(Duration::from_secs(4));
             self.provisioning.listing = Some(Vec::new());
-            self.provisioning.list_asked = now;
+            self.provisioning.list_requested_at = now;
             return Some(CloudRequest::List {
                 after: String::new(),
             });
@@ -253,24 +259,24 @@
         now: Duration,
     ) -> Option<CloudRequest> {
         match (request, reply) {
-            (CloudRequest::Provision(rental), reply) => self.provision_reply(rental, reply, now),
+            (CloudRequest::Provision(request), reply) => self.provision_reply(request, reply, now),
             (CloudRequest::Release { machines }, reply) => {
                 for id in machines {
                     self.provisioning.releasing.remove(id);
                     if matches!(reply, CloudReply::Released) {
-                        // All that was on it is gone by the time of the answer.
-                        self.machine_gone(id, now);
-                        self.provisioning.returned.insert(id.clone(), now);
+                        // Nothing runs on the machine any more once the cloud has answered.
+                        self.remove_machine(id, now);
+                        self.provisioning.released.insert(id.clone(), now);
                     }
                 }
-                // The list may show them yet, and copies of what they sent may come: those
-                // that were returned last are kept, whatever their names.
-                while self.provisioning.returned.len() > RETURNED_KEPT {
-                    let oldest = self.provisioning.returned.iter().min_by_key(|(_, at)| **at);
+                // The list may still show released machines, and late copies of their reports
+                // may arrive: the latest releases are kept, whatever the machines' names.
+                while self.provisioning.released.len() > MAX_RELEASED_KEPT {
+                    let oldest = self.provisioning.released.iter().min_by_key(|(_, at)| **at);
                     let Some(oldest) = oldest.map(|(id, _)| id.clone()) else {
                         break;
                     };
-                    self.provisioning.returned.remove(&oldest);
+                    self.provisioning.released.remove(&oldest);
                 }
                 self.requeue();
             }
@@ -284,9 +290,10 @@
                     return Some(CloudRequest::List { after });
                 }
                 let listing = self.provisioning.listing.take().unwrap_or_default();
-                self.provisioning.list_read = Some(self.provisioning.list_asked);
-                self.compare_list(&listing, now);
-                self.reconcile_list(now);
+                self.provisioning.complete_list_requested_at =
+                    Some(self.provisioning.list_requested_at);
+                self.merge_list(&listing, now);
+                self.record_complete_list(now);
             }
             (CloudRequest::Types, CloudReply::Types(types)) => self.types = Arc::new(types),
             _ => {}
@@ -294,8 +301,8 @@
         None
     }
 
-    fn provision_reply(&mut self, rental: &ProvisioningRequest, reply: CloudReply, now: Duration) {
-        let kind = rental.kind();
+    fn provision_reply(&mut self, request: &ProvisioningRequest, reply: CloudReply, now: Duration) {
+        let kind = request.kind();
         self.provisioning.pace.step(match reply {
             CloudReply::Provisioned(_) => Outcome::Done,
             CloudReply::NoCapacity => Outcome::Refused,
@@ -303,36 +310,42 @@
         });
         match reply {
             CloudReply::Provisioned(ids) => {
-                info!(request = %rental.request, got = ids.len(), asked = rental.count, "scaled out");
-                if (ids.len() as u32) < rental.count {
-                    self.provisioning.refused.insert(kind, now + REFUSED_FOR);
+                info!(request = %request.id, got = ids.len(), asked = request.count, "machines provisioned");
+                if (ids.len() as u32) < request.count {
+                    self.provisioning.refused.insert(kind, now + REFUSAL_TTL);
                 }
                 for id in ids {
-                    self.ensure_machine(&id, &rental.machine_type, &rental.zone, rental.spot, now);
+                    self.ensure_machine(
+                        &id,
+                        &request.machine_type,
+                        &request.zone,
+                        request.spot,
+                        now,
+                    );
                 }
-                self.provisioning.open.retain(|o| o.rental != *rental);
+                self.provisioning.open.retain(|o| o.request != *request);
             }
             CloudReply::NoCapacity => {
-                self.provisioning.refused.insert(kind, now + REFUSED_FOR);
-                self.provisioning.open.retain(|o| o.rental != *rental);
+                self.provisioning.refused.insert(kind, now + REFUSAL_TTL);
+                self.provisioning.open.retain(|o| o.request != *request);
             }
             _ => {
-                // The same name again: it never rents twice.
+                // Retried under the same ID, which the cloud executes at most once.
                 for open in &mut self.provisioning.open {
-                    if open.rental == *rental {
+                    if open.request == *request {
                         open.in_flight = false;
-                        open.next_try = now + Duration::from_secs(2);
+                        open.retry_at = now + Duration::from_secs(2);
                     }
                 }
             }
         }
     }
 
-    fn compare_list(&mut self, listing: &[ListedMachine], now: Duration) {
+    fn merge_list(&mut self, listing: &[ListedMachine], now: Duration) {
         for listed in listing {
             let lagging = self
                 .provisioning
-                .returned
+                .released
                 .get(&listed.id)
                 .is_some_and(|at| now < *at + self.config.list_lag * 3);
             if lagging {
@@ -349,114 +362,121 @@
                 );
                 machine.first_seen = now.saturating_sub(age);
             }
-            let machine = self.machines.get_mut(&listed.id).expect("met");
+            let machine = self
+                .machines
+                .get_mut(&listed.id)
+                .expect("machine was added");
             machine.listed_at = Some(now);
             machine.listed_failed = listed.state == ListedState::Failed;
         }
     }
 
-    /// Which machines are to go: those that never came up, failed, stay silent,
-    /// fail many jobs, or have nothing to do.
+    /// Marks the machines to release: those that failed, did not boot in time, are
+    /// unresponsive, fail tasks repeatedly, or are idle.
     fn plan_scale_in(&mut self, now: Duration) {
-        let unresolved = self.unresolved();
-        let boot: HashMap<Arc<str>, f64> = self
+        let unresolved = self.has_unresolved_machines();
+        let boot_times: HashMap<Arc<str>, f64> = self
             .types
             .iter()
             .map(|t| (t.name.clone(), t.boot_s))
             .collect();
-        let mut leave: Vec<(MachineId, &'static str)> = Vec::new();
+        let mut leaving: Vec<(MachineId, &'static str)> = Vec::new();
         for m in self.machines.values() {
-            let boot = boot.get(&m.machine_type).copied().unwrap_or(60.0);
-            let boot_limit = Duration::from_secs_f64(boot * 4.0 + 30.0);
-            let silent = m.heard_at.unwrap_or(m.first_seen);
-            match m.standing {
-                Standing::Leaving => {}
-                _ if m.listed_failed && now > silent + self.config.worker_lease_bound => {
-                    leave.push((m.id.clone(), "failed"));
+            let boot_s = boot_times.get(&m.machine_type).copied().unwrap_or(60.0);
+            let boot_timeout = Duration::from_secs_f64(boot_s * 4.0 + 30.0);
+            let last_heard = m.heard_at.unwrap_or(m.first_seen);
+            match m.state {
+                MachineState::Leaving => {}
+                _ if m.listed_failed && now > last_heard + self.config.worker_lease_bound => {
+                    leaving.push((m.id.clone(), "failed"));
                 }
-                Standing::Booting if !m.unresolved && now > m.first_seen + boot_limit => {
-                    leave.push((m.id.clone(), "never came up"));
+                MachineState::Booting if !m.unresolved && now > m.first_seen + boot_timeout => {
+                    leaving.push((m.id.clone(), "boot timed out"));
                 }
-                Standing::Lost if now > silent + self.config.worker_lease_bound * 5 => {
-                    leave.push((m.id.clone(), "unresponsive"));
+                MachineState::Lost if now > last_heard + self.config.worker_lease_bound * 5 => {
+                    leaving.push((m.id.clone(), "unresponsive"));
                 }
-                Standing::Up if m.failures.len() >= 2 => leave.push((m.id.clone(), "faulty")),
+                MachineState::Up if m.failures.len() >= 2 => leaving.push((m.id.clone(), "faulty")),
                 _ => {}
             }
         }
         if !unresolved {
             let idle = self.idle_machines(now).into_iter();
-            leave.extend(idle.map(|id| (id, "idle")));
+            leaving.extend(idle.map(|id| (id, "idle")));
         }
-        for (id, why) in leave {
-            info!(machine = %id, why, "leaving");
+        for (id, why) in leaving {
+            info!(machine = %id, why, "machine marked for release");
             let machine = self.machines.get_mut(&id).expect("just listed");
-            machine.standing = Standing::Leaving;
+            machine.state = MachineState::Leaving;
             machine.unresolved = false;
         }
     }
 
-    /// Idle machines that can go without taking the spare room for services: the
-    /// dearest first, and among them those without images that services want.
+    /// Idle machines that can be released while spare capacity for services remains: the
+    /// most expensive first, and at equal prices those with the least useful images.
     fn idle_machines(&self, now: Duration) -> Vec<MachineId> {
         let mut idle: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.standing == Standing::Up && m.tasks.is_empty())
+            .filter(|m| m.state == MachineState::Up && m.tasks.is_empty())
             .filter(|m| now > m.idle_since + self.idle_time(&m.machine_type))
             .collect();
         idle.sort_by(|a, b| {
             let price = |m: &Machine| self.price(&m.machine_type, m.spot);
-            let dearer = price(b).total_cmp(&price(a));
-            dearer.then(a.image_value.total_cmp(&b.image_value))
+            let by_price = price(b).total_cmp(&price(a));
+            by_price.then(a.image_value.total_cmp(&b.image_value))
         });
-        let holds = |spec: &JobSpec, m: &Machine| {
-            let may = spec.allows_type(&m.machine_type) && spec.allows_place(&m.zone, m.spot);
-            if may {
-                spec.need.times_in(&m.free())
+        let slots_on = |spec: &JobSpec, m: &Machine| {
+            let is_allowed =
+                spec.allows_type(&m.machine_type) && spec.allows_placement(&m.zone, m.spot);
+            if is_allowed {
+                spec.need.count_fitting(&m.free())
             } else {
                 0
             }
         };
-        // Room for two replicas of each class, and for what is about to come.
+        // Capacity for two replicas of each service class, and for the expected arrivals.
         let services = self.services().into_iter().map(|spec| (spec, 2));
-        let wanted: Vec<(Arc<JobSpec>, u32)> = services.chain(self.expected()).collect();
+        let wanted: Vec<(Arc<JobSpec>, u32)> = services.chain(self.expected_arrivals()).collect();
         let mut spare: Vec<(Arc<JobSpec>, u32)> = Vec::new();
         for (spec, wanted) in wanted {
             let usable = self.machines.values().filter(|m| self.usable(m, now));
-            let slots: u32 = usable.map(|m| holds(&spec, m)).sum();
-            spare.push((spec, slots.saturating_sub(wanted)));
+            let total: u32 = usable.map(|m| slots_on(&spec, m)).sum();
+            spare.push((spec, total.saturating_sub(wanted)));
         }
-        let mut go = Vec::new();
+        let mut removable = Vec::new();
         for machine in idle {
             let usable = self.usable(machine, now);
-            let takes = |spec: &JobSpec| if usable { holds(spec, machine) } else { 0 };
-            if spare.iter().all(|(spec, left)| *left >= takes(spec)) {
+            let slots = |spec: &JobSpec| if usable { slots_on(spec, machine) } else { 0 };
+            if spare
+                .iter()
+                .all(|(spec, remaining)| *remaining >= slots(spec))
+            {
                 spare
                     .iter_mut()
-                    .for_each(|(spec, left)| *left -= takes(spec));
-                go.push(machine.id.clone());
+                    .for_each(|(spec, remaining)| *remaining -= slots(spec));
+                removable.push(machine.id.clone());
             }
         }
-        go
+        removable
     }
 
-    /// How long a machine may stay idle: what it costs meanwhile is weighed
-    /// against the time and money that another one takes to boot.
+    /// Time that a machine may stay idle: a multiple of its boot time, since the cost of
+    /// keeping it is weighed against the time and money to boot a new one.
     pub(super) fn idle_time(&self, machine_type: &str) -> Duration {
         let boot = self.types.iter().find(|t| &*t.name == machine_type);
         let boot = crate::settings::seconds(boot.map_or(0.0, |t| t.boot_s));
         boot.mul_f64(self.config.options.idle_boots)
     }
 
-    /// The largest service of each class that is active.
+    /// The largest active service of each class.
     fn services(&self) -> Vec<Arc<JobSpec>> {
         let mut by_class: BTreeMap<Arc<str>, Arc<JobSpec>> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.kind == Kind::Service) {
             let entry = by_class
                 .entry(job.spec.class.clone())
                 .or_insert_with(|| job.spec.clone());
-            if job.spec.need.share_of(&entry.need) > 1.0 {
+            if job.spec.need.dominant_share_of(&entry.need) > 1.0 {
                 *entry = job.spec.clone();
             }
         }
@@ -471,9 +491,9 @@
     }
 }
 
-/// Rentals without a final answer at a time.
-const OPEN_MOST: usize = 8;
-/// Returned machines whose names are kept: the cloud's list may show all of a fleet yet.
-const RETURNED_KEPT: usize = 16_384;
-/// What the cloud refused is not asked for again for so long.
-const REFUSED_FOR: Duration = Duration::from_secs(15);
+/// Maximum number of provisioning requests without a final answer.
+const MAX_OPEN_REQUESTS: usize = 8;
+/// Number of released machines to remember: the cloud's list may still show a whole fleet.
+const MAX_RELEASED_KEPT: usize = 16_384;
+/// Time during which a refused machine kind is not requested again.
+const REFUSAL_TTL: Duration = Duration::from_secs(15);
