--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -1,5 +1,5 @@
-//! The start of a leader's reconciliation: who of the stored machines is heard, what waits for
-//! the rest, and what becomes of tasks that it did not start.
+//! Reconciliation after a failover: which stored machines have reported, which actions wait for the
+//! others, and how tasks of previous leaders are handled.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -14,10 +14,10 @@
     config::Config,
     heartbeat::WORKER_RETRY_DELAY,
     job::{JobSpec, TaskId},
-    machine::{ExitReason, Machine, Standing, TaskPhase},
+    machine::{ExitReason, Machine, MachineState, TaskPhase},
 };
 
-/// Orders that wait while the leader begins.
+/// Action that is deferred during reconciliation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeferredAction {
     Preempt,
@@ -27,34 +27,38 @@
 #[derive(Debug)]
 pub struct Reconciler {
     reconciliation: Reconciliation,
-    /// What was held back since that was logged last.
-    held: BTreeMap<DeferredAction, u32>,
+    /// Number of deferred actions since they were last logged.
+    deferred: BTreeMap<DeferredAction, u32>,
     next_log: Duration,
 }
 
 impl Reconciler {
     pub fn new(config: &Config, now: Duration) -> Self {
-        // A worker whose node is gone tries the next one, and reports at least that often.
+        // A worker whose node fails tries the next one, and reports at least this often.
         let patience = Patience {
-            most: config.report * 5 / 4 + WORKER_RETRY_DELAY,
-            quiet: config.report / 4,
+            most: config.report_interval * 5 / 4 + WORKER_RETRY_DELAY,
+            quiet: config.report_interval / 4,
         };
         Self {
             reconciliation: Reconciliation::new(patience, now),
-            held: BTreeMap::new(),
+            deferred: BTreeMap::new(),
             next_log: now,
         }
     }
 }
 
 impl ClusterState {
-    /// Takes in how far the stored machines are heard.
+    /// Updates the reconciliation with the numbers of stored and silent machines by zone.
     pub(super) fn reconcile(&mut self, now: Duration) {
         if !self.reconciler.reconciliation.is_in_progress() {
             return;
         }
         let mut counts: BTreeMap<Arc<str>, Count> = BTreeMap::new();
-        for machine in self.machines.values().filter(|m| m.assignment.stored) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|m| m.assignment.may_be_stored)
+        {
             let count = counts.entry(machine.zone.clone()).or_insert_with(|| Count {
                 cut: !self.reaches(&machine.zone),
                 ..Count::default()
@@ -66,39 +70,43 @@
             .reconciler
             .reconciliation
             .step(now, Input::Heard(counts));
-        self.apply_reconciliation(outputs);
-        if now >= self.reconciler.next_log && !self.reconciler.held.is_empty() {
-            let held = std::mem::take(&mut self.reconciler.held);
-            let (first, room) = (
-                held.get(&DeferredAction::Preempt),
-                held.get(&DeferredAction::Provision),
+        self.apply_reconciliation_outputs(outputs);
+        if now >= self.reconciler.next_log && !self.reconciler.deferred.is_empty() {
+            let deferred = std::mem::take(&mut self.reconciler.deferred);
+            let (preemption_count, scale_out_count) = (
+                deferred.get(&DeferredAction::Preempt),
+                deferred.get(&DeferredAction::Provision),
+            );
+            info!(
+                preemptions = preemption_count,
+                scale_outs = scale_out_count,
+                "actions deferred until silent machines report"
             );
-            info!(preemptions = first, scale_outs = room, "actions deferred");
             self.reconciler.next_log = now + Duration::from_secs(1);
         }
     }
 
-    /// Machines were lost in one look. Most of them: this leader was away, not they. Their
-    /// workers are back once they try again, and what went to the first few to come would
-    /// fetch images that others have.
+    /// Delays the next pass if most machines were lost at once: this leader was probably
+    /// disconnected, not they. Their workers return once they retry, and tasks placed on the first
+    /// ones to return would fetch images that others have.
     pub(super) fn delay_after_mass_loss(&mut self, lost: usize, now: Duration) {
         if lost == 0 {
             return;
         }
-        let lives = |m: &&Machine| matches!(m.standing, Standing::Up | Standing::Leaving);
-        if lost > self.machines.values().filter(lives).count() {
+        let is_up = |m: &&Machine| matches!(m.state, MachineState::Up | MachineState::Leaving);
+        if lost > self.machines.values().filter(is_up).count() {
             self.next_pass = now + WORKER_RETRY_DELAY * 6 / 5;
         }
         self.requeue();
     }
 
-    /// The cloud's list was read whole.
-    pub(super) fn reconcile_list(&mut self, now: Duration) {
+    /// Records that the cloud's list was read completely.
+    pub(super) fn record_complete_list(&mut self, now: Duration) {
         let outputs = self.reconciler.reconciliation.step(now, Input::Listed);
-        self.apply_reconciliation(outputs);
+        self.apply_reconciliation_outputs(outputs);
     }
 
-    fn apply_reconciliation(&mut self, outputs: Vec<Output>) {
+    fn apply_reconciliation_outputs(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Stage {
@@ -106,46 +114,46 @@
                     stage,
                     heard,
                     stored,
-                } => info!(%zone, ?stage, heard, of = stored, "reconciliation"),
-                Output::Reconciled { after } => info!(?after, "reconciled"),
+                } => info!(%zone, ?stage, heard, of = stored, "reached reconciliation stage"),
+                Output::Reconciled { after } => info!(?after, "reconciliation complete"),
                 Output::Listed => {}
             }
-            // What was held back may go on.
+            // Deferred actions may proceed.
             self.requeue();
         }
     }
 
-    /// A machine that is about to be heard may have room for a task of the job: nobody is
-    /// stopped and nothing is rented for it yet.
+    /// Returns whether a machine that is about to report may have room for a task of the job; until
+    /// then nothing is preempted or rented for it.
     pub(super) fn awaits_capacity(&mut self, spec: &JobSpec, action: DeferredAction) -> bool {
         let reconciliation = &self.reconciler.reconciliation;
-        let comes = reconciliation.is_in_progress()
+        let is_expected = reconciliation.is_in_progress()
             && self.machines.values().any(|m| {
                 is_awaited(m)
                     && reconciliation.is_awaited(&m.zone)
                     && spec.allows_type(&m.machine_type)
-                    && spec.allows_place(&m.zone, m.spot)
+                    && spec.allows_placement(&m.zone, m.spot)
                     && spec.need.fits_in(&m.size)
             });
-        if comes {
-            *self.reconciler.held.entry(action).or_insert(0) += 1;
+        if is_expected {
+            *self.reconciler.deferred.entry(action).or_insert(0) += 1;
         }
-        comes
+        is_expected
     }
 
-    /// What a previous leader rented may not be known yet.
-    pub(super) fn unlisted(&self, now: Duration) -> bool {
+    /// Returns whether machines rented by a previous leader may still be unknown.
+    pub(super) fn may_have_unlisted_machines(&self, now: Duration) -> bool {
         self.reconciler.reconciliation.unlisted(now)
     }
 
-    /// What becomes of a task that this leader did not start.
+    /// Decides how to handle a reported task that this leader did not start.
     pub(super) fn decide_adoption(&self, task: &TaskId, phase: TaskPhase) -> AdoptionDecision {
         let job = self.jobs.get(&task.job);
         let slot = job.and_then(|job| job.slots.get(task.index as usize));
         let known_state = match slot {
             None => KnownState::Unknown,
             Some(Slot::Waiting) => KnownState::Waiting,
-            Some(Slot::On(_)) => KnownState::Elsewhere,
+            Some(Slot::Placed(_)) => KnownState::Elsewhere,
             Some(Slot::Done) => KnownState::Done,
         };
         let reported = match phase {
@@ -157,7 +165,7 @@
     }
 }
 
-/// Not heard, nor given up on.
+/// Returns whether a machine has neither reported nor been given up.
 fn is_awaited(machine: &Machine) -> bool {
     machine.unresolved && !machine.commands_unanswered && !machine.listed_failed
 }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -1,6 +1,6 @@
-//! A node's part in rolling out a change of the stored state: what it says of itself, what
-//! it does when it can't read what is stored, operators' orders, and, where it leads, the
-//! steps of the cluster's generation.
+//! A node's part in rolling out a change of the stored state: announcing its abilities, refusing
+//! to act on records that it can't read, handling operators' orders and, as the leader, advancing
+//! the cluster's generation.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,72 +12,73 @@
 use tracing::{error, info};
 
 use super::{
-    Answer, BACK_OFF, Node, Purpose, RequestId,
+    Answer, Node, Purpose, RETRY_DELAY, RequestId,
     drain::DRAINS,
     migrate::Migration,
     partitioned_zones::PARTITIONED_ZONES_FEATURE,
-    store::{GENERATION, LEADER, ORDERS, StateReply, StateRequest, node_key, put, when},
+    store::{
+        GENERATION_KEY, LEADER_KEY, ORDERS_KEY, StateReply, StateRequest, if_version, node_key, put,
+    },
     terminal_states::PACKED_TERMINAL_STATES,
 };
 
-/// All changes of the stored state that this build knows.
+/// All changes of the stored state that this build supports.
 pub const FEATURES: &[Feature] = &[PACKED_TERMINAL_STATES, PARTITIONED_ZONES_FEATURE, DRAINS];
 
-/// Jobs that need others: no generation of its own, since the records of all other jobs keep
-/// their form. A build that does not know it can't read such a job and stays a standby.
+/// Feature name of jobs that depend on others. It has no generation of its own, since the records
+/// of all other jobs keep their form. A build without it can't read such a job and stays a standby.
 pub const JOB_DEPENDENCIES: &str = "job-dependencies";
 
-/// What operators ask of a node.
+/// Operator's request to a node.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum RolloutAction {
     Status,
     Order(Order),
-    /// Gives the leadership away.
+    /// Transfers the leadership to another node.
     StepDown,
 }
 
 #[derive(Debug, Default)]
 pub struct Rollout {
-    /// Where rollouts are on.
-    machine: Option<Machine>,
-    /// The revision of this process's own record; 0: it is not stored yet.
-    started: u64,
+    /// State machine of the generation, or `None` if rollouts are off.
+    state_machine: Option<Machine>,
+    /// Revision of this process's own record; 0 if it is not stored yet.
+    announced_revision: u64,
     announcing: bool,
-    retry: Duration,
-    /// A step of the generation is on its way.
-    storing: bool,
-    next: Duration,
-    /// Why this node does not act, as it was logged.
-    refused: Option<String>,
-    /// It gave the leadership away by itself, and until then does not claim it.
-    blocked: Duration,
-    /// The last key that could not be read where it is not watched.
-    unread: Option<String>,
-    /// The process is about to end.
-    retiring: bool,
+    announce_retry_at: Duration,
+    /// The write of a new generation record is in flight.
+    step_in_flight: bool,
+    next_step_at: Duration,
+    /// Reason why this node does not act, as last logged.
+    logged_refusal: Option<String>,
+    /// Time until which this node does not claim the leadership, after it gave it away.
+    claim_blocked_until: Duration,
+    /// Last key outside the watched prefix whose value could not be parsed.
+    last_unreadable_key: Option<String>,
+    is_shutting_down: bool,
     pub(super) migration: Migration,
 }
 
-/// How often the leader looks whether the generation can move.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// Interval at which the leader checks whether the generation can advance.
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Rollout {
     pub fn new(config: Option<&kiteyard_rollout::config::Config>) -> Self {
         Self {
-            machine: config.map(|config| Machine::new(config.clone(), FEATURES)),
+            state_machine: config.map(|config| Machine::new(config.clone(), FEATURES)),
             ..Self::default()
         }
     }
 }
 
-/// What this process is able to: what its build is, less what its operators hold back.
+/// Returns the abilities of this process: those of its build, within the operators' limits.
 pub fn ability(config: Option<&kiteyard_rollout::config::Config>) -> Ability {
     let newest = FEATURES.iter().map(|f| f.since).max().unwrap_or(OLDEST);
     let most = config
         .and_then(|config| config.reads_most)
         .unwrap_or(newest);
-    let able = FEATURES.iter().filter(|f| f.since <= most);
-    let names = able.map(|f| f.name).chain([JOB_DEPENDENCIES]);
+    let supported = FEATURES.iter().filter(|f| f.since <= most);
+    let names = supported.map(|f| f.name).chain([JOB_DEPENDENCIES]);
     Ability {
         build: option_env!("KITEYARD_BUILD")
             .unwrap_or(env!("CARGO_PKG_VERSION"))
@@ -90,19 +91,19 @@
 }
 
 impl Node {
-    /// The stored forms are of a generation that this process can't read, or that it
-    /// can't tell: it can prove nothing about jobs.
+    /// Returns whether the stored records are of a generation that is unknown or that this
+    /// process can't read. If so, it can't prove anything about jobs.
     pub(super) fn cannot_read_state(&self) -> bool {
-        !self.cache.cluster.0.suits(&self.config.ability)
-            || self.cache.unreadable.contains_key(GENERATION)
+        !self.cache.generation.0.suits(&self.config.ability)
+            || self.cache.unreadable.contains_key(GENERATION_KEY)
     }
 
-    /// Why this node takes no requests and does not lead, if so.
+    /// Reason why this node accepts no requests and does not lead, if there is one.
     pub(super) fn refusal_reason(&self) -> Option<String> {
         if let Some(key) = self.cache.unreadable.keys().next() {
             return Some(format!("{key} can't be read, a newer build is needed"));
         }
-        let cluster = &self.cache.cluster.0;
+        let cluster = &self.cache.generation.0;
         let needs = cluster.needs();
         let ability = &self.config.ability;
         (!cluster.suits(ability)).then(|| {
@@ -111,49 +112,50 @@
         })
     }
 
-    /// Whether this node may claim the leadership, as far as stored forms go.
+    /// Returns whether the stored records and the process's state allow a claim of the leadership.
     pub(super) fn may_claim(&self) -> bool {
-        !self.rollout.retiring
-            && self.now() >= self.rollout.blocked
+        !self.rollout.is_shutting_down
+            && self.now() >= self.rollout.claim_blocked_until
             && self.refusal_reason().is_none()
     }
 
     pub(super) fn accepts_requests(&self) -> bool {
-        !self.rollout.retiring && self.refusal_reason().is_none()
+        !self.rollout.is_shutting_down && self.refusal_reason().is_none()
     }
 
-    /// Every node said that it knows jobs that need others. Where rollouts are off nobody says
-    /// anything, and operators answer for it.
-    pub(super) fn all_know_dependencies(&self) -> bool {
+    /// Returns whether every node announced support for job dependencies. While rollouts are off
+    /// nodes announce nothing, and operators have to ensure it.
+    pub(super) fn all_support_dependencies(&self) -> bool {
         let gone = &self.cache.orders.0.gone;
-        let mut nodes = self.configured().filter(|node| !gone.contains(*node));
+        let mut nodes = self.configured_nodes().filter(|node| !gone.contains(*node));
         let knows = |node: &String| {
             let ability = self.cache.nodes.get(node).and_then(|(a, _)| a.as_ref());
             ability.is_some_and(|a| a.features.iter().any(|name| name == JOB_DEPENDENCIES))
         };
-        self.rollout.machine.is_none() || nodes.all(knows)
+        self.rollout.state_machine.is_none() || nodes.all(knows)
     }
 
-    /// A record outside of what is watched can't be read.
+    /// Logs a key outside the watched prefix whose value can't be parsed, unless it was the last
+    /// one logged.
     pub(super) fn report_unreadable(&mut self, key: &str) {
-        if self.rollout.unread.as_deref() != Some(key) {
+        if self.rollout.last_unreadable_key.as_deref() != Some(key) {
             error!(key, "a record can't be read, a newer build is needed");
-            self.rollout.unread = Some(key.to_owned());
+            self.rollout.last_unreadable_key = Some(key.to_owned());
         }
     }
 
-    /// The failover found a record that it can't read: what it says may be that a task
-    /// runs, so nobody starts anything here. Another node may be able to.
+    /// Gives up a failover that found a record it can't parse. The record may say that a task is
+    /// running, so starting tasks is unsafe. Another node may be able to parse it.
     pub(super) fn abort_failover(&mut self, key: &str) {
         self.report_unreadable(key);
         self.step_down("a stored record can't be read");
     }
 
-    /// Hands over, or where a previous leader may still act, only leaves the place. For a
-    /// leader's lease it does not take it again: workers go on coming here until they
-    /// have found the next one.
+    /// Transfers the leadership to a successor, or only gives it up if a previous leader may still
+    /// act. This node does not claim it again for the duration of a leader's lease, since workers
+    /// keep reporting here until they have found the next leader.
     fn step_down(&mut self, why: &str) {
-        self.rollout.blocked = self.now() + self.config.leader_ttl;
+        self.rollout.claim_blocked_until = self.now() + self.config.leader_ttl;
         let to = match self.has_previous_leader_stopped() {
             true => self.successor(),
             false => None,
@@ -161,72 +163,75 @@
         self.transfer_leadership(to, why);
     }
 
-    /// The node that should lead next: one that is served and able to, and of those
-    /// the one that hears most workers.
+    /// Returns the node that should lead next: of those that the state service answers and that
+    /// can read the stored records, the one that hears from most workers.
     fn successor(&self) -> Option<String> {
         let (nodes, now) = (&self.membership.nodes, self.now());
-        let able = |node: &String| {
-            let told = self.cache.nodes.get(node);
-            let ability = told.and_then(|(ability, _)| ability.as_ref());
-            ability.is_none_or(|ability| self.cache.cluster.0.suits(ability))
+        let can_lead = |node: &String| {
+            let announced = self.cache.nodes.get(node);
+            let ability = announced.and_then(|(ability, _)| ability.as_ref());
+            ability.is_none_or(|ability| self.cache.generation.0.suits(ability))
         };
-        nodes.best_peer_among(now, able).map(|(node, _)| node)
+        nodes.best_peer_among(now, can_lead).map(|(node, _)| node)
     }
 
     pub(super) fn drive_rollout(&mut self) {
         if !self.cache.loaded {
             return;
         }
-        let refuses = self.refusal_reason();
-        if refuses != self.rollout.refused {
-            match &refuses {
-                Some(why) => error!(why, "refuses"),
-                None => info!("serves again"),
+        let reason = self.refusal_reason();
+        if reason != self.rollout.logged_refusal {
+            match &reason {
+                Some(why) => error!(why, "refuses to serve and to lead"),
+                None => info!("serves requests again"),
             }
-            self.rollout.refused = refuses;
+            self.rollout.logged_refusal = reason;
         }
-        if self.rollout.refused.is_some() && self.claim().is_some() {
-            self.step_down("it can't read what is stored");
+        if self.rollout.logged_refusal.is_some() && self.claim().is_some() {
+            self.step_down("it can't read the stored state");
         }
-        if self.rollout.machine.is_none() {
+        if self.rollout.state_machine.is_none() {
             return;
         }
         self.announce();
         let now = self.now();
-        if now < self.rollout.next || self.rollout.storing || !self.is_leader() {
+        if now < self.rollout.next_step_at || self.rollout.step_in_flight || !self.is_leader() {
             return;
         }
-        self.rollout.next = now + LOOK_EVERY;
+        self.rollout.next_step_at = now + STEP_INTERVAL;
         let Some(claim) = self.cluster.as_ref().map(|cluster| cluster.claim) else {
             return;
         };
         let view = self.rollout_view();
         let before = view.cluster;
-        let steps = match &mut self.rollout.machine {
+        let steps = match &mut self.rollout.state_machine {
             Some(machine) => machine.step(now, &view),
             None => return,
         };
         for step in steps {
             match step {
-                Step::SoakBegins => info!(generation = before.to, "soak begins"),
+                Step::SoakBegins => info!(generation = before.to, "soak period started"),
                 Step::SoakBeginsAgain(why) => {
-                    info!(generation = before.to, why, "soak begins again");
+                    info!(generation = before.to, why, "soak period restarted");
                 }
                 Step::Store {
                     cluster,
                     why,
                     nodes,
                 } => {
-                    info!(from = before.from, to = cluster.to, stage = %cluster.stage, why, "generation");
-                    self.rollout.storing = true;
-                    let mut conditions = vec![when(LEADER, claim), when(GENERATION, view.revision)];
+                    info!(from = before.from, to = cluster.to, stage = %cluster.stage, why, "storing the next step of the cluster's generation");
+                    self.rollout.step_in_flight = true;
+                    let mut conditions = vec![
+                        if_version(LEADER_KEY, claim),
+                        if_version(GENERATION_KEY, view.revision),
+                    ];
                     let seen = nodes.iter();
-                    conditions.extend(seen.map(|(node, at)| when(node_key(node), *at)));
+                    conditions.extend(seen.map(|(node, at)| if_version(node_key(node), *at)));
                     self.call(
                         Purpose::StoreGeneration,
                         StateRequest::Txn {
                             conditions,
-                            changes: vec![put(GENERATION, &cluster)],
+                            changes: vec![put(GENERATION_KEY, &cluster)],
                         },
                     );
                 }
@@ -234,23 +239,25 @@
         }
     }
 
-    /// Says in the state service what this process is able to: once, when it starts, so
-    /// that a step which counted on the process before it fails.
+    /// Stores this process's abilities once, when it starts. This makes a step fail that relied on
+    /// the abilities of the node's previous process.
     fn announce(&mut self) {
         let (now, node) = (self.now(), self.config.node.clone());
         let stored = self.cache.nodes.get(&node).map_or(0, |(_, at)| *at);
         let rollout = &mut self.rollout;
-        if rollout.started > 0 && self.cache.cursor >= rollout.started && stored != rollout.started
+        if rollout.announced_revision > 0
+            && self.cache.cursor >= rollout.announced_revision
+            && stored != rollout.announced_revision
         {
-            // A write of the process before came late.
-            rollout.started = 0;
+            // A late write of the previous process replaced this one's record.
+            rollout.announced_revision = 0;
         }
-        if rollout.started > 0 || rollout.announcing || now < rollout.retry {
+        if rollout.announced_revision > 0 || rollout.announcing || now < rollout.announce_retry_at {
             return;
         }
         rollout.announcing = true;
         let key = node_key(&node);
-        let conditions = vec![when(&key, stored)];
+        let conditions = vec![if_version(&key, stored)];
         let changes = vec![put(key, &self.config.ability)];
         self.call(
             Purpose::Announce,
@@ -263,53 +270,54 @@
 
     pub(super) fn announced(&mut self, reply: &StateReply) {
         self.rollout.announcing = false;
-        self.rollout.retry = self.now() + BACK_OFF;
+        self.rollout.announce_retry_at = self.now() + RETRY_DELAY;
         if let StateReply::Committed { revision } = reply {
-            self.rollout.started = *revision;
+            self.rollout.announced_revision = *revision;
         }
     }
 
-    /// What a heartbeat tells of this process.
-    pub(super) fn told(&self) -> Option<Told> {
-        let started = self.rollout.started;
+    /// Returns what a heartbeat says about this process's rollout state.
+    pub(super) fn announced_state(&self) -> Option<Told> {
+        let started = self.rollout.announced_revision;
         (started > 0).then_some(Told {
             started,
-            knows: self.cache.cluster.1,
+            knows: self.cache.generation.1,
         })
     }
 
     pub(super) fn generation_stored(&mut self, reply: &StateReply) {
-        self.rollout.storing = false;
-        // The watch brings it; until then the next look would ask for the same again.
+        self.rollout.step_in_flight = false;
+        // Waits for the watch to deliver the record; before that, the next check would store the
+        // same step again.
         let wait = match reply {
-            StateReply::Committed { .. } => BACK_OFF,
-            _ => BACK_OFF * 3,
+            StateReply::Committed { .. } => RETRY_DELAY,
+            _ => RETRY_DELAY * 3,
         };
-        self.rollout.next = self.now() + wait;
+        self.rollout.next_step_at = self.now() + wait;
     }
 
-    /// No record is left of what a generation that is being left has stored.
-    fn nothing_left(&self) -> bool {
-        let written = self.cache.cluster.0.written();
-        let no_zones = written >= PARTITIONED_ZONES_FEATURE.since
+    /// Returns whether no record is left of the features that the written generation lacks.
+    fn has_no_newer_records(&self) -> bool {
+        let written = self.cache.generation.0.written();
+        let has_no_partitions = written >= PARTITIONED_ZONES_FEATURE.since
             || self.cache.partitioned_zones.0.zones.is_empty();
-        no_zones && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
+        has_no_partitions && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
     }
 
-    fn configured(&self) -> impl Iterator<Item = &String> {
+    fn configured_nodes(&self) -> impl Iterator<Item = &String> {
         self.config.peers.iter().chain([&self.config.node])
     }
 
     fn rollout_view(&self) -> View {
         let now = self.now();
-        let (cluster, revision) = self.cache.cluster;
+        let (cluster, revision) = self.cache.generation;
         let seen = |node: &String| {
             let (ability, started) = match self.cache.nodes.get(node) {
                 Some((ability, started)) => (ability.clone(), *started),
                 None => (None, 0),
             };
             let told = match *node == self.config.node {
-                true => self.told(),
+                true => self.announced_state(),
                 false => self.membership.nodes.told(node, now),
             };
             let seen = Seen {
@@ -323,31 +331,36 @@
             cluster,
             revision,
             orders: self.cache.orders.0.clone(),
-            nodes: self.configured().map(seen).collect::<BTreeMap<_, _>>(),
-            clean: self.rollout.migration.clean(revision) && self.nothing_left(),
+            nodes: self
+                .configured_nodes()
+                .map(seen)
+                .collect::<BTreeMap<_, _>>(),
+            clean: self.rollout.migration.is_finished(revision) && self.has_no_newer_records(),
         }
     }
 
-    pub(super) fn rollout_asked(&mut self, request: RequestId, ask: Ask) {
-        match ask {
-            Ask::Status => {
+    pub(super) fn handle_rollout_action(&mut self, request: RequestId, action: RolloutAction) {
+        match action {
+            RolloutAction::Status => {
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
-            _ if self.rollout.machine.is_none() => {
+            _ if self.rollout.state_machine.is_none() => {
                 let why = "rollouts are off: start the nodes with --rollout FILE";
                 self.answer(request, Answer::Impossible(why.into()));
             }
-            Ask::Order(order) => self.ordered(request, &order),
-            Ask::StepDown if self.claim().is_none() => {
+            RolloutAction::Order(order) => self.handle_rollout_order(request, &order),
+            RolloutAction::StepDown if self.claim().is_none() => {
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
-            Ask::StepDown if !self.has_previous_leader_stopped() || self.successor().is_none() => {
+            RolloutAction::StepDown
+                if !self.has_previous_leader_stopped() || self.successor().is_none() =>
+            {
                 let retry = self.config.leader_term;
                 self.answer(request, Answer::Later { retry });
             }
-            Ask::StepDown => {
+            RolloutAction::StepDown => {
                 self.step_down("an operator asked it to step down");
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
@@ -355,17 +368,17 @@
         }
     }
 
-    /// The process is about to end: it takes no more requests and gives the leadership
-    /// away first.
-    pub(super) fn retire(&mut self) {
-        self.rollout.retiring = true;
+    /// Prepares the end of the process: it accepts no more requests and transfers the
+    /// leadership.
+    pub(super) fn begin_shutdown(&mut self) {
+        self.rollout.is_shutting_down = true;
         if self.claim().is_some() && self.has_previous_leader_stopped() {
-            self.step_down("it is about to end");
+            self.step_down("the process is shutting down");
         }
     }
 
-    fn ordered(&mut self, request: RequestId, order: &Order) {
-        if let Some(why) = self.objection(order) {
+    fn handle_rollout_order(&mut self, request: RequestId, order: &Order) {
+        if let Some(why) = self.order_error(order) {
             self.answer(request, Answer::Impossible(why));
             return;
         }
@@ -377,7 +390,7 @@
         let (mut orders, revision) = self.cache.orders.clone();
         let config = self.config.options.rollout.as_ref();
         match (order, config) {
-            // By hand, the newest has to be named.
+            // Without automatic rollouts, the newest generation has to be an explicit target.
             (Order::Newest, Some(config)) if !config.automatic => {
                 let newest = ability(None).most;
                 let newest = config.held_to(FEATURES).unwrap_or(newest);
@@ -388,34 +401,34 @@
         self.call(
             Purpose::Order { request },
             StateRequest::Txn {
-                conditions: vec![when(ORDERS, revision)],
-                changes: vec![put(ORDERS, &orders)],
+                conditions: vec![if_version(ORDERS_KEY, revision)],
+                changes: vec![put(ORDERS_KEY, &orders)],
             },
         );
     }
 
-    /// What is wrong with an order, if anything.
-    fn objection(&self, order: &Order) -> Option<String> {
+    /// Reason why an order is invalid, if it is.
+    fn order_error(&self, order: &Order) -> Option<String> {
         match order {
-            Order::Forget(node) if !self.configured().any(|known| known == node) => {
-                let nodes: Vec<&str> = self.configured().map(String::as_str).collect();
+            Order::Forget(node) if !self.configured_nodes().any(|known| known == node) => {
+                let nodes: Vec<&str> = self.configured_nodes().map(String::as_str).collect();
                 Some(format!("no node {node}, there are: {}", nodes.join(", ")))
             }
             Order::Forget(node) if self.is_alive(node) => {
-                Some(format!("{node} is here: end it before it is forgotten"))
+                Some(format!("{node} is running: stop it before it is forgotten"))
             }
             Order::Target(target) => {
                 let (oldest, newest) = (OLDEST, ability(None).most);
                 if !(oldest..=newest).contains(target) {
                     return Some(format!("generation: must be {oldest} to {newest}"));
                 }
-                let cluster = self.cache.cluster.0;
-                let now = cluster.from.max(cluster.written());
-                let mut left = FEATURES
+                let cluster = self.cache.generation.0;
+                let newest_in_use = cluster.from.max(cluster.written());
+                let mut removed = FEATURES
                     .iter()
-                    .filter(|f| *target < f.since && f.since <= now);
-                let stuck = left.find(|f| !f.way_back)?;
-                Some(format!("{} has no way back", stuck.name))
+                    .filter(|f| *target < f.since && f.since <= newest_in_use);
+                let irreversible = removed.find(|f| !f.way_back)?;
+                Some(format!("{} can't be downgraded", irreversible.name))
             }
             _ => None,
         }
@@ -435,31 +448,31 @@
         self.answer(request, answer);
     }
 
-    /// Seconds to the end of what is under way, as far as that can be told: the rest of the
-    /// soak, or of the records found so far at the share that the file allows.
-    fn rest_of_the_move(&self, soaked: Duration) -> Option<f64> {
+    /// Estimated seconds until the present stage ends, if known: the rest of the soak, or the time
+    /// to rewrite the records found so far at the configured share of the change rate.
+    fn estimated_remaining_s(&self, soaked: Duration) -> Option<f64> {
         let config = self.config.options.rollout.as_ref()?;
-        match self.cache.cluster.0.stage {
+        match self.cache.generation.0.stage {
             Stage::Settled => None,
             Stage::Prepared | Stage::Soaking => {
                 Some(config.soak.saturating_sub(soaked).as_secs_f64())
             }
             Stage::Active | Stage::Migrating => {
-                let left = self.rollout.migration.left()? as f64;
-                let rate = self.config.writes * config.share;
-                (rate > 0.0).then(|| left / rate)
+                let remaining = self.rollout.migration.remaining()? as f64;
+                let rate = self.config.write_rate * config.share;
+                (rate > 0.0).then(|| remaining / rate)
             }
         }
     }
 
     fn rollout_status(&self) -> Status {
         let now = self.now();
-        let cluster = self.cache.cluster.0;
+        let cluster = self.cache.generation.0;
         let orders = &self.cache.orders.0;
         let leader = self.cache.leader.as_ref().map(|(record, _)| &record.node);
-        let nodes = self.configured().map(|node| {
-            let told = self.cache.nodes.get(node);
-            let ability = told.and_then(|(ability, _)| ability.clone());
+        let nodes = self.configured_nodes().map(|node| {
+            let announced = self.cache.nodes.get(node);
+            let ability = announced.and_then(|(ability, _)| ability.clone());
             NodeStatus {
                 node: node.clone(),
                 zone: self.config.zones.get(node).cloned().unwrap_or_default(),
@@ -475,12 +488,12 @@
         let mut nodes: Vec<NodeStatus> = nodes.collect();
         nodes.sort_by(|a, b| a.node.cmp(&b.node));
         let leads = self.cluster.is_some() && self.is_leader();
-        let machine = self.rollout.machine.as_ref().filter(|_| leads);
+        let machine = self.rollout.state_machine.as_ref().filter(|_| leads);
         let millis = |time: Duration| time.as_millis() as u64;
         let reachability = self.cluster.as_ref().map(|cluster| &cluster.reachability);
         Status {
             node: self.config.node.clone(),
-            enabled: self.rollout.machine.is_some(),
+            enabled: self.rollout.state_machine.is_some(),
             from: cluster.from,
             to: cluster.to,
             stage: cluster.stage,
@@ -491,9 +504,9 @@
             soaked_ms: machine.map(|m| millis(m.soaked(now))),
             soak_ms: self.config.options.rollout.as_ref().map(|c| millis(c.soak)),
             held: machine.map(|m| m.held.to_string()),
-            migrated: machine.map(|_| self.rollout.migration.moved()),
-            left: machine.and_then(|_| self.rollout.migration.left()),
-            estimate_s: machine.and_then(|m| self.rest_of_the_move(m.soaked(now))),
+            migrated: machine.map(|_| self.rollout.migration.total_rewritten()),
+            left: machine.and_then(|_| self.rollout.migration.remaining()),
+            estimate_s: machine.and_then(|m| self.estimated_remaining_s(m.soaked(now))),
             refuses: self.refusal_reason(),
             clear: reachability
                 .filter(|_| leads)
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -1,4 +1,4 @@
-//! What is to be rented: for waiting work that neither running nor booting machines take.
+//! Planning of new machines for waiting work that neither running nor booting machines take.
 
 pub mod arrivals;
 mod plan;
@@ -15,22 +15,22 @@
     capacity_snapshot::jobs_on_unresolved,
     cluster::{ClusterState, Job},
     job::{JobId, JobSpec, Kind, Resources},
-    machine::{MachineKind, Standing},
+    machine::{MachineKind, MachineState},
     provisioning::ProvisioningRequest,
     reconciliation::DeferredAction,
 };
 
-/// Waiting tasks of one job that need room that is not there.
+/// Waiting tasks of one job that need additional capacity.
 struct Demand {
     spec: Arc<JobSpec>,
     tasks: u32,
 }
 
 impl ClusterState {
-    /// Rents for waiting work that neither running nor booting machines will take soon.
+    /// Requests machines for waiting work that running and booting machines won't take soon.
     pub(super) fn plan_scale_out(&mut self, now: Duration) {
-        self.provisioning.forget_refusals(now);
-        if self.unlisted(now) || self.starts_rejected() {
+        self.provisioning.expire_refusals(now);
+        if self.may_have_unlisted_machines(now) || self.starts_rejected() {
             return;
         }
         if !self.provisioning.may_request() {
@@ -41,52 +41,52 @@
         }
     }
 
-    /// Hands an order to the cloud in calls of as many machines as one call may ask for.
+    /// Splits an order into provisioning requests of at most the allowed size.
     fn submit_order(&mut self, order: ScaleOutOrder) {
         let ScaleOutOrder { kind, job, .. } = order;
         let MachineKind { zone, spot, .. } = &kind;
         let mut wanted = order.count;
         while wanted > 0 && self.provisioning.may_request() {
-            let count = wanted.min(CALL_MOST);
+            let count = wanted.min(MAX_MACHINES_PER_REQUEST);
             wanted -= count;
-            let rental = ProvisioningRequest {
-                request: String::new(),
+            let request = ProvisioningRequest {
+                id: String::new(),
                 machine_type: kind.machine_type.clone(),
                 zone: zone.clone(),
                 spot: *spot,
                 count,
             };
-            let request = self.provisioning.open_request(rental);
-            info!(request, kind = %kind.machine_type, %zone, spot, count, %job, "scale out");
+            let request = self.provisioning.open_request(request);
+            info!(request, kind = %kind.machine_type, %zone, spot, count, %job, "requesting machines");
         }
     }
 
-    /// Machines by kind for all that waits, in as few calls as the cloud takes: one call
-    /// for each job kept a fleet that begins with nothing waiting for calls.
+    /// Plans machines by kind for all waiting work, to need as few requests as possible: with
+    /// one request per job, the request rate delayed the scale-out of an empty fleet.
     fn plan_orders(&mut self, now: Duration) -> Vec<ScaleOutOrder> {
         let mut plan = ScaleOutPlan::default();
-        // Gangs that have to stay in one zone may wait though there is room for a part.
+        // A gang bound to one zone may wait while idle machines have room for a part of it.
         let mut idle = UpcomingCapacity::default();
         for machine in self.machines.values() {
             plan.count_machines(&machine.zone, 1);
-            if machine.standing == Standing::Booting {
-                plan.coming.add(&machine.kind(), machine.size, 1);
+            if machine.state == MachineState::Booting {
+                plan.upcoming.add(&machine.kind(), machine.size, 1);
             } else if !machine.busy() && self.usable(machine, now) {
                 idle.add(&machine.kind(), machine.size, 1);
             }
         }
-        for rental in self.provisioning.open_requests() {
-            let size = self.size(&rental.machine_type);
-            plan.coming.add(&rental.kind(), size, rental.count);
+        for request in self.provisioning.open_requests() {
+            let size = self.size(&request.machine_type);
+            plan.upcoming.add(&request.kind(), size, request.count);
         }
         for demand in self.demands(now) {
             self.plan_demand(demand, &mut plan, &mut idle);
         }
-        self.order_ahead(now, &mut plan);
+        self.plan_expected_arrivals(now, &mut plan);
         plan.into_orders()
     }
 
-    /// Orders machines for the tasks that neither coming nor idle room takes.
+    /// Orders machines for the tasks that neither upcoming nor idle capacity takes.
     fn plan_demand(
         &mut self,
         mut demand: Demand,
@@ -95,17 +95,17 @@
     ) {
         let spec = demand.spec.clone();
         if !spec.one_zone {
-            demand.tasks = plan.coming.fill(&spec, None, demand.tasks);
-        } else if let Some(zone) = whole_in(&spec, demand.tasks, &plan.coming, idle) {
+            demand.tasks = plan.upcoming.fill(&spec, None, demand.tasks);
+        } else if let Some(zone) = zone_with_room(&spec, demand.tasks, &plan.upcoming, idle) {
             let left = idle.fill(&spec, Some(&zone), demand.tasks);
-            demand.tasks = plan.coming.fill(&spec, Some(&zone), left);
+            demand.tasks = plan.upcoming.fill(&spec, Some(&zone), left);
         }
         if demand.tasks == 0 || self.awaits_capacity(&spec, DeferredAction::Provision) {
             return;
         }
         while demand.tasks > 0 {
             let room_in = |zone: &str| match spec.one_zone {
-                true => plan.coming.takes(&spec, Some(zone)) + idle.takes(&spec, Some(zone)),
+                true => plan.upcoming.slots(&spec, Some(zone)) + idle.slots(&spec, Some(zone)),
                 false => 0,
             };
             let Some((kind, count)) = self.choose_machine_kind(&demand, room_in, plan) else {
@@ -114,68 +114,69 @@
             plan.order(&kind, self.size(&kind.machine_type), count, &spec);
             if spec.one_zone {
                 demand.tasks = idle.fill(&spec, Some(&kind.zone), demand.tasks);
-                demand.tasks = plan.coming.fill(&spec, Some(&kind.zone), demand.tasks);
+                demand.tasks = plan.upcoming.fill(&spec, Some(&kind.zone), demand.tasks);
             } else {
-                demand.tasks = plan.coming.fill(&spec, None, demand.tasks);
+                demand.tasks = plan.upcoming.fill(&spec, None, demand.tasks);
             }
         }
     }
 
-    /// Asks for room for what usually comes until a machine has booted, where that is to
-    /// start sooner than it could on a machine that is asked for then.
-    fn order_ahead(&self, now: Duration, plan: &mut ScaleOutPlan) {
-        let expected = self.expected();
+    /// Orders machines for the expected arrivals of classes whose objective is shorter than
+    /// the boot of a machine requested on arrival.
+    fn plan_expected_arrivals(&self, now: Duration, plan: &mut ScaleOutPlan) {
+        let expected = self.expected_arrivals();
         if expected.is_empty() {
             return;
         }
         for machine in self.machines.values().filter(|m| self.usable(m, now)) {
             let free = machine.free();
             if expected.iter().any(|(spec, _)| spec.need.fits_in(&free)) {
-                plan.coming.add(&machine.kind(), free, 1);
+                plan.upcoming.add(&machine.kind(), free, 1);
             }
         }
-        let mut left = self.limits_left();
+        let mut remaining = self.remaining_limits();
         for (spec, mut tasks) in expected {
-            if let Some(left) = left.get_mut(&spec.team) {
-                tasks = tasks.min(spec.need.times_in(left));
-                *left = left.plus_times(&spec.need, -f64::from(tasks));
+            if let Some(left) = remaining.get_mut(&spec.team) {
+                tasks = tasks.min(spec.need.count_fitting(left));
+                *left = left.plus_scaled(&spec.need, -f64::from(tasks));
             }
-            tasks = plan.coming.fill(&spec, None, tasks);
+            tasks = plan.upcoming.fill(&spec, None, tasks);
             while tasks > 0 {
                 let demand = Demand {
                     spec: spec.clone(),
-                    tasks: tasks.min(spec.need.times_in(&self.largest(&spec)) * ZONE_BATCH_MOST),
+                    tasks: tasks
+                        .min(spec.need.count_fitting(&self.largest_size(&spec)) * MAX_ZONE_BATCH),
                 };
                 let Some((kind, count)) = self.choose_machine_kind(&demand, |_| 0, plan) else {
                     break;
                 };
                 plan.order(&kind, self.size(&kind.machine_type), count, &spec);
-                tasks = plan.coming.fill(&spec, None, tasks);
+                tasks = plan.upcoming.fill(&spec, None, tasks);
             }
         }
     }
 
-    /// The largest machine that the job may use.
-    fn largest(&self, spec: &JobSpec) -> Resources {
+    /// Size of the largest machine type that the job may use.
+    fn largest_size(&self, spec: &JobSpec) -> Resources {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
-        let largest = types.max_by_key(|t| spec.need.times_in(&t.size));
+        let largest = types.max_by_key(|t| spec.need.count_fitting(&t.size));
         largest.map(|t| t.size).unwrap_or_default()
     }
 
-    /// Tasks by class that usually come until a machine has booted, of those classes that
-    /// can't wait for one.
-    pub(super) fn expected(&self) -> Vec<(Arc<JobSpec>, u32)> {
-        let within = |spec: &JobSpec| match self.patience(spec) > 0.0 {
+    /// Expected arrivals by class during the boot of a machine, for the classes that can't
+    /// wait for one.
+    pub(super) fn expected_arrivals(&self) -> Vec<(Arc<JobSpec>, u32)> {
+        let within = |spec: &JobSpec| match self.wait_budget_s(spec) > 0.0 {
             true => Duration::ZERO,
-            false => crate::settings::seconds(self.boot_s(spec)),
+            false => crate::settings::seconds(self.min_boot_s(spec)),
         };
         self.arrivals.expected(self.wall_ms, within)
     }
 
-    fn boot_s(&self, spec: &JobSpec) -> f64 {
+    fn min_boot_s(&self, spec: &JobSpec) -> f64 {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
-        let least = types.map(|t| t.boot_s).reduce(f64::min);
-        least.unwrap_or(0.0)
+        let min = types.map(|t| t.boot_s).reduce(f64::min);
+        min.unwrap_or(0.0)
     }
 
     fn size(&self, machine_type: &str) -> Resources {
@@ -186,45 +187,44 @@
             .unwrap_or_default()
     }
 
-    /// Waiting tasks by job, the most important first. Of finite work only what
-    /// the machines that are up will not have done by the time new ones are.
+    /// Waiting tasks by job, the highest priority first. Of arrays, only the tasks that the
+    /// machines that are up won't have completed by the time new ones have booted.
     fn demands(&self, now: Duration) -> Vec<Demand> {
-        let finite = self.batch_capacity();
-        let silent = jobs_on_unresolved(&self.machines);
-        let held = |id: &JobId, job: &Job| job.version < self.claim && silent.contains(id);
+        let batch_capacity = self.batch_capacity();
+        let unresolved = jobs_on_unresolved(&self.machines);
+        let is_held = |id: &JobId, job: &Job| job.version < self.claim && unresolved.contains(id);
         let mut jobs: Vec<_> = self
             .jobs
             .iter()
-            .filter(|(id, j)| j.retry_at <= now && !j.faulty() && !held(id, j))
+            .filter(|(id, j)| j.retry_at <= now && !j.faulty() && !is_held(id, j))
             .map(|(_, j)| j)
             .filter(|j| j.waiting_count() as usize > j.nominations.len())
             .collect();
         jobs.sort_by_key(|j| (std::cmp::Reverse(j.spec.priority), j.ready_ms, j.version));
-        let mut ahead = 0.0;
-        let mut left = self.limits_left();
+        let mut backlog = 0.0;
+        let mut remaining = self.remaining_limits();
         let mut demands = Vec::new();
         for job in jobs {
             let spec = &job.spec;
             let waiting = job.waiting_count() - job.nominations.len() as u32;
             let mut tasks = waiting;
             if spec.kind == Kind::Array {
-                let share = spec.need.share_of(&finite);
+                let share = spec.need.dominant_share_of(&batch_capacity);
                 if share.is_finite() {
                     let work = share * spec.estimate_s.max(1.0) * f64::from(waiting);
-                    // What is cleared while a new machine boots needs no machine.
-                    let over = (ahead + work - self.patience(spec)).max(0.0);
-                    ahead += work;
+                    // Work completed while a new machine boots needs no new machine.
+                    let excess = (backlog + work - self.wait_budget_s(spec)).max(0.0);
+                    backlog += work;
                     let horizon = SCALE_OUT_HORIZON.as_secs_f64().max(spec.estimate_s);
-                    let wanted = over / (share.max(1e-9) * horizon);
+                    let wanted = excess / (share.max(1e-9) * horizon);
                     tasks = waiting.min(wanted.ceil() as u32);
                 }
             }
-            // A machine for what the team may not run, or has no seats for, would stand
-            // idle.
+            // A machine for tasks beyond the team's limit or licence seats would stay idle.
             tasks = tasks.min(self.seats_for(spec, now));
-            if let Some(left) = left.get_mut(&spec.team) {
-                tasks = tasks.min(spec.need.times_in(left));
-                *left = left.plus_times(&spec.need, -f64::from(tasks));
+            if let Some(left) = remaining.get_mut(&spec.team) {
+                tasks = tasks.min(spec.need.count_fitting(left));
+                *left = left.plus_scaled(&spec.need, -f64::from(tasks));
             }
             if tasks > 0 {
                 demands.push(Demand {
@@ -236,26 +236,25 @@
         demands
     }
 
-    /// For how long, in seconds, the machines that are up may go on clearing a job's tasks
-    /// before more are asked for. Where they are to start sooner than a new machine has
-    /// booted and fetched the image, every moment counts.
-    fn patience(&self, spec: &JobSpec) -> f64 {
-        let aims = self.config.objectives.iter();
-        let aims = aims.filter(|o| o.kind == "wait" && *o.class == *spec.class);
-        let tightest = aims.map(|o| o.within_s).fold(f64::INFINITY, f64::min);
-        let left = tightest - self.boot_s(spec) - self.fetch_alone(spec);
+    /// Seconds of work that may be queued for the machines that are up before new ones are
+    /// requested: zero if the wait objective is shorter than boot and image fetch.
+    fn wait_budget_s(&self, spec: &JobSpec) -> f64 {
+        let objectives = self.config.objectives.iter();
+        let objectives = objectives.filter(|o| o.kind == "wait" && *o.class == *spec.class);
+        let tightest = objectives.map(|o| o.within_s).fold(f64::INFINITY, f64::min);
+        let left = tightest - self.min_boot_s(spec) - self.uncontended_fetch_secs(spec);
         left.clamp(0.0, SCALE_OUT_HORIZON.as_secs_f64())
     }
 
-    /// What teams with a limit may still run.
-    fn limits_left(&self) -> HashMap<Arc<str>, Resources> {
-        let most = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
+    /// Resources that teams with a limit may still use.
+    fn remaining_limits(&self) -> HashMap<Arc<str>, Resources> {
+        let limit_or_infinity = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         let teams = self.config.teams.iter();
-        let mut left: HashMap<Arc<str>, Resources> = teams
+        let mut remaining: HashMap<Arc<str>, Resources> = teams
             .map(|(name, team)| {
                 let limit = Resources {
-                    cpus: most(team.cpus_max),
-                    gpus: most(team.gpus_max),
+                    cpus: limit_or_infinity(team.cpus_max),
+                    gpus: limit_or_infinity(team.gpus_max),
                     memory_gb: f64::INFINITY,
                 };
                 (name.clone(), limit)
@@ -264,55 +263,56 @@
         let tasks = self.machines.values().flat_map(|m| m.tasks.values());
         for placement in tasks.filter(|p| !p.exited()) {
             if let Some(spec) = &placement.spec
-                && let Some(left) = left.get_mut(&spec.team)
+                && let Some(left) = remaining.get_mut(&spec.team)
             {
                 *left = left.minus(&placement.need);
             }
         }
-        left
+        remaining
     }
 
-    /// The cheapest way to hold the tasks, where the cloud has not refused it: the kind of
-    /// machine, and how many. `there` tells how many tasks a zone has room for already.
+    /// Returns the cheapest machine kind for the tasks that the cloud has not refused, and the
+    /// number of machines. `existing_slots` returns the tasks that fit in a zone already.
     fn choose_machine_kind(
         &self,
         demand: &Demand,
-        there: impl Fn(&str) -> u32,
+        existing_slots: impl Fn(&str) -> u32,
         plan: &ScaleOutPlan,
     ) -> Option<(MachineKind, u32)> {
         let spec = &demand.spec;
         let mut best: Option<(f64, MachineKind, u32)> = None;
         for t in self.types.iter().filter(|t| spec.allows_type(&t.name)) {
-            let slots = spec.need.times_in(&t.size);
+            let slots = spec.need.count_fitting(&t.size);
             if slots == 0 {
                 continue;
             }
             for zone in &t.zones {
-                let tasks = demand.tasks.saturating_sub(there(zone)).max(1);
+                let tasks = demand.tasks.saturating_sub(existing_slots(zone)).max(1);
                 for spot in [true, false] {
                     let kind = MachineKind {
                         machine_type: t.name.clone(),
                         zone: zone.clone(),
                         spot,
                     };
-                    if !spec.allows_place(zone, spot)
+                    if !spec.allows_placement(zone, spot)
                         || self.provisioning.is_refused(&kind)
                         || !self.reaches(zone)
                     {
                         continue;
                     }
-                    // A gang is of use only whole.
-                    let most = match spec.one_zone {
+                    // A gang runs only as a whole.
+                    let max_count = match spec.one_zone {
                         true => u32::MAX,
-                        false => ZONE_BATCH_MOST,
+                        false => MAX_ZONE_BATCH,
                     };
-                    let count = tasks.div_ceil(slots).min(most);
+                    let count = tasks.div_ceil(slots).min(max_count);
                     let price = if spot { t.spot_price } else { t.price };
-                    let held = match spec.one_zone {
+                    let placed = match spec.one_zone {
                         true => demand.tasks,
                         false => tasks.min(slots * count),
                     };
-                    let cost = price * f64::from(count) / f64::from(held) * (1.0 + t.boot_s / 60.0)
+                    let cost = price * f64::from(count) / f64::from(placed)
+                        * (1.0 + t.boot_s / 60.0)
                         + 1e-4 * plan.machines_in(zone) as f64;
                     if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
                         best = Some((cost, kind, count));
@@ -324,25 +324,27 @@
     }
 }
 
-/// A zone where all of a job's tasks find room.
-fn whole_in(
+/// Returns a zone that has room for all tasks of a job.
+fn zone_with_room(
     spec: &JobSpec,
     tasks: u32,
-    ahead: &UpcomingCapacity,
+    upcoming: &UpcomingCapacity,
     idle: &UpcomingCapacity,
 ) -> Option<Arc<str>> {
-    let zones = ahead.zones().chain(idle.zones());
-    let whole = |zone: &&Arc<str>| {
+    let zones = upcoming.zones().chain(idle.zones());
+    let has_room = |zone: &&Arc<str>| {
         let zone = Some(&***zone);
-        idle.takes(spec, zone) + ahead.takes(spec, zone) >= tasks
+        idle.slots(spec, zone) + upcoming.slots(spec, zone) >= tasks
     };
-    zones.min_by_key(|zone| !whole(zone)).filter(whole).cloned()
+    zones
+        .min_by_key(|zone| !has_room(zone))
+        .filter(has_room)
+        .cloned()
 }
 
-/// Machines of one zone that a job's tasks ask for at a time: more would put all of them
-/// there.
-const ZONE_BATCH_MOST: u32 = 16;
-/// Machines that one call may ask for, by the protocol.
-const CALL_MOST: u32 = 50;
-/// Waiting work that the machines do within this time needs no new ones.
+/// Maximum number of machines ordered in one zone at a time, to spread a job over zones.
+const MAX_ZONE_BATCH: u32 = 16;
+/// Maximum number of machines in one provisioning request, by the protocol.
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
+/// Waiting work that the existing machines complete within this time needs no new ones.
 const SCALE_OUT_HORIZON: Duration = Duration::from_secs(20);
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -15,10 +15,12 @@
 use kiteyard_maintenance::ledger::Replicas;
 
 use super::{
-    capacity_snapshot::{MachineCapacity, Snapshot, Unplaceable, Usage, jobs_on_unresolved},
+    capacity_snapshot::{
+        CapacitySnapshot, MachineCapacity, Unplaceable, Usage, jobs_on_unresolved,
+    },
     cluster::ClusterState,
     job::{JobId, JobSpec, Kind, Priority, Resources, TaskId},
-    machine::{Machine, MachineId, Standing},
+    machine::{Machine, MachineId, MachineState},
     reconciliation::DeferredAction,
 };
 
@@ -62,21 +64,21 @@
 
 impl ClusterState {
     pub fn usable(&self, machine: &Machine, now: Duration) -> bool {
-        machine.standing == Standing::Up
+        machine.state == MachineState::Up
             && machine.fenced
             && machine.notice_at.is_none()
             && !self.cordoned(&machine.id)
             && self.reaches(&machine.zone)
-            && machine
-                .heard_at
-                .is_some_and(|at| now < at + self.config.report * 2 + Duration::from_millis(700))
+            && machine.heard_at.is_some_and(|at| {
+                now < at + self.config.report_interval * 2 + Duration::from_millis(700)
+            })
     }
 
     /// Nothing is started that can't be delivered, and nobody stopped for it.
     pub(super) fn reaches(&self, zone: &str) -> bool {
         !self.reachability.is_uncertain
             && !self.reachability.partitioned_zones.contains(zone)
-            && !self.withheld.contains(zone)
+            && !self.start_blocked_zones.contains(zone)
     }
 
     /// Places what fits, makes room for what does not, and parks the rest.
@@ -113,7 +115,7 @@
     }
 
     /// Whether nothing is to be tried for the job in this pass.
-    fn waits(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) -> bool {
+    fn waits(&mut self, view: &mut CapacitySnapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -151,7 +153,7 @@
     }
 
     /// Not the least that could start of the job is within what its team may use.
-    fn at_limit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> bool {
+    fn at_limit(&self, view: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> bool {
         let least = match spec.kind {
             Kind::Gang => spec.tasks,
             _ => 1,
@@ -166,7 +168,7 @@
     }
 
     /// Places all of a job that has room anywhere, or makes room for it.
-    fn place_job(&mut self, view: &mut Snapshot, id: JobId, now: Duration) {
+    fn place_job(&mut self, view: &mut CapacitySnapshot, id: JobId, now: Duration) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.waiting_count() > 0) else {
             return;
         };
@@ -192,7 +194,7 @@
         }
     }
 
-    fn view(&self, now: Duration) -> Snapshot {
+    fn view(&self, now: Duration) -> CapacitySnapshot {
         let (usage, leaving) = self.usage();
         let rooms: Vec<MachineCapacity> = self
             .machines
@@ -200,9 +202,10 @@
             .filter(|m| self.usable(m, now))
             .map(MachineCapacity::new)
             .collect();
-        let mut view = Snapshot::new(rooms, usage, leaving, jobs_on_unresolved(&self.machines));
+        let mut view =
+            CapacitySnapshot::new(rooms, usage, leaving, jobs_on_unresolved(&self.machines));
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
-            view.hold(&job.spec, &job.nominations);
+            view.reserve(&job.spec, &job.nominations);
         }
         view
     }
@@ -214,7 +217,7 @@
     /// With `with_image`, only rooms that have its image, or are about to.
     pub(super) fn fill_machines(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         with_image: bool,
@@ -225,21 +228,21 @@
             let machine = &self.machines[&room.id];
             // One that failed tasks is the last resort, whatever its cache holds.
             let sound = machine.failures.is_empty() && !failed_on.contains(&room.id);
-            sound && (machine.has_image(&spec.image) || machine.fetches(&spec.image))
+            sound && (machine.has_image(&spec.image) || machine.is_fetching(&spec.image))
         };
         let mut costs: Vec<(f64, usize)> = view
             .may_fit(spec)
             .filter(|room| {
-                let room = &view.rooms[*room];
+                let room = &view.machines[*room];
                 !with_image || (spec.need.fits_in(&room.free) && has_image(room))
             })
             .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
             .collect();
         costs.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         for (_, room) in costs {
-            let machine = view.rooms[room].id.clone();
-            while self.fits(view, &view.rooms[room], spec, &view.rooms[room].free) {
-                if self.jobs[id].tries_enough() {
+            let machine = view.machines[room].id.clone();
+            while self.fits(view, &view.machines[room], spec, &view.machines[room].free) {
+                if self.jobs[id].has_enough_probes() {
                     return;
                 }
                 let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) else {
@@ -261,7 +264,7 @@
     /// Places an array's or a service's tasks.
     fn place_tasks(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
@@ -270,7 +273,7 @@
             self.fill_machines(view, id, spec, false, now);
         }
         while let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) {
-            if self.over_limit(view, spec, 1, now) || self.jobs[id].tries_enough() {
+            if self.over_limit(view, spec, 1, now) || self.jobs[id].has_enough_probes() {
                 self.drop_spent(view, id, now);
                 return false;
             }
@@ -279,7 +282,7 @@
                 index,
             };
             if let Some(room) = self.best_fit(view, spec, now) {
-                let machine = view.rooms[room].id.clone();
+                let machine = view.machines[room].id.clone();
                 let attempt = self.next_attempt();
                 self.put(view, room, &machine, task, attempt, now);
                 continue;
@@ -292,7 +295,7 @@
 
     fn put(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         room: usize,
         machine: &MachineId,
         task: TaskId,
@@ -304,18 +307,24 @@
         let spec = self.jobs[&id].spec.clone();
         self.take_seats(&spec, &task, attempt, now);
         self.place(machine, task, attempt, now);
-        view.put(room, &spec);
+        view.record_placement(room, &spec);
         if self.jobs[&id].nominations.len() != held {
             self.refresh_held(view, &id);
         }
     }
 
-    fn refresh_held(&self, view: &mut Snapshot, id: &JobId) {
+    fn refresh_held(&self, view: &mut CapacitySnapshot, id: &JobId) {
         let job = &self.jobs[id];
-        view.refresh_held(&job.spec, &job.nominations);
+        view.refresh_reservations(&job.spec, &job.nominations);
     }
 
-    fn over_limit(&self, view: &Snapshot, spec: &JobSpec, tasks: u32, now: Duration) -> bool {
+    fn over_limit(
+        &self,
+        view: &CapacitySnapshot,
+        spec: &JobSpec,
+        tasks: u32,
+        now: Duration,
+    ) -> bool {
         if self.seats_for(spec, now) < tasks {
             return true;
         }
@@ -323,23 +332,23 @@
             return true;
         };
         let used = view.usage.of(&spec.team);
-        let sum = used.plus_times(&spec.need, f64::from(tasks));
+        let sum = used.plus_scaled(&spec.need, f64::from(tasks));
         let over = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
         over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus)
     }
 
     /// Whether the job may have a task there, room aside.
-    fn allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
+    fn allowed(&self, view: &CapacitySnapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
         spec.allows_type(&room.machine_type)
-            && spec.allows_place(&room.zone, room.spot)
-            && zone_allowed(&view.zones, &room.zone, spec)
+            && spec.allows_placement(&room.zone, room.spot)
+            && zone_allowed(&view.job_zones, &room.zone, spec)
     }
 
     /// Both checks: with the nominated tasks of equal or higher priority taken
     /// as running, and again without them.
     fn fits(
         &self,
-        view: &Snapshot,
+        view: &CapacitySnapshot,
         room: &MachineCapacity,
         spec: &JobSpec,
         free: &Resources,
@@ -348,7 +357,7 @@
             return false;
         }
         let mut left = *free;
-        for (priority, job, need) in &room.held {
+        for (priority, job, need) in &room.reservations {
             if *priority >= spec.priority && *job != spec.id {
                 left = left.minus(need);
             }
@@ -356,7 +365,7 @@
         spec.need.fits_in(&left) && self.allowed(view, room, spec)
     }
 
-    fn best_fit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
+    fn best_fit(&self, view: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
         view.may_fit(spec)
             .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
             .min_by(|a, b| a.0.total_cmp(&b.0))
@@ -364,14 +373,20 @@
     }
 
     /// How good a room is for a task that fits there; the lowest is the best.
-    fn cost(&self, view: &Snapshot, index: usize, spec: &JobSpec, now: Duration) -> Option<f64> {
-        let room = &view.rooms[index];
+    fn cost(
+        &self,
+        view: &CapacitySnapshot,
+        index: usize,
+        spec: &JobSpec,
+        now: Duration,
+    ) -> Option<f64> {
+        let room = &view.machines[index];
         if !self.fits(view, room, spec, &room.free) {
             return None;
         }
         let job = self.jobs.get(&spec.id)?;
         let machine = &self.machines[&room.id];
-        let mut cost = self.fetch_time(machine, spec);
+        let mut cost = self.estimated_fetch_secs(machine, spec);
         let failures = machine
             .failures
             .iter()
@@ -388,7 +403,7 @@
                 .iter()
                 .filter(|((task, _), p)| task.job == spec.id && !p.exited())
                 .count();
-            let in_zone = view.zones.get(&machine.zone).copied().unwrap_or(0);
+            let in_zone = view.job_zones.get(&machine.zone).copied().unwrap_or(0);
             cost += 4.0 * beside as f64 + f64::from(in_zone);
         }
         // An empty machine with images of services is left to them.
@@ -408,7 +423,13 @@
             _ => 0.5 * (1.0 - keep),
         };
         // Full machines first, so that empty ones can be returned, and stay whole.
-        Some(cost + 1.0 - machine.size.minus(&room.free).share_of(&machine.size))
+        Some(
+            cost + 1.0
+                - machine
+                    .size
+                    .minus(&room.free)
+                    .dominant_share_of(&machine.size),
+        )
     }
 
     /// What a machine costs more than one of its kind that may be taken back, as a share.
@@ -426,7 +447,7 @@
     /// Preemption for the waiting tasks of a job that hold no nomination yet.
     fn make_room(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
@@ -460,7 +481,7 @@
 
     /// A task whose nominated machine still has victims stopping does not
     /// preempt again; one whose victims are gone, and which still did not fit, may.
-    fn drop_spent(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
+    fn drop_spent(&mut self, view: &mut CapacitySnapshot, id: &JobId, now: Duration) {
         let machines = &self.machines;
         let job = self.jobs.get_mut(id).expect("job at hand");
         let before = job.nominations.len();
@@ -476,11 +497,11 @@
         }
     }
 
-    fn best_plan(&self, view: &Snapshot, spec: &JobSpec) -> Option<Plan> {
+    fn best_plan(&self, view: &CapacitySnapshot, spec: &JobSpec) -> Option<Plan> {
         let reclaims = self.within_guarantee(view, spec);
         let mut best: Option<Plan> = None;
-        for (index, room) in view.rooms.iter().enumerate() {
-            let most = room.most_free(spec.priority, reclaims);
+        for (index, room) in view.machines.iter().enumerate() {
+            let most = room.max_free(spec.priority, reclaims);
             if !spec.need.fits_in(&most) || !self.allowed(view, room, spec) {
                 continue;
             }
@@ -503,12 +524,14 @@
     /// Whatever the plan for this room is, it is worse than this one. Going through the
     /// tasks of each machine for each waiting service was most of a pass in a rush.
     fn loses(&self, room: &MachineCapacity, spec: &JobSpec, reclaims: bool, best: &Plan) -> bool {
-        let least = room.least_highest(spec, reclaims);
+        let least = room.min_highest_victim(spec, reclaims);
         if best.breaches > 0 || least != best.highest {
             return best.breaches == 0 && least > best.highest;
         }
         let machine = &self.machines[&room.id];
-        let by_fetch = self.fetch_time(machine, spec).total_cmp(&best.fetch);
+        let by_fetch = self
+            .estimated_fetch_secs(machine, spec)
+            .total_cmp(&best.fetch);
         by_fetch
             .then_with(|| self.keeping_for(machine, spec).total_cmp(&best.keeping))
             .is_gt()
@@ -522,12 +545,18 @@
     }
 
     /// Sets aside every task that may make room, then restores those that can stay.
-    fn plan(&self, view: &Snapshot, index: usize, spec: &JobSpec, reclaims: bool) -> Option<Plan> {
-        let room = &view.rooms[index];
+    fn plan(
+        &self,
+        view: &CapacitySnapshot,
+        index: usize,
+        spec: &JobSpec,
+        reclaims: bool,
+    ) -> Option<Plan> {
+        let room = &view.machines[index];
         let machine = &self.machines[&room.id];
         let mut free = room.free;
         // Own nominations here are other tasks of the same job.
-        for (_, job, need) in &room.held {
+        for (_, job, need) in &room.reservations {
             if *job == spec.id {
                 free = free.minus(need);
             }
@@ -549,7 +578,7 @@
         // The newest first, so that a team loses those beyond its guarantee.
         candidates.sort_by(|a, b| (b.2, b.0).cmp(&(a.2, a.0)));
         let mut leaving = match reclaims {
-            true => view.leaving.clone(),
+            true => view.stopping_usage.clone(),
             false => Usage::default(),
         };
         candidates.retain(|(_, victim, _)| {
@@ -582,7 +611,7 @@
             breaches: 0,
             highest: None,
             freed: Resources::default(),
-            fetch: self.fetch_time(machine, spec),
+            fetch: self.estimated_fetch_secs(machine, spec),
             keeping: self.keeping_for(machine, spec),
         };
         for (breaks, priority, _, key, victim) in budgeted {
@@ -601,13 +630,13 @@
 
     /// One more task of the job, beside all that its team runs or has room held
     /// for, is within the team's guarantee.
-    fn within_guarantee(&self, view: &Snapshot, spec: &JobSpec) -> bool {
+    fn within_guarantee(&self, view: &CapacitySnapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
         };
         let mut sum = view.usage.of(&spec.team);
         for job in self.jobs.values().filter(|j| j.spec.team == spec.team) {
-            sum = sum.plus_times(&job.spec.need, job.nominations.len() as f64);
+            sum = sum.plus_scaled(&job.spec.need, job.nominations.len() as f64);
         }
         let sum = sum.plus(&spec.need);
         sum.cpus <= team.cpus + 1e-6 && sum.gpus <= team.gpus + 1e-6
@@ -617,7 +646,7 @@
     /// aside. A higher priority is left alone: it would only preempt back.
     fn may_reclaim(
         &self,
-        view: &Snapshot,
+        view: &CapacitySnapshot,
         leaving: &Usage,
         spec: &JobSpec,
         victim: &JobSpec,
@@ -641,18 +670,19 @@
             .entry(victim.id.clone())
             .or_insert_with(|| (self.standing(&victim.id), 0));
         *count += 1;
-        self.ledger.breach(&victim.team, *standing, *count)
+        self.disruption_ledger
+            .breach(&victim.team, *standing, *count)
     }
 
     fn nominate(
         &mut self,
-        view: &mut Snapshot,
+        view: &mut CapacitySnapshot,
         id: &JobId,
         spec: &JobSpec,
         plan: Plan,
         now: Duration,
     ) {
-        let machine = view.rooms[plan.room].id.clone();
+        let machine = view.machines[plan.room].id.clone();
         info!(job = %id, machine = %machine, victims = plan.victims.len(), breaches = plan.breaches, "nominate");
         self.counts.nominations += 1;
         let grace = self.config.options.grace;
@@ -660,7 +690,7 @@
             info!(task = %key.0, machine = %machine, by = %id, "preempt");
             self.counts.victims += 1;
             if let Some(victim) = self.jobs.get(&key.0.job).map(|j| j.spec.clone()) {
-                view.leaving.add(&victim.team, &victim.need);
+                view.stopping_usage.add(&victim.team, &victim.need);
             }
             self.stop(&machine, key, grace, now);
         }
@@ -675,8 +705,8 @@
     }
 
     /// A higher nomination that leaves no room clears the lower ones.
-    fn clear_lower(&mut self, view: &mut Snapshot, index: usize, spec: &JobSpec) {
-        let machine = self.machines[&view.rooms[index].id].clone();
+    fn clear_lower(&mut self, view: &mut CapacitySnapshot, index: usize, spec: &JobSpec) {
+        let machine = self.machines[&view.machines[index].id].clone();
         let mut lower: Vec<(Priority, JobId, Resources)> = Vec::new();
         let mut free = machine.free();
         for p in machine
@@ -686,7 +716,7 @@
         {
             free = free.plus(&p.need);
         }
-        for held in &view.rooms[index].held {
+        for held in &view.machines[index].reservations {
             if held.0 >= spec.priority {
                 free = free.minus(&held.2);
             } else {
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -28,7 +28,7 @@
                     }
                     continue;
                 };
-                let sum = |count: usize| Resources::default().plus_times(&spec.need, count as f64);
+                let sum = |count: usize| Resources::default().plus_scaled(&spec.need, count as f64);
                 usage.add(&spec.team, &sum(tasks.len()));
                 let stopping = tasks.iter().filter(|p| p.stopping()).count();
                 if stopping > 0 {
@@ -45,7 +45,7 @@
     fn add_unresolved(&self, usage: &mut Usage) {
         let mut hidden: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.unresolved) {
-            let mut listed = machine.assignment.may_list();
+            let mut listed = machine.assignment.possible_jobs();
             // A job that was cancelled meanwhile may still run there, and whose it
             // was nobody knows any more: the whole machine counts for each team.
             if listed.any(|id| !self.jobs.contains_key(id)) {
@@ -56,17 +56,17 @@
             }
             for (id, job) in machine
                 .assignment
-                .may_list()
+                .possible_jobs()
                 .filter_map(|id| self.jobs.get_key_value(id))
             {
                 let tasks = hidden.entry(id).or_default();
-                *tasks = tasks.saturating_add(job.spec.need.times_in(&machine.size));
+                *tasks = tasks.saturating_add(job.spec.need.count_fitting(&machine.size));
             }
         }
         for (id, most) in hidden {
             let job = &self.jobs[id];
             let tasks = job.unplaced_count().min(most);
-            let sum = Resources::default().plus_times(&job.spec.need, f64::from(tasks));
+            let sum = Resources::default().plus_scaled(&job.spec.need, f64::from(tasks));
             usage.add(&job.spec.team, &sum);
         }
     }
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -1,7 +1,7 @@
 //! A node's cache of the live keys, kept current by watching the state service.
 //!
-//! A watch that does not wait proves the cache as new as the moment it was sent,
-//! so one such request serves every poll that came before it.
+//! The reply to a watch with a zero wait proves that the cache is as recent as the moment the
+//! watch was sent, so one such request serves every poll received before it.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,18 +14,19 @@
     machine::MachineType,
     partitioned_zones::PartitionedZonesRecord,
     store::{
-        CLAIMS, DRAINS, Entry, Event, GENERATION, JOBS, LEADER, NODES, ORDERS, PARTITIONED,
-        SETTLED, STORED_HEARTBEAT, TYPES, job_key,
+        CLAIMS_KEY, DRAINS_KEY, Entry, Event, GENERATION_KEY, JOBS_PREFIX, LEADER_KEY,
+        MACHINE_TYPES_KEY, NODES_PREFIX, ORDERS_KEY, PARTITIONED_ZONES_KEY, SETTLED_CLAIM_KEY,
+        STORED_HEARTBEAT_KEY, job_key,
     },
     stored_heartbeat::StoredHeartbeat,
 };
 
-/// Who leads, in the leader key.
+/// Value of the leader key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaderRecord {
     pub node: String,
-    /// It took the place of one that may act for another term.
+    /// The leader replaced one whose term may not have ended yet.
     pub superseded: bool,
 }
 
@@ -38,57 +39,57 @@
 #[derive(Debug, Default)]
 pub struct StateCache {
     pub loaded: bool,
-    /// Every change up to this revision is in the cache.
+    /// Revision up to which all changes are in the cache.
     pub cursor: u64,
     pub leader: Option<(LeaderRecord, u64)>,
-    /// Revision of the last claim, whoever made it.
-    pub claims: u64,
-    /// The last claim that is settled.
-    pub settled: u64,
-    pub types: Option<Arc<Vec<MachineType>>>,
+    /// Revision of the last claim by any node.
+    pub last_claim: u64,
+    /// Revision of the last settled claim.
+    pub settled_claim: u64,
+    pub machine_types: Option<Arc<Vec<MachineType>>>,
     pub jobs: BTreeMap<JobId, LiveJob>,
-    /// Jobs that this node has ended, and the revision, until the watch has come that far:
-    /// an older change that arrives meanwhile must not bring one back.
-    ended: BTreeMap<JobId, u64>,
-    /// The generation of the stored forms, and the revision of its key; 0: there is none.
-    pub cluster: (Cluster, u64),
+    /// Jobs that this node has ended, with the revision of the end, until the cursor reaches it:
+    /// an older change that arrives in between must not restore the job.
+    ended_jobs: BTreeMap<JobId, u64>,
+    /// Generation of the stored records, and the revision of its key; 0 if the key is missing.
+    pub generation: (Cluster, u64),
     pub orders: (Orders, u64),
-    /// Zones that are partitioned, and the revision; 0: there is no such key.
+    /// Partitioned zones, and the revision of the key; 0 if the key is missing.
     pub partitioned_zones: (PartitionedZonesRecord, u64),
-    /// Machines that are to be emptied, and the revision; 0: there is no such key.
+    /// Machines to be drained, and the revision of the key; 0 if the key is missing.
     pub drains: (Drains, u64),
-    /// What nodes' processes said they are able to, and the revision; none where this one
-    /// can't read it.
+    /// Abilities announced by each node's process, and the revision of the record. `None` if
+    /// this build can't parse the record.
     pub nodes: BTreeMap<String, (Option<Ability>, u64)>,
-    /// Keys that are there and can't be read. What they say is not known, so nothing may
-    /// be done as if they were not there.
+    /// Keys whose values can't be parsed, with their revisions. Such a key must not be treated
+    /// as missing, since its content is unknown.
     pub unreadable: BTreeMap<String, u64>,
 }
 
-/// What a change means to the node.
+/// Change of the cache that the node reacts to.
 #[derive(Debug, PartialEq)]
 pub enum StateChange {
     JobAdded(JobId),
     JobRemoved(JobId),
     LeaderKey,
-    Types,
-    Cluster,
+    MachineTypes,
+    Generation,
     StoredHeartbeat(StoredHeartbeat),
 }
 
 impl StateCache {
-    /// Whether what is stored of this job can't be read.
+    /// Returns whether the job's stored record can't be parsed.
     pub fn is_unreadable(&self, id: &JobId) -> bool {
         !self.unreadable.is_empty() && self.unreadable.contains_key(&job_key(id))
     }
 
-    /// The leader took the place of one that may still act.
-    pub fn unsettled(&self) -> bool {
+    /// Returns whether the leader replaced one that may still act.
+    pub fn has_unsettled_claim(&self) -> bool {
         let leader = self.leader.as_ref();
-        leader.is_some_and(|(record, version)| record.superseded && self.settled != *version)
+        leader.is_some_and(|(record, version)| record.superseded && self.settled_claim != *version)
     }
 
-    pub fn load(&mut self, entries: Vec<Entry>) {
+    pub fn apply_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             self.apply(&Event {
                 key: entry.key,
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Takes in the events of a watch. Those seen already are passed over.
-    pub fn advance(&mut self, events: &[Event], revision: u64) -> Vec<StateChange> {
+    /// Applies the events of a watch and skips those already seen.
+    pub fn apply_events(&mut self, events: &[Event], revision: u64) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let cursor = self.cursor;
         for event in events.iter().filter(|e| e.revision > cursor) {
@@ -107,12 +108,13 @@
         }
         self.cursor = self.cursor.max(revision);
         let cursor = self.cursor;
-        self.ended.retain(|_, ended| *ended > cursor);
+        self.ended_jobs.retain(|_, ended| *ended > cursor);
         changes
     }
 
-    /// What a key holds now; none where it is gone, or can't be read, which is kept in mind.
-    fn read<T: DeserializeOwned>(&mut self, event: &Event) -> Option<T> {
+    /// Parses the new value of a key. Returns `None` if the key was deleted, or if its value
+    /// can't be parsed, in which case the key is recorded as unreadable.
+    fn parse_value<T: DeserializeOwned>(&mut self, event: &Event) -> Option<T> {
         let value = event.value.as_ref();
         let read = value.map(|value| serde_json::from_str(value.get()));
         match read {
@@ -130,55 +132,55 @@
     fn apply(&mut self, event: &Event) -> Option<StateChange> {
         let revision = event.revision;
         match event.key.as_str() {
-            LEADER => {
-                self.leader = self.read(event).map(|record| (record, revision));
+            LEADER_KEY => {
+                self.leader = self.parse_value(event).map(|record| (record, revision));
                 return Some(StateChange::LeaderKey);
             }
-            CLAIMS => self.claims = if event.value.is_some() { revision } else { 0 },
-            // One that can't be read leaves a claim unsettled, which is the careful side.
-            SETTLED => self.settled = self.read(event).unwrap_or_default(),
-            TYPES => {
-                self.types = self.read(event).map(Arc::new);
-                return Some(StateChange::Types);
+            CLAIMS_KEY => self.last_claim = if event.value.is_some() { revision } else { 0 },
+            // An unreadable value leaves the claim unsettled, which is the safe side.
+            SETTLED_CLAIM_KEY => self.settled_claim = self.parse_value(event).unwrap_or_default(),
+            MACHINE_TYPES_KEY => {
+                self.machine_types = self.parse_value(event).map(Arc::new);
+                return Some(StateChange::MachineTypes);
             }
-            GENERATION => {
+            GENERATION_KEY => {
                 let there = event.value.is_some();
-                let cluster = self.read(event).filter(Cluster::holds);
+                let cluster = self.parse_value(event).filter(Cluster::holds);
                 if there && cluster.is_none() {
                     self.unreadable.insert(event.key.clone(), revision);
                 }
                 let revision = if there { revision } else { 0 };
-                self.cluster = (cluster.unwrap_or_default(), revision);
-                return Some(StateChange::Cluster);
+                self.generation = (cluster.unwrap_or_default(), revision);
+                return Some(StateChange::Generation);
             }
-            ORDERS => {
+            ORDERS_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
-                self.orders = (self.read(event).unwrap_or_default(), revision);
+                self.orders = (self.parse_value(event).unwrap_or_default(), revision);
             }
-            PARTITIONED => {
+            PARTITIONED_ZONES_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
-                self.partitioned_zones = (self.read(event).unwrap_or_default(), revision);
+                self.partitioned_zones = (self.parse_value(event).unwrap_or_default(), revision);
             }
-            DRAINS => {
+            DRAINS_KEY => {
                 let revision = if event.value.is_some() { revision } else { 0 };
-                self.drains = (self.read(event).unwrap_or_default(), revision);
+                self.drains = (self.parse_value(event).unwrap_or_default(), revision);
             }
-            // It decides nothing that is stored: one that can't be read is just no heartbeat.
-            STORED_HEARTBEAT => {
+            // No other stored record depends on this key, so an unreadable value is ignored.
+            STORED_HEARTBEAT_KEY => {
                 let stored_heartbeat = event.value.as_ref()?;
                 return serde_json::from_str(stored_heartbeat.get())
                     .ok()
                     .map(StateChange::StoredHeartbeat);
             }
-            key => match key.strip_prefix(NODES) {
-                Some(node) => self.node_told(node.to_owned(), event),
+            key => match key.strip_prefix(NODES_PREFIX) {
+                Some(node) => self.update_node(node.to_owned(), event),
                 None => return self.apply_job(event),
             },
         }
         None
     }
 
-    fn node_told(&mut self, node: String, event: &Event) {
+    fn update_node(&mut self, node: String, event: &Event) {
         match &event.value {
             Some(value) => {
                 let ability = serde_json::from_str(value.get()).ok();
@@ -191,12 +193,12 @@
     }
 
     fn apply_job(&mut self, event: &Event) -> Option<StateChange> {
-        let id = JobId::parse(event.key.strip_prefix(JOBS)?)?;
-        match self.read(event) {
+        let id = JobId::parse(event.key.strip_prefix(JOBS_PREFIX)?)?;
+        match self.parse_value(event) {
             Some(record) => self
                 .add_job(id.clone(), record, event.revision)
                 .then_some(StateChange::JobAdded(id)),
-            // What was known of it before may not be what it is now.
+            // The record is unreadable, so what the cache holds may be outdated.
             None if event.value.is_some() => None,
             None => self
                 .jobs
@@ -208,25 +210,28 @@
 
     fn add_job(&mut self, id: JobId, record: JobRecord, version: u64) -> bool {
         let known = self.jobs.get(&id).is_some_and(|j| j.version >= version)
-            || self.ended.get(&id).is_some_and(|ended| *ended >= version);
+            || self
+                .ended_jobs
+                .get(&id)
+                .is_some_and(|ended| *ended >= version);
         if !known {
             self.jobs.insert(id, LiveJob { record, version });
         }
         !known
     }
 
-    /// The end of a job that this node has stored, known before the watch brings it.
-    pub fn committed_end(&mut self, id: &JobId, revision: u64) {
+    /// Applies the end of a job that this node has stored, before the watch delivers it.
+    pub fn job_end_committed(&mut self, id: &JobId, revision: u64) {
         if revision > self.cursor {
             self.jobs.remove(id);
-            self.ended.insert(id.clone(), revision);
+            self.ended_jobs.insert(id.clone(), revision);
         }
     }
 
-    /// A change of this node's own, known before the watch brings it. One that
-    /// the watch has brought already may be outdated, so it is passed over. So is one that
-    /// comes while everything is read again: the job may be over before the first page.
-    pub fn committed_job(&mut self, id: &JobId, record: JobRecord, version: u64) -> bool {
+    /// Applies a job record that this node has stored, before the watch delivers it. Skips a
+    /// record that the watch has already delivered, since it may be outdated. Also skips any
+    /// record during a reload: the job may have ended before the first page was listed.
+    pub fn job_committed(&mut self, id: &JobId, record: JobRecord, version: u64) -> bool {
         self.loaded && version > self.cursor && self.add_job(id.clone(), record, version)
     }
 }
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -1,4 +1,4 @@
-//! What the core asks of the state service, what it hears back, and the keys it uses.
+//! Requests to the state service, its replies, and the keys in use.
 
 use std::time::Duration;
 
@@ -7,61 +7,63 @@
 
 use super::{job::JobId, results::ChunkPart};
 
-/// Everything a follower has to keep in sight: the leader, machine types and active jobs.
-pub const LIVE: &str = "live/";
-pub const LEADER: &str = "live/leader";
-/// Changed by each claim, and by nothing else: the leader key comes and goes, so its absence
-/// alone does not tell a claim that is applied late that others have led meanwhile.
-pub const CLAIMS: &str = "live/claims";
-/// The last claim whose holder knows that whoever led before has stopped acting.
-pub const SETTLED: &str = "live/settled";
-pub const TYPES: &str = "live/types";
-/// The generation of the stored forms, and what operators want of it.
-pub const GENERATION: &str = "live/generation";
-pub const ORDERS: &str = "live/orders";
-/// Machines that operators want emptied.
-pub const DRAINS: &str = "live/drains";
-/// Zones that are partitioned, and since when nobody there was answered.
-pub const PARTITIONED: &str = "live/apart";
-/// The leader's last heartbeat, while some node may not hear it.
-pub const STORED_HEARTBEAT: &str = "live/sign";
-/// What each node's process is able to.
-pub const NODES: &str = "live/node/";
-pub const JOBS: &str = "live/job/";
-/// Terminal states of jobs, one a key, and packed by range.
-pub const TERMINAL_STATES: &str = "final/";
-pub const TERMINAL_RANGES: &str = "ends/";
-pub const PROGRESS: &str = "progress/";
-pub const ASSIGNMENTS: &str = "roster/";
+/// Key prefix of everything a follower watches, such as the leader, machine types and active jobs.
+pub const LIVE_PREFIX: &str = "live/";
+pub const LEADER_KEY: &str = "live/leader";
+/// Key changed by each claim and by nothing else. The leader key expires, so its absence does not
+/// tell a claim that is applied late whether another node has led in between.
+pub const CLAIMS_KEY: &str = "live/claims";
+/// Key of the last claim whose holder knows that the previous leader has stopped acting.
+pub const SETTLED_CLAIM_KEY: &str = "live/settled";
+pub const MACHINE_TYPES_KEY: &str = "live/types";
+/// Key of the generation of the stored records.
+pub const GENERATION_KEY: &str = "live/generation";
+/// Key of the operators' orders about the generation.
+pub const ORDERS_KEY: &str = "live/orders";
+/// Key of the machines that operators want drained.
+pub const DRAINS_KEY: &str = "live/drains";
+/// Key of the partitioned zones, with the time since when no worker there got an answer.
+pub const PARTITIONED_ZONES_KEY: &str = "live/apart";
+/// Key of the leader's last heartbeat, stored while some node may not receive heartbeats.
+pub const STORED_HEARTBEAT_KEY: &str = "live/sign";
+/// Key prefix of the abilities of each node's process.
+pub const NODES_PREFIX: &str = "live/node/";
+pub const JOBS_PREFIX: &str = "live/job/";
+/// Key prefix of terminal states stored one job per key.
+pub const TERMINAL_STATES_PREFIX: &str = "final/";
+/// Key prefix of terminal states packed by range.
+pub const TERMINAL_RANGES_PREFIX: &str = "ends/";
+pub const PROGRESS_PREFIX: &str = "progress/";
+pub const ASSIGNMENTS_PREFIX: &str = "roster/";
 
 pub fn job_key(id: &JobId) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOBS_PREFIX}{id}")
 }
 
 pub fn terminal_key(id: &JobId) -> String {
-    format!("{TERMINAL_STATES}{id}")
+    format!("{TERMINAL_STATES_PREFIX}{id}")
 }
 
 pub fn node_key(node: &str) -> String {
-    format!("{NODES}{node}")
+    format!("{NODES_PREFIX}{node}")
 }
 
 pub fn progress_key(id: &JobId, part: ChunkPart) -> String {
-    format!("{PROGRESS}{id}/{}", part.name())
+    format!("{PROGRESS_PREFIX}{id}/{}", part.name())
 }
 
 pub fn shard_key(shard: u32) -> String {
-    format!("{ASSIGNMENTS}{shard}")
+    format!("{ASSIGNMENTS_PREFIX}{shard}")
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Condition {
     pub key: String,
-    /// Revision of the key's last change; 0: the key does not exist.
+    /// Revision of the key's last change; 0 if the key must not exist.
     pub version: u64,
 }
 
-pub fn when(key: impl Into<String>, version: u64) -> Condition {
+pub fn if_version(key: impl Into<String>, version: u64) -> Condition {
     Condition {
         key: key.into(),
         version,
@@ -80,7 +82,7 @@
     },
 }
 
-/// Bytes that a value takes.
+/// Size of the encoded value in bytes.
 pub fn encoded_len(value: &impl Serialize) -> usize {
     serde_json::to_string(value).map_or(usize::MAX, |text| text.len())
 }
@@ -137,7 +139,7 @@
 #[derive(Debug, Clone)]
 pub struct Event {
     pub key: String,
-    /// The new value, or none where the key was removed.
+    /// New value, or `None` if the key was deleted.
     pub value: Option<Box<RawValue>>,
     pub revision: u64,
 }
@@ -165,14 +167,14 @@
         revision: u64,
     },
     TooOld,
-    /// Not executed, and the same request never will be: it is larger than the service takes
-    /// now, or malformed.
+    /// Not executed, and retrying the same request won't help: it exceeds the service's present
+    /// size limits or is malformed.
     Rejected,
-    /// Not executed: over a limit of requests, or in an outage.
+    /// Not executed because of a rate limit or an outage.
     Refused {
-        retry: Option<Duration>,
-        limited: bool,
+        retry_after: Option<Duration>,
+        rate_limited: bool,
     },
-    /// No answer: the request may have been executed, or may be later.
+    /// No reply: the request may have been executed, or may still be.
     Unclear,
 }
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -13,7 +13,7 @@
 use super::{
     Node, Purpose,
     membership::nodes::HEARTBEAT_INTERVAL,
-    store::{LEADER, STORED_HEARTBEAT, StateRequest, put, when},
+    store::{LEADER_KEY, STORED_HEARTBEAT_KEY, StateRequest, if_version, put},
 };
 
 /// Record that the leader stores.
@@ -60,13 +60,13 @@
         self.write_queue.charge(1.0);
         let machines_heard = self.membership.detector.machines_heard().values().sum();
         let changes = vec![put(
-            STORED_HEARTBEAT,
+            STORED_HEARTBEAT_KEY,
             &StoredHeartbeat {
                 claim,
                 machines_heard,
             },
         )];
-        let conditions = vec![when(LEADER, claim)];
+        let conditions = vec![if_version(LEADER_KEY, claim)];
         self.call(
             Purpose::StoredHeartbeat,
             StateRequest::Txn {
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -1,9 +1,9 @@
-//! Terminal states of jobs in the state service: where they are stored, and in which form.
+//! Storage of the terminal states of jobs in the state service.
 //!
-//! Generation 1 keeps one key a job. From generation 2 on, one key keeps the terminal states of all
-//! jobs whose ids differ in the last two digits only. Either way an end is found with one
-//! read while nothing moves. While records are being rewritten it is in one of two places,
-//! never in both and never in none, and is looked for where it moves from first.
+//! Generation 1 stores one key per job. From generation 2 on, one key stores the terminal states of
+//! all jobs whose ids differ only in the last two digits. Outside of migrations one read finds a
+//! terminal state in either layout. During a migration it is stored in exactly one of the two, and
+//! the layout from which it is moved is read first.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -15,7 +15,10 @@
 
 use super::{
     job::{JobId, JobState, TerminalRecord},
-    store::{Change, Condition, TERMINAL_RANGES, TERMINAL_STATES, delete, put, terminal_key, when},
+    store::{
+        Change, Condition, TERMINAL_RANGES_PREFIX, TERMINAL_STATES_PREFIX, delete, if_version, put,
+        terminal_key,
+    },
 };
 
 pub const PACKED_TERMINAL_STATES: Feature = Feature {
@@ -25,70 +28,72 @@
     forms: &["ends/RANGE", "live/generation", "pulse.told"],
 };
 
-/// Where the end of a job may be stored.
+/// Layout in which the terminal state of a job may be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum Layout {
     Single,
     Packed,
 }
 
-pub fn place(generation: Generation) -> Place {
+pub fn layout(generation: Generation) -> Layout {
     match generation >= PACKED_TERMINAL_STATES.since {
-        true => Place::Packed,
-        false => Place::Single,
+        true => Layout::Packed,
+        false => Layout::Single,
     }
 }
 
-/// Where to look, in this order: a record that is rewritten meanwhile is met.
-pub fn places(cluster: &Cluster) -> Vec<Place> {
-    let mut places: Vec<Place> = cluster.read().map(place).collect();
-    places.dedup();
-    places
+/// Returns the layouts in the order in which to read them, so that a record rewritten meanwhile is
+/// found.
+pub fn layouts(cluster: &Cluster) -> Vec<Layout> {
+    let mut layouts: Vec<Layout> = cluster.read().map(layout).collect();
+    layouts.dedup();
+    layouts
 }
 
-/// A range of ids: all that are alike but for the last two digits.
+/// Range of job ids that differ only in the last two digits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Range(String);
+pub struct JobIdRange(String);
 
-/// Digits that ids of one range differ in.
-const DIGITS: usize = 2;
+/// Number of digits in which the ids of one range differ.
+const RANGE_DIGITS: usize = 2;
 
-impl Range {
-    /// The range of an id, and its name there.
-    pub fn of(id: &JobId) -> (Self, &str) {
+impl JobIdRange {
+    /// Returns the range of an id, and the name of the id within it.
+    pub fn containing(id: &JobId) -> (Self, &str) {
         let text = id.as_str();
         let digits = text.len() - text.find(|c: char| c.is_ascii_digit()).unwrap_or(0);
-        let at = text.len() - digits.min(DIGITS);
+        let at = text.len() - digits.min(RANGE_DIGITS);
         (Self(text[..at].to_owned()), &text[at..])
     }
 
-    pub fn of_key(key: &str) -> Option<Self> {
-        let range = key.strip_prefix(TERMINAL_RANGES)?;
-        // Any id in it would do.
+    pub fn from_key(key: &str) -> Option<Self> {
+        let range = key.strip_prefix(TERMINAL_RANGES_PREFIX)?;
+        // Any id in the range would do.
         let id = JobId::parse(&format!("{range}00"))?;
-        (Self::of(&id).0.0 == range).then(|| Self(range.to_owned()))
+        (Self::containing(&id).0.0 == range).then(|| Self(range.to_owned()))
     }
 
     pub fn key(&self) -> String {
-        format!("{TERMINAL_RANGES}{}", self.0)
+        format!("{TERMINAL_RANGES_PREFIX}{}", self.0)
     }
 
-    pub fn id(&self, name: &str) -> Option<JobId> {
+    pub fn job_id(&self, name: &str) -> Option<JobId> {
         JobId::parse(&format!("{}{name}", self.0))
     }
 }
 
-/// The ends of the jobs of one range. Stored as text, an entry a job, in order:
-/// `07c3,12d400` says that the job that ends in 07 was cancelled with 3 tasks done, and
-/// the one in 12 is done with 400. `12d400t1733130000000` says as well when that one ended.
+/// Terminal states of the jobs of one range. Stored as text with one entry per job, in order:
+/// `07c3,12d400` means that the job ending in 07 was cancelled with 3 tasks done, and the one
+/// ending in 12 is done with 400. `12d400t1733130000000` also contains the time at which the job
+/// ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TerminalStates(BTreeMap<String, TerminalRecord>);
 
-/// Stands between a number of tasks and the time of a job's end.
-const TIME_MARK: char = 't';
-/// A range whose text would be longer leaves out the times, which only order jobs: the ends
-/// of a hundred jobs must fit into the smallest value that a state service takes.
-const WITH_TIMES_MOST: usize = 1500;
+/// Separator between the number of done tasks and the end time.
+const TIME_SEPARATOR: char = 't';
+/// Maximum text length with end times. Longer ranges omit the times, which only order jobs: the
+/// terminal states of a hundred jobs must fit into the smallest value size of a state service.
+const MAX_LEN_WITH_TIMES: usize = 1500;
 
 impl TerminalStates {
     pub fn get(&self, name: &str) -> Option<TerminalRecord> {
@@ -107,7 +112,7 @@
         self.0.is_empty()
     }
 
-    /// Takes some of them out.
+    /// Removes and returns up to `count` entries.
     pub fn split_off(&mut self, count: usize) -> Vec<(String, TerminalRecord)> {
         let mut taken = Vec::new();
         while taken.len() < count
@@ -120,7 +125,7 @@
 
     fn encode(&self) -> String {
         let text = self.encode_entries(true);
-        match text.len() <= WITH_TIMES_MOST {
+        match text.len() <= MAX_LEN_WITH_TIMES {
             true => text,
             false => self.encode_entries(false),
         }
@@ -133,15 +138,15 @@
                 _ => 'd',
             };
             let time = record.ended_ms.filter(|_| with_times);
-            let time = time.map_or(String::new(), |ms| format!("{TIME_MARK}{ms}"));
+            let time = time.map_or(String::new(), |ms| format!("{TIME_SEPARATOR}{ms}"));
             format!("{name}{letter}{}{time}", record.done)
         };
         self.0.iter().map(entry).collect::<Vec<_>>().join(",")
     }
 
-    /// Nothing is passed over: an entry that can't be read makes the whole unreadable.
+    /// Parses all entries; a single invalid entry makes the whole text invalid.
     fn decode(text: &str) -> Option<Self> {
-        let mut ends = Self::default();
+        let mut states = Self::default();
         for entry in text.split(',').filter(|_| !text.is_empty()) {
             let at = entry.find(|c: char| !c.is_ascii_digit())?;
             let (name, rest) = entry.split_at(at);
@@ -150,10 +155,10 @@
                 'd' => JobState::Done,
                 _ => return None,
             };
-            if !(1..=DIGITS).contains(&name.len()) {
+            if !(1..=RANGE_DIGITS).contains(&name.len()) {
                 return None;
             }
-            let (done, time) = match rest[1..].split_once(TIME_MARK) {
+            let (done, time) = match rest[1..].split_once(TIME_SEPARATOR) {
                 Some((done, time)) => (done, Some(time)),
                 None => (&rest[1..], None),
             };
@@ -165,15 +170,15 @@
                     None => None,
                 },
             };
-            if ends.0.insert(name.to_owned(), record).is_some() {
+            if states.0.insert(name.to_owned(), record).is_some() {
                 return None;
             }
         }
-        Some(ends)
+        Some(states)
     }
 }
 
-/// A number in plain digits: no heartbeat, nothing else.
+/// Parses a number of plain digits, without a sign.
 fn parse_digits<T: std::str::FromStr>(text: &str) -> Option<T> {
     let plain = text.bytes().all(|b| b.is_ascii_digit());
     text.parse().ok().filter(|_| plain)
@@ -188,46 +193,48 @@
 impl<'de> Deserialize<'de> for TerminalStates {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Self::decode(&text).ok_or_else(|| de::Error::custom("not the ends of a range of jobs"))
+        Self::decode(&text)
+            .ok_or_else(|| de::Error::custom("invalid terminal states of a job range"))
     }
 }
 
-/// The end of one job by itself, as stored.
+/// Parses the stored terminal state of a single job.
 pub fn parse_single(text: &str) -> Option<TerminalRecord> {
     let record: TerminalRecord = serde_json::from_str(text).ok()?;
     let over = matches!(record.state, JobState::Done | JobState::Cancelled);
     over.then_some(record)
 }
 
-/// The id that a key of its own speaks of.
+/// Returns the job id in a key of the single layout.
 pub fn single_id(key: &str) -> Option<JobId> {
-    JobId::parse(key.strip_prefix(TERMINAL_STATES)?)
+    JobId::parse(key.strip_prefix(TERMINAL_STATES_PREFIX)?)
 }
 
-/// A range as it was read or written last; version 0: there is none.
+/// Range as last read or written; version 0 means that it does not exist.
 #[derive(Debug, Clone, Default)]
 pub struct KnownRange {
     pub version: u64,
-    pub ends: TerminalStates,
+    pub states: TerminalStates,
 }
 
-/// Ranges that this node has seen. What is written from here depends on the version, so
-/// one that has changed since costs a conflict and nothing else.
+/// Ranges that this node has seen. Writes depend on the version, so a range that has changed since
+/// only costs a conflict.
 #[derive(Debug, Default)]
 pub struct TerminalRanges {
-    known: HashMap<Range, KnownRange>,
-    /// Ranges that the leader reads or writes now, and when each may be written again.
-    busy: HashMap<Range, Option<Duration>>,
+    known: HashMap<JobIdRange, KnownRange>,
+    /// Ranges in use by the leader: none while it reads or writes them, otherwise the time from
+    /// which they may be written again.
+    busy: HashMap<JobIdRange, Option<Duration>>,
 }
 
-const KNOWN_MOST: usize = 256;
+const MAX_KNOWN_RANGES: usize = 256;
 
 impl TerminalRanges {
-    pub fn get(&self, range: &Range) -> Option<&KnownRange> {
+    pub fn get(&self, range: &JobIdRange) -> Option<&KnownRange> {
         self.known.get(range)
     }
 
-    pub fn learn(&mut self, range: Range, known: KnownRange) {
+    pub fn update(&mut self, range: JobIdRange, known: KnownRange) {
         let newer = self
             .known
             .get(&range)
@@ -235,33 +242,33 @@
         if newer && known.version > 0 {
             return;
         }
-        if self.known.len() >= KNOWN_MOST && !self.known.contains_key(&range) {
-            // Any will do: what is asked for again is read again.
+        if self.known.len() >= MAX_KNOWN_RANGES && !self.known.contains_key(&range) {
+            // Any range may be evicted: it is read again when needed.
             let other = self.known.keys().next().cloned();
             other.and_then(|other| self.known.remove(&other));
         }
         self.known.insert(range, known);
     }
 
-    pub fn forget(&mut self, range: &Range) {
+    pub fn forget(&mut self, range: &JobIdRange) {
         self.known.remove(range);
     }
 
-    /// The leader may work on a range now.
-    pub fn free(&self, range: &Range, now: Duration) -> bool {
+    /// Returns whether the leader may work on a range now.
+    pub fn is_available(&self, range: &JobIdRange, now: Duration) -> bool {
         match self.busy.get(range) {
             None => true,
             Some(until) => until.is_some_and(|until| now >= until),
         }
     }
 
-    pub fn take(&mut self, range: &Range) {
+    pub fn mark_busy(&mut self, range: &JobIdRange) {
         self.busy.insert(range.clone(), None);
     }
 
-    /// The leader's work on a range is over; it rests until then, so that submissions in
-    /// the same range find it as they read it.
-    pub fn release(&mut self, range: &Range, until: Duration, now: Duration) {
+    /// Ends the leader's work on a range and leaves the range unchanged until the given time, so
+    /// that submissions in the same range find the version that they read.
+    pub fn release(&mut self, range: &JobIdRange, until: Duration, now: Duration) {
         self.busy.retain(|_, at| at.is_none_or(|at| at > now));
         self.busy.insert(range.clone(), Some(until));
     }
@@ -271,37 +278,37 @@
     }
 }
 
-/// What proves that a job has no end, in each place where it could be; none where a
-/// range is not known, or where it has one.
+/// Returns the conditions which prove that a job has no terminal state in any layout; none if
+/// its range is unknown or contains it.
 pub fn absence_conditions(
     cluster: &Cluster,
     id: &JobId,
     ranges: &TerminalRanges,
 ) -> Option<Vec<Condition>> {
     let mut conditions = Vec::new();
-    for place in places(cluster) {
-        conditions.push(match place {
-            Place::Single => when(terminal_key(id), 0),
-            Place::Packed => {
-                let (range, name) = Range::of(id);
+    for layout in layouts(cluster) {
+        conditions.push(match layout {
+            Layout::Single => if_version(terminal_key(id), 0),
+            Layout::Packed => {
+                let (range, name) = JobIdRange::containing(id);
                 let known = ranges.get(&range)?;
-                if known.ends.get(name).is_some() {
+                if known.states.get(name).is_some() {
                     return None;
                 }
-                when(range.key(), known.version)
+                if_version(range.key(), known.version)
             }
         });
     }
     Some(conditions)
 }
 
-/// Stores the terminal states of jobs of one range in the form that is written now. The caller has
-/// read the range where it is needed.
+/// Write of the terminal states of jobs of one range in the current layout. The caller has read the
+/// range if the layout needs it.
 pub struct TerminalWrite {
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
-    /// The range as it will be.
-    pub ends: Option<(Range, TerminalStates)>,
+    /// The range after the write.
+    pub states: Option<(JobIdRange, TerminalStates)>,
 }
 
 pub fn terminal_write(
@@ -309,81 +316,86 @@
     jobs: &[(JobId, TerminalRecord)],
     ranges: &TerminalRanges,
 ) -> Option<TerminalWrite> {
-    match place(cluster.written()) {
-        Place::Single => Some(TerminalWrite {
+    match layout(cluster.written()) {
+        Layout::Single => Some(TerminalWrite {
             conditions: Vec::new(),
             changes: jobs
                 .iter()
                 .map(|(id, r)| put(terminal_key(id), r))
                 .collect(),
-            ends: None,
+            states: None,
         }),
-        Place::Packed => {
-            let (range, _) = Range::of(&jobs.first()?.0);
+        Layout::Packed => {
+            let (range, _) = JobIdRange::containing(&jobs.first()?.0);
             let known = ranges.get(&range)?;
-            let mut ends = known.ends.clone();
+            let mut states = known.states.clone();
             for (id, record) in jobs {
-                ends.insert(Range::of(id).1, *record);
+                states.insert(JobIdRange::containing(id).1, *record);
             }
             Some(TerminalWrite {
-                conditions: vec![when(range.key(), known.version)],
-                changes: vec![put(range.key(), &ends)],
-                ends: Some((range, ends)),
+                conditions: vec![if_version(range.key(), known.version)],
+                changes: vec![put(range.key(), &states)],
+                states: Some((range, states)),
             })
         }
     }
 }
 
-/// Rewrites records of one range in the other form.
+/// Rewrite of the records of one range into the other layout.
 pub struct Rewrite {
     pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
-    pub range: Range,
-    pub ends: TerminalStates,
+    pub range: JobIdRange,
+    pub states: TerminalStates,
     pub records: usize,
 }
 
-/// From keys of their own into the range. As many as a transaction has room for.
-pub fn pack(range: &Range, alone: &[(JobId, TerminalRecord, u64)], known: &KnownRange) -> Rewrite {
-    let mut ends = known.ends.clone();
-    let mut conditions = vec![when(range.key(), known.version)];
+/// Builds the move of single records into their range. The caller limits them to the size of a
+/// transaction.
+pub fn pack(
+    range: &JobIdRange,
+    singles: &[(JobId, TerminalRecord, u64)],
+    known: &KnownRange,
+) -> Rewrite {
+    let mut states = known.states.clone();
+    let mut conditions = vec![if_version(range.key(), known.version)];
     let mut deletes = Vec::new();
-    for (id, record, version) in alone {
-        ends.insert(Range::of(id).1, *record);
-        conditions.push(when(terminal_key(id), *version));
+    for (id, record, version) in singles {
+        states.insert(JobIdRange::containing(id).1, *record);
+        conditions.push(if_version(terminal_key(id), *version));
         deletes.push(delete(terminal_key(id)));
     }
-    let mut changes = vec![put(range.key(), &ends)];
+    let mut changes = vec![put(range.key(), &states)];
     changes.extend(deletes);
     Rewrite {
         conditions,
         changes,
         range: range.clone(),
-        ends,
-        records: alone.len(),
+        states,
+        records: singles.len(),
     }
 }
 
-/// Back from the range to keys of their own.
-pub fn unpack(range: &Range, known: &KnownRange, most: usize) -> Option<Rewrite> {
-    let mut ends = known.ends.clone();
-    let taken = ends.split_off(most.saturating_sub(1).max(1));
-    let mut conditions = vec![when(range.key(), known.version)];
-    let mut changes = vec![match ends.is_empty() {
+/// Builds the move of records from a range back to keys of their own.
+pub fn unpack(range: &JobIdRange, known: &KnownRange, max_changes: usize) -> Option<Rewrite> {
+    let mut states = known.states.clone();
+    let taken = states.split_off(max_changes.saturating_sub(1).max(1));
+    let mut conditions = vec![if_version(range.key(), known.version)];
+    let mut changes = vec![match states.is_empty() {
         true => delete(range.key()),
-        false => put(range.key(), &ends),
+        false => put(range.key(), &states),
     }];
     let records = taken.len();
     for (name, record) in taken {
-        let key = terminal_key(&range.id(&name)?);
-        conditions.push(when(&key, 0));
+        let key = terminal_key(&range.job_id(&name)?);
+        conditions.push(if_version(&key, 0));
         changes.push(put(key, &record));
     }
     Some(Rewrite {
         conditions,
         changes,
         range: range.clone(),
-        ends,
+        states,
         records,
     })
 }
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -13,7 +13,7 @@
 use super::{
     cluster::ClusterState,
     job::Kind,
-    machine::{Machine, MachineId, Standing},
+    machine::{Machine, MachineId, MachineState},
 };
 
 /// Maximum number of machines returned by one request.
@@ -32,7 +32,7 @@
     }
 
     fn is_silent_for(&self, silence: Duration, now: Duration) -> bool {
-        self.standing == Standing::Up
+        self.state == MachineState::Up
             && self.fenced
             && self.heard_at.is_some_and(|at| now > at + silence)
     }
@@ -41,7 +41,7 @@
 impl ClusterState {
     /// Returns whether the machine missed a report and should be asked whether it still answers.
     pub(super) fn should_probe(&self, machine: &Machine, now: Duration) -> bool {
-        machine.is_silent_for(self.config.report * 3 / 2, now)
+        machine.is_silent_for(self.config.report_interval * 3 / 2, now)
             && !machine.commands_unanswered
             && machine.long_running_tasks() > 0
     }
@@ -52,8 +52,11 @@
     fn has_vanished(&self, machine: &Machine, now: Duration) -> bool {
         let lag = self.config.list_lag * 2;
         let heard_at = machine.heard_at.unwrap_or(machine.first_seen);
-        let has_missed_report = now > heard_at + self.config.report * 5 / 4 + REPORT_GRACE;
-        let (listed_at, list_read) = (machine.listed_at, self.provisioning.list_read);
+        let has_missed_report = now > heard_at + self.config.report_interval * 5 / 4 + REPORT_GRACE;
+        let (listed_at, list_read) = (
+            machine.listed_at,
+            self.provisioning.complete_list_requested_at,
+        );
         has_missed_report
             && listed_at
                 .zip(list_read)
@@ -64,10 +67,12 @@
     /// with the most replicas first.
     pub(super) fn plan_unresponsive_returns(&mut self, now: Duration) -> Vec<MachineId> {
         // A leader without a recent verification of its claim may be partitioned itself.
-        if now > self.proven + self.config.renew_every * 2 || self.reachability.is_uncertain {
+        if now > self.claim_proven_at + self.config.renew_interval * 2
+            || self.reachability.is_uncertain
+        {
             return Vec::new();
         }
-        let silence = (self.config.report * 2).max(self.config.worker_lease_bound / 3);
+        let silence = (self.config.report_interval * 2).max(self.config.worker_lease_bound / 3);
         let mut candidates: Vec<(Reverse<usize>, MachineId)> = self
             .machines
             .values()
@@ -79,7 +84,7 @@
                     || self.has_vanished(m, now)
             })
             .map(|m| (Reverse(m.long_running_tasks()), m.id.clone()))
-            .filter(|(_, id)| !self.provisioning.is_being_returned(id))
+            .filter(|(_, id)| !self.provisioning.is_being_released(id))
             .collect();
         candidates.sort();
         candidates.truncate(MAX_RETURNED_MACHINES);
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -1,5 +1,5 @@
 //! Users' requests. Any node answers them: jobs live in the state service, and
-//! an answer is given only from a copy proven as new as the question.
+//! a node answers only from a state cache that is known to be as recent as the request.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -11,68 +11,69 @@
     job::{JobId, JobRecord, JobSpec, JobState, Kind, Resources, TerminalRecord},
     machine::MachineType,
     store::{
-        GENERATION, StateReply, StateRequest, delete, encoded_len, job_key, put, terminal_key, when,
+        GENERATION_KEY, StateReply, StateRequest, delete, encoded_len, if_version, job_key, put,
+        terminal_key,
     },
-    terminal_states::{self, KnownRange, Place, Range},
+    terminal_states::{self, JobIdRange, KnownRange, Layout},
 };
 
-/// What is to be answered about a job once its state is known for sure.
+/// Request about a job, answered once the job's state has been confirmed.
 #[derive(Debug, Clone)]
-pub enum Question {
+pub enum JobQuery {
     Status,
-    /// A submission of a job that may be known, and how often it was tried to store it.
-    Repeat(Arc<JobSpec>, u8),
-    /// A submission that can never run, unless the job was accepted before.
+    /// Submission of a job that may exist already, and the number of attempts to store it.
+    Resubmit(Arc<JobSpec>, u8),
+    /// Submission to be rejected with this reason, unless the job was accepted before.
     Reject(String),
     Withdraw,
-    /// A submission names this job.
-    Named(Box<NeedsCheck>),
-    /// Somebody asks about a job that needs this one.
-    NeededBy(Box<PendingQuestion>),
+    /// A submission names this job as a dependency.
+    ForSubmission(Box<DependencyCheck>),
+    /// Request about a job that depends on this one.
+    ForDependent(Box<PendingQuery>),
 }
 
-/// A submission of which it is not known yet whether all jobs that it names were accepted.
+/// Submission whose dependencies are not all known to have been accepted yet.
 #[derive(Debug, Clone)]
-pub struct NeedsCheck {
+pub struct DependencyCheck {
     request: RequestId,
     spec: Arc<JobSpec>,
-    /// Those that are still to be looked for, the next one last.
+    /// Dependencies that remain to be checked, the next one last.
     unchecked: Vec<JobId>,
 }
 
-/// A question about a job, and who asks.
+/// Job query and the request that it answers.
 #[derive(Debug, Clone)]
-pub struct PendingQuestion {
+pub struct PendingQuery {
     request: RequestId,
     id: JobId,
-    question: Question,
+    query: JobQuery,
 }
 
-/// The end of a job that is looked for.
+/// Search for the stored terminal state of a job.
 #[derive(Debug)]
 pub struct TerminalRead {
     id: JobId,
     request: RequestId,
-    question: Question,
-    /// Where it still may be.
-    places: Vec<Place>,
-    /// The revision of the generation's record that these places follow from.
+    query: JobQuery,
+    /// Places that remain to be read.
+    places: Vec<Layout>,
+    /// Revision of the generation record from which the places were derived.
     generation: u64,
 }
 
 impl TerminalRead {
-    /// Begins with the first place where the end may be in this generation.
+    /// Covers every place where this generation may store the terminal state.
     pub(super) fn new(
         request: RequestId,
         id: JobId,
-        question: Question,
+        query: JobQuery,
         (cluster, generation): &(Cluster, u64),
     ) -> Self {
         Self {
             id,
             request,
-            question,
-            places: terminal_states::places(cluster),
+            query,
+            places: terminal_states::layouts(cluster),
             generation: *generation,
         }
     }
@@ -80,70 +81,70 @@
 
 #[derive(Debug, Default)]
 pub struct UserRequests {
-    /// Not covered by a proof yet.
-    unproven: Vec<PendingQuestion>,
-    /// Covered by the proof under way.
-    proving: Vec<PendingQuestion>,
-    in_flight: bool,
+    /// Queries that wait for the next sync of the state cache.
+    queued: Vec<PendingQuery>,
+    /// Queries that the sync in flight covers.
+    syncing: Vec<PendingQuery>,
+    sync_in_flight: bool,
     next_sync: Duration,
 }
 
-/// A write that needs to know the end of no job in a range.
+/// Write that needs the contents of a terminal state range first.
 #[derive(Debug, Clone)]
 pub enum AfterRangeRead {
     Accept(Arc<JobSpec>, u8),
     Cancel,
 }
 
-const RETRY: Duration = Duration::from_secs(1);
-/// How often a submission is tried that something else came before.
-const TRIES: u8 = 4;
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Attempts to store a submission that conflicts with other writes.
+const MAX_STORE_ATTEMPTS: u8 = 4;
 
 impl Node {
     pub(super) fn submit(&mut self, request: RequestId, spec: Arc<JobSpec>) {
-        let able = self.cache.loaded && !self.cannot_read_state();
-        let Some(types) = self.cache.types.clone().filter(|_| able) else {
-            self.answer(request, Answer::Later { retry: RETRY });
+        let is_available = self.cache.loaded && !self.cannot_read_state();
+        let Some(types) = self.cache.machine_types.clone().filter(|_| is_available) else {
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         };
         let id = spec.id.clone();
         if self.cache.jobs.contains_key(&id) || self.terminal_cache.contains_key(&id) {
-            self.queue_question(request, id, Question::Repeat(spec, TRIES));
+            self.queue_query(request, id, JobQuery::Resubmit(spec, MAX_STORE_ATTEMPTS));
             return;
         }
-        let objection = self.reason_it_never_runs(&spec, &types);
-        if let Some(reason) = objection.or_else(|| self.never_stored(&spec)) {
-            self.queue_question(request, id, Question::Reject(reason));
+        let rejection = self.infeasible_reason(&spec, &types);
+        if let Some(reason) = rejection.or_else(|| self.oversize_reason(&spec)) {
+            self.queue_query(request, id, JobQuery::Reject(reason));
             return;
         }
-        if !spec.needs.is_empty() && !self.all_know_dependencies() {
-            self.answer(request, Answer::Later { retry: RETRY });
+        if !spec.needs.is_empty() && !self.all_support_dependencies() {
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         }
-        self.check_needs(NeedsCheck {
+        self.check_dependencies(DependencyCheck {
             request,
             unchecked: spec.needs.clone(),
             spec,
         });
     }
 
-    /// Looks for each job that a submission names, and stores the submission once all are
-    /// known to have been accepted. One that is cancelled meanwhile does no harm: the new job
-    /// is cancelled with it, whichever is stored first.
-    fn check_needs(&mut self, mut check: NeedsCheck) {
-        while let Some(need) = check.unchecked.last() {
-            if let Some(job) = self.cache.jobs.get(need) {
+    /// Checks each dependency of a submission, and stores the submission once all of them are
+    /// known to have been accepted. A dependency that is cancelled meanwhile does no harm: the
+    /// new job is cancelled with it, whichever write comes first.
+    fn check_dependencies(&mut self, mut check: DependencyCheck) {
+        while let Some(dependency) = check.unchecked.last() {
+            if let Some(job) = self.cache.jobs.get(dependency) {
                 if job.record.spec.kind == Kind::Service {
-                    self.refuse_need(check, "is a service");
+                    self.reject_for_dependency(check, "is a service");
                     return;
                 }
-            } else if self.cache.is_unreadable(need) {
-                self.answer(check.request, Answer::Later { retry: RETRY });
+            } else if self.cache.is_unreadable(dependency) {
+                self.answer(check.request, Answer::Later { retry: RETRY_DELAY });
                 return;
-            } else if !self.terminal_cache.contains_key(need) {
-                let key = job_key(need);
+            } else if !self.terminal_cache.contains_key(dependency) {
+                let key = job_key(dependency);
                 self.call(
-                    Purpose::ReadNeed(Box::new(check)),
+                    Purpose::ReadDependency(Box::new(check)),
                     StateRequest::Get { key },
                 );
                 return;
@@ -153,56 +154,60 @@
         self.accept(check.request, check.spec, 0);
     }
 
-    /// Answers that the job can never run, unless it was accepted before.
-    fn refuse_need(&mut self, check: NeedsCheck, why: &str) {
-        let Some(need) = check.unchecked.last() else {
+    /// Rejects a submission because of a dependency, unless the job was accepted before.
+    fn reject_for_dependency(&mut self, check: DependencyCheck, why: &str) {
+        let Some(dependency) = check.unchecked.last() else {
             return;
         };
-        let reason = format!("waits_on: {need} {why}");
+        let reason = format!("waits_on: {dependency} {why}");
         let id = check.spec.id.clone();
-        self.queue_question(check.request, id, Question::Reject(reason));
+        self.queue_query(check.request, id, JobQuery::Reject(reason));
     }
 
-    /// Whether a job that a submission names is active, as read just now.
-    pub(super) fn need_read(&mut self, mut check: NeedsCheck, reply: &StateReply) {
-        let Some(need) = check.unchecked.last().cloned() else {
+    /// Handles the read of a dependency's job record.
+    pub(super) fn dependency_read(&mut self, mut check: DependencyCheck, reply: &StateReply) {
+        let Some(dependency) = check.unchecked.last().cloned() else {
             return;
         };
         match reply {
             StateReply::Entry(entry) => {
                 match serde_json::from_str::<JobRecord>(entry.value.get()) {
                     Ok(record) if record.spec.kind == Kind::Service => {
-                        self.refuse_need(check, "is a service");
+                        self.reject_for_dependency(check, "is a service");
                     }
                     Ok(_) => {
                         check.unchecked.pop();
-                        self.check_needs(check);
+                        self.check_dependencies(check);
                     }
                     Err(_) => {
                         self.report_unreadable(&entry.key);
-                        self.answer(check.request, Answer::Later { retry: RETRY });
+                        self.answer(check.request, Answer::Later { retry: RETRY_DELAY });
                     }
                 }
             }
-            // Not active now: if it was accepted before, its end was stored by now.
+            // Not active: if it was ever accepted, its terminal state is stored by now.
             StateReply::Missing => {
                 let request = check.request;
-                self.look_for_end(request, need, Question::Named(Box::new(check)));
+                self.look_for_end(
+                    request,
+                    dependency,
+                    JobQuery::ForSubmission(Box::new(check)),
+                );
             }
-            _ => self.answer(check.request, Answer::Later { retry: RETRY }),
+            _ => self.answer(check.request, Answer::Later { retry: RETRY_DELAY }),
         }
     }
 
-    /// Stores a job on condition that nothing is stored of it, in any form: of the
-    /// generation that this node knows, or the write fails.
+    /// Stores a job on condition that no record of it exists in any format, and that the
+    /// generation is the one this node knows.
     fn accept(&mut self, request: RequestId, spec: Arc<JobSpec>, tries: u8) {
         let id = spec.id.clone();
-        let (cluster, generation) = self.cache.cluster;
+        let (cluster, generation) = self.cache.generation;
         let Some(absence) = terminal_states::absence_conditions(&cluster, &id, &self.ranges) else {
-            let range = Range::of(&id).0;
+            let range = JobIdRange::containing(&id).0;
             match self.ranges.get(&range).is_some() {
-                // It has an end.
-                true => self.queue_question(request, id, Question::Repeat(spec, TRIES)),
+                // The range holds a terminal state of this job.
+                true => self.queue_query(request, id, JobQuery::Resubmit(spec, MAX_STORE_ATTEMPTS)),
                 false => self.read_range(request, id, AfterRangeRead::Accept(spec, tries)),
             }
             return;
@@ -212,7 +217,10 @@
             spec: spec.clone(),
             accepted_ms,
         };
-        let mut conditions = vec![when(job_key(&id), 0), when(GENERATION, generation)];
+        let mut conditions = vec![
+            if_version(job_key(&id), 0),
+            if_version(GENERATION_KEY, generation),
+        ];
         conditions.extend(absence);
         self.call(
             Purpose::Accept {
@@ -229,7 +237,7 @@
     }
 
     fn read_range(&mut self, request: RequestId, id: JobId, then: AfterRangeRead) {
-        let key = Range::of(&id).0.key();
+        let key = JobIdRange::containing(&id).0.key();
         let purpose = Purpose::ReadRange { request, id, then };
         self.call(purpose, StateRequest::Get { key });
     }
@@ -241,8 +249,11 @@
         then: AfterRangeRead,
         reply: &StateReply,
     ) {
-        if self.learn_range(&Range::of(&id).0, reply).is_none() {
-            self.answer(request, Answer::Later { retry: RETRY });
+        if self
+            .cache_range(&JobIdRange::containing(&id).0, reply)
+            .is_none()
+        {
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         }
         match then {
@@ -251,14 +262,18 @@
         }
     }
 
-    /// What a range holds, as read just now; none where that is not known.
-    pub(super) fn learn_range(&mut self, range: &Range, reply: &StateReply) -> Option<KnownRange> {
+    /// Caches the contents of a range that was just read. Returns `None` if they are unknown.
+    pub(super) fn cache_range(
+        &mut self,
+        range: &JobIdRange,
+        reply: &StateReply,
+    ) -> Option<KnownRange> {
         let known = match reply {
             StateReply::Missing => KnownRange::default(),
             StateReply::Entry(entry) => match serde_json::from_str(entry.value.get()) {
                 Ok(ends) => KnownRange {
                     version: entry.version,
-                    ends,
+                    states: ends,
                 },
                 Err(_) => {
                     self.report_unreadable(&entry.key);
@@ -268,22 +283,23 @@
             _ => return None,
         };
         self.ranges.forget(range);
-        self.ranges.learn(range.clone(), known.clone());
+        self.ranges.update(range.clone(), known.clone());
         Some(known)
     }
 
-    /// Why a job's record can never be stored, if it can't.
-    fn never_stored(&self, spec: &Arc<JobSpec>) -> Option<String> {
+    /// Returns the reason why a job's record is too large to be stored, if it is.
+    fn oversize_reason(&self, spec: &Arc<JobSpec>) -> Option<String> {
         let record = JobRecord {
             spec: spec.clone(),
             accepted_ms: self.clock.wall_ms,
         };
-        let (bytes, most) = (encoded_len(&record), self.limits.value_bytes);
-        (bytes > most).then(|| format!("its record has {bytes} bytes, at most {most} are stored"))
+        let (bytes, max_bytes) = (encoded_len(&record), self.limits.value_bytes);
+        (bytes > max_bytes)
+            .then(|| format!("job record has {bytes} bytes; at most {max_bytes} are allowed"))
     }
 
-    /// Why a job can never run, if it can't.
-    fn reason_it_never_runs(&self, spec: &JobSpec, types: &[MachineType]) -> Option<String> {
+    /// Returns the reason why a job can never run, if there is one.
+    fn infeasible_reason(&self, spec: &JobSpec, types: &[MachineType]) -> Option<String> {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return Some("unknown team".into());
         };
@@ -296,9 +312,9 @@
                     .is_none_or(|zone| t.zones.iter().any(|z| **z == **zone))
         });
         if !fits {
-            return Some("a task fits no allowed machine type".into());
+            return Some("no allowed machine type has room for a task".into());
         }
-        let at_once = match spec.kind {
+        let concurrent_tasks = match spec.kind {
             Kind::Array => 1,
             Kind::Gang | Kind::Service => spec.tasks,
         };
@@ -307,15 +323,15 @@
             let Some(licence) = licences.and_then(|l| l.licences.get(name)) else {
                 return Some(format!("unknown licence {name}"));
             };
-            let wanted = u64::from(*seats) * u64::from(at_once);
+            let wanted = u64::from(*seats) * u64::from(concurrent_tasks);
             if wanted > u64::from(licence.most_for(&spec.team)) {
-                return Some(format!("more seats of {name} than the team can have"));
+                return Some(format!("needs more seats of {name} than the team may use"));
             }
         }
-        let sum = Resources::default().plus_times(&spec.need, f64::from(at_once));
-        let over = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
-        (over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus))
-            .then(|| "more than the team's limit".into())
+        let total = Resources::default().plus_scaled(&spec.need, f64::from(concurrent_tasks));
+        let exceeds = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
+        (exceeds(team.cpus_max, total.cpus) || exceeds(team.gpus_max, total.gpus))
+            .then(|| "exceeds the team's limit".into())
     }
 
     pub(super) fn accepted(
@@ -330,157 +346,149 @@
         match reply {
             StateReply::Committed { revision } => {
                 let record = JobRecord { spec, accepted_ms };
-                if self.cache.committed_job(&id, record, revision) {
+                if self.cache.job_committed(&id, record, revision) {
                     self.job_added(&id);
                 }
                 self.answer(request, Answer::Accepted(id));
             }
-            // The job is known, or the range or the generation has changed.
+            // The job exists already, or the range or the generation has changed.
             StateReply::Conflict => {
-                self.ranges.forget(&Range::of(&id).0);
-                self.queue_question(request, id, Question::Repeat(spec, tries + 1));
+                self.ranges.forget(&JobIdRange::containing(&id).0);
+                self.queue_query(request, id, JobQuery::Resubmit(spec, tries + 1));
             }
-            StateReply::Refused { retry, .. } => {
-                let retry = retry.unwrap_or(RETRY);
+            StateReply::Refused {
+                retry_after: retry, ..
+            } => {
+                let retry = retry.unwrap_or(RETRY_DELAY);
                 self.answer(request, Answer::Later { retry });
             }
-            _ => self.answer(request, Answer::Later { retry: RETRY }),
+            _ => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
         }
     }
 
-    pub(super) fn queue_question(&mut self, request: RequestId, id: JobId, question: Question) {
+    pub(super) fn queue_query(&mut self, request: RequestId, id: JobId, query: JobQuery) {
         if let Some(record) = self.terminal_cache.get(&id).copied() {
-            self.answer_terminal_state(request, &id, &question, record);
+            self.answer_terminal_state(request, &id, &query, record);
         } else if !self.cache.loaded
             || self.cannot_read_state()
-            || self.user_requests.unproven.len() >= self.config.requests_most
+            || self.user_requests.queued.len() >= self.config.max_waiting_requests
         {
-            self.answer(request, Answer::Later { retry: RETRY });
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
         } else {
-            self.user_requests.unproven.push(PendingQuestion {
-                request,
-                id,
-                question,
-            });
+            self.user_requests
+                .queued
+                .push(PendingQuery { request, id, query });
         }
     }
 
-    pub(super) fn drive_proofs(&mut self) {
+    pub(super) fn drive_sync(&mut self) {
         let now = self.now();
-        if self.user_requests.unproven.is_empty()
-            || self.user_requests.in_flight
+        if self.user_requests.queued.is_empty()
+            || self.user_requests.sync_in_flight
             || now < self.user_requests.next_sync
         {
             return;
         }
         if !self.cache.loaded {
-            self.user_requests.proving = std::mem::take(&mut self.user_requests.unproven);
+            self.user_requests.syncing = std::mem::take(&mut self.user_requests.queued);
             self.synced(false);
             return;
         }
-        self.user_requests.in_flight = true;
-        self.user_requests.next_sync = now + self.config.sync_every;
-        self.user_requests.proving = std::mem::take(&mut self.user_requests.unproven);
-        let watch = self.watch(Duration::ZERO);
+        self.user_requests.sync_in_flight = true;
+        self.user_requests.next_sync = now + self.config.sync_interval;
+        self.user_requests.syncing = std::mem::take(&mut self.user_requests.queued);
+        let watch = self.watch_request(Duration::ZERO);
         self.call(Purpose::Sync, watch);
     }
 
-    pub(super) fn synced(&mut self, proven: bool) {
-        self.user_requests.in_flight = false;
-        for pending in std::mem::take(&mut self.user_requests.proving) {
-            if proven {
+    pub(super) fn synced(&mut self, is_current: bool) {
+        self.user_requests.sync_in_flight = false;
+        for pending in std::mem::take(&mut self.user_requests.syncing) {
+            if is_current {
                 self.resolve(pending);
             } else {
-                self.answer(pending.request, Answer::Later { retry: RETRY });
+                self.answer(pending.request, Answer::Later { retry: RETRY_DELAY });
             }
         }
     }
 
-    /// The cache is newer than the question.
-    fn resolve(&mut self, pending: PendingQuestion) {
-        let PendingQuestion {
-            request,
-            id,
-            question,
-        } = pending;
+    /// Answers a query from a cache that is more recent than the request.
+    fn resolve(&mut self, pending: PendingQuery) {
+        let PendingQuery { request, id, query } = pending;
         if self.cannot_read_state() || self.cache.is_unreadable(&id) {
-            // What is stored of it says something that this process can't know.
-            self.answer(request, Answer::Later { retry: RETRY });
+            // The stored record has a format that this build can't read.
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         }
         let Some(_) = self.cache.jobs.get(&id) else {
             if let Some(record) = self.terminal_cache.get(&id).copied() {
-                self.answer_terminal_state(request, &id, &question, record);
+                self.answer_terminal_state(request, &id, &query, record);
                 return;
             }
-            // Neither active nor known to be over: its end, if it had one, was
-            // stored with its removal from the active ones.
-            self.look_for_end(request, id, question);
+            // Neither active nor in a known terminal state: a terminal state is stored in
+            // the same transaction that deletes the active job.
+            self.look_for_end(request, id, query);
             return;
         };
         let waits_on = match self.dependencies.status(&id) {
             Status::Cancelled => {
-                self.answer_terminal_state(request, &id, &question, TerminalRecord::cancelled(0));
+                self.answer_terminal_state(request, &id, &query, TerminalRecord::cancelled(0));
                 return;
             }
-            // Whether it is cancelled depends on an end that is not known here yet.
-            Status::Unknown { mut ends } if !matches!(question, Question::Withdraw) => {
+            // Cancelled or not, depending on a terminal state that is not cached yet.
+            Status::Unknown { mut ends } if !matches!(query, JobQuery::Withdraw) => {
                 if let Some(end) = ends.pop() {
-                    let pending = PendingQuestion {
-                        request,
-                        id,
-                        question,
-                    };
-                    self.look_for_end(request, end, Question::NeededBy(Box::new(pending)));
+                    let pending = PendingQuery { request, id, query };
+                    self.look_for_end(request, end, JobQuery::ForDependent(Box::new(pending)));
                 }
                 return;
             }
             Status::Waiting { on } => on,
             _ => Vec::new(),
         };
-        let (done, running) = self.counts(&id);
+        let (done, running) = self.task_counts(&id);
         let state = match running {
             0 => JobState::Pending,
             _ => JobState::Running,
         };
-        match question {
-            Question::Status if !waits_on.is_empty() => {
+        match query {
+            JobQuery::Status if !waits_on.is_empty() => {
                 self.answer(request, Answer::Waiting(id, waits_on));
             }
-            Question::Status => self.answer(request, Answer::Status(id, state, done, running)),
-            Question::Withdraw => self.cancel(request, id),
-            Question::Repeat(spec, _) if !self.names_the_same(&id, &spec) => {
-                let reason = "waits_on: not the jobs that were named when it was accepted";
+            JobQuery::Status => self.answer(request, Answer::Status(id, state, done, running)),
+            JobQuery::Withdraw => self.cancel(request, id),
+            JobQuery::Resubmit(spec, _) if !self.has_same_dependencies(&id, &spec) => {
+                let reason = "waits_on: differs from the accepted submission";
                 self.answer(request, Answer::Impossible(reason.into()));
             }
             _ => self.answer(request, Answer::Known(id, state)),
         }
     }
 
-    /// A repeated submission names the same jobs as the accepted one, in any order.
-    fn names_the_same(&self, id: &JobId, spec: &JobSpec) -> bool {
-        let named = |spec: &JobSpec| spec.needs.iter().cloned().collect::<BTreeSet<JobId>>();
-        let accepted = self.cache.jobs.get(id);
-        accepted.is_none_or(|job| named(&job.record.spec) == named(spec))
+    /// Returns whether a repeated submission names the same dependencies, in any order.
+    fn has_same_dependencies(&self, id: &JobId, spec: &JobSpec) -> bool {
+        let dependencies = |spec: &JobSpec| spec.needs.iter().cloned().collect::<BTreeSet<JobId>>();
+        let active = self.cache.jobs.get(id);
+        active.is_none_or(|job| dependencies(&job.record.spec) == dependencies(spec))
     }
 
-    /// Stores a job's end as cancelled, in the form that is written now.
+    /// Stores a job as cancelled, in the format of the current generation.
     pub(super) fn cancel(&mut self, request: RequestId, id: JobId) {
         let Some(job) = self.cache.jobs.get(&id) else {
-            // It ended while its range was read.
-            self.queue_question(request, id, Question::Withdraw);
+            // The job ended while its range was read.
+            self.queue_query(request, id, JobQuery::Withdraw);
             return;
         };
-        let job = when(job_key(&id), job.version);
-        let (cluster, generation) = self.cache.cluster;
-        let record = TerminalRecord::cancelled(self.counts(&id).0);
+        let job = if_version(job_key(&id), job.version);
+        let (cluster, generation) = self.cache.generation;
+        let record = TerminalRecord::cancelled(self.task_counts(&id).0);
         let ended = [(id.clone(), record)];
         let Some(terminal_write) = terminal_states::terminal_write(&cluster, &ended, &self.ranges)
         else {
             self.read_range(request, id, AfterRangeRead::Cancel);
             return;
         };
-        let mut conditions = vec![job, when(GENERATION, generation)];
+        let mut conditions = vec![job, if_version(GENERATION_KEY, generation)];
         conditions.extend(terminal_write.conditions);
         let mut changes = vec![delete(job_key(&id))];
         changes.extend(terminal_write.changes);
@@ -488,7 +496,7 @@
             Purpose::Cancel {
                 request,
                 id,
-                ends: terminal_write.ends,
+                ends: terminal_write.states,
             },
             StateRequest::Txn {
                 conditions,
@@ -497,7 +505,7 @@
         );
     }
 
-    fn counts(&self, id: &JobId) -> (u32, u32) {
+    fn task_counts(&self, id: &JobId) -> (u32, u32) {
         match &self.cluster {
             Some(cluster) => cluster.job_counts(id).unwrap_or((0, 0)),
             None => self.forwarded.task_counts(id),
@@ -508,7 +516,7 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        ends: Option<(Range, terminal_states::TerminalStates)>,
+        ends: Option<(JobIdRange, terminal_states::TerminalStates)>,
         reply: StateReply,
     ) {
         let now = self.now();
@@ -516,47 +524,53 @@
         match reply {
             StateReply::Committed { revision } => {
                 self.cache_terminal_state(id.clone(), TerminalRecord::cancelled(0));
-                self.cache.committed_end(&id, revision);
+                self.cache.job_end_committed(&id, revision);
                 if let Some(cluster) = &mut self.cluster {
                     cluster.remove_job(&id, now);
                 }
                 self.answer(request, Answer::Known(id, JobState::Cancelled));
             }
-            // Done or cancelled meanwhile: asked again.
-            StateReply::Conflict => self.queue_question(request, id, Question::Withdraw),
-            _ => self.answer(request, Answer::Later { retry: RETRY }),
+            // Done or cancelled meanwhile: query the job again.
+            StateReply::Conflict => self.queue_query(request, id, JobQuery::Withdraw),
+            _ => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
         }
     }
 
-    /// What came of a write that would change a range.
+    /// Updates the cached range after the write of a job's terminal state.
     pub(super) fn range_written(
         &mut self,
         id: &JobId,
-        ends: Option<(Range, terminal_states::TerminalStates)>,
+        ends: Option<(JobIdRange, terminal_states::TerminalStates)>,
         reply: &StateReply,
     ) {
         match (reply, ends) {
             (StateReply::Committed { revision }, Some((range, ends))) => {
                 let version = *revision;
-                self.ranges.learn(range, KnownRange { version, ends });
+                self.ranges.update(
+                    range,
+                    KnownRange {
+                        version,
+                        states: ends,
+                    },
+                );
             }
             (StateReply::Committed { .. }, None) => {}
-            _ => self.ranges.forget(&Range::of(id).0),
+            _ => self.ranges.forget(&JobIdRange::containing(id).0),
         }
     }
 
-    /// Looks for the end of a job at the first of the places that are left.
+    /// Reads the first of the remaining places, or confirms the generation after the last one.
     pub(super) fn read_terminal_state(&mut self, read: TerminalRead) {
         let request = match read.places.first() {
-            Some(Place::Single) => StateRequest::Get {
+            Some(Layout::Single) => StateRequest::Get {
                 key: terminal_key(&read.id),
             },
-            Some(Place::Packed) => StateRequest::Get {
-                key: Range::of(&read.id).0.key(),
+            Some(Layout::Packed) => StateRequest::Get {
+                key: JobIdRange::containing(&read.id).0.key(),
             },
-            // It was nowhere. That says something only if nothing moved meanwhile.
+            // Found nowhere, which is conclusive only if the generation has not changed.
             None => StateRequest::Txn {
-                conditions: vec![when(GENERATION, read.generation)],
+                conditions: vec![if_version(GENERATION_KEY, read.generation)],
                 changes: Vec::new(),
             },
         };
@@ -565,23 +579,23 @@
 
     pub(super) fn terminal_state_read(&mut self, mut read: TerminalRead, reply: StateReply) {
         let found = match (read.places.first(), &reply) {
-            (Some(Place::Single), StateReply::Missing) => None,
-            (Some(Place::Single), StateReply::Entry(entry)) => {
+            (Some(Layout::Single), StateReply::Missing) => None,
+            (Some(Layout::Single), StateReply::Entry(entry)) => {
                 match terminal_states::parse_single(entry.value.get()) {
                     Some(record) => Some((record, entry.version)),
                     None => {
                         self.report_unreadable(&entry.key);
-                        self.answer(read.request, Answer::Later { retry: RETRY });
+                        self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
                         return;
                     }
                 }
             }
-            (Some(Place::Packed), reply) => {
-                let (range, name) = Range::of(&read.id);
-                match self.learn_range(&range, reply) {
-                    Some(known) => known.ends.get(name).map(|record| (record, known.version)),
+            (Some(Layout::Packed), reply) => {
+                let (range, name) = JobIdRange::containing(&read.id);
+                match self.cache_range(&range, reply) {
+                    Some(known) => known.states.get(name).map(|record| (record, known.version)),
                     None => {
-                        self.answer(read.request, Answer::Later { retry: RETRY });
+                        self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
                         return;
                     }
                 }
@@ -591,49 +605,53 @@
                 return;
             }
             _ => {
-                self.answer(read.request, Answer::Later { retry: RETRY });
+                self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
                 return;
             }
         };
         if let Some((record, revision)) = found {
-            self.end_read(&read.id, record, revision);
-            match read.question {
-                Question::Named(check) => self.check_needs(*check),
-                Question::NeededBy(pending) => self.resolve(*pending),
-                question => self.answer_terminal_state(read.request, &read.id, &question, record),
+            self.terminal_state_found(&read.id, record, revision);
+            match read.query {
+                JobQuery::ForSubmission(check) => self.check_dependencies(*check),
+                JobQuery::ForDependent(pending) => self.resolve(*pending),
+                query => self.answer_terminal_state(read.request, &read.id, &query, record),
             }
             return;
         }
         read.places.remove(0);
         match read.places.is_empty() && read.generation == 0 {
-            // The record of the generation is stored long before anything moves.
+            // Without a generation record, no terminal state has ever been moved.
             true => self.answer_unknown_job(read),
             false => self.read_terminal_state(read),
         }
     }
 
-    /// The stored end of a job was read, in a record of this revision. The job may still be
-    /// active in the cache, or become so by an older change: the end counts from now on.
-    fn end_read(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
+    /// Caches a terminal state that was read at this revision. It takes precedence over the
+    /// active job, which may still be in the cache or come back by an older event.
+    fn terminal_state_found(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
         let now = self.now();
         self.cache_terminal_state(id.clone(), record);
-        self.cache.committed_end(id, revision);
+        self.cache.job_end_committed(id, revision);
         if let Some(cluster) = &mut self.cluster {
             cluster.remove_job(id, now);
         }
     }
 
-    /// A job of which nothing is stored.
+    /// Answers a query about a job that is not stored anywhere.
     fn answer_unknown_job(&mut self, read: TerminalRead) {
         let request = read.request;
-        match read.question {
-            Question::Status | Question::Withdraw => self.answer(request, Answer::NotFound),
-            Question::Reject(reason) => self.answer(request, Answer::Impossible(reason)),
-            Question::Repeat(spec, tries) if tries < TRIES => self.accept(request, spec, tries),
-            Question::Repeat(..) | Question::NeededBy(_) => {
-                self.answer(request, Answer::Later { retry: RETRY });
+        match read.query {
+            JobQuery::Status | JobQuery::Withdraw => self.answer(request, Answer::NotFound),
+            JobQuery::Reject(reason) => self.answer(request, Answer::Impossible(reason)),
+            JobQuery::Resubmit(spec, tries) if tries < MAX_STORE_ATTEMPTS => {
+                self.accept(request, spec, tries)
+            }
+            JobQuery::Resubmit(..) | JobQuery::ForDependent(_) => {
+                self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            }
+            JobQuery::ForSubmission(check) => {
+                self.reject_for_dependency(*check, "was never accepted")
             }
-            Question::Named(check) => self.refuse_need(*check, "was never accepted"),
         }
     }
 
@@ -641,11 +659,11 @@
         &mut self,
         request: RequestId,
         id: &JobId,
-        question: &Question,
+        query: &JobQuery,
         record: TerminalRecord,
     ) {
-        let answer = match question {
-            Question::Status => Answer::Status(id.clone(), record.state, record.done, 0),
+        let answer = match query {
+            JobQuery::Status => Answer::Status(id.clone(), record.state, record.done, 0),
             _ => Answer::Known(id.clone(), record.state),
         };
         self.answer(request, answer);
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -1,47 +1,50 @@
-//! Reading what is stored, once and then by watching, and what each change means here.
+//! Loads the live keys from the state service, watches them, and applies each change to the node.
 
 use std::time::Duration;
 
 use super::{
-    BACK_OFF, Node, Purpose, WATCH_WAIT,
+    Node, Purpose, RETRY_DELAY, WATCH_WAIT,
     job::JobId,
     results::Results,
     state_cache::{StateCache, StateChange},
-    store::{LIVE, StateReply, StateRequest},
+    store::{LIVE_PREFIX, StateReply, StateRequest},
 };
 
 impl Node {
     pub(super) fn drive_watch(&mut self) {
         let now = self.now();
         if !self.cache.loaded {
-            if !self.loading && now >= self.retry_load {
+            if !self.loading && now >= self.load_retry_at {
                 self.loading = true;
                 self.cache = StateCache::default();
                 self.call(
-                    Purpose::Load { after: false },
+                    Purpose::Load {
+                        is_next_page: false,
+                    },
                     StateRequest::List {
-                        prefix: LIVE.into(),
+                        prefix: LIVE_PREFIX.into(),
                         after: None,
                     },
                 );
             }
-        } else if !self.watching && now >= self.retry_watch {
+        } else if !self.watching && now >= self.watch_retry_at {
             self.watching = true;
-            let watch = self.watch(WATCH_WAIT);
+            let watch = self.watch_request(WATCH_WAIT);
             self.call(Purpose::Watch, watch);
         }
     }
 
-    /// Asks for what is not in the cache yet. One that does not wait proves the cache.
-    pub(super) fn watch(&self, wait: Duration) -> StateRequest {
+    /// Request for the changes after the cursor. With a zero wait, its reply proves that the
+    /// cache is current.
+    pub(super) fn watch_request(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
-            prefix: LIVE.into(),
+            prefix: LIVE_PREFIX.into(),
             after: self.cache.cursor,
             wait,
         }
     }
 
-    pub(super) fn loaded(&mut self, after: bool, reply: StateReply) {
+    pub(super) fn load_answered(&mut self, is_next_page: bool, reply: StateReply) {
         let StateReply::Entries {
             entries,
             more,
@@ -49,21 +52,21 @@
         } = reply
         else {
             self.loading = false;
-            self.retry_load = self.now() + BACK_OFF;
+            self.load_retry_at = self.now() + RETRY_DELAY;
             return;
         };
-        // Pages are read one after another; the watch from the first page's
-        // revision on brings whatever changed meanwhile.
-        if !after {
+        // Pages are read one after another. The watch starts at the revision of the first page,
+        // so it delivers every change made while the others were read.
+        if !is_next_page {
             self.cache.cursor = revision;
         }
         let last = entries.last().map(|e| e.key.clone());
-        self.cache.load(entries);
+        self.cache.apply_entries(entries);
         if let (true, Some(last)) = (more, last) {
             self.call(
-                Purpose::Load { after: true },
+                Purpose::Load { is_next_page: true },
                 StateRequest::List {
-                    prefix: LIVE.into(),
+                    prefix: LIVE_PREFIX.into(),
                     after: Some(last),
                 },
             );
@@ -75,26 +78,26 @@
         }
     }
 
-    /// Takes in the events of a watch; says whether the cache is proven.
+    /// Applies the reply to a watch. Returns whether it proves the cache.
     ///
-    /// While everything is read again there is no copy that events could continue: what is
-    /// set before the first page and deleted before it as well would stay for ever, and an
-    /// empty copy is no proof that a job is unknown.
-    pub(super) fn take_events(&mut self, reply: StateReply) -> bool {
+    /// Events are ignored during a reload: a key set and deleted before the first page was
+    /// listed would stay in the cache for good. An incomplete cache also does not prove that a
+    /// job is unknown.
+    pub(super) fn apply_watch_reply(&mut self, reply: StateReply) -> bool {
         if !self.cache.loaded {
             return false;
         }
         match reply {
             StateReply::Events { events, revision } => {
-                for change in self.cache.advance(&events, revision) {
+                for change in self.cache.apply_events(&events, revision) {
                     self.apply_change(change);
                 }
                 true
             }
             StateReply::TooOld => {
-                // Too much was missed: everything is read again.
+                // The state service no longer has the changes after the cursor: reload all keys.
                 self.cache.loaded = false;
-                self.drop_leadership("fell behind the state service");
+                self.drop_leadership("the watch fell behind the state service's history");
                 false
             }
             _ => false,
@@ -113,13 +116,14 @@
                 }
             }
             StateChange::LeaderKey => self.leader_changed(),
-            StateChange::Cluster => {}
+            StateChange::Generation => {}
             StateChange::StoredHeartbeat(stored_heartbeat) => self
                 .membership
                 .nodes
                 .record_stored_heartbeat(stored_heartbeat, now),
-            StateChange::Types => {
-                if let (Some(cluster), Some(types)) = (&mut self.cluster, &self.cache.types) {
+            StateChange::MachineTypes => {
+                if let (Some(cluster), Some(types)) = (&mut self.cluster, &self.cache.machine_types)
+                {
                     cluster.types = types.clone();
                 }
             }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -1,12 +1,12 @@
-//! What the leader writes: the assignment index, results, and terminal states of jobs. Every write
-//! depends on its claim, so one that is applied late changes nothing.
+//! The leader's writes: the assignment index, results, and terminal states of jobs. Every write is
+//! conditional on the leader's claim, so one that is applied late changes nothing.
 
 use std::time::Duration;
 
 use tracing::info;
 
 use super::{
-    BACK_OFF, Node, Purpose,
+    Node, Purpose, RETRY_DELAY,
     assignment_index::ShardWrite,
     cluster::{ClusterState, Job},
     config::Config,
@@ -14,20 +14,20 @@
     limits::{WriteLimits, WriteRate},
     results::{self, ChunkPart},
     store::{
-        Change, GENERATION, LEADER, StateReply, StateRequest, delete, job_key, progress_key, put,
-        shard_key, when,
+        Change, GENERATION_KEY, LEADER_KEY, StateReply, StateRequest, delete, if_version, job_key,
+        progress_key, put, shard_key,
     },
-    terminal_states::{self, Place, Range, TerminalStates},
+    terminal_states::{self, JobIdRange, Layout, TerminalStates},
 };
 
 #[derive(Debug)]
 pub enum QueuedWrite {
     AssignmentIndex {
         claim: u64,
-        listings: Vec<ShardWrite>,
+        shard_writes: Vec<ShardWrite>,
     },
-    /// Reads a shard of the assignment index again whose write was not answered.
-    Reread {
+    /// Rereads a shard of the assignment index after a write with an unknown outcome.
+    RereadShard {
         claim: u64,
         shard: u32,
     },
@@ -37,7 +37,7 @@
         set: TaskSet,
         chunks: Vec<ChunkPart>,
     },
-    /// Reads results of a job again whose write was not answered.
+    /// Rereads results of a job after a write with an unknown outcome.
     RereadProgress {
         claim: u64,
         id: JobId,
@@ -46,74 +46,75 @@
     Finish {
         claim: u64,
         ended: Vec<(JobId, TerminalRecord)>,
-        /// Their range as it will be, where they are stored so.
-        ends: Option<(Range, TerminalStates)>,
+        /// The jobs' range with its new content, if terminal states are stored by range.
+        ends: Option<(JobIdRange, TerminalStates)>,
         keys: Vec<String>,
     },
-    /// Reads a range of ends that is to be written.
+    /// Reads a range of terminal states before it is written.
     ReadRange {
         claim: u64,
-        range: Range,
+        range: JobIdRange,
     },
-    Collect {
+    DeleteGarbage {
         claim: u64,
         keys: Vec<String>,
     },
 }
 
-/// How many writes are out, and what the budget allows.
+/// Writes in flight, and the write budget.
 #[derive(Debug)]
 pub struct WriteQueue {
-    /// Changes a second, now.
-    rate: f64,
-    rates: WriteRate,
-    /// Writes in a row that were rejected and could not be made smaller.
-    stuck: u32,
+    /// Present rate in changes per second.
+    present_rate: f64,
+    write_rate: WriteRate,
+    /// Consecutive writes that were rejected and can't be made smaller.
+    unsplittable_rejections: u32,
     allowance: f64,
-    refilled: Duration,
+    refilled_at: Duration,
     in_flight: u32,
-    retry: Duration,
-    /// A write was answered: what waited for it goes out at once.
-    pub(super) has_news: bool,
+    retry_at: Duration,
+    /// A write was answered, so writes that depend on it can be sent at once.
+    pub(super) has_new_replies: bool,
 }
 
-const IN_FLIGHT: u32 = 6;
-/// How often the pause doubles while a rejected write can't be made smaller.
-const STUCK_DOUBLES: u32 = 4;
-/// Results are stored together with those that follow within this time.
-const GATHER: Duration = Duration::from_millis(1500);
+const MAX_WRITES_IN_FLIGHT: u32 = 6;
+/// Maximum number of times the pause doubles while a rejected write can't be made smaller.
+const MAX_PAUSE_DOUBLINGS: u32 = 4;
+/// Time for which results are collected before they are written together.
+const PROGRESS_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
-/// After a write, a range of ends is left alone for so long: submissions in the same range
-/// depend on it. The protocol allows a late `done` by 3 s.
-const RANGE_RESTS: Duration = Duration::from_secs(1);
+/// Minimum time between two writes of a range of terminal states. Submissions in the range are
+/// conditional on its key. The protocol allows `done` to be 3 s late.
+const RANGE_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A write, and what it depends on and changes.
+/// Write with its conditions and changes.
 type PreparedWrite = (QueuedWrite, Vec<super::store::Condition>, Vec<Change>);
 
 impl ClusterState {
-    /// Stores the results of the job whose oldest one came first, if that was before.
+    /// Prepares a write for the job with the oldest unsaved result, if that arrived by `before`.
     fn next_progress_write(
         &mut self,
         before: Duration,
         limits: &WriteLimits,
     ) -> Option<PreparedWrite> {
         let claim = self.claim;
-        let waits = |job: &Job| !job.saving && !job.complete() && job.saved.unsure().is_none();
+        let is_ready =
+            |job: &Job| !job.saving && !job.is_complete() && job.saved.next_unverified().is_none();
         let (id, job) = self
             .jobs
             .iter_mut()
-            .filter(|(_, job)| waits(job) && job.unsaved_since.is_some_and(|at| at <= before))
+            .filter(|(_, job)| is_ready(job) && job.unsaved_since.is_some_and(|at| at <= before))
             .min_by_key(|(id, job)| (job.unsaved_since, (*id).clone()))?;
         job.saving = true;
         job.unsaved_since = None;
         let set = job.done.clone();
-        let mut chunks = results::unsaved(&set, job.saved.stored(), limits.value_bytes);
+        let mut chunks = results::unsaved_parts(&set, job.saved.stored(), limits.value_bytes);
         chunks.truncate(limits.txn_ops);
-        let mut conditions = vec![when(job_key(id), job.version)];
+        let mut conditions = vec![if_version(job_key(id), job.version)];
         let mut changes = Vec::new();
         for chunk in &chunks {
             let key = progress_key(id, *chunk);
-            conditions.push(when(&key, job.saved.version(*chunk)));
+            conditions.push(if_version(&key, job.saved.version(*chunk)));
             changes.push(put(key, &chunk.encode(&set)));
         }
         let write = QueuedWrite::Progress {
@@ -125,7 +126,7 @@
         Some((write, conditions, changes))
     }
 
-    /// What came of a write of results.
+    /// Handles the reply to a write of results.
     fn progress_saved(
         &mut self,
         id: &JobId,
@@ -139,18 +140,18 @@
         };
         job.saving = false;
         match reply {
-            StateReply::Committed { revision } => job.saved.written(set, chunks, *revision),
-            // It changed nothing and never will.
+            StateReply::Committed { revision } => job.saved.mark_written(set, chunks, *revision),
+            // The write was not executed and never will be.
             StateReply::Refused { .. } | StateReply::Rejected => {}
-            _ => job.saved.unclear(chunks),
+            _ => job.saved.mark_unverified(chunks),
         }
-        if !job.done.chunks_beyond(job.saved.stored()).is_empty() {
+        if !job.done.chunks_added_since(job.saved.stored()).is_empty() {
             job.unsaved_since.get_or_insert(now);
         }
     }
 
-    /// What is stored of a job's results, as read after an unclear write; false where that
-    /// is still not known.
+    /// Handles the reply to a reread of a job's results. Returns whether their stored state is
+    /// known now.
     fn progress_reread(&mut self, id: &JobId, chunk: ChunkPart, reply: &StateReply) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             return true;
@@ -158,7 +159,7 @@
         job.saving = false;
         match reply {
             StateReply::Missing => {
-                job.saved.missing(chunk);
+                job.saved.mark_missing(chunk);
                 true
             }
             StateReply::Entry(entry) => {
@@ -173,14 +174,14 @@
 impl WriteQueue {
     pub fn new(config: &Config) -> Self {
         Self {
-            rate: config.writes,
-            rates: WriteRate::new(config.writes, config.writes_next),
-            stuck: 0,
-            allowance: config.writes,
-            refilled: Duration::ZERO,
+            present_rate: config.write_rate,
+            write_rate: WriteRate::new(config.write_rate, config.announced_write_rate),
+            unsplittable_rejections: 0,
+            allowance: config.write_rate,
+            refilled_at: Duration::ZERO,
             in_flight: 0,
-            retry: Duration::ZERO,
-            has_news: false,
+            retry_at: Duration::ZERO,
+            has_new_replies: false,
         }
     }
 
@@ -189,44 +190,44 @@
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.refilled).as_secs_f64();
-        self.refilled = now;
-        self.rate = self.rates.at(now);
-        self.allowance = (self.allowance + passed * self.rate).min(self.rate);
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.present_rate = self.write_rate.at(now);
+        self.allowance = (self.allowance + passed * self.present_rate).min(self.present_rate);
     }
 
-    /// A write was refused for the rate.
-    pub fn limited(&mut self, now: Duration) {
-        self.rates.limited(now);
+    /// Handles a write that was refused because of the rate limit.
+    pub fn rate_limited(&mut self, now: Duration) {
+        self.write_rate.limited(now);
     }
 
-    /// A write was rejected; it will be made smaller, or can't be.
+    /// Handles a rejected write; `smaller` tells whether the next one will be smaller.
     pub fn rejected(&mut self, smaller: bool) {
-        self.stuck = match smaller {
+        self.unsplittable_rejections = match smaller {
             true => 0,
-            false => self.stuck + 1,
+            false => self.unsplittable_rejections + 1,
         };
     }
 
-    /// How long writes pause after one that failed.
+    /// Delay before the next write after a failed one.
     fn pause(&self) -> Duration {
-        BACK_OFF * 2_u32.pow(self.stuck.min(STUCK_DOUBLES))
+        RETRY_DELAY * 2_u32.pow(self.unsplittable_rejections.min(MAX_PAUSE_DOUBLINGS))
     }
 
-    /// There is room beside what has to be written.
+    /// Returns whether the budget has room for optional writes.
     pub fn has_spare_budget(&self) -> bool {
-        self.allowance > self.rate / 4.0
+        self.allowance > self.present_rate / 4.0
     }
 
-    /// Changes that users' requests caused, on any node: they come first, and the
-    /// leader makes do with the rest.
+    /// Charges the budget for changes outside the queue, mostly users' requests at any node:
+    /// those come first, and the leader's own writes use the rest.
     pub fn charge(&mut self, changes: f64) {
-        self.allowance = (self.allowance - changes).max(-self.rate);
+        self.allowance = (self.allowance - changes).max(-self.present_rate);
     }
 }
 
 impl Node {
-    /// What has to be written goes out, and then old records are rewritten.
+    /// Sends pending writes, then continues the migration of old records.
     pub(super) fn drive_write_queue(&mut self) {
         self.send_writes();
         self.drive_migration();
@@ -235,28 +236,29 @@
     fn send_writes(&mut self) {
         let now = self.now();
         self.write_queue.refill(now);
-        self.write_queue.has_news = false;
+        self.write_queue.has_new_replies = false;
         if let Some(cluster) = &mut self.cluster {
             cluster
                 .assignment_index
-                .limit_values(self.limits.value_bytes);
+                .lower_max_value_bytes(self.limits.value_bytes);
         }
-        while self.write_queue.in_flight < IN_FLIGHT && now >= self.write_queue.retry {
-            // One change has to be affordable; a larger transaction borrows.
+        while self.write_queue.in_flight < MAX_WRITES_IN_FLIGHT && now >= self.write_queue.retry_at
+        {
+            // The allowance has to cover one change; a larger transaction overdraws it.
             if self.write_queue.allowance < 1.0 {
                 return;
             }
             let Some(claim) = self.claim() else { return };
             if self.reread_shard(claim)
                 || self.reread_progress(claim)
-                || self.read_range_to_write(now, claim)
+                || self.read_range_before_write(now, claim)
             {
                 continue;
             }
             let Some((write, mut conditions, changes)) = self.next_write(now) else {
                 return;
             };
-            conditions.push(when(LEADER, claim));
+            conditions.push(if_version(LEADER_KEY, claim));
             self.write_queue.allowance -= changes.len() as f64;
             self.write_queue.in_flight += 1;
             self.call(
@@ -269,31 +271,31 @@
         }
     }
 
-    /// Reads one shard of the assignment index again whose write was not answered.
+    /// Rereads one shard of the assignment index after a write with an unknown outcome.
     fn reread_shard(&mut self, claim: u64) -> bool {
         let unsure = self
             .cluster
             .as_mut()
-            .and_then(|l| l.assignment_index.unsure());
+            .and_then(|l| l.assignment_index.next_unverified());
         let Some(shard) = unsure else { return false };
         let key = shard_key(shard);
         self.write_queue.in_flight += 1;
-        let write = Purpose::QueuedWrite(QueuedWrite::Reread { claim, shard });
+        let write = Purpose::QueuedWrite(QueuedWrite::RereadShard { claim, shard });
         self.call(write, StateRequest::Get { key });
         true
     }
 
-    /// Reads results again whose write was not answered. An end of the job stores what
-    /// matters and takes them away, so it does not wait for that.
+    /// Rereads results after a write with an unknown outcome. The write that ends a job does not
+    /// wait for this, since it stores the terminal state and deletes the results.
     fn reread_progress(&mut self, claim: u64) -> bool {
         let Some(cluster) = self.cluster.as_mut() else {
             return false;
         };
-        let open = cluster
+        let idle = cluster
             .jobs
             .iter_mut()
-            .filter(|(_, job)| !job.saving && !job.complete());
-        let mut unsure = open.filter_map(|(id, job)| Some((id, job.saved.unsure()?, job)));
+            .filter(|(_, job)| !job.saving && !job.is_complete());
+        let mut unsure = idle.filter_map(|(id, job)| Some((id, job.saved.next_unverified()?, job)));
         let Some((id, chunk, job)) = unsure.next() else {
             return false;
         };
@@ -306,97 +308,112 @@
         true
     }
 
-    /// The job whose end is to be stored next, of those whose range may be written.
-    fn complete_job(&self, now: Duration) -> Option<&JobId> {
+    /// Returns the next complete job to store as ended, among those whose range may be written.
+    fn next_complete_job(&self, now: Duration) -> Option<&JobId> {
         let packed = self.packs_terminal_states();
         let cluster = self.cluster.as_ref()?;
         let complete = cluster.jobs.iter().filter(|(id, job)| {
-            job.complete() && !job.saving && (!packed || self.ranges.free(&Range::of(id).0, now))
+            job.is_complete()
+                && !job.saving
+                && (!packed || self.ranges.is_available(&JobIdRange::containing(id).0, now))
         });
         complete
             .min_by_key(|(id, job)| (job.unsaved_since, *id))
             .map(|(id, _)| id)
     }
 
-    /// Terminal states of jobs are stored by range.
+    /// Returns whether terminal states of jobs are stored by range.
     fn packs_terminal_states(&self) -> bool {
-        terminal_states::place(self.cache.cluster.0.written()) == Place::Packed
+        terminal_states::layout(self.cache.generation.0.written()) == Layout::Packed
     }
 
-    /// Reads the range where the next end of a job goes, if it is not known.
-    fn read_range_to_write(&mut self, now: Duration, claim: u64) -> bool {
+    /// Reads the range that the next terminal state belongs to, if its content is unknown.
+    fn read_range_before_write(&mut self, now: Duration, claim: u64) -> bool {
         if !self.packs_terminal_states() {
             return false;
         }
-        let Some(range) = self.complete_job(now).map(|id| Range::of(id).0) else {
+        let Some(range) = self
+            .next_complete_job(now)
+            .map(|id| JobIdRange::containing(id).0)
+        else {
             return false;
         };
         if self.ranges.get(&range).is_some() {
             return false;
         }
         let key = range.key();
-        self.ranges.take(&range);
+        self.ranges.mark_busy(&range);
         self.write_queue.in_flight += 1;
         let write = Purpose::QueuedWrite(QueuedWrite::ReadRange { claim, range });
         self.call(write, StateRequest::Get { key });
         true
     }
 
-    /// Stores the end of a job that is complete, and with it those of others in the same
-    /// range, which cost one change less each.
+    /// Prepares the write that ends a complete job, together with other complete jobs in the
+    /// same range, which cost one change less each.
     fn next_finish_write(&mut self, now: Duration, claim: u64) -> Option<PreparedWrite> {
-        let most = self.limits.txn_ops;
-        let (cluster, generation) = self.cache.cluster;
-        let first = self.complete_job(now)?.clone();
+        let max_ops = self.limits.txn_ops;
+        let (generation, generation_revision) = self.cache.generation;
+        let first = self.next_complete_job(now)?.clone();
         let mut ids = vec![first.clone()];
         if self.packs_terminal_states() {
-            let range = Range::of(&first).0;
+            let range = JobIdRange::containing(&first).0;
             let jobs = &self.cluster.as_ref()?.jobs;
-            let also = jobs.iter().filter(|(id, job)| {
-                job.complete() && !job.saving && **id != first && Range::of(id).0 == range
+            let others = jobs.iter().filter(|(id, job)| {
+                job.is_complete()
+                    && !job.saving
+                    && **id != first
+                    && JobIdRange::containing(id).0 == range
             });
-            ids.extend(also.map(|(id, _)| id.clone()).take(most.saturating_sub(2)));
+            ids.extend(
+                others
+                    .map(|(id, _)| id.clone())
+                    .take(max_ops.saturating_sub(2)),
+            );
         }
-        let leader = self.cluster.as_mut()?;
-        let (mut ended, mut conditions) = (Vec::new(), vec![when(GENERATION, generation)]);
+        let cluster = self.cluster.as_mut()?;
+        let (mut ended, mut conditions) = (
+            Vec::new(),
+            vec![if_version(GENERATION_KEY, generation_revision)],
+        );
         let (mut changes, mut keys) = (Vec::new(), Vec::new());
         for id in ids {
-            let job = leader.jobs.get_mut(&id)?;
-            conditions.push(when(job_key(&id), job.version));
+            let job = cluster.jobs.get_mut(&id)?;
+            conditions.push(if_version(job_key(&id), job.version));
             changes.push(delete(job_key(&id)));
             let chunks = job.saved.chunks().into_iter();
             keys.extend(chunks.map(|chunk| progress_key(&id, chunk)));
-            let needed = self.dependencies.has_dependents(&id);
+            let has_dependents = self.dependencies.has_dependents(&id);
             let record = TerminalRecord {
                 state: JobState::Done,
                 done: job.done_count,
-                ended_ms: needed.then_some(self.clock.wall_ms),
+                ended_ms: has_dependents.then_some(self.clock.wall_ms),
             };
             ended.push((id, record));
         }
-        let terminal_write = terminal_states::terminal_write(&cluster, &ended, &self.ranges)?;
+        let terminal_write = terminal_states::terminal_write(&generation, &ended, &self.ranges)?;
         conditions.extend(terminal_write.conditions);
         changes.extend(terminal_write.changes);
-        // What does not fit into this transaction goes with a later one.
-        let rest = keys.split_off(keys.len().min(most.saturating_sub(changes.len())));
+        // Keys that do not fit into this transaction are deleted by a later one.
+        let remaining_keys = keys.split_off(keys.len().min(max_ops.saturating_sub(changes.len())));
         changes.extend(keys.into_iter().map(delete));
         for (id, _) in &ended {
-            leader.jobs.get_mut(id)?.saving = true;
+            cluster.jobs.get_mut(id)?.saving = true;
         }
-        if let Some((range, _)) = &terminal_write.ends {
-            self.ranges.take(range);
+        if let Some((range, _)) = &terminal_write.states {
+            self.ranges.mark_busy(range);
         }
         let write = QueuedWrite::Finish {
             claim,
             ended,
-            ends: terminal_write.ends,
-            keys: rest,
+            ends: terminal_write.states,
+            keys: remaining_keys,
         };
         Some((write, conditions, changes))
     }
 
     fn next_write(&mut self, now: Duration) -> Option<PreparedWrite> {
-        let most = self.limits.txn_ops;
+        let max_ops = self.limits.txn_ops;
         let claim = self.cluster.as_ref()?.claim;
 
         if let Some(write) = self.next_finish_write(now, claim) {
@@ -404,32 +421,50 @@
         }
 
         let cluster = self.cluster.as_mut()?;
-        // Starts wait for their job to be listed with their machine.
-        if let Some((listings, conditions, changes)) = cluster.assignment_index_write(true, most) {
+        // Tasks start only after the assignment index lists their job for the machine.
+        if let Some((shard_writes, conditions, changes)) =
+            cluster.assignment_index_write(true, max_ops)
+        {
             return Some((
-                QueuedWrite::AssignmentIndex { claim, listings },
+                QueuedWrite::AssignmentIndex {
+                    claim,
+                    shard_writes,
+                },
                 conditions,
                 changes,
             ));
         }
 
-        if let Some(write) = cluster.next_progress_write(now.saturating_sub(GATHER), &self.limits) {
+        if let Some(write) =
+            cluster.next_progress_write(now.saturating_sub(PROGRESS_WRITE_DELAY), &self.limits)
+        {
             return Some(write);
         }
 
-        if let Some((listings, conditions, changes)) = cluster.assignment_index_write(false, most) {
+        if let Some((shard_writes, conditions, changes)) =
+            cluster.assignment_index_write(false, max_ops)
+        {
             return Some((
-                QueuedWrite::AssignmentIndex { claim, listings },
+                QueuedWrite::AssignmentIndex {
+                    claim,
+                    shard_writes,
+                },
                 conditions,
                 changes,
             ));
         }
-        // Removing what is left over waits until there is plenty of room.
-        if !cluster.garbage.is_empty() && self.write_queue.allowance > self.write_queue.rate / 2.0 {
-            let count = cluster.garbage.len().min(most / 4);
-            let keys: Vec<String> = cluster.garbage.drain(..count).collect();
+        // Leftover keys are deleted only while at least half of the budget is free.
+        if !cluster.obsolete_keys.is_empty()
+            && self.write_queue.allowance > self.write_queue.present_rate / 2.0
+        {
+            let count = cluster.obsolete_keys.len().min(max_ops / 4);
+            let keys: Vec<String> = cluster.obsolete_keys.drain(..count).collect();
             let changes = keys.iter().cloned().map(delete).collect();
-            return Some((QueuedWrite::Collect { claim, keys }, Vec::new(), changes));
+            return Some((
+                QueuedWrite::DeleteGarbage { claim, keys },
+                Vec::new(),
+                changes,
+            ));
         }
         None
     }
@@ -444,49 +479,57 @@
             reply,
             StateReply::Refused { .. } | StateReply::Rejected | StateReply::Unclear
         ) {
-            self.write_queue.retry = now + self.write_queue.pause();
+            self.write_queue.retry_at = now + self.write_queue.pause();
         }
         if committed {
-            self.write_queue.stuck = 0;
+            self.write_queue.unsplittable_rejections = 0;
         }
         match &write {
             QueuedWrite::Finish { ended, ends, .. } => {
                 for (id, record) in ended.iter().filter(|_| committed) {
                     self.cache_terminal_state(id.clone(), *record);
-                    self.cache.committed_end(id, revision);
+                    self.cache.job_end_committed(id, revision);
                 }
                 if let Some((range, _)) = ends {
-                    let rest = if committed { RANGE_RESTS } else { BACK_OFF };
-                    self.ranges.release(range, now + rest, now);
+                    let pause = if committed {
+                        RANGE_WRITE_INTERVAL
+                    } else {
+                        RETRY_DELAY
+                    };
+                    self.ranges.release(range, now + pause, now);
                 }
                 self.range_written(&ended[0].0, ends.clone(), &reply);
             }
             QueuedWrite::ReadRange { range, .. } => {
-                let read = self.learn_range(range, &reply).is_some();
-                let rest = if read { Duration::ZERO } else { BACK_OFF };
-                self.ranges.release(range, now + rest, now);
+                let is_known = self.cache_range(range, &reply).is_some();
+                let pause = if is_known {
+                    Duration::ZERO
+                } else {
+                    RETRY_DELAY
+                };
+                self.ranges.release(range, now + pause, now);
             }
             _ => {}
         }
         let claim = match &write {
             QueuedWrite::AssignmentIndex { claim, .. }
-            | QueuedWrite::Reread { claim, .. }
+            | QueuedWrite::RereadShard { claim, .. }
             | QueuedWrite::Progress { claim, .. }
             | QueuedWrite::RereadProgress { claim, .. }
             | QueuedWrite::Finish { claim, .. }
             | QueuedWrite::ReadRange { claim, .. }
-            | QueuedWrite::Collect { claim, .. } => *claim,
+            | QueuedWrite::DeleteGarbage { claim, .. } => *claim,
         };
         let Some(cluster) = self.cluster.as_mut().filter(|l| l.claim == claim) else {
             return;
         };
         self.write_queue.in_flight = self.write_queue.in_flight.saturating_sub(1);
-        self.write_queue.has_news = true;
+        self.write_queue.has_new_replies = true;
         match write {
-            QueuedWrite::AssignmentIndex { listings, .. } => {
-                cluster.assignment_index_written(listings, &reply)
+            QueuedWrite::AssignmentIndex { shard_writes, .. } => {
+                cluster.assignment_index_written(shard_writes, &reply)
             }
-            QueuedWrite::Reread { shard, .. } => {
+            QueuedWrite::RereadShard { shard, .. } => {
                 let version = match &reply {
                     StateReply::Entry(entry) => Some(entry.version),
                     StateReply::Missing => Some(0),
@@ -499,7 +542,7 @@
             } => cluster.progress_saved(&id, &set, &chunks, &reply, now),
             QueuedWrite::RereadProgress { id, chunk, .. } => {
                 if !cluster.progress_reread(&id, chunk, &reply) {
-                    self.write_queue.retry = now + BACK_OFF;
+                    self.write_queue.retry_at = now + RETRY_DELAY;
                 }
             }
             QueuedWrite::Finish { ended, keys, .. } => {
@@ -508,18 +551,18 @@
                         job.saving = false;
                     }
                     if committed {
-                        info!(job = %id, "job done");
+                        info!(job = %id, "job completed");
                         cluster.remove_job(id, now);
                     }
                 }
                 if committed {
-                    cluster.garbage.extend(keys);
+                    cluster.obsolete_keys.extend(keys);
                 }
             }
             QueuedWrite::ReadRange { .. } => {}
-            QueuedWrite::Collect { keys, .. } => {
+            QueuedWrite::DeleteGarbage { keys, .. } => {
                 if !committed {
-                    cluster.garbage.extend(keys);
+                    cluster.obsolete_keys.extend(keys);
                 }
             }
         }
