--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service and the cloud.
+//! HTTP client for the state service, the cloud and direct commands to workers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,7 +14,7 @@
 use crate::{
     core::{
         CallId, Input,
-        cluster::Direct,
+        cluster::DirectCommands,
         machine::DirectReply,
         provisioning::{CloudReply, CloudRequest},
         store::{StateReply, StateRequest},
@@ -25,8 +25,8 @@
 
 type Http = HttpClient<HttpConnector, Full<Bytes>>;
 
-/// The largest answer that is read.
-const ANSWER_MOST: usize = 8 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 const DIRECT_TIMEOUT: Duration = Duration::from_secs(1);
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -78,15 +78,15 @@
         let (method, path, body) = match &request {
             CloudRequest::Types => (Method::GET, "/flavors".to_owned(), None),
             CloudRequest::List { after } => (Method::GET, wire::cloud::list_path(after), None),
-            CloudRequest::Provision(rental) => (
+            CloudRequest::Provision(provision) => (
                 Method::POST,
                 "/hosts".to_owned(),
-                Some(wire::cloud::rental(rental)),
+                Some(wire::cloud::provision_body(provision)),
             ),
             CloudRequest::Release { machines } => (
                 Method::POST,
                 "/hosts/release".to_owned(),
-                Some(wire::cloud::release(machines)),
+                Some(wire::cloud::release_body(machines)),
             ),
         };
         let reply = exchange(
@@ -109,14 +109,15 @@
 }
 
 impl Client {
-    /// News for the node from this side, after what is under way.
-    pub fn tell(&self, input: Input) {
+    /// Queues an input for the node, behind the results that are already queued.
+    pub fn send_input(&self, input: Input) {
         let _ = self.results.send(input);
     }
 
-    /// Commands straight to a worker.
-    pub fn direct(&self, call: CallId, direct: &Direct) {
-        let body = wire::worker::commands(direct.token, Some(direct.session), &direct.commands);
+    /// Sends commands directly to a worker.
+    pub fn direct(&self, call: CallId, direct: &DirectCommands) {
+        let body =
+            wire::worker::commands_body(direct.token, Some(direct.session), &direct.commands);
         let path = "/do".to_owned();
         let (http, body) = (self.http.clone(), Some(body));
         let reply = exchange(http, direct.addr, Method::POST, path, body, DIRECT_TIMEOUT);
@@ -131,7 +132,7 @@
     }
 }
 
-/// One request and its answer, or none within the time.
+/// Sends a request, and returns the response unless it fails or times out.
 async fn exchange(
     http: Http,
     to: SocketAddr,
@@ -157,7 +158,7 @@
             .get(RETRY_AFTER)
             .and_then(|v| v.to_str().ok()?.parse::<f64>().ok())
             .map(crate::settings::seconds);
-        let body = Limited::new(response.into_body(), ANSWER_MOST)
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
             .ok()?
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -1,6 +1,6 @@
-//! Lines between nodes. Each node dials every other one and only writes on the
-//! connections it dialled; what can't be sent now is dropped, since whoever
-//! waits for an answer has a time limit.
+//! Connections between nodes. Each node connects to every other one, and only writes on
+//! those connections. Messages to an unreachable or slow peer are dropped, since every sender
+//! that waits for an answer has a timeout.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,42 +18,42 @@
     wire::peer::Line,
 };
 
-/// Bytes of the lines that wait for one peer, and so of the longest line: what a leader of
-/// 6,000 machines knows of them is about a megabyte.
-const QUEUED_BYTES_MOST: usize = 4 << 20;
-const LINE_MOST: u64 = QUEUED_BYTES_MOST as u64;
-const RETRY: Duration = Duration::from_millis(300);
-const WITHIN: Duration = Duration::from_secs(1);
+/// Maximum size of the lines queued for one peer, and so of a single line: a leader's hints
+/// about 6,000 machines take about a megabyte.
+const MAX_QUEUED_BYTES: usize = 4 << 20;
+const MAX_LINE_BYTES: u64 = MAX_QUEUED_BYTES as u64;
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+const IO_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub struct Peers {
     from: String,
-    queues: Vec<(String, Queue)>,
+    queues: Vec<(String, QueueSender)>,
 }
 
-/// Lines that wait for one peer, bounded by their number and their bytes.
-struct Queue {
+/// Sending end of a peer's line queue, which is bounded by lines and bytes.
+struct QueueSender {
     lines: Sender<String>,
     bytes: Rc<Cell<usize>>,
 }
 
-impl Queue {
-    /// Drops the line where there is no room for it.
+impl QueueSender {
+    /// Queues a line, or drops it if the queue is full.
     fn push(&self, line: String) {
         let length = line.len();
         let bytes = self.bytes.get() + length;
-        if bytes <= QUEUED_BYTES_MOST && self.lines.try_send(line).is_ok() {
+        if bytes <= MAX_QUEUED_BYTES && self.lines.try_send(line).is_ok() {
             self.bytes.set(bytes);
         }
     }
 }
 
-/// The other end of a queue.
-struct Queued {
+/// Receiving end of a peer's line queue.
+struct QueueReceiver {
     lines: Receiver<String>,
     bytes: Rc<Cell<usize>>,
 }
 
-impl Queued {
+impl QueueReceiver {
     async fn next(&mut self) -> Option<String> {
         let line = self.lines.recv().await?;
         self.bytes.set(self.bytes.get() - line.len());
@@ -67,26 +67,26 @@
     }
 }
 
-/// A queue for so many lines.
-fn queue(lines_most: usize) -> (Queue, Queued) {
-    let (lines, received) = channel(lines_most);
+/// Creates a queue of at most this number of lines.
+fn bounded_queue(max_lines: usize) -> (QueueSender, QueueReceiver) {
+    let (lines, received) = channel(max_lines);
     let bytes = Rc::new(Cell::new(0));
-    let queued = Queued {
+    let receiver = QueueReceiver {
         lines: received,
         bytes: bytes.clone(),
     };
-    (Queue { lines, bytes }, queued)
+    (QueueSender { lines, bytes }, receiver)
 }
 
 impl Peers {
-    /// Dials every peer; so many lines may wait for each.
-    pub fn new(settings: &Settings, lines_most: usize) -> Self {
+    /// Starts a connection task for each peer, with a queue of at most this number of lines.
+    pub fn new(settings: &Settings, max_lines: usize) -> Self {
         let queues = settings
             .peers
             .iter()
             .map(|peer| {
-                let (queue, lines) = queue(lines_most);
-                tokio::task::spawn_local(dial(peer.addr, lines));
+                let (queue, lines) = bounded_queue(max_lines);
+                tokio::task::spawn_local(connect_loop(peer.addr, lines));
                 (peer.node.clone(), queue)
             })
             .collect();
@@ -105,51 +105,51 @@
             && let Ok(mut text) = serde_json::to_string(&line)
         {
             text.push('\n');
-            // A full queue means that the peer can't be reached.
+            // The queue is full only if the peer is unreachable, and then the line is dropped.
             queue.push(text);
         }
     }
 }
 
-async fn dial(addr: SocketAddr, mut lines: Queued) {
+async fn connect_loop(addr: SocketAddr, mut lines: QueueReceiver) {
     loop {
-        if let Ok(Ok(stream)) = timeout(WITHIN, TcpStream::connect(addr)).await {
+        if let Ok(Ok(stream)) = timeout(IO_TIMEOUT, TcpStream::connect(addr)).await {
             let _ = stream.set_nodelay(true);
-            if talk(stream, &mut lines).await.is_none() {
+            if write_lines(stream, &mut lines).await.is_none() {
                 return;
             }
         }
-        // Lines that waited meanwhile are too old to be of use.
+        // Lines queued while the peer was unreachable are outdated.
         lines.clear();
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// Writes lines until the connection fails; none once there will be no more.
-async fn talk(mut stream: TcpStream, lines: &mut Queued) -> Option<()> {
+/// Writes lines until the connection fails. Returns `None` once the queue is closed.
+async fn write_lines(mut stream: TcpStream, lines: &mut QueueReceiver) -> Option<()> {
     let mut byte = [0u8; 1];
     loop {
         let line = tokio::select! {
             biased;
-            // Nothing is ever sent back: this ends when the peer does.
+            // The peer never sends anything, so the read returns when the connection closes.
             _ = stream.read(&mut byte) => return Some(()),
             line = lines.next() => line?,
         };
-        match timeout(WITHIN, stream.write_all(line.as_bytes())).await {
+        match timeout(IO_TIMEOUT, stream.write_all(line.as_bytes())).await {
             Ok(Ok(())) => {}
             _ => return Some(()),
         }
     }
 }
 
-pub async fn listen(listener: TcpListener, most: usize, inputs: UnboundedSender<Input>) {
-    let room = std::sync::Arc::new(tokio::sync::Semaphore::new(most));
+pub async fn listen(listener: TcpListener, max_connections: usize, inputs: UnboundedSender<Input>) {
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(max_connections));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
         let inputs = inputs.clone();
@@ -160,30 +160,30 @@
     }
 }
 
-/// A line of which only the sender is understood.
+/// Line whose message has an unknown format.
 #[derive(serde::Deserialize)]
-struct Unknown {
+struct UnknownLine {
     from: String,
 }
 
 async fn read_lines(stream: TcpStream, inputs: UnboundedSender<Input>) {
     let mut reader = BufReader::new(stream);
     let mut text = Vec::new();
-    let mut told = false;
+    let mut is_logged = false;
     loop {
         text.clear();
-        let mut limited = (&mut reader).take(LINE_MOST);
+        let mut limited = (&mut reader).take(MAX_LINE_BYTES);
         match limited.read_until(b'\n', &mut text).await {
             Ok(n) if n > 0 && text.last() == Some(&b'\n') => {}
             _ => return,
         }
         let Ok(line) = serde_json::from_slice::<Line>(&text) else {
-            // A newer build may say what this one does not know: the rest of what it says
-            // is still heard. What is no JSON comes from something else.
-            match serde_json::from_slice::<Unknown>(&text) {
-                Ok(unknown) if !told => {
-                    told = true;
-                    info!(from = %unknown.from, "a line of another build, passed over");
+            // A newer build may send messages that this one does not know: they are ignored,
+            // and the connection is kept. Anything but JSON does not come from a node.
+            match serde_json::from_slice::<UnknownLine>(&text) {
+                Ok(unknown) if !is_logged => {
+                    is_logged = true;
+                    info!(from = %unknown.from, "ignoring messages of an unknown type");
                 }
                 Ok(_) => {}
                 Err(_) => return,
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,4 +1,4 @@
-//! What users send and receive.
+//! Messages of the user API.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
     job::{JobId, JobSpec, JobState, Kind, Priority, Resources},
     licences::LicenceView,
     maintenance::{self, MachineView},
-    rollout::Ask,
+    rollout::RolloutAction,
 };
 
 #[derive(Debug, Deserialize)]
@@ -22,8 +22,8 @@
     uid: String,
     flight: String,
     crew: String,
-    shape: Shape,
-    lift: Lift,
+    shape: WireKind,
+    lift: WirePriority,
     strings: u32,
     cpus: f64,
     gpus: f64,
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Shape {
+enum WireKind {
     Array,
     Group,
     Standing,
@@ -58,51 +58,51 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Lift {
+enum WirePriority {
     Production,
     Urgent,
     Standard,
     BestEffort,
 }
 
-/// Seats by licence, each a whole number above zero.
+/// Parses the number of seats by licence, each a positive integer.
 fn parse_licences(value: serde_json::Value) -> Result<BTreeMap<String, u32>, String> {
     let serde_json::Value::Object(entries) = value else {
-        return Err("licences: not an object".into());
+        return Err("licences: expected a JSON object".into());
     };
     let mut licences = BTreeMap::new();
     for (name, seats) in entries {
         let seats = seats.as_u64().and_then(|n| u32::try_from(n).ok());
         let Some(seats) = seats.filter(|n| *n > 0) else {
-            return Err(format!("licences.{name}: not a whole number above zero"));
+            return Err(format!("licences.{name}: expected a positive integer"));
         };
         licences.insert(name, seats);
     }
     Ok(licences)
 }
 
-/// The jobs that a job waits for: each named once, and none of them itself.
-fn parse_needs(id: &JobId, names: Vec<String>) -> Result<Vec<JobId>, String> {
-    let mut needs = Vec::new();
+/// Parses the dependencies of a job: each named once, and none of them the job itself.
+fn parse_dependencies(id: &JobId, names: Vec<String>) -> Result<Vec<JobId>, String> {
+    let mut dependencies = Vec::new();
     let mut seen = BTreeSet::new();
     for (index, name) in names.iter().enumerate() {
-        let need = JobId::parse(name).ok_or(format!("waits_on[{index}]: not a job id"))?;
-        if need == *id {
-            return Err(format!("waits_on[{index}]: names the job itself"));
+        let dependency = JobId::parse(name).ok_or(format!("waits_on[{index}]: invalid job id"))?;
+        if dependency == *id {
+            return Err(format!("waits_on[{index}]: job depends on itself"));
         }
-        if !seen.insert(need.clone()) {
-            return Err(format!("waits_on[{index}]: names {need} again"));
+        if !seen.insert(dependency.clone()) {
+            return Err(format!("waits_on[{index}]: duplicate of {dependency}"));
         }
-        needs.push(need);
+        dependencies.push(dependency);
     }
-    Ok(needs)
+    Ok(dependencies)
 }
 
-/// Reads a submission's fields; an error names the field that it is about.
-fn read_submission(body: &[u8]) -> Result<Submission, String> {
-    // Serde would take a list of the values, in the order of the fields, as well.
+/// Deserializes a submission; an error names the field that it concerns.
+fn deserialize_submission(body: &[u8]) -> Result<Submission, String> {
+    // Serde would also accept an array of the values in field order.
     if !body.trim_ascii_start().starts_with(b"{") {
-        return Err("not an object".into());
+        return Err("expected a JSON object".into());
     }
     let json = &mut serde_json::Deserializer::from_slice(body);
     let submission = serde_path_to_error::deserialize(&mut *json).map_err(|e| e.to_string())?;
@@ -110,11 +110,10 @@
     Ok(submission)
 }
 
-/// A job as its user asked for it, or what is wrong with the request. Licences are
-/// ignored where none are counted.
+/// Parses and validates a submission. Its licences are ignored unless `licensed` is set.
 pub fn parse_submission(body: &[u8], licensed: bool) -> Result<JobSpec, String> {
-    let s = read_submission(body)?;
-    let id = JobId::parse(&s.uid).ok_or("uid: not a job id")?;
+    let s = deserialize_submission(body)?;
+    let id = JobId::parse(&s.uid).ok_or("uid: invalid job id")?;
     if !(1..=100_000).contains(&s.strings) {
         return Err("strings: out of range".into());
     }
@@ -136,7 +135,7 @@
         Some(value) if licensed && !value.is_null() => parse_licences(value)?,
         _ => BTreeMap::new(),
     };
-    let needs = parse_needs(&id, s.waits_on.unwrap_or_default())?;
+    let needs = parse_dependencies(&id, s.waits_on.unwrap_or_default())?;
     let names = [("flight", &s.flight), ("crew", &s.crew), ("sail", &s.sail)];
     for (field, text) in names {
         if text.is_empty() || text.len() > 200 {
@@ -148,15 +147,15 @@
         class: Arc::from(s.flight),
         team: Arc::from(s.crew),
         kind: match s.shape {
-            Shape::Array => Kind::Array,
-            Shape::Group => Kind::Gang,
-            Shape::Standing => Kind::Service,
+            WireKind::Array => Kind::Array,
+            WireKind::Group => Kind::Gang,
+            WireKind::Standing => Kind::Service,
         },
         priority: match s.lift {
-            Lift::Production => Priority::Production,
-            Lift::Urgent => Priority::High,
-            Lift::Standard => Priority::Normal,
-            Lift::BestEffort => Priority::Low,
+            WirePriority::Production => Priority::Production,
+            WirePriority::Urgent => Priority::High,
+            WirePriority::Standard => Priority::Normal,
+            WirePriority::BestEffort => Priority::Low,
         },
         tasks: s.strings,
         need: Resources {
@@ -201,8 +200,8 @@
     }
 }
 
-/// The body that tells a user a job's state, with counts where they are asked for.
-pub fn job_answer(id: &JobId, state: JobState, counts: Option<(u32, u32)>) -> String {
+/// Encodes a job's state, with the counts of completed and running tasks if given.
+pub fn job_body(id: &JobId, state: JobState, counts: Option<(u32, u32)>) -> String {
     let answer = JobAnswer {
         uid: id.as_str(),
         attitude: attitude(state),
@@ -213,8 +212,8 @@
     serde_json::to_string(&answer).unwrap_or_default()
 }
 
-/// The body that tells a user which jobs a job still waits for.
-pub fn waiting_answer(id: &JobId, waits_on: &[JobId]) -> String {
+/// Encodes the state of a pending job and the jobs that it still waits for.
+pub fn waiting_body(id: &JobId, waits_on: &[JobId]) -> String {
     let answer = JobAnswer {
         uid: id.as_str(),
         attitude: attitude(JobState::Pending),
@@ -225,9 +224,9 @@
     serde_json::to_string(&answer).unwrap_or_default()
 }
 
-/// How each licence stands. `fresh` is told by the leader within its term; what another
-/// node tells is as old as it says.
-pub fn licences_answer(view: &[LicenceView], age: Option<Duration>) -> String {
+/// Encodes the use of each licence. `fresh` marks an answer of the leader within its term;
+/// other nodes give the age of their information.
+pub fn licences_body(view: &[LicenceView], age: Option<Duration>) -> String {
     let answer = serde_json::json!({
         "licences": view,
         "fresh": age.is_none(),
@@ -236,13 +235,13 @@
     answer.to_string()
 }
 
-/// How a rollout stands.
-pub fn rollout_answer(status: &Status) -> String {
+/// Encodes the status of a rollout.
+pub fn rollout_body(status: &Status) -> String {
     serde_json::to_string(status).unwrap_or_default()
 }
 
-/// Machines that are to be emptied, or would be: one a line, as the protocol bounds lines.
-pub fn drains_answer(machines: &[MachineView]) -> String {
+/// Encodes machines that are draining, or planned to: one per line, as line length is bounded.
+pub fn drains_body(machines: &[MachineView]) -> String {
     let lines = machines
         .iter()
         .map(|machine| serde_json::to_string(machine).unwrap_or_default());
@@ -258,12 +257,12 @@
     by_s: Option<f64>,
 }
 
-/// What an operator wants done about machines.
+/// Parses an operator's drain request.
 pub fn parse_drain(order: &str, body: &[u8]) -> Result<maintenance::Ask, String> {
     let parsed: DrainOrder = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let by = match parsed.by_s {
         Some(by) if !(0.0..=30.0 * 86_400.0).contains(&by) => {
-            return Err("by_s: must be 0 to 30 days in seconds".into());
+            return Err("by_s: must be between 0 and 2592000 seconds (30 days)".into());
         }
         by => by.map(Duration::from_secs_f64),
     };
@@ -272,28 +271,28 @@
         "plan" => Ok(maintenance::Ask::Plan(machines)),
         "start" => Ok(maintenance::Ask::Start { machines, by }),
         "cancel" => Ok(maintenance::Ask::Cancel(machines)),
-        _ => Err(format!("no order {order}")),
+        _ => Err(format!("unknown drain order `{order}`")),
     }
 }
 
-/// What an operator orders, from the rest of the path after `/rollout/`.
-pub fn parse_order(path: &str) -> Result<Ask, String> {
-    let (order, what) = path.split_once('/').unwrap_or((path, ""));
-    let order = match (order, what) {
+/// Parses an operator's rollout order from the path after `/rollout/`.
+pub fn parse_order(path: &str) -> Result<RolloutAction, String> {
+    let (order, argument) = path.split_once('/').unwrap_or((path, ""));
+    let order = match (order, argument) {
         ("pause", "") => Order::Pause,
         ("resume", "") => Order::Resume,
         ("newest", "") => Order::Newest,
-        ("step-down", "") => return Ok(Ask::StepDown),
+        ("step-down", "") => return Ok(RolloutAction::StepDown),
         ("forget", node) if !node.is_empty() => Order::Forget(node.to_owned()),
         ("target", generation) => {
             let generation = generation.parse();
-            Order::Target(generation.map_err(|_| "generation: not a whole number".to_owned())?)
+            Order::Target(generation.map_err(|_| "generation: expected an integer".to_owned())?)
         }
-        _ => return Err(format!("no order {path}")),
+        _ => return Err(format!("unknown rollout order `{path}`")),
     };
-    Ok(Ask::Order(order))
+    Ok(RolloutAction::Order(order))
 }
 
-pub fn error_answer(message: &str) -> String {
+pub fn error_body(message: &str) -> String {
     serde_json::json!({ "error": message }).to_string()
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,5 @@
-//! What a node answers while it can't serve: users at once, with when to come
-//! back; workers once there is a leader.
+//! Answers of a node that can't serve: users are told at once when to retry, workers wait for
+//! a leader.
 
 mod node_settings;
 mod worker_reports;
@@ -9,7 +9,7 @@
 use kiteyard::{
     core::{
         Answer, CallId, Clock, Input, Node, Output,
-        cluster::Direct,
+        cluster::DirectCommands,
         config::{Config, Options},
         heartbeat_forwarding::PeerMessage,
         job::JobId,
@@ -17,7 +17,7 @@
         membership::nodes::NodeHeartbeat,
         provisioning::CloudReply,
         state_cache::LeaderRecord,
-        store::{Entry, Event, LEADER, STORED_HEARTBEAT, StateReply, StateRequest},
+        store::{Entry, Event, LEADER_KEY, STORED_HEARTBEAT_KEY, StateReply, StateRequest},
         stored_heartbeat::StoredHeartbeat,
     },
     wire,
@@ -56,22 +56,22 @@
     })
 }
 
-fn state_call(outputs: &[Output], which: fn(&StateRequest) -> bool) -> Option<CallId> {
+fn state_call(outputs: &[Output], matching: fn(&StateRequest) -> bool) -> Option<CallId> {
     outputs.iter().find_map(|output| match output {
-        Output::State { call, request, .. } if which(request) => Some(*call),
+        Output::State { call, request, .. } if matching(request) => Some(*call),
         _ => None,
     })
 }
 
-/// A submission is never held back so that its user does not ask again.
+/// A submission that can't be stored is answered immediately, so that its user retries.
 #[test]
-fn a_submission_that_cannot_be_taken_is_answered_in_the_same_step() {
+fn a_submission_that_cannot_be_stored_is_answered_in_the_same_step() {
     let settings = node_settings::with_peers(2);
     let mut node = Node::new(Config::new(&settings, Options::default()));
     let is_list = |request: &StateRequest| matches!(request, StateRequest::List { .. });
     let is_accept = |request: &StateRequest| matches!(request, StateRequest::Txn { conditions, .. } if conditions.iter().any(|c| c.key == "live/job/run-000001"));
 
-    // Before anything is known.
+    // Before the state cache is loaded.
     let outputs = step(&mut node, 1, Input::Tick);
     let load = state_call(&outputs, is_list).expect("the live keys are read");
     assert!(is_later(&step(&mut node, 2, submission())));
@@ -90,7 +90,7 @@
     let watch = state_call(&outputs, |r| matches!(r, StateRequest::Watch { .. }));
     assert!(is_later(&step(&mut node, 4, submission())));
 
-    // When the state service refuses the change, or does not answer it.
+    // When the state service refuses the write, or does not answer it.
     let call = types.expect("machine types are asked for");
     let reply = CloudReply::Types(wire::cloud::parse_types(FLAVORS).expect("types"));
     let outputs = step(&mut node, 5, Input::Cloud { call, reply });
@@ -115,8 +115,8 @@
     let call = watch.expect("a watch");
     step(&mut node, 6, Input::State { call, reply });
     let refused = StateReply::Refused {
-        retry: Some(Duration::from_secs(3)),
-        limited: true,
+        retry_after: Some(Duration::from_secs(3)),
+        rate_limited: true,
     };
     for (ms, reply) in [(7, refused), (9, StateReply::Unclear)] {
         let outputs = step(&mut node, ms, submission());
@@ -126,7 +126,7 @@
     }
 }
 
-/// A node that has read the live keys, and its watch.
+/// Returns a node that has loaded the live keys, and its watch.
 fn loaded(entries: Vec<Entry>) -> (Node, CallId) {
     loaded_as(0, entries)
 }
@@ -151,20 +151,20 @@
     (node, watch.expect("a watch"))
 }
 
-fn is_proof(request: &StateRequest) -> bool {
+fn is_sync(request: &StateRequest) -> bool {
     matches!(request, StateRequest::Watch { wait, .. } if wait.is_zero())
 }
 
-/// Polls share one proof, and those that find no room are answered at once.
+/// Status polls share one sync request, and those beyond the queue limit are answered at once.
 #[test]
-fn a_storm_of_polls_costs_one_request_and_waits_in_bounds() {
+fn a_burst_of_polls_takes_one_request_and_a_bounded_queue() {
     let (mut node, _) = loaded(Vec::new());
     let id = JobId::parse("run-000001").expect("an id");
-    let (mut proofs, mut refused) = (0, 0);
+    let (mut syncs, mut refused) = (0, 0);
     for request in 100..10_100 {
         let id = id.clone();
         let outputs = step(&mut node, 10, Input::Status { request, id });
-        proofs += usize::from(state_call(&outputs, is_proof).is_some());
+        syncs += usize::from(state_call(&outputs, is_sync).is_some());
         refused += outputs
             .iter()
             .filter(|o| {
@@ -178,14 +178,14 @@
             })
             .count();
     }
-    assert_eq!(proofs, 1);
+    assert_eq!(syncs, 1);
     assert!((5_000..10_000).contains(&refused), "{refused} refused");
 }
 
-/// Every change ends every node's watch: asking again at once, all of them together
-/// used up the requests that submissions need.
+/// Every change ends the watch of every node: with immediate repeats, the watches used up the
+/// request rate that submissions need.
 #[test]
-fn a_watch_that_brought_events_is_not_repeated_at_once() {
+fn a_watch_that_returned_events_is_not_repeated_at_once() {
     let (mut node, mut watch) = loaded(Vec::new());
     let mut watches = 0;
     for ms in 10..2_010 {
@@ -201,11 +201,11 @@
         watches += usize::from(next.is_some());
         watch = next.unwrap_or(watch);
     }
-    // 80 requests a second, of which one in five is for the watches of three nodes.
+    // 80 requests a second, one fifth of them for the watches of three nodes.
     assert!((5..=12).contains(&watches), "{watches} in 2 s");
 }
 
-fn leads(node: &str) -> Box<serde_json::value::RawValue> {
+fn leader_record(node: &str) -> Box<serde_json::value::RawValue> {
     let record = LeaderRecord {
         node: node.into(),
         superseded: false,
@@ -217,7 +217,7 @@
     worker_reports::report_of(machine, token, Vec::new())
 }
 
-fn answered(outputs: &[Output]) -> Option<(u64, Answer)> {
+fn first_answer(outputs: &[Output]) -> Option<(u64, Answer)> {
     outputs.iter().find_map(|output| match output {
         Output::Answer { request, answer } => Some((*request, answer.clone())),
         _ => None,
@@ -226,14 +226,14 @@
 
 fn led_by_n1() -> Vec<Entry> {
     vec![Entry {
-        key: LEADER.into(),
-        value: leads("n1"),
+        key: LEADER_KEY.into(),
+        value: leader_record("n1"),
         version: 9,
     }]
 }
 
-/// The number under which a node relays the report of a worker that comes back to it.
-fn relays(node: &mut Node, machine: &str) -> u64 {
+/// Returns the number under which a node relays the report of a worker that comes back to it.
+fn relay_number(node: &mut Node, machine: &str) -> u64 {
     let heartbeat = NodeHeartbeat {
         claim: 9,
         ..NodeHeartbeat::default()
@@ -258,30 +258,33 @@
     relay.expect("a relay")
 }
 
-/// What the leader answers to a report that the former process relayed is not given to
-/// a worker of the next one. With one and the same number it would be.
+/// The answer to a report that a former process relayed is not delivered to a worker of the
+/// restarted process. Without the incarnation, both would use the same relay number.
 #[test]
-fn an_answer_to_the_process_before_is_nobodys() {
-    let given = |incarnations: [u32; 2]| {
+fn an_answer_to_a_previous_process_is_dropped() {
+    let delivered = |incarnations: [u32; 2]| {
         let [(mut former, _), (mut next, _)] =
             incarnations.map(|incarnation| loaded_as(incarnation, led_by_n1()));
-        let relay = relays(&mut former, "vm-1");
-        relays(&mut next, "vm-2");
+        let relay = relay_number(&mut former, "vm-1");
+        relay_number(&mut next, "vm-2");
         let answer = Some(Answer::Commands {
             token: 9 << 16,
             commands: Vec::new(),
         });
         let (from, message) = ("n1".to_owned(), PeerMessage::Reported { relay, answer });
-        answered(&step(&mut next, 6, Input::Peer { from, message }))
+        first_answer(&step(&mut next, 6, Input::Peer { from, message }))
     };
-    assert!(given([0, 0]).is_some(), "nothing tells them apart");
-    assert_eq!(given([1, 2]), None);
+    assert!(
+        delivered([0, 0]).is_some(),
+        "both processes use the same relay number"
+    );
+    assert_eq!(delivered([1, 2]), None);
 }
 
-/// A leader that is not heard, but writes that it lives: workers are sent there, and those
-/// that come from there are not held up.
+/// A leader that this node can't hear, but whose stored heartbeat changes: workers are
+/// redirected to it, and those that come back from it are not held up.
 #[test]
-fn workers_are_sent_to_a_leader_that_only_the_state_service_hears() {
+fn workers_are_redirected_to_a_leader_known_only_by_its_stored_heartbeat() {
     let (mut node, watch) = loaded(led_by_n1());
     let at = |request| Input::Report {
         request,
@@ -293,7 +296,7 @@
     };
     let reply = StateReply::Events {
         events: vec![Event {
-            key: STORED_HEARTBEAT.into(),
+            key: STORED_HEARTBEAT_KEY.into(),
             value: Some(
                 serde_json::value::to_raw_value(&stored_heartbeat).expect("a stored heartbeat"),
             ),
@@ -304,13 +307,16 @@
     step(&mut node, 8_000, Input::State { call: watch, reply });
     let to_leader = Answer::Redirect(Some("n1".into()));
     assert_eq!(
-        answered(&step(&mut node, 8_100, at(1))),
+        first_answer(&step(&mut node, 8_100, at(1))),
         Some((1, to_leader))
     );
     let next = Answer::Redirect(None);
-    assert_eq!(answered(&step(&mut node, 8_600, at(2))), Some((2, next)));
-    // Another node hears it, and can relay: between two zones that can't reach each other,
-    // workers that were sent to the leader itself lost their leases.
+    assert_eq!(
+        first_answer(&step(&mut node, 8_600, at(2))),
+        Some((2, next))
+    );
+    // Another node hears the leader, and can relay: between two zones that can't reach each
+    // other, workers that were redirected to the leader itself lost their leases.
     let heartbeat = NodeHeartbeat {
         claim: 9,
         ..NodeHeartbeat::default()
@@ -318,15 +324,18 @@
     let (from, message) = ("n2".to_owned(), PeerMessage::Heartbeat(heartbeat));
     step(&mut node, 8_700, Input::Peer { from, message });
     let relayer = Answer::Redirect(Some("n2".into()));
-    assert_eq!(answered(&step(&mut node, 8_800, at(4))), Some((4, relayer)));
-    // It is silent again: a report waits for whoever leads next.
-    assert_eq!(answered(&step(&mut node, 20_000, at(3))), None);
+    assert_eq!(
+        first_answer(&step(&mut node, 8_800, at(4))),
+        Some((4, relayer))
+    );
+    // The leader is silent again: a report waits for the next leader.
+    assert_eq!(first_answer(&step(&mut node, 20_000, at(3))), None);
 }
 
-/// Workers that lost the leader were sent on for as long as no other node led, some
-/// of them to the node that was gone, and their leases ran out on the way.
+/// Guards against redirecting workers while there is no leader: some were redirected to the
+/// node that was gone, and their leases expired meanwhile.
 #[test]
-fn a_worker_without_a_leader_waits_until_there_is_one() {
+fn a_report_without_a_leader_waits_until_there_is_one() {
     let (mut node, watch) = loaded(led_by_n1());
     let report = report_of("vm-1", 9 << 16);
     let alive = PeerMessage::Heartbeat(NodeHeartbeat::default());
@@ -338,27 +347,30 @@
         request,
         report: report.clone(),
     };
-    // The time is up: it is sent to a node that is alive, not to its next one.
-    assert_eq!(answered(&step(&mut node, 3_000, at(1))), None);
-    assert_eq!(answered(&step(&mut node, 6_000, heartbeat(alive))), None);
+    // At the time limit it is redirected to a node that is alive, not just to any other one.
+    assert_eq!(first_answer(&step(&mut node, 3_000, at(1))), None);
+    assert_eq!(
+        first_answer(&step(&mut node, 6_000, heartbeat(alive))),
+        None
+    );
     let outputs = step(&mut node, 6_500, Input::Tick);
     let to = |node: &str| Some(Answer::Redirect(Some(node.into())));
-    assert_eq!(answered(&outputs), to("n2").map(|answer| (1, answer)));
+    assert_eq!(first_answer(&outputs), to("n2").map(|answer| (1, answer)));
     // Another node leads.
-    assert_eq!(answered(&step(&mut node, 7_000, at(2))), None);
+    assert_eq!(first_answer(&step(&mut node, 7_000, at(2))), None);
     let reply = StateReply::Events {
         events: vec![Event {
-            key: LEADER.into(),
-            value: Some(leads("n2")),
+            key: LEADER_KEY.into(),
+            value: Some(leader_record("n2")),
             revision: 12,
         }],
         revision: 12,
     };
     let outputs = step(&mut node, 7_500, Input::State { call: watch, reply });
-    assert_eq!(answered(&outputs), to("n2").map(|answer| (2, answer)));
+    assert_eq!(first_answer(&outputs), to("n2").map(|answer| (2, answer)));
 }
 
-/// A process that stood still after it had decided commands nobody when it goes on.
+/// A process that was suspended after its decision sends no commands when it resumes.
 #[test]
 fn commands_are_withheld_once_the_term_is_over() {
     let commands = Answer::Commands {
@@ -366,7 +378,8 @@
         commands: Vec::new(),
     };
     let answer = |answer| Output::Answer { request: 7, answer };
-    let Ok(Output::Answer { answer: sent, .. }) = answer(commands.clone()).withheld() else {
+    let Ok(Output::Answer { answer: sent, .. }) = answer(commands.clone()).after_term_expired()
+    else {
         panic!("the worker is answered");
     };
     assert_eq!(sent, Answer::Redirect(None));
@@ -376,7 +389,8 @@
     };
     let to = "n1".to_owned();
     let message = relayed;
-    let Ok(Output::Peer { message, .. }) = (Output::Peer { to, message }).withheld() else {
+    let Ok(Output::Peer { message, .. }) = (Output::Peer { to, message }).after_term_expired()
+    else {
         panic!("the other node is answered");
     };
     assert!(matches!(
@@ -386,23 +400,23 @@
             answer: None
         }
     ));
-    let direct = Direct {
+    let direct = DirectCommands {
         machine: Arc::from("vm-1"),
         addr: "127.0.0.1:9".parse().expect("an address"),
         token: 5 << 16,
         session: 1,
         commands: Vec::new(),
     };
-    let withheld = Output::Direct { call: 4, direct }.withheld();
+    let withheld = Output::Direct { call: 4, direct }.after_term_expired();
     let unclear = |input: Box<Input>| {
         let reply = DirectReply::Unclear;
         format!("{input:?}") == format!("{:?}", Input::Direct { call: 4, reply })
     };
     assert!(withheld.is_err_and(unclear));
-    // What users are told does not rest on leading.
+    // Answers to users don't depend on leadership.
     assert!(is_later(&[answer(Answer::Later {
         retry: Duration::from_secs(1)
     })
-    .withheld()
+    .after_term_expired()
     .expect("an answer")]));
 }
--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback against the stand-ins.
+//! End-to-end tests of the program on loopback, against the stand-ins.
 
 use std::process::Command;
 
@@ -12,12 +12,13 @@
 
 async fn submit(site: &Site, node: usize, job: &Value) {
     let body = Some(job.to_string());
-    let taken = |status, _: &Value| matches!(status, 200 | 201);
-    site.until(node, Method::POST, "/work", body, taken).await;
+    let is_accepted = |status, _: &Value| matches!(status, 200 | 201);
+    site.until(node, Method::POST, "/work", body, is_accepted)
+        .await;
 }
 
 #[tokio::test]
-async fn the_api_answers_as_the_protocol_says() {
+async fn the_api_follows_the_protocol() {
     let site = Site::of("api", vec![Build::default(); 1]).await;
     let good = submission("run-000001", "array", 3);
     let with = |field: &str, value: Value| {
@@ -101,7 +102,7 @@
             "{method} {path}"
         );
     }
-    // Accepted once, known from then on, also after its end.
+    // Accepted once, and known from then on, even after its completion.
     let (status, body) = site
         .ask(0, Method::POST, "/work", Some(good.to_string()))
         .await;
@@ -139,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn jobs_outlive_every_node() {
+async fn jobs_survive_restarts_of_every_node() {
     let mut site = Site::of("outlive", vec![Build::default(); 3]).await;
     submit(&site, 0, &submission("run-000001", "array", 2)).await;
     submit(&site, 1, &submission("run-500002", "standing", 1)).await;
@@ -166,7 +167,7 @@
         body["running"] == 1
     })
     .await;
-    // One node after another is lost for a while; new work goes on.
+    // One node after another is down for a while; new work is still done.
     for i in 0..3 {
         site.kill(i);
         let id = format!("run-00001{i}");
@@ -176,18 +177,21 @@
     }
 }
 
-/// A process that is back at once may find its address still taken, and waits for it.
+/// A process that restarts quickly may find its address still in use, and retries.
 #[tokio::test]
-async fn an_address_that_is_still_taken_is_tried_again() {
+async fn binding_an_address_in_use_is_retried() {
     let mut site = Site::of("taken", vec![Build::default()]).await;
     submit(&site, 0, &submission("run-000001", "array", 1)).await;
     site.kill(0);
     let former = std::net::TcpListener::bind(site.nodes[0].0).expect("the address");
     site.launch(0);
-    // The peers' address comes after the users': it is not listened on yet.
+    // The peer address is bound after the API address, so it is not bound yet.
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     let child = site.running[0].as_mut().expect("a process");
-    assert!(child.try_wait().expect("its state").is_none(), "it ended");
+    assert!(
+        child.try_wait().expect("its state").is_none(),
+        "the process ended"
+    );
     assert!(std::net::TcpStream::connect(site.nodes[0].1).is_err());
     drop(former);
     site.becomes(0, "run-000001", "done").await;
@@ -231,7 +235,7 @@
     let mut odd = settings.clone();
     odd["unheard_of"] = json!({"a": 1});
     assert!(check(&odd).0);
-    // The file of licences is read as well, and the line of what is wrong is named.
+    // The licence file is validated as well, and the error names the line.
     let licences = path.with_extension("toml");
     std::fs::write(&licences, "[licence.solver]\nseats = -1\n").expect("a file");
     let file = |path: &std::path::Path| path.display().to_string();
@@ -260,10 +264,10 @@
     let _ = std::fs::remove_file(&path);
 }
 
-/// What a leader tells of 6,000 machines with long names is more than a megabyte in one
-/// line: a node that does not read it loses the connection, and each report relayed on it.
+/// A leader's hints about 6,000 machines with long names take more than a megabyte in one
+/// line: a node with a lower limit drops the connection, and each report relayed on it.
 #[tokio::test]
-async fn a_line_between_nodes_may_name_a_whole_fleet() {
+async fn a_line_between_nodes_may_cover_a_whole_fleet() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let site = Site::of("line", vec![Build::default(); 2]).await;
     let worker = |machine: usize| {
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -1,5 +1,5 @@
-//! Room that is rented, gathered and proven empty: failures found at a fleet that begins
-//! with nothing.
+//! Provisioned capacity, its reservation for gangs, and released machines: regressions found
+//! on fleets that scale out from zero.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,43 +10,43 @@
     provisioning::{CloudReply, CloudRequest},
 };
 
-use crate::cluster::{Cluster, amount, spec};
+use crate::cluster::{Cluster, cpu_resources, spec};
 
-/// Arrays took each machine that a gang needed with another one, and were stopped for it
-/// as soon as that was there.
+/// Guards against arrays that take the machines a gang waits for one by one, only to be
+/// preempted as soon as the last of them is up.
 #[test]
-fn a_gang_gathers_room_against_lower_priorities() {
+fn a_gang_reserves_capacity_against_lower_priorities() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let gang = c.job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
-    let array = c.job(spec(2, Kind::Array, Priority::Normal, 4, 1.0));
-    let equal = c.job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
+    c.add_machine("vm-1");
+    let gang = c.add_job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
+    let array = c.add_job(spec(2, Kind::Array, Priority::Normal, 4, 1.0));
+    let equal = c.add_job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
     c.pass();
-    assert!(c.on(&array).is_empty(), "the room is held");
-    // Its equals need not wait for what is not there.
-    assert_eq!(c.on(&equal), ["vm-1"]);
-    c.machine("vm-2");
-    c.machine("vm-3");
+    assert!(c.machines_of(&array).is_empty(), "the capacity is reserved");
+    // Jobs of equal priority need not wait for missing machines.
+    assert_eq!(c.machines_of(&equal), ["vm-1"]);
+    c.add_machine("vm-2");
+    c.add_machine("vm-3");
     c.pass();
-    assert_eq!(c.on(&gang), ["vm-2", "vm-3"]);
+    assert_eq!(c.machines_of(&gang), ["vm-2", "vm-3"]);
 }
 
-/// One that has waited for long is not passed over by its equals for ever.
+/// Guards against starvation of a gang by jobs of equal priority.
 #[test]
-fn a_gang_that_has_waited_keeps_room_from_its_equals() {
+fn a_gang_that_has_waited_reserves_capacity_against_equal_priority() {
     let mut c = Cluster::new(4.0);
-    c.machine("vm-1");
-    let gang = c.job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
+    c.add_machine("vm-1");
+    let gang = c.add_job(spec(1, Kind::Gang, Priority::High, 2, 4.0));
     c.cluster.wall_ms = 61_000;
-    let equal = c.job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
+    let equal = c.add_job(spec(3, Kind::Gang, Priority::High, 1, 4.0));
     c.pass();
-    assert!(c.on(&equal).is_empty());
-    c.machine("vm-2");
+    assert!(c.machines_of(&equal).is_empty());
+    c.add_machine("vm-2");
     c.pass();
-    assert_eq!(c.on(&gang), ["vm-1", "vm-2"]);
+    assert_eq!(c.machines_of(&gang), ["vm-1", "vm-2"]);
 }
 
-fn listed(names: &[&str]) -> CloudReply {
+fn list_reply(names: &[&str]) -> CloudReply {
     let machine = |name: &&str| ListedMachine {
         id: Arc::from(*name),
         machine_type: Arc::from("m"),
@@ -61,16 +61,16 @@
     }
 }
 
-/// What one second of the cloud brings: lists are answered with these machines.
-fn released(c: &mut Cluster, seconds: u64, names: &[&str]) -> Vec<String> {
+/// Answers the cloud's lists with these machines, and returns the machines that are released.
+fn released_within(c: &mut Cluster, seconds: u64, names: &[&str]) -> Vec<String> {
     let mut released = Vec::new();
     for _ in 0..seconds * 4 {
         c.now += Duration::from_millis(250);
-        c.cluster.proven = c.now;
+        c.cluster.claim_proven_at = c.now;
         c.cluster.tick(c.now);
-        match c.cluster.cloud_work(c.now) {
+        match c.cluster.due_cloud_request(c.now) {
             Some(list @ CloudRequest::List { .. }) => {
-                c.cluster.cloud_reply(&list, listed(names), c.now);
+                c.cluster.cloud_reply(&list, list_reply(names), c.now);
             }
             Some(CloudRequest::Release { machines }) => {
                 released.extend(machines.iter().map(|m| m.to_string()));
@@ -81,51 +81,51 @@
     released
 }
 
-/// A machine that was taken back was known to be gone after its worker's lease, though the
-/// cloud's list had not shown it for long. A list that may be older than the one that
-/// showed it proves nothing, and neither does one while the machine reports.
+/// A reclaimed machine is known to be gone once a list omits it, and need not wait for its
+/// worker's lease. Neither a list that may be older than the one that showed the machine,
+/// nor any list while the machine reports, proves that it is gone.
 #[test]
-fn a_silent_machine_that_the_list_shows_no_more_is_proven_gone() {
+fn a_silent_machine_missing_from_the_list_is_gone() {
     let mut c = Cluster::new(4.0);
     c.cluster.reachability = Reachability::default();
-    c.machine("vm-1");
-    let job = c.job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
-    c.runs("vm-1", &job, 0);
-    assert!(released(&mut c, 2, &["vm-1"]).is_empty());
-    // Lists lag by 10 s: for twice that the next ones may be older.
+    c.add_machine("vm-1");
+    let job = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 4.0));
+    c.run_task("vm-1", &job, 0);
+    assert!(released_within(&mut c, 2, &["vm-1"]).is_empty());
+    // Lists lag by 10 s, so for 20 s a list may be older than the one before.
     for _ in 0..9 {
         c.report("vm-1");
-        assert!(released(&mut c, 2, &[]).is_empty(), "it reports");
+        assert!(released_within(&mut c, 2, &[]).is_empty(), "it reports");
     }
     c.report("vm-1");
     assert_eq!(
-        released(&mut c, 9, &[]).first().map(String::as_str),
+        released_within(&mut c, 9, &[]).first().map(String::as_str),
         Some("vm-1")
     );
 }
 
-/// The names of returned machines were dropped by their order, not by their age: a late
-/// copy of a report revived a machine that was gone.
+/// Guards against forgetting released machines in the order of their names instead of their
+/// release: a late copy of a report then revived a machine that was gone.
 #[test]
-fn a_machine_returned_last_stays_returned_whatever_its_name() {
+fn a_recently_released_machine_stays_released_whatever_its_name() {
     let mut c = Cluster::new(4.0);
-    for hundred in (0..30).rev() {
+    for batch in (0..30).rev() {
         c.now += Duration::from_secs(1);
-        let machines = (0..100).map(|i| Arc::from(format!("vm-{:06}", hundred * 100 + i)));
+        let machines = (0..100).map(|i| Arc::from(format!("vm-{:06}", batch * 100 + i)));
         let release = CloudRequest::Release {
             machines: machines.collect(),
         };
         c.cluster.cloud_reply(&release, CloudReply::Released, c.now);
     }
     c.running.insert("vm-000007".into(), Vec::new());
-    let copy = c.report_under("vm-000007", 1, c.cluster.token);
+    let copy = c.build_report("vm-000007", 1, c.cluster.token);
     assert!(c.cluster.report(&copy, c.now).is_none());
     assert!(!c.cluster.machines.contains_key("vm-000007"));
 }
 
-/// Where GPUs bind, CPUs that are left say nothing of how full a machine is.
+/// Where GPUs are scarce, free CPUs don't tell how full a machine is.
 #[test]
-fn the_share_that_binds_is_the_largest() {
+fn the_share_of_a_machine_is_its_largest_resource_share() {
     let whole = Resources {
         cpus: 64.0,
         gpus: 8.0,
@@ -136,40 +136,43 @@
         gpus: 1.0,
         memory_gb: 36.0,
     };
-    assert_eq!(need.share_of(&whole), 0.125);
-    assert_eq!(amount(16.0).share_of(&whole), 0.25);
-    // Nothing is no part of nothing; something is no part of it at all.
-    assert_eq!(amount(0.0).share_of(&amount(0.0)), 0.0);
-    assert!(need.share_of(&amount(64.0)).is_infinite());
+    assert_eq!(need.dominant_share_of(&whole), 0.125);
+    assert_eq!(cpu_resources(16.0).dominant_share_of(&whole), 0.25);
+    // A zero need is a zero share of nothing; a positive one exceeds any share.
+    assert_eq!(
+        cpu_resources(0.0).dominant_share_of(&cpu_resources(0.0)),
+        0.0
+    );
+    assert!(need.dominant_share_of(&cpu_resources(64.0)).is_infinite());
 }
 
-/// The cloud's list lags: machines that were returned are in it yet, and none is taken for
-/// a new one, also where a whole fleet was returned at once.
+/// The cloud's list lags and still shows released machines: none of them counts as a new
+/// one, even if a whole fleet was released at once.
 #[test]
-fn none_of_a_returned_fleet_is_met_again() {
+fn no_machine_of_a_released_fleet_is_added_again() {
     const MACHINES: usize = 6000;
     let mut c = Cluster::new(4.0);
     let names: Vec<String> = (0..MACHINES).map(|i| format!("vm-{i:06}")).collect();
-    for some in names.chunks(100) {
-        let machines = some.iter().map(|name| Arc::from(name.as_str())).collect();
+    for chunk in names.chunks(100) {
+        let machines = chunk.iter().map(|name| Arc::from(name.as_str())).collect();
         let request = CloudRequest::Release { machines };
         c.cluster.cloud_reply(&request, CloudReply::Released, c.now);
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    // What is due now is a list.
-    let lists = (0..40).any(|_| {
+    // A list is due next.
+    let list_requested = (0..40).any(|_| {
         c.now += Duration::from_millis(250);
-        c.cluster.proven = c.now;
+        c.cluster.claim_proven_at = c.now;
         c.cluster.tick(c.now);
-        let Some(request) = c.cluster.cloud_work(c.now) else {
+        let Some(request) = c.cluster.due_cloud_request(c.now) else {
             return false;
         };
-        let lists = matches!(request, CloudRequest::List { .. });
-        if lists {
-            c.cluster.cloud_reply(&request, listed(&names), c.now);
+        let is_list = matches!(request, CloudRequest::List { .. });
+        if is_list {
+            c.cluster.cloud_reply(&request, list_reply(&names), c.now);
         }
-        lists
+        is_list
     });
-    assert!(lists, "a list is asked for");
+    assert!(list_requested, "a list is requested");
     assert_eq!(c.cluster.machines.len(), 0);
 }
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -8,11 +8,11 @@
     heartbeat_forwarding::PeerMessage,
     machine::Command,
     maintenance,
-    rollout::Ask,
     rollout::FEATURES,
+    rollout::RolloutAction,
     store::{
-        ASSIGNMENTS, Change, DRAINS, GENERATION, JOBS, PARTITIONED, StateReply, StateRequest,
-        TERMINAL_RANGES,
+        ASSIGNMENTS_PREFIX, Change, DRAINS_KEY, GENERATION_KEY, JOBS_PREFIX, PARTITIONED_ZONES_KEY,
+        StateReply, StateRequest, TERMINAL_RANGES_PREFIX,
     },
 };
 use kiteyard_rollout::{
@@ -102,7 +102,9 @@
     };
     changes.iter().any(|change| match change {
         Change::Put { key, .. } | Change::Delete { key } => {
-            key.starts_with(TERMINAL_RANGES) || key == GENERATION || key == PARTITIONED
+            key.starts_with(TERMINAL_RANGES_PREFIX)
+                || key == GENERATION_KEY
+                || key == PARTITIONED_ZONES_KEY
         }
     })
 }
@@ -134,8 +136,14 @@
         let node = self.rng.random_range(0..NODES);
         self.next_request += 1;
         let request = self.next_request;
-        let ask = Ask::Order(order.clone());
-        self.step(node, Input::Rollout { request, ask });
+        let ask = RolloutAction::Order(order.clone());
+        self.step(
+            node,
+            Input::Rollout {
+                request,
+                action: ask,
+            },
+        );
         // The answer may be that it can't be taken now: asked again, until it stands.
         if self.orders_lack(&order) {
             self.push(self.now + ms(1000), Event::Order(order));
@@ -159,7 +167,7 @@
     }
 
     pub fn cluster(&mut self) -> Cluster {
-        self.stored(GENERATION).unwrap_or_default()
+        self.stored(GENERATION_KEY).unwrap_or_default()
     }
 
     /// Keys of a prefix.
@@ -205,7 +213,11 @@
     }
 
     pub fn look_at_placement(&mut self) {
-        let places = self.nodes.iter().flatten().any(|node| node.places());
+        let places = self
+            .nodes
+            .iter()
+            .flatten()
+            .any(|node| node.has_taken_over());
         if !places && self.now > self.roll.gap_from {
             let since = self.roll.placed.max(self.roll.gap_from);
             self.roll.gap = self.roll.gap.max(self.now - since);
@@ -213,7 +225,8 @@
         if places {
             self.roll.placed = self.now;
         }
-        let unresolved = |node: &kiteyard::core::Node| node.places() && node.unresolved();
+        let unresolved =
+            |node: &kiteyard::core::Node| node.has_taken_over() && node.has_unresolved_machines();
         if self.nodes.iter().flatten().any(unresolved) {
             self.roll.unresolved = self.now;
         }
@@ -224,7 +237,8 @@
         let StateRequest::Txn { changes, .. } = request else {
             return None;
         };
-        let accepts = matches!(&changes[..], [Change::Put { key, .. }] if key.starts_with(JOBS));
+        let accepts =
+            matches!(&changes[..], [Change::Put { key, .. }] if key.starts_with(JOBS_PREFIX));
         (accepts && self.rng.random_bool(0.15)).then_some(held)
     }
 
@@ -273,7 +287,7 @@
             node,
             Input::Maintenance {
                 request: DRAIN,
-                ask,
+                action: ask,
             },
         );
         self.push(self.now + ms(700), Event::Drain(machines));
@@ -339,7 +353,7 @@
         ) = (blind, &mut request)
             && !changes.is_empty()
         {
-            conditions.retain(|c| c.key != GENERATION);
+            conditions.retain(|c| c.key != GENERATION_KEY);
         }
         request
     }
@@ -351,7 +365,7 @@
         };
         let removes = |change: &Change| match change {
             Change::Put { key, value, .. } => {
-                key == PARTITIONED && value.get() == r#"{"zones":{}}"#
+                key == PARTITIONED_ZONES_KEY && value.get() == r#"{"zones":{}}"#
             }
             Change::Delete { .. } => false,
         };
@@ -362,15 +376,15 @@
     pub fn tamper_reply(&self, node: usize, reply: &mut StateReply) {
         if self.roll.before[node] {
             match reply {
-                StateReply::Entries { entries, .. } => entries.retain(|e| e.key != GENERATION),
-                StateReply::Events { events, .. } => events.retain(|e| e.key != GENERATION),
+                StateReply::Entries { entries, .. } => entries.retain(|e| e.key != GENERATION_KEY),
+                StateReply::Events { events, .. } => events.retain(|e| e.key != GENERATION_KEY),
                 _ => {}
             }
         }
         if self.sabotage == Sabotage::ForgetsDrains {
             match reply {
-                StateReply::Entries { entries, .. } => entries.retain(|e| e.key != DRAINS),
-                StateReply::Events { events, .. } => events.retain(|e| e.key != DRAINS),
+                StateReply::Entries { entries, .. } => entries.retain(|e| e.key != DRAINS_KEY),
+                StateReply::Events { events, .. } => events.retain(|e| e.key != DRAINS_KEY),
                 _ => {}
             }
         }
@@ -380,7 +394,7 @@
         if self.roll.garbled == Some(node) {
             let second = |key: &str| {
                 let shard = key
-                    .strip_prefix(ASSIGNMENTS)
+                    .strip_prefix(ASSIGNMENTS_PREFIX)
                     .and_then(|s| s.parse::<u32>().ok());
                 shard.is_some_and(|shard| shard % 2 == 1)
             };
@@ -404,7 +418,7 @@
             }
             return message;
         }
-        let key = GENERATION.to_owned();
+        let key = GENERATION_KEY.to_owned();
         let reply = self.state.call(self.now, &StateRequest::Get { key });
         let knows = match reply {
             Some(StateReply::Entry(entry)) => entry.version,
