--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,11 +1,10 @@
-//! What holds room without running, and whether more may be let in.
+//! Admission control: limits placements to the rate at which placed tasks start.
 //!
-//! A task that was given a machine holds its room from then on, but starts only when
-//! its job is listed there, which takes a write of the state service. Where more is
-//! let in than gets out, machines fill up with tasks that wait, and whatever should
-//! run waits for the room they hold. So work goes in at the rate at which it starts:
-//! when more has been waiting too long than started in the same time, no more of the
-//! same or a lower priority goes in until the rest is through.
+//! A placed task holds capacity at once, but starts only after its job is listed with the
+//! machine in the state service. If tasks are placed faster than they are listed, machines
+//! fill up with tasks that wait, and tasks that could run wait for the capacity they hold.
+//! So when more tasks have waited too long than started in the same time, no more tasks of
+//! that priority or a lower one are placed until the backlog is cleared.
 
 use std::time::Duration;
 
@@ -17,7 +16,7 @@
     machine::{Machine, Phase, Standing, TaskPhase},
 };
 
-/// Starts that were confirmed, over the last one to two spans of time.
+/// Count of confirmed starts in the current and the previous time span.
 #[derive(Debug)]
 pub struct StartRate {
     span: Duration,
@@ -50,30 +49,30 @@
         self.now += 1;
     }
 
-    /// Starts within about the last span.
+    /// Returns the starts within about the last span: the larger of the two counts.
     pub fn lately(&mut self, now: Duration) -> usize {
         self.turn(now);
         self.now.max(self.before)
     }
 }
 
-/// How much holds its room without running, by what it waits for.
+/// Tasks that hold capacity without running, counted by what they wait for.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct PendingPlacements {
-    /// Decided, and the job is not listed with the machine yet.
+    /// Placed, but the job is not listed with the machine yet.
     pub unlisted: usize,
-    /// Listed, in no message yet.
+    /// Listed, but not sent to the worker yet.
     pub unsent: usize,
-    /// Sent, in no report yet.
+    /// Sent, but not confirmed by a report yet.
     pub unconfirmed: usize,
     pub fetching: usize,
-    /// Tasks of gangs that wait for the others.
+    /// Tasks of gangs that wait for the rest of their gang.
     pub gathering: usize,
-    /// Told to stop, and not gone.
+    /// Told to stop, but not exited yet.
     pub stopping: usize,
-    /// Over, with a result that is not stored. These hold no room.
+    /// Exited, but the result is not stored yet. These hold no capacity.
     pub unstored: usize,
-    /// Machines that are held by nominations.
+    /// Number of nominations.
     pub nominated: usize,
 }
 
@@ -100,7 +99,7 @@
         pending_placements
     }
 
-    /// How things stand, for the log.
+    /// Logs counters, capacity use and pending placements every 5 seconds.
     pub(super) fn log_counts(&mut self, now: Duration) {
         if now < self.next_log {
             return;
@@ -127,7 +126,7 @@
             nominations,
             cleared,
             lost,
-            "counts"
+            "cluster counters"
         );
         self.log_use();
         let pending_placements = self.pending_placements();
@@ -146,7 +145,7 @@
         );
     }
 
-    /// What the machines are used for, for the log: in whole machines, by what binds.
+    /// Logs the use of machines by kind of job, in whole machines of the scarcest resource.
     fn log_use(&self) {
         let mut used = [[0.0; 2]; 3];
         let (mut idle, mut all) = ([0; 2], [0; 2]);
@@ -167,12 +166,12 @@
         let ([ordinary, spot], [idle, idle_spot]) = (all, idle);
         debug!(
             ordinary,
-            arrays, gangs, services, idle, spot, spot_arrays, idle_spot, "use"
+            arrays, gangs, services, idle, spot, spot_arrays, idle_spot, "machine use"
         );
     }
 
-    /// The highest priority that nothing more is let in of, if any: more of it, and of
-    /// what is above it, has waited for a whole span than started in one.
+    /// Returns the highest priority to close to new placements, if any: more tasks of this and
+    /// higher priorities have waited for a whole span than started within one.
     pub(super) fn priority_to_close(&mut self, now: Duration) -> Option<Priority> {
         let span = self.start_rate.span;
         let mut late = [0; Priority::ALL.len()];
@@ -196,7 +195,7 @@
             sum > starts
         });
         if closed_priority.is_some() {
-            // Starts are confirmed, and late ones go out, without an end of any task.
+            // The backlog can clear without any task ending, so nothing else would trigger a retry.
             self.retry_by(now + span);
         }
         closed_priority
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -1,9 +1,9 @@
-//! Emptying dear machines that are kept for a few replicas only.
+//! Consolidation: empties expensive machines that are kept only for a few replicas.
 //!
-//! Replicas run for minutes and end one by one. What is left of them is spread
-//! over machines that were rented for a rush, and each keeps a whole one. When
-//! nothing waits, the machine that is used least is emptied: its replicas start
-//! anew where there is room and their image, and it is returned.
+//! Replicas run for minutes and end one by one. After a load peak the remaining ones are
+//! spread over many machines, and each keeps a whole machine rented. When no job waits, the
+//! most expensive underused machine is emptied: its replicas restart on machines that have
+//! capacity and their image, and the machine is released.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -16,13 +16,13 @@
     machine::{AttemptKey, Machine, MachineId, Phase, Standing, TaskPhase},
 };
 
-/// A machine is worth emptying when it is used for less than one part in so many.
+/// A machine is underused if at most one part in this many of it is in use.
 const USED_ONE_IN: f64 = 4.0;
-/// A replica that started less than this ago stays where it is.
+/// Minimum age of a replica before it is moved.
 const SETTLED: Duration = Duration::from_secs(30);
 
 impl ClusterState {
-    /// Begins to empty a machine, or goes on with one, as the ledger of disruption allows.
+    /// Starts emptying a machine, or continues with one, as the disruption budgets allow.
     pub(super) fn plan_consolidation(&mut self, now: Duration) {
         let draining = self
             .machines
@@ -43,7 +43,7 @@
                 let Some(id) = self.underused_machine(now) else {
                     return;
                 };
-                info!(machine = %id, why = "hardly used", "leaving");
+                info!(machine = %id, why = "underused", "emptying machine before its release");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.standing = Standing::Leaving;
                 id
@@ -52,14 +52,14 @@
         self.move_replicas(&id, now);
     }
 
-    /// The dearest machine with a few settled replicas and nothing else, all of
-    /// which others can take at once.
+    /// Returns the most expensive underused machine that runs only settled replicas, all of which
+    /// fit on other machines now.
     fn underused_machine(&self, now: Duration) -> Option<MachineId> {
         let dear = self
             .machines
             .values()
             .filter(|m| self.usable(m, now) && !m.direct)
-            // What comes next may need it: it is kept as long as an idle one.
+            // New jobs may need the machine, so it is kept as long as an idle one.
             .filter(|m| now > self.provisioning.waited_at + self.idle_time(&m.machine_type))
             .filter(|m| {
                 let used = m.size.minus(&m.free());
@@ -80,8 +80,7 @@
             .map(|m| m.id.clone())
     }
 
-    /// Whether other machines that are kept anyway have room for what runs here,
-    /// and the images of it.
+    /// Whether other busy machines have capacity and the images for all tasks of the machine.
     fn fits_elsewhere(&self, machine: &Machine, now: Duration) -> bool {
         let mut rooms: Vec<_> = self
             .machines
@@ -92,7 +91,7 @@
         machine.tasks.values().filter(|p| !p.exited()).all(|p| {
             let Some(spec) = &p.spec else { return false };
             let room = rooms.iter_mut().find(|(m, free)| {
-                // Within its zone a replica breaks no rule of where the others are.
+                // A move within the zone can't violate a zone constraint of the service.
                 (m.zone == machine.zone || !(spec.one_zone || spec.spread))
                     && spec.allows_type(&m.machine_type)
                     && spec.allows_place(&m.zone, m.spot)
@@ -104,7 +103,7 @@
         })
     }
 
-    /// Stops replicas on a machine that is to go, as far as the ledger allows.
+    /// Stops the replicas on a machine being emptied, as far as the disruption budgets allow.
     fn move_replicas(&mut self, id: &MachineId, now: Duration) {
         let services = self.observe_services();
         let running: Vec<AttemptKey> = self.machines[id]
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -1,9 +1,9 @@
-//! The order among jobs of equal priority: as many as possible in time.
+//! Orders jobs of equal priority so that as many as possible finish in time.
 //!
-//! Jobs are taken by the time they are due; where that leaves one late, the one
-//! with the most work is put back (Moore and Hodgson), since it is late either
-//! way and would make many small ones late too. Those put back follow, again by
-//! the next time that is expected of them, and then the smallest first.
+//! Jobs are taken by due time. If that makes one late, the job with the most work among those
+//! taken is deferred (Moore-Hodgson): one job is late in any case, and a large one would make
+//! many small ones late too. Deferred jobs follow, ordered the same way by their next due time.
+//! Jobs without a due time left come last, the smallest first.
 
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
@@ -14,23 +14,23 @@
     machine::Standing,
 };
 
-/// A finite job as far as its order is concerned. Times in seconds from now.
+/// Array job to be ordered. Times are in seconds from now.
 struct Entry {
     id: JobId,
-    /// Seconds that are left if the job had all that finite work may use to itself.
+    /// Remaining run time if the job had the whole batch capacity to itself.
     work: f64,
-    /// The least time it still takes.
+    /// Minimum remaining run time: that of one task.
     least: f64,
     dues: Vec<f64>,
 }
 
-/// A job that is later than this many times its due time goes first at last.
+/// A job older than this many times its last due time goes first, to prevent starvation.
 const STARVED: f64 = 6.0;
-/// A task takes no more than so many times all there is: sums stay numbers.
+/// Maximum share of the batch capacity that a task counts for, to keep sums finite.
 const SHARE_MOST: f64 = 1e6;
 
 impl ClusterState {
-    /// Places of the waiting jobs, the first one lowest.
+    /// Returns the position of each waiting job in the order, starting at 0.
     pub fn deadline_order(&self) -> HashMap<JobId, usize> {
         let mut first: Vec<(&JobId, &Job)> = Vec::new();
         let finite = self.batch_capacity();
@@ -51,7 +51,7 @@
         let mut ahead = 0.0;
         for round in 0..2 {
             let (mut taken, mut late): (Vec<Option<Entry>>, _) = (Vec::new(), Vec::new());
-            // The most work first, of the last one taken where it is the same.
+            // Most work first; among equals the job taken last.
             let mut largest: BinaryHeap<(u64, usize)> = BinaryHeap::new();
             left.sort_by(|a, b| {
                 let due = |e: &Entry| e.dues.get(round).copied().unwrap_or(f64::INFINITY);
@@ -63,7 +63,7 @@
                     continue;
                 };
                 ahead += entry.work;
-                // Work is never below zero, so its bits are in its order.
+                // Work is never negative, so its bit patterns sort like its values.
                 largest.push((entry.work.to_bits(), taken.len()));
                 taken.push(Some(entry));
                 if ahead > due
@@ -87,7 +87,7 @@
             .collect()
     }
 
-    /// None for jobs that go by the time they were accepted.
+    /// Returns none for jobs that are ordered by the time they became ready.
     fn entry(&self, id: &JobId, job: &Job, finite: &Resources) -> Option<Entry> {
         let spec = &job.spec;
         if spec.kind != Kind::Array {
@@ -120,14 +120,14 @@
         })
     }
 
-    /// The times within which jobs of the class are expected to finish, in seconds.
+    /// Completion objectives of the job's class, in seconds.
     fn objectives_to_finish(&self, spec: &JobSpec) -> Vec<f64> {
         let objectives = self.config.objectives.iter();
         let own = objectives.filter(|o| o.kind == "finished" && *o.class == *spec.class);
         own.map(|o| o.within_s).collect()
     }
 
-    /// The owner's estimate, corrected by what was seen of the class.
+    /// Returns the owner's run time estimate, corrected by observed run times of the class.
     pub fn estimated_run_time(&self, job: &Job) -> f64 {
         let correction = self
             .runtime_corrections
@@ -137,7 +137,7 @@
         (job.spec.estimate_s * correction.exp()).max(1.0)
     }
 
-    /// A task of the class took `ran`, estimated at `estimate_s`.
+    /// Updates the correction for the job's class with the observed run time of a task.
     pub fn record_run_time(&mut self, job: &JobId, ran: Duration) {
         let Some(job) = self.jobs.get(job) else {
             return;
@@ -154,7 +154,7 @@
         }
     }
 
-    /// What is up and not taken by replicas and gangs, which arrays don't get.
+    /// Capacity available to arrays: machines that are up, without what services and gangs hold.
     pub(super) fn batch_capacity(&self) -> Resources {
         let mut sum = Resources::default();
         let up = self.machines.values();
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -1,11 +1,11 @@
-//! What jobs need of one another.
+//! Job dependencies.
 //!
-//! Every node keeps the graph of the active jobs, told by what it reads and watches of the
-//! state service. A job that needs others may start once the stored end of each of them says
-//! that it is done; that a job is no longer active proves nothing. A job that needs a
-//! cancelled one, directly or through others, is cancelled by that alone: every node that is
-//! asked derives it from the stored end. The leader stores the ends of such jobs as well, but
-//! only to tidy up.
+//! Every node keeps a graph of the active jobs, built from what it reads and watches in the
+//! state service. A job that needs others may start once the stored terminal state of each of
+//! them is done; that a job is no longer active proves nothing. A job that needs a cancelled
+//! one, directly or through others, counts as cancelled: every node derives that from the
+//! stored terminal state. The leader also stores terminal states for such jobs, but only to
+//! clean up.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,49 +20,50 @@
     user_requests::{Question, TerminalRead},
 };
 
-/// Ends that the leader reads at a time.
+/// Maximum number of terminal states that the leader reads at a time.
 const LOOKUPS_MOST: usize = 16;
-/// An end that was asked for is asked for again after this time.
+/// Delay before a terminal state is read, or its write requested, again.
 const LOOKUP_AGAIN: Duration = Duration::from_secs(2);
-/// How often the leader looks which pipelines will probably be late.
+/// Interval between the leader's checks for pipelines that will probably be late.
 const RISK_EVERY: Duration = Duration::from_secs(1);
 
-/// The graph of this node's active jobs, and what it has under way for it.
+/// Dependency graph of the active jobs known to this node, and the pending reads for it.
 #[derive(Debug, Default)]
 pub struct Dependencies {
     graph: JobGraph<JobId>,
-    /// Ends that are being read, and when they may be asked for again.
+    /// Terminal states being read, with the time from which the read may be repeated.
     lookups: BTreeMap<JobId, Duration>,
-    /// Active jobs that need a cancelled one: their ends are to be stored.
+    /// Active jobs that need a cancelled one, with the time from which the write of their
+    /// terminal state may be requested.
     cancelled: BTreeMap<JobId, Duration>,
     next_risk: Duration,
 }
 
 impl Dependencies {
-    /// Some active job names this one.
+    /// Whether any active job needs this one.
     pub fn has_dependents(&self, id: &JobId) -> bool {
         self.graph.has_dependents(id)
     }
 
-    /// What an active job waits for, if anything.
+    /// Returns the dependency status of an active job.
     pub fn status(&self, id: &JobId) -> Status<JobId> {
         self.graph.status(id)
     }
 }
 
-/// The last task of a job ends after so many times the run time of one.
+/// Expected run time of a job, as a multiple of the run time of one task.
 const LAST_TASK: f64 = 1.5;
-/// What a stage takes beside its run time: the fetch of the image, starts, the stored end.
+/// Overhead of a job beside its run time: image fetch, starts and storing the terminal state.
 const STAGE_OVERHEAD: Duration = Duration::from_secs(5);
-/// Room for one more task mostly falls free within this time.
+/// Time within which capacity for one more task usually becomes free.
 const WAITS_FOR_ROOM: Duration = Duration::from_secs(10);
 
-/// The time from the moment a job may start until its end is stored.
+/// Expected time from when a job may start until its terminal state is stored.
 fn expected_time(run_time: Duration) -> Duration {
     run_time.mul_f64(LAST_TASK) + STAGE_OVERHEAD
 }
 
-/// What the graph has to know of a job.
+/// Returns the facts about a job that the graph needs.
 fn facts(job: &LiveJob) -> JobFacts<JobId> {
     let (spec, accepted_ms) = (&job.record.spec, job.record.accepted_ms);
     JobFacts {
@@ -74,7 +75,7 @@
     }
 }
 
-/// When the job should be complete, in milliseconds of the time of day.
+/// Deadline of the job in Unix milliseconds.
 fn deadline_ms(spec: &JobSpec, accepted_ms: u64) -> Option<u64> {
     let deadline = crate::settings::seconds(spec.deadline_s?);
     Some(accepted_ms.saturating_add(deadline.as_millis() as u64))
@@ -91,7 +92,7 @@
 }
 
 impl Node {
-    /// All active jobs were read: the graph is built anew.
+    /// Rebuilds the graph after all active jobs were read.
     pub(super) fn build_graph(&mut self) {
         self.dependencies = Dependencies::default();
         let mut jobs: Vec<(u64, JobId)> = self
@@ -100,14 +101,14 @@
             .iter()
             .map(|(id, job)| (job.version, id.clone()))
             .collect();
-        // A job is accepted after those that it names.
+        // In order of acceptance, so that a job follows those it needs.
         jobs.sort();
         for (_, id) in jobs {
             self.add_to_graph(&id);
         }
     }
 
-    /// An active job is known from now on.
+    /// Adds an active job to the graph.
     pub(super) fn add_to_graph(&mut self, id: &JobId) {
         let Some(job) = self.cache.jobs.get(id) else {
             return;
@@ -124,13 +125,13 @@
         }
     }
 
-    /// A job is no longer active; how it ended is not known here.
+    /// Marks a job as no longer active in the graph; its terminal state is not known yet.
     pub(super) fn remove_from_graph(&mut self, id: &JobId) {
         self.dependencies.cancelled.remove(id);
         self.step_graph(Input::Removed { id: id.clone() });
     }
 
-    /// The stored end of a job was read or written.
+    /// Records a terminal state that was read or written.
     pub(super) fn end_in_graph(&mut self, id: &JobId, record: TerminalRecord) {
         self.dependencies.lookups.remove(id);
         self.dependencies.cancelled.remove(id);
@@ -154,13 +155,14 @@
                         cluster.set_urgency(&id, urgency);
                     }
                 }
-                // The leader reads what is not known, and any node what it is asked about.
+                // Terminal states are read elsewhere: by `drive_dependencies` on the leader, and on
+                // any node when a user asks for one.
                 Output::Lookup { .. } => {}
             }
         }
     }
 
-    /// Tells a leader that has just begun what the graph says of each job.
+    /// Applies the graph's state of every job to the cluster state of a new leader.
     pub(super) fn tell_leader_of_graph(&mut self) {
         let Some(cluster) = &mut self.cluster else {
             return;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// The same of one job.
+    /// Applies the graph's state of one job to the cluster state.
     pub(super) fn tell_leader_of_job(&mut self, id: &JobId) {
         let graph = &self.dependencies.graph;
         let Some(cluster) = &mut self.cluster else {
@@ -194,7 +196,7 @@
         self.warn_of_late_pipelines();
     }
 
-    /// Reads the ends that decide whether waiting jobs may start.
+    /// Reads the terminal states that decide whether waiting jobs may start.
     fn look_up_ends(&mut self) {
         let now = self.now();
         let dependencies = &mut self.dependencies;
@@ -216,8 +218,8 @@
         }
     }
 
-    /// Stores the terminal states of jobs that need a cancelled one, behind all other writes. Until
-    /// then every node that is asked derives the same.
+    /// Stores the terminal states of jobs that need a cancelled one, after all other writes. Until
+    /// then every node derives them.
     fn store_cancelled_dependents(&mut self) {
         let now = self.now();
         if !self.write_queue.has_spare_budget() {
@@ -233,7 +235,7 @@
         self.cancel(INTERNAL, id);
     }
 
-    /// Says once of each job that its pipeline will probably miss its deadline.
+    /// Warns periodically about pipelines that will probably miss their deadlines.
     fn warn_of_late_pipelines(&mut self) {
         let now = self.now();
         if now < self.dependencies.next_risk {
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Looks for the stored end of a job that is not active.
+    /// Reads the terminal state of a job that is not active.
     pub(super) fn look_for_end(&mut self, request: RequestId, id: JobId, question: Question) {
         let read = TerminalRead::new(request, id, question, &self.cache.cluster);
         self.read_terminal_state(read);
@@ -253,7 +255,7 @@
 }
 
 impl ClusterState {
-    /// All that the job needs is done: it may start, and its times count from then.
+    /// Unblocks a job whose dependencies are all done. Its waiting time counts from `since_ms`.
     pub fn release_job(&mut self, id: &JobId, since_ms: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -267,7 +269,7 @@
         self.request_pass();
     }
 
-    /// Jobs that need this one make it as urgent as they are.
+    /// Applies the priority and the latest finish time that a job inherits from its dependents.
     pub fn set_urgency(&mut self, id: &JobId, urgency: Urgency) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -293,9 +295,9 @@
         self.requeue();
     }
 
-    /// The job is as urgent as those that need it, and they would be in time if it found room
-    /// a little later by itself: nobody is stopped for it yet. What is stopped loses its work,
-    /// and room falls free all the time.
+    /// Whether a job with an inherited priority would still finish in time if it waited for free
+    /// capacity. It does not preempt then: victims lose work, and capacity becomes free all the
+    /// time.
     pub(super) fn has_time_before_preempting(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -324,7 +326,11 @@
         }
         for (id, late_ms) in late {
             let late = Duration::from_millis(late_ms);
-            info!(job = %id, ?late, "pipeline at risk: this job will probably end too late for those that need it");
+            info!(
+                job = %id,
+                ?late,
+                "pipeline at risk: job will probably finish too late for its dependents"
+            );
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.at_risk = true;
             }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -1,5 +1,5 @@
-//! Emptying machines that operators asked to be emptied, and the ledger that every
-//! voluntary stop asks.
+//! Drains machines on behalf of operators, and provides the replica counts for the ledger of
+//! voluntary disruptions.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -23,7 +23,7 @@
     forms: &["live/drains"],
 };
 
-/// How a machine that is to be emptied stands.
+/// Progress of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
     pub tasks: u32,
@@ -31,7 +31,7 @@
 }
 
 impl ClusterState {
-    /// A service as the ledger counts it.
+    /// Returns the replica counts of one service for the ledger.
     pub(super) fn standing(&self, id: &JobId) -> Replicas {
         let wanted = self.jobs.get(id).map_or(0, |job| job.spec.tasks);
         let mut replicas = Replicas {
@@ -44,7 +44,7 @@
         replicas
     }
 
-    /// All services by team, told to the ledger before it is asked.
+    /// Updates the ledger with the replica counts of all services, and returns them.
     pub(super) fn observe_services(&mut self) -> BTreeMap<JobId, Replicas> {
         let services = self.jobs.iter();
         let services = services.filter(|(_, job)| job.spec.kind == Kind::Service);
@@ -71,13 +71,13 @@
         all
     }
 
-    /// Nothing new comes to a machine that is to be emptied.
+    /// Whether the machine is cordoned: no new tasks are placed on it.
     pub(super) fn cordoned(&self, id: &str) -> bool {
         !self.drains.machines.is_empty() && self.drains.machines.contains_key(id)
     }
 
-    /// The operators' list has changed. What was only decided for a machine goes elsewhere,
-    /// and it is held for nobody any more.
+    /// Applies a changed list of drains. Tasks that were placed on a newly cordoned machine but
+    /// not sent are released, and nominations to it are dropped.
     pub fn cordon(&mut self, drains: drain::Drains, now: Duration) {
         if drains == self.drains {
             return;
@@ -95,7 +95,7 @@
             let Some(machine) = self.machines.get(&id) else {
                 continue;
             };
-            info!(machine = %id, tasks = machine.tasks.len(), "cordoned");
+            info!(machine = %id, tasks = machine.tasks.len(), "machine cordoned for a drain");
             let decided = machine.tasks.iter();
             let decided = decided.filter(|(_, p)| p.phase == Phase::Decided);
             let decided: Vec<AttemptKey> = decided.map(|(key, _)| key.clone()).collect();
@@ -106,14 +106,14 @@
         self.requeue();
     }
 
-    /// A machine that was to be emptied has been returned, or never was there.
+    /// Whether a drained machine has been released or never existed.
     pub(super) fn is_gone(&self, id: &str, now: Duration) -> bool {
         let known = self.machines.contains_key(id);
-        // After a failover the cloud's list shows what the assignment index does not.
+        // After a failover the cloud's list may show machines that the assignment index lacks.
         !known && now > self.leading_since + self.config.list_lag * 3
     }
 
-    /// Goes on with the machines that are to be emptied.
+    /// Advances all drains.
     pub(super) fn plan_drains(&mut self, now: Duration) {
         if self.drains.machines.is_empty() {
             self.draining.clear();
@@ -126,8 +126,8 @@
         });
         if pause != self.drains_paused {
             match &pause {
-                Some(why) => info!(?why, "maintenance paused"),
-                None => info!("maintenance goes on"),
+                Some(why) => info!(?why, "drains paused"),
+                None => info!("drains resumed"),
             }
             self.drains_paused = pause;
         }
@@ -148,12 +148,12 @@
             let empty = machine.tasks.is_empty() && !machine.unresolved;
             let leaves = empty && matches!(machine.standing, Standing::Up | Standing::Booting);
             if leaves && pause.is_none() {
-                info!(machine = %id, why = "drained", "leaving");
+                info!(machine = %id, why = "drained", "releasing machine");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.standing = Standing::Leaving;
             }
             for key in stop {
-                info!(task = %key.0, machine = %id, "moved");
+                info!(task = %key.0, machine = %id, "stopping task on draining machine");
                 self.stop(&id, &key, self.config.options.grace, now);
             }
             draining.insert(id, Progress { tasks: left, waits });
@@ -161,7 +161,7 @@
         self.draining = draining;
     }
 
-    /// What is on a machine that is to be emptied, replicas last.
+    /// Returns the tasks left on a draining machine, replicas last.
     fn tasks_to_move(
         &self,
         id: &MachineId,
@@ -193,8 +193,8 @@
         tasks
     }
 
-    /// Whether a task could start on some other machine now. Where its image is, is not
-    /// asked: a fetch is shorter than a machine that is never emptied.
+    /// Whether a task could start on another machine now. The image does not matter: a fetch is
+    /// better than a drain that never completes.
     fn has_room_elsewhere(&self, id: &MachineId, placement: &Placement, now: Duration) -> bool {
         let Some(spec) = &placement.spec else {
             return false;
@@ -217,7 +217,7 @@
     }
 }
 
-/// Run time that is not saved: since the last checkpoint at most.
+/// Run time that a stop would lose, at most one checkpoint interval.
 fn work_lost(placement: &Placement, now: Duration) -> Duration {
     let Some(spec) = placement.spec.as_ref().filter(|s| s.kind != Kind::Service) else {
         return Duration::ZERO;
--- a/src/core/image_locality.rs
+++ b/src/core/image_locality.rs
@@ -1,13 +1,12 @@
-//! Arrays of equal priority are given rooms with their image before others are.
+//! Image locality: arrays of equal priority are placed on machines that have their image first.
 //!
-//! Under a rush every room that falls free is taken at once by whatever is next in the
-//! order, and mostly fetches an image for it, though another array that waits has its
-//! image there. A fifth of all room was held by fetches like that. So arrays of one
-//! priority first take, in their order, the rooms that have their image or are about
-//! to; what is left of the rooms goes to them in the same order, as ever. Nothing
-//! stays empty for it, and no priority is passed over. An array that got nothing this
-//! way for as long as its image takes to arrive takes any room in its turn: waiting
-//! longer would cost more than the fetch (delay scheduling, Zaharia and others, 2010).
+//! Under high load, freed capacity is taken at once by the next job in the queue, which mostly
+//! has to fetch its image there although another waiting array has its image on that machine.
+//! Such fetches held a fifth of all capacity. So arrays of one priority first take, in queue
+//! order, machines that have their image or are fetching it, and then any other machines in
+//! the same order. No capacity is left idle for this, and no priority is passed over. An array
+//! that got nothing this way for as long as its image takes to fetch takes any machine in its
+//! turn: waiting longer would cost more than the fetch (delay scheduling, Zaharia et al., 2010).
 
 use std::time::Duration;
 
@@ -18,7 +17,8 @@
 };
 
 impl ClusterState {
-    /// Whether the next job may take its turn beside those that took theirs near.
+    /// Whether the next job in the queue belongs to the same locality round as `first`: an array
+    /// of the same priority. True if no round is open.
     pub(super) fn shares_locality_round(&mut self, first: Option<&JobId>) -> bool {
         let Some(first) = first.and_then(|id| self.jobs.get(id)) else {
             return true;
@@ -29,7 +29,7 @@
         })
     }
 
-    /// The job takes rooms with its image before any other.
+    /// Whether the job is still restricted to machines with its image in its first turn.
     pub(super) fn prefers_image_locality(&self, job: &Job, now: Duration) -> bool {
         let spec = &job.spec;
         let patience = Duration::from_secs_f64(self.fetch_alone(spec).min(3600.0));
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -1,9 +1,9 @@
-//! Counted licences in the leader's cluster state: one more limit, beside a team's.
+//! Counted licences in the leader's cluster state: a limit in addition to the team limits.
 //!
-//! A seat is in use from the decision to start a task until the same proof that lets it
-//! start elsewhere. So who holds seats is no book of its own: each pass tells the ledger
-//! what the placements hold and what unresponsive machines may hold after a failover, and the
-//! ledger adds what it alone knows, such as seats that come back late.
+//! A seat is in use from the placement of a task until the task is proven gone, so that it may
+//! start elsewhere. Seat holders are therefore not tracked separately: each pass gives the
+//! ledger the seats of all placements, and those that unresponsive machines may hold after a
+//! failover. The ledger adds what only it knows, such as seats that are returned late.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -27,23 +27,23 @@
     }
 }
 
-/// How one licence stands, for users.
+/// Seat counts of one licence, as shown to users.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LicenceView {
     pub name: String,
     pub seats: u32,
     pub in_use: u32,
-    /// Their tasks are gone, and they come back soon.
+    /// Seats of exited tasks that the licence server has not returned yet.
     pub lingering: u32,
-    /// Unresponsive machines may hold them.
+    /// Seats that unresponsive machines may hold.
     pub maybe: u32,
     pub elsewhere: u32,
-    /// Seats that waiting tasks want.
+    /// Seats that waiting tasks need.
     pub waiting: u64,
     pub teams: BTreeMap<String, u32>,
 }
 
-/// What unresponsive machines may hold goes by one name.
+/// Machine name under which the ledger counts the seats that unresponsive machines may hold.
 const SILENT: &str = "silent";
 
 impl ClusterState {
@@ -76,7 +76,7 @@
         Some(Ledger::after_take_over((**config).clone(), now))
     }
 
-    /// Tells the ledger who holds seats now.
+    /// Updates the ledger with the current seat holders.
     pub(super) fn count_seats(&mut self, now: Duration) {
         let Some(ledger) = &mut self.licence_ledger else {
             return;
@@ -100,7 +100,7 @@
             }
             for id in machine.assignment.may_list() {
                 let Some(job) = self.jobs.get(id) else {
-                    // It may have been anything.
+                    // The job is no longer known, so it may hold seats of any licence.
                     unknown = true;
                     continue;
                 };
@@ -123,8 +123,8 @@
         ledger.step(now, Input::MayHold { machine, needs });
     }
 
-    /// How many more tasks of the job have seats, those put aside that are held for jobs
-    /// of at least its priority by their nominations.
+    /// Number of further tasks of the job that free seats suffice for. Seats for nominations of
+    /// other jobs of equal or higher priority do not count as free.
     pub(super) fn seats_for(&self, spec: &JobSpec, now: Duration) -> u32 {
         let (Some(ledger), false) = (&self.licence_ledger, spec.licences.is_empty()) else {
             return u32::MAX;
@@ -145,7 +145,7 @@
         fits.min().unwrap_or(u32::MAX)
     }
 
-    /// The task is about to be started there.
+    /// Takes the seats for a task that is about to be placed.
     pub(super) fn take_seats(
         &mut self,
         spec: &JobSpec,
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -1,9 +1,9 @@
-//! What the state service takes: sizes of writes and their rate, as the settings say and as
-//! its answers teach.
+//! Limits of the state service on the size and rate of writes, from the settings and from the
+//! replies to writes.
 //!
-//! The limits may fall without notice, and once more than the settings announce. A rejected
-//! write never passes as it is, so what is rejected lowers the limit in use here, and the
-//! next write is split.
+//! The limits may be lowered without notice, even below the announced ones. A rejected write
+//! would be rejected again, so a rejection lowers the limit in use, and the next write is
+//! split.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -15,23 +15,23 @@
 };
 use crate::settings::TXN_OPS_LEAST;
 
-/// Values of this size are never split further.
+/// Minimum limit on the size of a value, in bytes.
 const VALUE_FLOOR: usize = 512;
-/// Rejected writes of one key are told once within this time.
+/// Minimum interval between two warnings about rejected writes of the same key.
 const WARN_EVERY: Duration = Duration::from_secs(60);
 
-/// How large a write is.
+/// Size of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WriteSize {
-    /// The key with the largest value, or the first one.
+    /// Key with the largest value.
     pub key: String,
-    /// Bytes of the largest value.
+    /// Size of the largest value in bytes.
     pub value_bytes: usize,
     pub changes: usize,
 }
 
 impl WriteSize {
-    /// The size of a request; none where it changes nothing.
+    /// Returns the size of a request, or none if it changes nothing.
     pub fn of(request: &StateRequest) -> Option<Self> {
         let StateRequest::Txn { changes, .. } = request else {
             return None;
@@ -50,12 +50,12 @@
     }
 }
 
-/// How large writes may be.
+/// Current limits on the size of writes.
 #[derive(Debug)]
 pub struct WriteLimits {
     pub value_bytes: usize,
     pub txn_ops: usize,
-    /// When a rejected write of a key was told last.
+    /// Time of the last warning about a rejected write, by key.
     warned: HashMap<String, Duration>,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes in that a write was rejected; false where nothing is left to be lowered.
+    /// Lowers a limit after a rejected write. Returns false if no limit can be lowered further.
     pub fn rejected(&mut self, size: &WriteSize, now: Duration) -> bool {
         self.tell(size, now);
         let before = (self.value_bytes, self.txn_ops);
@@ -81,7 +81,7 @@
         before != (self.value_bytes, self.txn_ops)
     }
 
-    /// A rejected write of that key was not told lately.
+    /// Whether a rejected write of the key is due for a warning; if so, records the warning.
     pub fn is_news(&mut self, key: &str, now: Duration) -> bool {
         self.warned.retain(|_, at| now < *at + WARN_EVERY);
         let news = !self.warned.contains_key(key);
@@ -101,19 +101,19 @@
             changes = size.changes,
             value_limit = self.value_bytes,
             changes_limit = self.txn_ops,
-            "the state service rejects a write"
+            "state service rejected a write"
         );
     }
 }
 
-/// The first time that the rate is reduced for, and the longest.
+/// Shortest and longest time for which the write rate is reduced.
 const REDUCED_FIRST: Duration = Duration::from_secs(10);
 const REDUCED_MOST: Duration = Duration::from_secs(300);
-/// Answers to writes that were under way when the rate was reduced are in by then.
+/// Time after a reduction within which replies to writes sent before it are ignored.
 const SETTLES: Duration = Duration::from_secs(2);
 
-/// Changes a second that the leader plans with: the present limit, or the announced one for
-/// a while after a write was refused for its rate.
+/// Write rate that the leader plans with, in changes per second: the current limit, or the
+/// announced lower one for a while after a write was refused for its rate.
 #[derive(Debug)]
 pub struct WriteRate {
     present: f64,
@@ -141,7 +141,8 @@
         }
     }
 
-    /// A write was refused for the rate.
+    /// Reduces the rate after a write was refused for its rate, for twice as long if that happens
+    /// soon after the last reduction.
     pub fn limited(&mut self, now: Duration) {
         let reduced = now < self.reduced_until;
         if reduced && now < self.reduced_since + SETTLES {
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -1,7 +1,7 @@
-//! What operators ask of a node about machines: emptying them, how far that is, and not to.
+//! Operator requests to drain machines, to show the progress of drains, and to cancel them.
 //!
-//! The list is one stored record, so that a machine stays cordoned through any change of
-//! the leader. The leader carries it out (`drain`) and strikes off what is gone.
+//! The list of drains is one stored record, so that a machine stays cordoned across failovers.
+//! The leader carries it out (see `drain`) and removes machines that are gone.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Ask {
     Status,
-    /// Says what starting would do.
+    /// Shows what a drain of these machines would do.
     Plan(Vec<String>),
     Start {
         machines: Vec<String>,
@@ -29,14 +29,14 @@
     Cancel(Vec<String>),
 }
 
-/// One machine in an answer.
+/// Drain state of one machine, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineView {
     pub machine: String,
     pub zone: String,
-    /// cordoned, draining, empty or unknown; for a plan, kept.
+    /// One of `cordoned`, `draining`, `empty`, `unknown`, or, in a plan, `kept`.
     pub state: String,
-    /// Replicas that move, array tasks and gang tasks that are let end.
+    /// Replicas, which are moved; the tasks of arrays and gangs may run to their end.
     pub replicas: u32,
     pub array_tasks: u32,
     pub gang_tasks: u32,
@@ -51,19 +51,20 @@
 }
 
 const RETRY: Duration = Duration::from_secs(1);
-/// A change of the state service has 64 KiB at most; its keys and conditions are in it.
+/// Maximum size of the stored list. The state service limits a transaction to 64 KiB, which
+/// includes keys and conditions.
 const TRANSACTION_BYTES: usize = 63 * 1024;
 
 impl Node {
     pub(super) fn maintenance_asked(&mut self, request: RequestId, ask: Ask) {
         if self.config.options.maintenance.is_none() {
-            let why = "maintenance is off: start the nodes with --maintenance FILE";
+            let why = "maintenance is disabled: start the nodes with --maintenance FILE";
             self.answer(request, Answer::Impossible(why.into()));
             return;
         }
         if !self.places() || !self.has_previous_leader_stopped() {
-            // Only the leader knows the machines, and one before it may still start
-            // something there.
+            // Only the leader knows the machines, and a previous leader may still start
+            // tasks on them.
             self.answer(request, Answer::Later { retry: RETRY });
             return;
         }
@@ -85,7 +86,7 @@
                 let mut drains = self.cache.drains.0.clone();
                 let unknown = machines.iter().find(|m| !drains.machines.contains_key(*m));
                 if let Some(machine) = unknown {
-                    let why = format!("{machine} is not being emptied");
+                    let why = format!("{machine} is not being drained");
                     self.answer(request, Answer::Impossible(why));
                     return;
                 }
@@ -97,30 +98,30 @@
         }
     }
 
-    /// The stored list with these machines.
+    /// Returns the stored list with these machines added.
     fn drains_with(&self, machines: &[String], by: Option<Duration>) -> Drains {
         let mut drains = self.cache.drains.0.clone();
         let since_ms = self.clock.wall_ms;
         let by_ms = by.map(|by| since_ms + by.as_millis() as u64);
         for machine in machines {
-            // Asked for again, only its time may change.
+            // A repeated request may change only the deadline.
             let drain = drains.machines.entry(machine.clone());
             drain.or_insert(Drain { since_ms, by_ms }).by_ms = by_ms;
         }
         drains
     }
 
-    /// What is in the way of emptying these machines, said when it is asked for.
+    /// Returns the reason why these machines can't be drained, if any.
     fn objection_to_drain(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
         let cluster = self.cluster.as_ref()?;
         if self.cache.cluster.0.written() < DRAINS.since {
             let needs = DRAINS.since;
             return Some(format!(
-                "generation {needs} is not in use, see rollout status"
+                "generation {needs} is not active yet, see rollout status"
             ));
         }
         if machines.is_empty() {
-            return Some("machines: name one at least".into());
+            return Some("machines: name at least one machine".into());
         }
         if let Some(why) = self.too_long(&self.drains_with(machines, by)) {
             return Some(why);
@@ -137,7 +138,7 @@
                 if spec.kind == Kind::Service && none {
                     let (team, id) = (&spec.team, &spec.id);
                     return Some(format!(
-                        "{name} has a replica of {id}, and team {team} allows none to be down"
+                        "{name} runs a replica of {id}, and team {team} allows none to be down"
                     ));
                 }
                 let elsewhere = cluster.types.iter().any(|t| {
@@ -150,7 +151,7 @@
                 });
                 if !elsewhere {
                     return Some(format!(
-                        "{name} runs {}, which fits no other machine",
+                        "{name} runs {}, which fits no machine type",
                         spec.id
                     ));
                 }
@@ -159,13 +160,15 @@
         None
     }
 
-    /// The whole list is one value of the state service.
+    /// Returns an error if the list, which is stored as one value, would be too large.
     fn too_long(&self, drains: &Drains) -> Option<String> {
         let most = self.limits.value_bytes.min(TRANSACTION_BYTES);
         let bytes = serde_json::to_vec(drains).map_or(usize::MAX, |text| text.len());
         let machines = drains.machines.len();
         (bytes > most).then(|| {
-            format!("{machines} machines take {bytes} bytes, and the state service stores {most}")
+            format!(
+                "a list of {machines} machines takes {bytes} bytes, more than the limit of {most}"
+            )
         })
     }
 
@@ -242,7 +245,7 @@
             }
             _ => false,
         };
-        // Nothing is started there from this answer on.
+        // Cordons before answering: after the answer nothing more is started on the machines.
         self.cordon();
         let Some(request) = request else { return };
         match committed && self.places() {
@@ -258,7 +261,7 @@
         }
     }
 
-    /// Follows the stored list, and strikes off machines that are gone.
+    /// Applies the stored list, and removes machines that are gone from it.
     pub(super) fn drive_maintenance(&mut self) {
         let now = self.now();
         if self.cache.drains.1 == 0 || !self.places() {
@@ -275,13 +278,13 @@
             return;
         }
         let mut drains = self.cache.drains.0.clone();
-        // Going back to a generation that knows no list leaves none behind.
+        // A downgrade to a generation without drains empties the list.
         drains
             .machines
             .retain(|machine, _| !off && !cluster.is_gone(machine, now));
         if drains != self.cache.drains.0 {
             let left = drains.machines.len();
-            info!(left, "machines drained");
+            info!(left, "removing finished drains from the stored list");
             self.store_drains(drains, None);
         }
     }
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -1,6 +1,6 @@
-//! The heap of waiting jobs and the list of those that could not be placed.
+//! Job queue: a heap of waiting jobs, and the parked jobs that could not be placed.
 //!
-//! A job stands for all of its waiting tasks, which are alike.
+//! An entry stands for all waiting tasks of its job, which are identical.
 
 use std::{
     cmp::Reverse,
@@ -15,7 +15,7 @@
     machine::MachineId,
 };
 
-/// Highest priority first, then the one accepted first.
+/// Sort key of the heap: highest priority first, then the earliest in order.
 type Rank = (Priority, Reverse<(u64, u64)>, Reverse<JobId>);
 
 #[derive(Debug, Default)]
@@ -23,7 +23,7 @@
     heap: BinaryHeap<Rank>,
     queued: HashSet<JobId>,
     parked: BTreeSet<JobId>,
-    /// Something has changed since the last pass.
+    /// Whether a scheduling pass has been requested since the last one.
     pub dirty: bool,
 }
 
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Orders the heap anew: by the priorities that the jobs have now, and among equal ones
-    /// by the given places.
+    /// Rebuilds the heap with the current priorities of the jobs, and the given positions among
+    /// jobs of equal priority.
     pub fn rank(&mut self, places: &HashMap<JobId, usize>, jobs: &BTreeMap<JobId, Job>) {
         let ranked = |id: &JobId| {
             let priority = jobs.get(id)?.spec.priority;
@@ -48,7 +48,7 @@
         self.heap = self.queued.iter().filter_map(ranked).collect();
     }
 
-    /// The job that `pop` gives next.
+    /// Returns the job that `pop` would return next.
     pub fn peek(&mut self) -> Option<&JobId> {
         while let Some((_, _, Reverse(id))) = self.heap.peek() {
             if self.queued.contains(id) {
@@ -90,18 +90,19 @@
     }
 }
 
-/// What a pass makes of a machine. Where it changes, waiting jobs are tried again.
+/// Properties of a machine that a scheduling pass depends on. If they change, waiting jobs are
+/// retried.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Availability {
-    /// Tasks may be placed there.
+    /// Whether tasks may be placed on the machine.
     usable: bool,
-    /// What it may hold counts against team limits, though nobody has seen it.
+    /// Whether tasks that it may hold, though unconfirmed, count against team limits.
     unresolved: bool,
 }
 
 impl ClusterState {
-    /// How a pass sees the machine now. One that stopped reporting is not usable, long before its
-    /// lease is over, and neither is one of a zone that is partitioned.
+    /// Returns the availability of the machine now. A machine that stopped reporting becomes
+    /// unusable long before its lease ends, and so does one in a partitioned zone.
     pub(super) fn availability(&self, id: &MachineId, now: Duration) -> Option<Availability> {
         let machine = self.machines.get(id)?;
         Some(Availability {
@@ -112,8 +113,8 @@
 }
 
 impl Node {
-    /// A job with waiting tasks that neither the heap nor the list holds: nothing would
-    /// ever look at it again. There is none.
+    /// Returns a job with waiting tasks that is neither queued nor parked, and so would never be
+    /// tried again. An invariant check for tests: there must be none.
     pub fn lost_job(&self) -> Option<JobId> {
         let cluster = self.cluster.as_ref()?;
         let waits =
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -1,4 +1,4 @@
-//! Placement: fits without victims first, then preemption and nominations.
+//! Scheduling passes: place tasks in free capacity first, then preempt and nominate.
 
 mod gangs;
 mod usage;
@@ -22,34 +22,35 @@
     reconciliation::DeferredAction,
 };
 
-/// The least time between two passes.
+/// Minimum interval between two scheduling passes.
 pub const PASS_EVERY: Duration = Duration::from_millis(60);
 
-/// How soon a job that waits for a seat is tried again.
+/// Delay before a job that waits for licence seats is retried.
 const SEATS_AGAIN: Duration = Duration::from_secs(1);
 
-/// How soon a job that has time to wait for room is looked at again.
+/// Delay before a job that postponed its preemption is retried.
 const SLACK_AGAIN: Duration = Duration::from_secs(1);
 
-/// How soon waiting jobs are tried again after room was held no longer.
+/// Delay before waiting jobs are retried after a nomination released its capacity.
 const HELD_AGAIN: Duration = Duration::from_secs(1);
 
-/// Victims on one machine.
+/// Preemption plan for one machine: the tasks to stop there so that one task fits.
 struct Plan {
     room: usize,
     victims: Vec<(TaskId, u64)>,
     breaches: usize,
     highest: Option<Priority>,
     freed: Resources,
-    /// About how long the image takes to arrive, in seconds.
+    /// Estimated time to fetch the image, in seconds.
     fetch: f64,
-    /// What it costs to keep the machine.
+    /// Relative price of the machine; 0 unless the job is a service.
     keeping: f64,
 }
 
 impl Plan {
-    /// Fewer breaches, then lower victims. Among machines that are disrupted alike, the one
-    /// with the image: what one victim more loses is less than what a fetch keeps waiting.
+    /// Compares by budget breaches, then by the highest victim priority. Among equal plans a
+    /// machine with the image wins, even at the cost of one more victim: a fetch delays the new
+    /// task by more than one more victim loses.
     fn better_than(&self, other: &Plan) -> bool {
         (self.breaches, self.highest)
             .cmp(&(other.breaches, other.highest))
@@ -72,14 +73,16 @@
                 .is_some_and(|at| now < at + self.config.report * 2 + Duration::from_millis(700))
     }
 
-    /// Nothing is started that can't be delivered, and nobody stopped for it.
+    /// Whether commands can be delivered to the zone. If not, nothing is started there, and
+    /// nothing is preempted there.
     pub(super) fn reaches(&self, zone: &str) -> bool {
         !self.reachability.is_uncertain
             && !self.reachability.partitioned_zones.contains(zone)
             && !self.withheld.contains(zone)
     }
 
-    /// Places what fits, makes room for what does not, and parks the rest.
+    /// Runs a scheduling pass: places jobs that fit, preempts for those that do not, and parks
+    /// the rest.
     pub fn pass(&mut self, now: Duration) {
         self.queue.dirty = false;
         self.next_pass = now + PASS_EVERY;
@@ -88,7 +91,7 @@
         self.count_seats(now);
         let mut view = self.view(now);
         self.closed_priority = self.priority_to_close(now);
-        // Arrays that were given what has their image, in their order.
+        // Arrays that had their turn on machines with their image, in queue order.
         let mut with_image: Vec<JobId> = Vec::new();
         loop {
             if !self.shares_locality_round(with_image.first()) {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Whether nothing is to be tried for the job in this pass.
+    /// Whether the job is skipped in this pass.
     fn waits(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -134,7 +137,7 @@
         if !self.at_limit(view, spec, now) {
             return false;
         }
-        // No room is looked at for what may have none. Its turn is counted all the same.
+        // A job at a limit is not matched with machines, but its locality wait starts as if it was.
         let (with_image, seats) = (
             self.prefers_image_locality(job, now),
             !spec.licences.is_empty(),
@@ -145,12 +148,13 @@
         if with_image && let Some(job) = self.jobs.get_mut(id) {
             job.locality_wait_since.get_or_insert(now);
         }
-        // What was freed for it is not kept from others meanwhile.
+        // Capacity that was freed for the job is released to others in the meantime.
         self.drop_spent(view, id, now);
         true
     }
 
-    /// Not the least that could start of the job is within what its team may use.
+    /// Whether even the smallest startable part of the job (a whole gang, or one task) exceeds
+    /// the limits of its team or the free licence seats.
     fn at_limit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> bool {
         let least = match spec.kind {
             Kind::Gang => spec.tasks,
@@ -159,13 +163,14 @@
         self.over_limit(view, spec, least, now)
     }
 
-    /// The parked are tried again by then at the latest.
+    /// Schedules a retry of the parked jobs at the given time, unless an earlier one is due.
     pub(super) fn retry_by(&mut self, at: Duration) {
         let next = self.next_retry.unwrap_or(Duration::MAX);
         self.next_retry = Some(next.min(at));
     }
 
-    /// Places all of a job that has room anywhere, or makes room for it.
+    /// Places as many of the job's tasks as fit, preempts for the others, and parks the job if
+    /// tasks are left.
     fn place_job(&mut self, view: &mut Snapshot, id: JobId, now: Duration) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.waiting_count() > 0) else {
             return;
@@ -184,7 +189,7 @@
             _ => self.place_tasks(view, &id, &spec, now),
         };
         if !all {
-            // Seats may come back without anything else happening.
+            // Licence seats may be returned without any event that triggers a retry.
             if !spec.licences.is_empty() {
                 self.retry_by(now + SEATS_AGAIN);
             }
@@ -207,11 +212,11 @@
         view
     }
 
-    /// Fills the best rooms for an array's tasks, the best one first. A task that
-    /// is placed changes the cost of its own room only, and makes that the better
-    /// one for the next: the rooms need to be compared but once.
+    /// Fills machines with an array's tasks in the order of their cost. Placing a task changes
+    /// only the cost of its own machine, and makes that machine cheaper for the next task, so
+    /// the machines are compared only once.
     ///
-    /// With `with_image`, only rooms that have its image, or are about to.
+    /// With `with_image`, uses only machines that have the image or are fetching it.
     pub(super) fn fill_machines(
         &mut self,
         view: &mut Snapshot,
@@ -223,7 +228,7 @@
         let failed_on = &self.jobs[id].failed_on;
         let has_image = |room: &MachineCapacity| {
             let machine = &self.machines[&room.id];
-            // One that failed tasks is the last resort, whatever its cache holds.
+            // Machines with failed tasks are a last resort, whatever images they have.
             let sound = machine.failures.is_empty() && !failed_on.contains(&room.id);
             sound && (machine.has_image(&spec.image) || machine.fetches(&spec.image))
         };
@@ -258,7 +263,7 @@
         }
     }
 
-    /// Places an array's or a service's tasks.
+    /// Places the tasks of an array or a service; returns false if tasks are left.
     fn place_tasks(
         &mut self,
         view: &mut Snapshot,
@@ -284,7 +289,7 @@
                 self.put(view, room, &machine, task, attempt, now);
                 continue;
             }
-            // Nobody makes room for one that fails everywhere.
+            // A job that fails on every machine does not preempt others.
             return !self.jobs[id].faulty() && self.make_room(view, id, spec, now);
         }
         true
@@ -328,15 +333,15 @@
         over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus)
     }
 
-    /// Whether the job may have a task there, room aside.
+    /// Whether the job's constraints allow a task on the machine, free resources aside.
     fn allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
         spec.allows_type(&room.machine_type)
             && spec.allows_place(&room.zone, room.spot)
             && zone_allowed(&view.zones, &room.zone, spec)
     }
 
-    /// Both checks: with the nominated tasks of equal or higher priority taken
-    /// as running, and again without them.
+    /// Checks that a task fits twice: without the nominated tasks, and again with those of equal
+    /// or higher priority taken as running.
     fn fits(
         &self,
         view: &Snapshot,
@@ -363,7 +368,8 @@
             .map(|(_, room)| room)
     }
 
-    /// How good a room is for a task that fits there; the lowest is the best.
+    /// Cost of placing a task of the job on the machine, or none if it does not fit there. The
+    /// machine with the lowest cost is preferred.
     fn cost(&self, view: &Snapshot, index: usize, spec: &JobSpec, now: Duration) -> Option<f64> {
         let room = &view.rooms[index];
         if !self.fits(view, room, spec, &room.free) {
@@ -381,7 +387,7 @@
         if job.failed_on.contains(&machine.id) {
             cost += 200.0;
         }
-        // Replicas of a service are better off apart.
+        // Spreads the replicas of a service over machines and zones.
         if spec.kind == Kind::Service {
             let beside = machine
                 .tasks
@@ -391,39 +397,40 @@
             let in_zone = view.zones.get(&machine.zone).copied().unwrap_or(0);
             cost += 4.0 * beside as f64 + f64::from(in_zone);
         }
-        // An empty machine with images of services is left to them.
+        // Keeps idle machines that have images of services free for those services.
         if !machine.has_image(&spec.image) && !machine.busy() {
             cost += machine.image_value;
         }
-        // What may be taken back is left to those who may use it.
+        // Prefers spot machines for jobs that accept them.
         if spec.spot && !machine.spot {
             cost += self.dearer(machine) * spec.estimate_s;
         }
-        // Work without an end keeps its machine: on a dear one it would keep much
-        // that is not needed. Finite work leaves the cheap ones to it.
+        // A service holds its machine for an unlimited time, so an expensive machine would stay
+        // rented for it alone. Arrays and gangs leave the cheap machines to services.
         let keep = self.keeping(machine);
         cost += match spec.kind {
             Kind::Service => 1.5 * keep,
             _ if machine.spot => 0.0,
             _ => 0.5 * (1.0 - keep),
         };
-        // Full machines first, so that empty ones can be returned, and stay whole.
+        // Prefers the fullest machine, so that idle ones can be released or taken as a whole.
         Some(cost + 1.0 - machine.size.minus(&room.free).share_of(&machine.size))
     }
 
-    /// What a machine costs more than one of its kind that may be taken back, as a share.
+    /// Extra price of the machine over a spot machine of its type, as a fraction of the on-demand
+    /// price.
     fn dearer(&self, machine: &Machine) -> f64 {
         let price = |spot| self.price(&machine.machine_type, spot);
         (1.0 - price(true) / price(false).max(1e-9)).max(0.0)
     }
 
-    /// What it costs to keep a machine, as a share of the dearest.
+    /// Price of the machine as a fraction of the price of the most expensive type.
     fn keeping(&self, machine: &Machine) -> f64 {
         let dearest = self.types.iter().map(|t| t.price).fold(0.0, f64::max);
         self.price(&machine.machine_type, machine.spot) / dearest.max(1e-9)
     }
 
-    /// Preemption for the waiting tasks of a job that hold no nomination yet.
+    /// Preempts for the waiting tasks of a job that have no nomination yet.
     fn make_room(
         &mut self,
         view: &mut Snapshot,
@@ -446,7 +453,7 @@
                 break;
             }
             let Some(plan) = self.best_plan(view, spec) else {
-                // Zones may rule out rooms for this job that others could take.
+                // With zone constraints, machines may be ruled out for this job alone.
                 if nominated == 0 && !spec.one_zone && !spec.spread {
                     let spec = spec.clone();
                     view.unplaceable.push(Unplaceable { spec });
@@ -458,8 +465,9 @@
         false
     }
 
-    /// A task whose nominated machine still has victims stopping does not
-    /// preempt again; one whose victims are gone, and which still did not fit, may.
+    /// Drops the nominations of a job to machines where no task is stopping any more. A task
+    /// whose victims are gone and that still did not fit may preempt again; one whose victims
+    /// are still stopping may not.
     fn drop_spent(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
         let machines = &self.machines;
         let job = self.jobs.get_mut(id).expect("job at hand");
@@ -471,7 +479,7 @@
         });
         if job.nominations.len() != before {
             self.refresh_held(view, id);
-            // Its equals may have had their turn before it.
+            // Jobs of the same priority may have had their turn in this pass already.
             self.retry_by(now + HELD_AGAIN);
         }
     }
@@ -500,8 +508,9 @@
         best
     }
 
-    /// Whatever the plan for this room is, it is worse than this one. Going through the
-    /// tasks of each machine for each waiting service was most of a pass in a rush.
+    /// Whether any plan for the machine would be worse than `best`. This check avoids visiting
+    /// all tasks of each machine for each waiting service, which took most of the time of a pass
+    /// under high load.
     fn loses(&self, room: &MachineCapacity, spec: &JobSpec, reclaims: bool, best: &Plan) -> bool {
         let least = room.least_highest(spec, reclaims);
         if best.breaches > 0 || least != best.highest {
@@ -521,12 +530,13 @@
         }
     }
 
-    /// Sets aside every task that may make room, then restores those that can stay.
+    /// Builds the plan for one machine: removes every task that may be preempted, then restores
+    /// those that can stay.
     fn plan(&self, view: &Snapshot, index: usize, spec: &JobSpec, reclaims: bool) -> Option<Plan> {
         let room = &view.rooms[index];
         let machine = &self.machines[&room.id];
         let mut free = room.free;
-        // Own nominations here are other tasks of the same job.
+        // The job's own nominations here stand for other tasks of it.
         for (_, job, need) in &room.held {
             if *job == spec.id {
                 free = free.minus(need);
@@ -546,7 +556,7 @@
                 candidates.push((key, victim, p.since));
             }
         }
-        // The newest first, so that a team loses those beyond its guarantee.
+        // Newest first, so that a team loses the tasks that exceed its guarantee.
         candidates.sort_by(|a, b| (b.2, b.0).cmp(&(a.2, a.0)));
         let mut leaving = match reclaims {
             true => view.leaving.clone(),
@@ -566,7 +576,8 @@
         if !self.fits(view, room, spec, &free) {
             return None;
         }
-        // Budget-breaking ones are restored first, then by priority, then the oldest.
+        // Restores first the tasks whose stop would breach a disruption budget, then by priority,
+        // then the oldest.
         let mut stopping: HashMap<JobId, (Replicas, u32)> = HashMap::new();
         let mut budgeted: Vec<_> = candidates
             .into_iter()
@@ -599,8 +610,8 @@
         Some(plan)
     }
 
-    /// One more task of the job, beside all that its team runs or has room held
-    /// for, is within the team's guarantee.
+    /// Whether one more task of the job, added to the team's running and nominated tasks, is
+    /// within the team's guarantee.
     fn within_guarantee(&self, view: &Snapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
@@ -613,8 +624,9 @@
         sum.cpus <= team.cpus + 1e-6 && sum.gpus <= team.gpus + 1e-6
     }
 
-    /// Work that another team runs beyond its guarantee, what leaves it put
-    /// aside. A higher priority is left alone: it would only preempt back.
+    /// Whether the victim may be stopped because its team, another one, exceeds its guarantee
+    /// without the tasks that are stopping. A victim of a higher priority is not reclaimed, since
+    /// it would only preempt in turn.
     fn may_reclaim(
         &self,
         view: &Snapshot,
@@ -632,7 +644,8 @@
         stays.cpus > team.cpus + 1e-6 || stays.gpus > team.gpus + 1e-6
     }
 
-    /// More of a service's tasks would be stopping than its disruption budget allows.
+    /// Whether stopping one more replica of the service would breach its disruption budget.
+    /// Counts the replica in `more`.
     fn breaks_budget(&self, victim: &JobSpec, more: &mut HashMap<JobId, (Replicas, u32)>) -> bool {
         if victim.kind != Kind::Service {
             return false;
@@ -653,11 +666,17 @@
         now: Duration,
     ) {
         let machine = view.rooms[plan.room].id.clone();
-        info!(job = %id, machine = %machine, victims = plan.victims.len(), breaches = plan.breaches, "nominate");
+        info!(
+            job = %id,
+            machine = %machine,
+            victims = plan.victims.len(),
+            breaches = plan.breaches,
+            "nominated machine for waiting task"
+        );
         self.counts.nominations += 1;
         let grace = self.config.options.grace;
         for key in &plan.victims {
-            info!(task = %key.0, machine = %machine, by = %id, "preempt");
+            info!(task = %key.0, machine = %machine, by = %id, "preempting task");
             self.counts.victims += 1;
             if let Some(victim) = self.jobs.get(&key.0.job).map(|j| j.spec.clone()) {
                 view.leaving.add(&victim.team, &victim.need);
@@ -674,7 +693,7 @@
         self.clear_lower(view, plan.room, spec);
     }
 
-    /// A higher nomination that leaves no room clears the lower ones.
+    /// Clears nominations of a lower priority that no longer fit beside the new one.
     fn clear_lower(&mut self, view: &mut Snapshot, index: usize, spec: &JobSpec) {
         let machine = self.machines[&view.rooms[index].id].clone();
         let mut lower: Vec<(Priority, JobId, Resources)> = Vec::new();
@@ -700,11 +719,15 @@
                 continue;
             }
             if let Some(entry) = self.jobs.get_mut(&job)
-                // What is only being gathered in this pass is no nomination.
+                // Capacity that is only reserved for a gang in this pass is no nomination.
                 && let Some(at) = entry.nominations.iter().position(|m| *m == machine.id)
             {
                 entry.nominations.remove(at);
-                info!(job = %job, machine = %machine.id, "nomination cleared");
+                info!(
+                    job = %job,
+                    machine = %machine.id,
+                    "nomination cleared for a higher priority; requeueing job"
+                );
                 self.counts.cleared += 1;
                 self.queue.push(&job, entry);
                 self.refresh_held(view, &job);
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs: placed, nominated and stopped whole, and room that is gathered for them.
+//! Gang scheduling: gangs are placed, nominated and stopped as a whole, and free capacity is
+//! reserved for them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,7 +12,8 @@
 };
 
 impl ClusterState {
-    /// A gang starts whole, once nothing of its last attempt is left anywhere.
+    /// Places all tasks of a gang at once, after every task of its last attempt has exited.
+    /// Returns whether it did.
     pub(super) fn place_gang(
         &mut self,
         view: &mut Snapshot,
@@ -23,7 +25,7 @@
             return false;
         }
         let lingering = match by_zone(spec) {
-            // They were counted for where the others may be.
+            // For such a job, `zones` counts the tasks that are still on machines.
             true => !view.zones.is_empty(),
             false => self.machines.values().any(|m| {
                 let mut tasks = m.tasks.iter();
@@ -66,10 +68,10 @@
         false
     }
 
-    /// Holds what room there is for a part of a gang, in the one zone where most is, until
-    /// the end of the pass: the next one looks again. Whatever is lower would be stopped
-    /// again as soon as the rest is there, and until then it would keep the gang waiting;
-    /// its equals may go first, but not for ever.
+    /// Reserves the free capacity that suits tasks of a gang, in the zones that fit the most of
+    /// them, until the end of the pass. Tasks of a lower priority would be preempted as soon as
+    /// the rest of the gang fits, and would delay it until then. Jobs of the same priority may go
+    /// first until the gang has waited for `gather_after`.
     fn gather(&self, view: &mut Snapshot, id: &JobId, spec: &JobSpec, tasks: usize) {
         let mut best: Vec<usize> = Vec::new();
         for zones in view.gang_zones(spec) {
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Rooms for every task of a gang, tried on the view and put back.
+    /// Finds machines for every task of a gang by trial placement in the snapshot, which is
+    /// restored afterwards.
     fn fit_gang(
         &self,
         view: &mut Snapshot,
@@ -132,7 +135,7 @@
         (chosen.len() == tasks.len()).then_some(chosen)
     }
 
-    /// Victims for a whole gang, or none at all.
+    /// Preempts for all tasks of a gang, or for none.
     fn make_room_for_gang(
         &mut self,
         view: &mut Snapshot,
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -1,4 +1,4 @@
-//! What teams use: tasks that were seen or sent, and those that unresponsive machines may hold.
+//! Resource usage by team: placed tasks, and tasks that unresponsive machines may hold.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,19 +10,19 @@
 };
 
 impl ClusterState {
-    /// What each team's tasks take, and the part of it that is stopping.
+    /// Returns the usage of each team, and the part of it that belongs to stopping tasks.
     pub(super) fn usage(&self) -> (Usage, Usage) {
         let (mut usage, mut leaving) = (Usage::default(), Usage::default());
         for machine in self.machines.values() {
             let held: Vec<&Placement> = machine.tasks.values().filter(|p| !p.exited()).collect();
-            // Tasks of one job stand together: a team is looked up once for all.
+            // Tasks of one job are adjacent, so the team is looked up once for all of them.
             let alike = |a: &&Placement, b: &&Placement| match (&a.spec, &b.spec) {
                 (Some(a), Some(b)) => Arc::ptr_eq(a, b),
                 _ => false,
             };
             for tasks in held.chunk_by(alike) {
                 let Some(spec) = &tasks[0].spec else {
-                    // Whose it is nobody knows any more: it counts for each team.
+                    // The team is no longer known, so the task counts against every team.
                     for team in self.config.teams.keys() {
                         usage.add(team, &tasks[0].need);
                     }
@@ -40,14 +40,14 @@
         (usage, leaving)
     }
 
-    /// What unresponsive machines may hold counts as running. A waiting task is on one of them at
-    /// most: one that several machines list counts once.
+    /// Counts tasks that unresponsive machines may hold as running. A waiting task is on at most
+    /// one of them, so a task that several machines list counts once.
     fn add_unresolved(&self, usage: &mut Usage) {
         let mut hidden: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.unresolved) {
             let mut listed = machine.assignment.may_list();
-            // A job that was cancelled meanwhile may still run there, and whose it
-            // was nobody knows any more: the whole machine counts for each team.
+            // A job that has been cancelled since may still run there, and its team is no longer
+            // known, so the whole machine counts against every team.
             if listed.any(|id| !self.jobs.contains_key(id)) {
                 for team in self.config.teams.keys() {
                     usage.add(team, &machine.size);
--- a/tests/scheduling/dependencies.rs
+++ b/tests/scheduling/dependencies.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait for others, and jobs that are as urgent as those that need them.
+//! Job dependencies: blocked jobs, and jobs that inherit the urgency of their dependents.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 
 use crate::cluster::{Cluster, spec};
 
-/// One machine that a normal array fills, and a low one that a high job needs.
+/// One machine that an array of normal priority fills, and a waiting job of low priority that
+/// a job of high priority will need.
 fn full_machine_and_needed_job() -> (Cluster, JobId) {
     let mut c = Cluster::new(4.0);
     c.machine("vm-1");
@@ -48,7 +49,7 @@
     let low = c.job(spec(1, Kind::Array, Priority::Low, 1, 4.0));
     c.runs("vm-1", &low, 0);
     c.cluster.set_urgency(&low, high(u64::MAX));
-    // It runs as a high one: a normal job can't stop it.
+    // It runs with high priority now: a normal job can't preempt it.
     let normal = c.job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
     assert!(c.nominated(&normal).is_empty());
@@ -73,7 +74,7 @@
     c.cluster.wall_ms = 1_000;
     c.cluster.set_urgency(&needed, high(600_000));
     c.pass();
-    // Time goes on, and nothing has made room meanwhile.
+    // Time passes, and no capacity becomes free.
     c.cluster.wall_ms = 595_000;
     c.now += Duration::from_secs(2);
     c.cluster.tick(c.now);
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -1,5 +1,5 @@
-//! The scheduling rules: a slow plain model compared with the real core over
-//! random clusters, and the examples of the paper.
+//! Scheduling rules: a simple reference model compared with the scheduler on random clusters,
+//! and the examples of the paper on nominations.
 
 mod cluster;
 mod dependencies;
@@ -26,7 +26,7 @@
 
 use cluster::{Cluster, amount, spec};
 
-// The plain model: lists, no shortcuts.
+// Reference model, without any optimisation.
 
 #[derive(Clone, Debug)]
 struct Task {
@@ -55,8 +55,7 @@
     if used(&kept) + need > cpus + 1e-6 {
         return None;
     }
-    // Of each service one task may be stopped, the newest; any further one
-    // breaks its budget.
+    // One task of each service may be stopped, the newest; any further one breaches its budget.
     let mut aside: Vec<&Task> = tasks.iter().filter(|t| t.priority < priority).collect();
     aside.sort_by_key(|task| std::cmp::Reverse(task.age));
     let mut seen = BTreeSet::new();
@@ -67,7 +66,7 @@
     }
     let mut victims = Vec::new();
     while !marked.is_empty() {
-        // Budget-breaking first, then the highest priority, then the oldest.
+        // Budget breaches first, then the highest priority, then the oldest.
         let mut first = 0;
         for i in 1..marked.len() {
             let key = |(t, breaks): &(&Task, bool)| (*breaks, t.priority, usize::MAX - t.age);
@@ -190,7 +189,7 @@
     );
 }
 
-/// Example 1 of the paper: the lower pod must not take what the higher one waits for.
+/// Example 1 of the paper: a job must not take capacity that a higher-priority job waits for.
 #[test]
 fn a_nomination_holds_room_against_lower_priorities() {
     let mut c = Cluster::new(10.0);
@@ -204,7 +203,7 @@
     c.pass();
     assert_eq!(c.nominated(&high), ["vm-1"]);
     assert_eq!(c.victims("vm-1").len(), 2);
-    // One victim is gone: there is room for the low one, but it is held.
+    // One victim has exited: the low job would fit, but the capacity is held.
     c.ends("vm-1", &b, ExitReason::Stopped { saved: false });
     c.pass();
     assert_eq!((c.on(&high), c.on(&low)), (vec![], vec![]));
@@ -215,7 +214,7 @@
     assert!(c.on(&low).is_empty());
 }
 
-/// Example 2: a nominated job goes wherever it fits first.
+/// Example 2: a nominated job is placed wherever it fits first.
 #[test]
 fn a_nominated_job_may_go_elsewhere() {
     let mut c = Cluster::new(10.0);
@@ -260,7 +259,10 @@
     c.machine("vm-2");
     let gang = c.job(spec(1, Kind::Gang, Priority::Normal, 3, 4.0));
     c.pass();
-    assert!(c.on(&gang).is_empty(), "two machines hold no gang of three");
+    assert!(
+        c.on(&gang).is_empty(),
+        "a gang of three does not fit on two machines"
+    );
     c.machine("vm-3");
     c.pass();
     assert_eq!(c.on(&gang).len(), 3);
@@ -293,7 +295,7 @@
 fn a_team_reclaims_its_guarantee_from_an_equal_priority() {
     let mut c = Cluster::new(16.0);
     c.machine("vm-1");
-    // Red uses 16 of its guaranteed 8; blue has 4 and uses none.
+    // Team red is guaranteed 8 CPUs and uses 16; team blue is guaranteed 4 and uses none.
     let red = c.job(spec(1, Kind::Array, Priority::Normal, 4, 4.0));
     (0..4).for_each(|i| c.runs("vm-1", &red, i));
     let blue = JobSpec {
@@ -302,13 +304,13 @@
     };
     let blue = c.job(blue);
     c.pass();
-    // One task of it is within the guarantee, the second is not.
+    // The first task is within the guarantee, the second is not.
     assert_eq!(c.nominated(&blue), ["vm-1"]);
     assert_eq!(c.victims("vm-1").len(), 1);
 }
 
-/// A placement that exited but was not forgotten yet must not be counted again
-/// when the worker's session ends: its task may run elsewhere by then.
+/// A placement that has exited but was not forgotten yet must not free its task again when the
+/// worker's session ends: the task may run elsewhere by then.
 #[test]
 fn an_exited_placement_does_not_free_its_task_twice() {
     let mut c = Cluster::new(4.0);
@@ -328,7 +330,7 @@
     assert_eq!(starts, 1);
 }
 
-/// A garbled report may list a task twice; it ends but once.
+/// A malformed report may list a task twice; its end counts once.
 #[test]
 fn a_task_listed_twice_in_a_report_ends_once() {
     let mut c = Cluster::new(4.0);
@@ -343,7 +345,7 @@
     assert_eq!((job.placed, job.running, job.failures), (0, 0, 1));
 }
 
-/// A result is forgotten by its worker only once it is stored.
+/// A worker is told to forget a result only after it is stored.
 #[test]
 fn a_result_is_kept_at_the_worker_until_it_is_stored() {
     let mut c = Cluster::new(4.0);
@@ -367,8 +369,8 @@
     );
 }
 
-/// A start that was sent straight and not answered may be executed late: only a
-/// report under a higher token shows that it never will be.
+/// A start that was sent directly and not answered may be executed late. Only a report under a
+/// higher token proves that it never will be.
 #[test]
 fn an_unclear_direct_start_is_void_only_under_a_higher_token() {
     use kiteyard::core::machine::DirectReply;
@@ -392,7 +394,7 @@
     c.report("vm-1");
     c.report("vm-1");
     assert_eq!(c.on(&job), ["vm-1"], "it may still be executed");
-    // The worker has seen the raised token, and has no such task.
+    // The worker has seen the higher token, and does not have the task.
     let raised = c.cluster.machines["vm-1"].token;
     assert!(raised > direct.token);
     c.seq += 1;
@@ -412,8 +414,8 @@
     assert!(c.on(&job).is_empty());
 }
 
-/// Tasks of a job that was cancelled during a failover still use up their team's
-/// limit while their machine is silent, though nobody knows any more whose they are.
+/// Tasks of a job that was cancelled during a failover still count against team limits while
+/// their machine is unresponsive, although their team is no longer known.
 #[test]
 fn a_cancelled_job_on_a_silent_machine_counts_against_the_limit() {
     let shard = serde_json::json!({
@@ -443,8 +445,8 @@
     assert_eq!(c.on(&job), ["vm-2"]);
 }
 
-/// A shard of the assignment index names many machines in one value, and never more than a
-/// value may hold: what finds no room is not started until there is some.
+/// A shard of the assignment index lists many machines in one value and never exceeds the limit
+/// of a value. Starts that do not fit into it are delayed.
 #[test]
 fn a_full_shard_delays_starts_and_drops_nothing_that_is_listed() {
     use kiteyard::core::store::{Change, StateReply};
@@ -463,7 +465,7 @@
         };
         for change in &changes {
             let Change::Put { value, .. } = change else {
-                panic!("nothing is struck");
+                panic!("a shard was deleted");
             };
             assert!(value.get().len() <= most, "a value is too large");
             let record: ShardRecord = serde_json::from_str(value.get()).expect("a shard");
@@ -481,9 +483,9 @@
     assert!((60..300).contains(&listed.len()), "{}", listed.len());
 }
 
-/// A leader that was superseded may answer workers until its term is over. One that
-/// has not seen this leader's token is not lost before that, even if a report of its
-/// own came late and was answered: the answer may never have got there.
+/// A superseded leader may answer workers until its term ends. A worker that has not seen the
+/// new leader's token is not declared lost before that, even if a late report of it was
+/// answered: the answer may not have arrived.
 #[test]
 fn a_worker_that_a_former_leader_may_answer_is_not_lost() {
     let shard = serde_json::json!({
@@ -516,8 +518,8 @@
     assert_eq!(starts_by(&mut c, 141), 1);
 }
 
-/// Among machines that are disrupted alike, the one that has the image is taken,
-/// even where one more of the lowest tasks has to go.
+/// Among preemption plans with the same disruption, a machine with the image is chosen, even at
+/// the cost of one more victim of the lowest priority.
 #[test]
 fn the_image_decides_among_machines_that_are_disrupted_alike() {
     let mut c = Cluster::new(4.0);
@@ -542,8 +544,8 @@
     assert_eq!(c.nominated(&high), ["vm-2"]);
 }
 
-/// A machine that is only partitioned goes on working, and then many stop reporting at once.
-/// Those that hang are silent beside others of their zone that are heard.
+/// Partitioned machines keep working, and many of them stop reporting at once. Machines that
+/// hang stop reporting while others in their zone still report. Only those are given up.
 #[test]
 fn silent_machines_are_given_up_only_while_their_zone_is_heard() {
     use kiteyard::core::{
@@ -563,7 +565,7 @@
         let start = c.now;
         let zone: Arc<str> = Arc::from("a");
         let mut released = Vec::new();
-        // Less than a worker's lease.
+        // 8 s in all, less than a worker's lease.
         for tick in 1..80 {
             c.now = start + Duration::from_millis(100 * tick);
             detector.tick(c.now);
@@ -600,8 +602,8 @@
     assert_eq!(given_up(20), 0);
 }
 
-/// A task that a new leader finds running has run for nobody knows how long. Counted
-/// from the failover, its run time would make every estimate look too long.
+/// For a task that a new leader finds running, the start time is unknown. Measured from the
+/// failover, its run time would make estimates look too long.
 #[test]
 fn a_task_found_running_says_nothing_of_run_times() {
     let seen = |found_running: bool| {
@@ -623,8 +625,8 @@
     assert!(seen(false).is_some_and(|factor| factor < 0.0));
 }
 
-/// A machine that only a few replicas keep is emptied, as many of one service at a
-/// time as its budget allows, and only if others have room and the image.
+/// A machine kept only for a few replicas is emptied, within the disruption budget of the
+/// service, and only if other machines have capacity and the image.
 #[test]
 fn a_hardly_used_machine_is_emptied_within_the_budget() {
     let stopping = |room_elsewhere: bool| {
@@ -654,8 +656,8 @@
     assert_eq!(stopping(false), 0);
 }
 
-/// With a long queue, whoever still waits after a pass fits nowhere: not a job that
-/// is smaller, more important or less choosy than one that found nothing.
+/// In a long queue, a job that still waits after a pass fits on no machine, even if it is
+/// smaller, of a higher priority or less constrained than a job that was not placed.
 #[test]
 fn no_job_is_passed_over_for_one_that_found_no_room() {
     let mut waited = 0;
@@ -719,8 +721,8 @@
     }
 }
 
-/// A new leader has seen no task of what idle machines have cached: it goes by what
-/// the former one told, and leaves such a machine to the service whose image it has.
+/// A new leader can't observe the image caches of idle machines. It uses the handover snapshot of
+/// the previous leader, and leaves such a machine to the service whose image it has.
 #[test]
 fn images_that_the_former_leader_told_of_decide_between_rooms() {
     let mut c = Cluster::new(4.0);
@@ -746,8 +748,8 @@
     assert_eq!(c.on(&array), ["vm-2"]);
 }
 
-/// A job that was submitted with a mistake fails on every machine. Its first failures
-/// made good machines look faulty, and all its tasks were tried again each time.
+/// A faulty job fails on every machine. Its first failures made healthy machines look faulty,
+/// and all of its tasks were retried each time.
 #[test]
 fn a_job_that_fails_everywhere_is_tried_one_task_at_a_time() {
     let mut c = Cluster::new(4.0);
@@ -760,22 +762,22 @@
     }
     assert!(c.cluster.jobs[&broken].faulty());
     let marked = c.cluster.machines.values().any(|m| !m.failures.is_empty());
-    assert!(!marked, "machines are blamed");
+    assert!(!marked, "failures are counted against machines");
     c.pass();
     assert!(c.on(&broken).is_empty());
     c.now += Duration::from_secs(3);
     names.iter().for_each(|name| drop(c.report(name)));
-    // Nothing else brings it back to the heap.
+    // Only the retry time returns it to the queue.
     c.cluster.tick(c.now);
     assert!(c.cluster.queue.dirty);
     c.pass();
     assert_eq!(c.on(&broken).len(), 1);
-    // It makes nobody leave: what runs elsewhere fills the machines.
+    // It preempts no task of the healthy job, which fills the machines.
     let healthy = c.job(spec(2, Kind::Array, Priority::Normal, 6, 2.0));
     c.pass();
     assert_eq!(c.on(&healthy).len(), 5);
     assert!(names.iter().all(|name| c.victims(name).is_empty()));
-    // Once a task of it is done, it was the machines.
+    // Once one of its tasks is done, the job is no longer considered faulty.
     let name = c.on(&broken)[0].clone();
     c.running.insert(name.clone(), Vec::new());
     c.starts();
@@ -783,7 +785,7 @@
     assert!(!c.cluster.jobs[&broken].faulty());
 }
 
-/// What waits for its team's limit needs no machine: it would stand idle and be paid.
+/// No machine is rented for tasks beyond their team's limit: it would be paid for and idle.
 #[test]
 fn nothing_is_rented_for_what_a_team_may_not_run() {
     let mut c = Cluster::new(4.0);
@@ -807,12 +809,12 @@
             break;
         }
     }
-    // The team "red" may use 1000 CPUs.
+    // Team red may use 1,000 CPUs.
     assert_eq!(rented, 250);
 }
 
-/// Replicas that fail now and then, on faulty machines, are started again at once:
-/// their service is none that fails everywhere.
+/// A service with a running replica is not considered faulty, so replicas that fail on faulty
+/// machines are restarted at once.
 #[test]
 fn a_service_with_a_running_replica_is_not_at_fault() {
     let mut c = Cluster::new(4.0);
@@ -829,8 +831,8 @@
     assert_eq!(c.on(&service).len(), 4);
 }
 
-/// Listings of the first shards were always due again before the last ones had their
-/// turn: tasks on machines of the last ones held their room and never started.
+/// Listings of the first shards always became due again before the last shards had their turn,
+/// so tasks on machines of the last shards held capacity and never started.
 #[test]
 fn every_shard_of_the_roster_has_its_turn() {
     use kiteyard::core::store::StateReply;
@@ -840,7 +842,7 @@
     names.iter().for_each(|name| c.machine(name));
     c.job(spec(0, Kind::Array, Priority::Normal, 80, 4.0));
     c.pass();
-    // Work that comes to whatever is listed, faster than two shards a write can list it.
+    // Listed machines get new jobs faster than writes of two shards each can list them.
     for number in 1..4 {
         let (listings, _, _) = c
             .cluster
@@ -866,8 +868,8 @@
     assert!(machines.all(|m| m.assignment.jobs.contains(&first)));
 }
 
-/// More is let in only as fast as work starts: while the state service lists nothing,
-/// what waits for its listing does not grow, and all goes on once it answers.
+/// Tasks are placed only as fast as they start: while no listing is stored, the number of
+/// unlisted tasks does not grow, and placement resumes once the state service answers.
 #[test]
 fn work_goes_in_only_as_fast_as_it_starts() {
     use kiteyard::core::store::StateReply;
@@ -886,9 +888,9 @@
     assert_eq!(
         c.cluster.pending_placements().unlisted,
         8,
-        "no more is let in"
+        "the priority is closed"
     );
-    // A higher priority does not wait for what is below it.
+    // A higher priority does not wait for lower ones.
     c.job(spec(2, Kind::Service, Priority::High, 1, 1.0));
     c.pass();
     assert_eq!(c.cluster.pending_placements().unlisted, 9);
@@ -906,12 +908,12 @@
     assert_eq!(
         c.cluster.pending_placements().unlisted,
         8,
-        "the rest follows"
+        "the rest is placed"
     );
 }
 
-/// In a rush the next array in the order took every room that fell free, and fetched its
-/// image there, though another one that waited had its image in the cache.
+/// Under high load the next array in the queue took all freed capacity and fetched its image
+/// there, although another waiting array had its image on that machine.
 #[test]
 fn arrays_of_one_priority_take_rooms_with_their_image_first() {
     let mut c = Cluster::new(4.0);
@@ -932,7 +934,7 @@
     c.pass();
     assert_eq!(c.on(&first), ["vm-2"]);
     assert_eq!(c.on(&second), ["vm-1"]);
-    // Nothing stays empty for it: one whose image is nowhere takes what is left.
+    // No capacity is left idle: an array whose image is on no machine takes what is left.
     c.machine("vm-3");
     let third = c.job(image(3, "c"));
     c.pass();
@@ -941,7 +943,7 @@
     for name in ["vm-1", "vm-2", "vm-3"] {
         c.report(name);
     }
-    // One that was passed over for as long as its fetch takes comes in its turn.
+    // An array that was passed over for as long as its fetch takes is placed in its turn.
     let fourth = c.job(image(4, "d"));
     let fifth = c.job(image(5, "b"));
     c.pass();
@@ -953,10 +955,10 @@
     assert_eq!(c.on(&fifth), Vec::<String>::new());
 }
 
-/// A worker that is called may have begun a new session since the previous leader was gone:
-/// its lease lasts from then, not from the previous leader's end. Found in the simulated
-/// world as `ran_twice`: a start sent straight into such a session was taken for lost with
-/// the former one.
+/// A worker may have begun a new session after the previous leader ended; its lease then lasts
+/// from the answer to a direct call, not from the previous leader's end. A start that was sent
+/// directly into such a session was taken for lost, and its task ran twice (`ran_twice` in the
+/// simulated world).
 #[test]
 fn a_called_worker_is_not_lost_before_a_lease_after_its_answer() {
     use kiteyard::core::machine::DirectReply;
@@ -991,9 +993,9 @@
     assert_eq!(standing(&mut c, 115), Standing::Lost);
 }
 
-/// A start that went out with a report's answer may still be on its way when the task was
-/// seen to end by a direct question: told to forget the attempt, the worker would run it
-/// again. Found in the simulated world, where an answer was late by 0.9 s.
+/// A start in the answer to a report may still be in flight when a direct call shows that the
+/// task has ended. A worker told to forget the attempt at that point would run it again. This
+/// happened in the simulated world with an answer delayed by 0.9 s.
 #[test]
 fn an_attempt_is_not_forgotten_while_its_start_may_be_on_its_way() {
     use kiteyard::core::machine::DirectReply;
@@ -1006,8 +1008,8 @@
     machine.assignment.jobs.insert(job.clone());
     let starts = c.report("vm-1");
     assert!(matches!(starts[..], [Command::Start { .. }]));
-    // Before that answer arrives, the same start is sent straight to the worker, and the
-    // task ends.
+    // Before that answer arrives, the same start is sent directly to the worker, and the task
+    // ends.
     c.starts();
     c.cluster.remove_job(&job, c.now);
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
@@ -1028,7 +1030,7 @@
         let mut commands = commands.iter();
         commands.any(|command| matches!(command, Command::Forget { .. }))
     };
-    // Something else has to be sent at once.
+    // Another start has to be sent at once.
     let other = c.job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
     c.now += Duration::from_secs(1);
     c.pass();
@@ -1037,7 +1039,7 @@
     let straight = c.cluster.direct_commands(c.now);
     assert_eq!(straight.len(), 1);
     assert!(!straight.iter().any(|direct| forgets(&direct.commands)));
-    // The next report shows that the worker has that answer, or never will.
+    // The next report proves that the worker has received that answer or never will.
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.direct = false;
     assert!(forgets(&c.report("vm-1")));
--- a/tests/scheduling/requeue.rs
+++ b/tests/scheduling/requeue.rs
@@ -1,4 +1,4 @@
-//! Whatever frees room or a limit gives waiting jobs another chance, also where no task ends.
+//! Waiting jobs are retried whenever capacity or a limit is freed, even if no task ends.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// A machine that was silent for a few reports, and not for a lease, gets no work meanwhile.
+/// A machine that misses a few reports within its lease gets no work until it reports again.
 #[test]
 fn a_machine_that_is_heard_again_within_its_lease_gets_what_waited() {
     let mut c = Cluster::new(4.0);
@@ -27,13 +27,13 @@
     c.now += Duration::from_secs(4);
     let job = c.job(spec(1, Kind::Service, Priority::Normal, 1, 1.0));
     looks(&mut c);
-    assert!(c.on(&job).is_empty(), "the machine is silent");
+    assert!(c.on(&job).is_empty(), "the machine is unresponsive");
     c.report("vm-1");
     looks(&mut c);
     assert_eq!(c.on(&job), ["vm-1"]);
 }
 
-/// Starts that went out late end a shut admission without any write or end.
+/// Late starts reopen a closed priority without any write or any end of a task.
 #[test]
 fn what_was_not_let_in_is_tried_again_once_late_starts_went_out() {
     let mut c = Cluster::new(8.0);
@@ -50,7 +50,7 @@
     c.now += Duration::from_millis(1_100);
     let late = c.job(spec(1, Kind::Service, Priority::Normal, 1, 8.0));
     looks(&mut c);
-    assert!(c.on(&late).is_empty(), "no more is let in");
+    assert!(c.on(&late).is_empty(), "the priority is closed");
     for _ in 0..3 {
         c.now += Duration::from_millis(500);
         c.report("vm-1");
@@ -61,7 +61,7 @@
     assert_eq!(c.on(&late).len(), 1);
 }
 
-/// Room that was freed for a job whose team has come to its limit meanwhile is nobody's.
+/// Capacity that was freed for a job whose team has reached its limit since goes to others.
 #[test]
 fn a_job_at_its_limit_keeps_no_room_from_others() {
     let mut c = Cluster::new(600.0);
@@ -78,17 +78,17 @@
     let high = c.job(spec(3, Kind::Array, Priority::High, 1, 600.0));
     looks(&mut c);
     assert_eq!(c.nominated(&high), ["vm-1"]);
-    // Of its 1,000 CPUs the team uses 500 now.
+    // The team uses 500 of its 1,000 CPUs now.
     let urgent = c.job(spec(4, Kind::Array, Priority::Production, 1, 200.0));
     looks(&mut c);
     assert_eq!(c.on(&urgent), ["vm-2"]);
     c.ends("vm-1", &victim, ExitReason::Stopped { saved: false });
     looks(&mut c);
-    assert!(c.on(&high).is_empty(), "at its limit");
+    assert!(c.on(&high).is_empty(), "the team is at its limit");
     assert_eq!(c.on(&victim), ["vm-1"]);
 }
 
-/// A task that waits is on one unresponsive machine at most, whichever list its job.
+/// A waiting task is on at most one unresponsive machine, however many list its job.
 #[test]
 fn a_task_that_several_silent_machines_list_counts_once_against_the_limit() {
     let shard = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],
@@ -109,7 +109,7 @@
     looks(&mut c);
     assert!(
         c.on(&listed.id).is_empty(),
-        "it may run on a silent machine"
+        "it may run on an unresponsive machine"
     );
     assert_eq!(c.on(&fits).len(), 1, "300 and 500 of 1,000");
     assert!(c.on(&beyond).is_empty(), "300, 500 and 250 of 1,000");
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -1,5 +1,6 @@
-//! Shards of the assignment index that are larger than the state service takes now: their machines
-//! move to new shards, and at every moment each version reads all that may run on a machine.
+//! Splitting of assignment index shards that exceed the current value limit. Their machines move
+//! to new shards, and at every moment each program version reads all jobs that may run on a
+//! machine.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,7 +25,7 @@
     format!("vm-{machine:04}")
 }
 
-/// One shard with all machines, two jobs on each, as a leader with 16 KiB wrote it.
+/// One shard with all machines and two jobs on each, written under a limit of 16 KiB.
 fn large_shard() -> ShardRecord {
     let jobs: Vec<String> = (0..MACHINES)
         .map(|i| format!("run-{:06}", FIRST_JOB + i))
@@ -36,7 +37,7 @@
     ShardRecord::parse(&text.to_string()).expect("a good shard")
 }
 
-/// The stored shards, and writes that may be applied late.
+/// Stored shards, and writes that may be applied late.
 #[derive(Default)]
 struct Stored {
     revision: u64,
@@ -64,8 +65,8 @@
         true
     }
 
-    /// What a version that knows of no oversized shards takes a machine to list: what the
-    /// shard says that it reads last.
+    /// Listing of each machine as read by a version without support for oversized shards: that of
+    /// the shard it reads last.
     fn read_last(&self) -> BTreeMap<String, BTreeSet<JobId>> {
         let mut listed = BTreeMap::new();
         for (record, _) in self.shards.values() {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Nobody is proven empty by time alone.
+    /// Leader whose unresponsive machines never count as empty after a mere timeout.
     fn leader(stored: &Stored) -> Cluster {
         let mut cluster = Cluster::with_values_of(
             VALUE_KB,
@@ -130,7 +131,7 @@
         cluster
     }
 
-    /// Another leader takes over from what is stored.
+    /// Replaces the leader by one that starts from the stored shards.
     fn take_over(&mut self) {
         let running = std::mem::take(&mut self.cluster.running);
         self.cluster = Self::leader(&self.stored);
@@ -193,7 +194,7 @@
         }
     }
 
-    /// A start may go out, or has, only for what both versions would read.
+    /// Checks that a start is allowed, or was sent, only for jobs that both versions would read.
     fn check(&self) {
         let read = self.stored.read_last();
         let nothing = BTreeSet::new();
@@ -220,7 +221,7 @@
         self.cluster.report(&name);
     }
 
-    /// Tasks that may be started are.
+    /// Starts all tasks that may be started.
     fn start(&mut self) {
         let machines = self.cluster.cluster.machines.values();
         let mut starts = Vec::new();
@@ -286,7 +287,8 @@
     }
 }
 
-/// A leader ended in the middle: both shards count for a machine that is not heard yet.
+/// If a leader ends in the middle of a split, a machine that has not reported yet is listed in
+/// two shards, and both count.
 #[test]
 fn a_machine_in_two_shards_may_hold_what_either_lists() {
     let shard = |jobs: &[&str]| {
@@ -306,6 +308,6 @@
     assert_eq!(
         entry.jobs.len(),
         2,
-        "what is read last is listed for certain"
+        "only the shard read last is listed for certain"
     );
 }
--- a/tests/scheduling/starting.rs
+++ b/tests/scheduling/starting.rs
@@ -1,4 +1,4 @@
-//! What a new leader does while the stored machines are still to be heard.
+//! Behaviour of a new leader before the stored machines have reported.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
 const KEPT: &str = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],
     "machines":[["vm-1",0,[0]],["vm-2",0,[0]]]}"#;
 
-/// Two machines are stored, and the jobs were accepted before the claim.
+/// New leader with two stored machines and jobs that were accepted before its claim.
 fn began(jobs: &[&JobSpec]) -> Cluster {
     let shard = ShardRecord::parse(KEPT).expect("a shard");
     let resolve_by = Duration::from_secs(140);
@@ -36,7 +36,7 @@
     c.pass();
 }
 
-/// `vm-1` runs the array whole, and a service waits for room.
+/// Only `vm-1` has reported. It runs the whole array, and a service waits for capacity.
 fn one_heard() -> (Cluster, JobId) {
     let low = spec(1, Kind::Array, Priority::Normal, 1, 4.0);
     let high = spec(2, Kind::Service, Priority::High, 1, 4.0);
@@ -51,7 +51,7 @@
 fn nobody_is_stopped_while_room_may_be_on_a_machine_that_is_still_to_be_heard() {
     let (mut c, high) = one_heard();
     assert!(c.nominated(&high).is_empty() && c.victims("vm-1").is_empty());
-    // It is heard, and has the room.
+    // The machine reports, and has the capacity.
     c.machine("vm-2");
     looks(&mut c);
     assert_eq!(c.on(&high), ["vm-2"]);
@@ -61,11 +61,11 @@
 #[test]
 fn a_machine_that_stays_silent_holds_a_preemption_up_no_longer_than_a_worker_takes() {
     let (mut c, high) = one_heard();
-    // Reports come each second: the rest was not heard for a quarter of that.
+    // The report interval is 1 s; no other machine has reported for a quarter of it.
     c.now += Duration::from_millis(300);
     looks(&mut c);
     assert_eq!(c.nominated(&high), ["vm-1"]);
-    // Nobody at all is heard: for as long as a worker takes that reports at all.
+    // No machine reports: preemption is held back for as long as a live worker may take to report.
     let low = spec(1, Kind::Array, Priority::Normal, 1, 4.0);
     let mut c = began(&[&low, &spec(2, Kind::Service, Priority::High, 1, 4.0)]);
     c.running.insert("vm-1".into(), Vec::new());
@@ -78,9 +78,9 @@
 
 #[test]
 fn nothing_is_rented_before_the_list_was_read_and_the_machines_heard() {
-    // One more than the unresponsive machine may take.
+    // One task more than the unresponsive machine can hold.
     let wanted = spec(2, Kind::Service, Priority::High, 2, 4.0);
-    // As high, so that nobody makes room for the other.
+    // The same priority, so that neither job preempts the other.
     let low = spec(1, Kind::Array, Priority::High, 1, 4.0);
     let mut c = began(&[&low, &wanted]);
     let list = c.cluster.cloud_work(c.now).expect("a request");
@@ -96,13 +96,13 @@
         c.cluster.cloud_work(c.now)
     };
     let rents = |request: Option<CloudRequest>| matches!(request, Some(CloudRequest::Provision(_)));
-    // The stored machines may have room.
+    // The stored machines may have free capacity.
     assert!(!rents(next(&mut c, 600)));
-    // One is heard, and the other not.
+    // One machine reports, the other does not.
     c.running.insert("vm-1".into(), Vec::new());
     c.runs("vm-1", &low.id, 0);
     let mut later = (0..6).map(|_| next(&mut c, 600));
-    assert!(later.any(rents), "it rents in the end");
+    assert!(later.any(rents), "no machine was rented");
 }
 
 #[test]
