--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -20,39 +20,39 @@
 #[derive(Debug)]
 pub struct StartRate {
     span: Duration,
-    since: Duration,
-    now: usize,
-    before: usize,
+    span_start: Duration,
+    current: usize,
+    previous: usize,
 }
 
 impl StartRate {
     pub fn new(span: Duration) -> Self {
         Self {
             span: span.max(Duration::from_millis(1)),
-            since: Duration::ZERO,
-            now: 0,
-            before: 0,
+            span_start: Duration::ZERO,
+            current: 0,
+            previous: 0,
         }
     }
 
-    fn turn(&mut self, now: Duration) {
-        let spans = now.saturating_sub(self.since).as_millis() / self.span.as_millis().max(1);
+    fn advance(&mut self, now: Duration) {
+        let spans = now.saturating_sub(self.span_start).as_millis() / self.span.as_millis().max(1);
         if spans > 0 {
-            self.before = if spans == 1 { self.now } else { 0 };
-            self.now = 0;
-            self.since = now;
+            self.previous = if spans == 1 { self.current } else { 0 };
+            self.current = 0;
+            self.span_start = now;
         }
     }
 
-    pub fn started(&mut self, now: Duration) {
-        self.turn(now);
-        self.now += 1;
+    pub fn record_start(&mut self, now: Duration) {
+        self.advance(now);
+        self.current += 1;
     }
 
     /// Returns the starts within about the last span: the larger of the two counts.
-    pub fn lately(&mut self, now: Duration) -> usize {
-        self.turn(now);
-        self.now.max(self.before)
+    pub fn recent_starts(&mut self, now: Duration) -> usize {
+        self.advance(now);
+        self.current.max(self.previous)
     }
 }
 
@@ -128,7 +128,7 @@
             lost,
             "cluster counters"
         );
-        self.log_use();
+        self.log_machine_use();
         let pending_placements = self.pending_placements();
         debug!(
             unlisted = pending_placements.unlisted,
@@ -139,14 +139,14 @@
             stopping = pending_placements.stopping,
             unstored = pending_placements.unstored,
             nominated = pending_placements.nominated,
-            started = self.start_rate.lately(now),
+            started = self.start_rate.recent_starts(now),
             closed_priority = ?self.closed_priority,
             "pending placements"
         );
     }
 
     /// Logs the use of machines by kind of job, in whole machines of the scarcest resource.
-    fn log_use(&self) {
+    fn log_machine_use(&self) {
         let mut used = [[0.0; 2]; 3];
         let (mut idle, mut all) = ([0; 2], [0; 2]);
         for machine in self.machines.values() {
@@ -188,7 +188,7 @@
                 }
             }
         }
-        let starts = self.start_rate.lately(now);
+        let starts = self.start_rate.recent_starts(now);
         let mut sum = 0;
         let closed_priority = Priority::ALL.into_iter().rev().find(|priority| {
             sum += late[*priority as usize];
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -152,7 +152,7 @@
         let now = self.now();
         match (write, reply) {
             (Some(size), StateReply::Rejected) => {
-                let lowered = self.limits.rejected(size, now);
+                let lowered = self.limits.lower_after_rejection(size, now);
                 self.write_queue.rejected(lowered);
             }
             (Some(_), StateReply::Refused { limited: true, .. }) => self.write_queue.limited(now),
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -26,7 +26,7 @@
     admission::StartRate,
     assignment_index::{AssignmentIndex, ShardRecord},
     config::Config,
-    drain::Progress,
+    drain::DrainProgress,
     handover::HandoverSnapshot,
     job::JobId,
     machine::{Command, Machine, MachineId, MachineType, Phase, Stop},
@@ -92,7 +92,7 @@
     pub(super) ledger: Ledger,
     /// Machines that operators want emptied, and how far they are.
     pub(super) drains: Drains,
-    pub(super) draining: BTreeMap<MachineId, Progress>,
+    pub(super) draining: BTreeMap<MachineId, DrainProgress>,
     /// Why nothing is emptied now: by the node, and as it was logged.
     pub(super) drains_pause: Option<Waits>,
     pub(super) drains_paused: Option<Waits>,
@@ -179,7 +179,7 @@
             zone_lease_ends,
         } = found;
         let mut cluster = Self::empty(config, claim, types, resolve_by, zone_lease_ends, now);
-        cluster.licence_ledger = cluster.new_ledger(now);
+        cluster.licence_ledger = cluster.new_licence_ledger(now);
         for (shard, record, version) in assignment_index {
             cluster.load_shard(shard, &record, version, now);
         }
@@ -351,7 +351,7 @@
 
     /// Asks for a scheduling pass soon.
     pub fn request_pass(&mut self) {
-        self.queue.dirty = true;
+        self.queue.pass_requested = true;
     }
 
     /// Any end of a task, and any change of machines, gives the parked another chance.
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -148,7 +148,7 @@
         let placement = machine.tasks.get_mut(&key).expect("adopted");
         let before = placement.phase;
         if matches!(before, Phase::Sent { .. }) && !adopted {
-            self.start_rate.started(now);
+            self.start_rate.record_start(now);
         }
         // Listed twice in one report, it has ended but once.
         if before == Phase::Seen(phase) {
@@ -262,7 +262,7 @@
         reason: Option<ExitReason>,
         now: Duration,
     ) {
-        self.queue.dirty = true;
+        self.queue.pass_requested = true;
         if reason == Some(ExitReason::Done) {
             if !placement.foreign {
                 self.release_slot(id, task, placement);
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -17,9 +17,9 @@
 };
 
 /// A machine is underused if at most one part in this many of it is in use.
-const USED_ONE_IN: f64 = 4.0;
+const UNDERUSED_DIVISOR: f64 = 4.0;
 /// Minimum age of a replica before it is moved.
-const SETTLED: Duration = Duration::from_secs(30);
+const MIN_REPLICA_AGE: Duration = Duration::from_secs(30);
 
 impl ClusterState {
     /// Starts emptying a machine, or continues with one, as the disruption budgets allow.
@@ -63,7 +63,7 @@
             .filter(|m| now > self.provisioning.waited_at + self.idle_time(&m.machine_type))
             .filter(|m| {
                 let used = m.size.minus(&m.free());
-                m.busy() && used.share_of(&m.size) * USED_ONE_IN <= 1.0
+                m.busy() && used.share_of(&m.size) * UNDERUSED_DIVISOR <= 1.0
             })
             .filter(|m| {
                 m.tasks.values().filter(|p| !p.exited()).all(|p| {
@@ -71,7 +71,7 @@
                     replica
                         && p.phase == Phase::Seen(TaskPhase::Running)
                         && !p.stopping()
-                        && now > p.since + SETTLED
+                        && now > p.since + MIN_REPLICA_AGE
                 })
             })
             .filter(|m| self.fits_elsewhere(m, now));
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -15,33 +15,33 @@
 };
 
 /// Array job to be ordered. Times are in seconds from now.
-struct Entry {
+struct DatedJob {
     id: JobId,
     /// Remaining run time if the job had the whole batch capacity to itself.
-    work: f64,
+    work_s: f64,
     /// Minimum remaining run time: that of one task.
-    least: f64,
-    dues: Vec<f64>,
+    min_run_s: f64,
+    due_times_s: Vec<f64>,
 }
 
 /// A job older than this many times its last due time goes first, to prevent starvation.
-const STARVED: f64 = 6.0;
+const STARVATION_FACTOR: f64 = 6.0;
 /// Maximum share of the batch capacity that a task counts for, to keep sums finite.
-const SHARE_MOST: f64 = 1e6;
+const MAX_CAPACITY_SHARE: f64 = 1e6;
 
 impl ClusterState {
     /// Returns the position of each waiting job in the order, starting at 0.
     pub fn deadline_order(&self) -> HashMap<JobId, usize> {
         let mut first: Vec<(&JobId, &Job)> = Vec::new();
         let finite = self.batch_capacity();
-        let mut left: Vec<Entry> = Vec::new();
+        let mut left: Vec<DatedJob> = Vec::new();
         let mut last: Vec<JobId> = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.waiting_count() > 0) {
             if job.faulty() {
                 last.push(id.clone());
                 continue;
             }
-            match self.entry(id, job, &finite) {
+            match self.dated_job(id, job, &finite) {
                 Some(entry) => left.push(entry),
                 None => first.push((id, job)),
             }
@@ -50,34 +50,39 @@
         let mut order: Vec<JobId> = first.into_iter().map(|(id, _)| id.clone()).collect();
         let mut ahead = 0.0;
         for round in 0..2 {
-            let (mut taken, mut late): (Vec<Option<Entry>>, _) = (Vec::new(), Vec::new());
+            let (mut taken, mut late): (Vec<Option<DatedJob>>, _) = (Vec::new(), Vec::new());
             // Most work first; among equals the job taken last.
             let mut largest: BinaryHeap<(u64, usize)> = BinaryHeap::new();
             left.sort_by(|a, b| {
-                let due = |e: &Entry| e.dues.get(round).copied().unwrap_or(f64::INFINITY);
+                let due = |e: &DatedJob| e.due_times_s.get(round).copied().unwrap_or(f64::INFINITY);
                 due(a).total_cmp(&due(b)).then_with(|| a.id.cmp(&b.id))
             });
             for entry in left {
-                let Some(due) = entry.dues.get(round).copied().filter(|d| entry.least <= *d) else {
+                let Some(due) = entry
+                    .due_times_s
+                    .get(round)
+                    .copied()
+                    .filter(|d| entry.min_run_s <= *d)
+                else {
                     late.push(entry);
                     continue;
                 };
-                ahead += entry.work;
+                ahead += entry.work_s;
                 // Work is never negative, so its bit patterns sort like its values.
-                largest.push((entry.work.to_bits(), taken.len()));
+                largest.push((entry.work_s.to_bits(), taken.len()));
                 taken.push(Some(entry));
                 if ahead > due
                     && let Some((_, largest)) = largest.pop()
                     && let Some(put_back) = taken[largest].take()
                 {
-                    ahead -= put_back.work;
+                    ahead -= put_back.work_s;
                     late.push(put_back);
                 }
             }
             order.extend(taken.into_iter().flatten().map(|e| e.id));
             left = late;
         }
-        left.sort_by(|a, b| a.work.total_cmp(&b.work).then_with(|| a.id.cmp(&b.id)));
+        left.sort_by(|a, b| a.work_s.total_cmp(&b.work_s).then_with(|| a.id.cmp(&b.id)));
         order.extend(left.into_iter().map(|e| e.id));
         order.extend(last);
         order
@@ -88,18 +93,18 @@
     }
 
     /// Returns none for jobs that are ordered by the time they became ready.
-    fn entry(&self, id: &JobId, job: &Job, finite: &Resources) -> Option<Entry> {
+    fn dated_job(&self, id: &JobId, job: &Job, finite: &Resources) -> Option<DatedJob> {
         let spec = &job.spec;
         if spec.kind != Kind::Array {
             return None;
         }
         let (mut dues, since_ms) = match spec.deadline_s {
             Some(deadline) => (vec![deadline], job.accepted_ms),
-            None => (self.objectives_to_finish(spec), job.ready_ms),
+            None => (self.completion_objectives(spec), job.ready_ms),
         };
         let age = self.wall_ms.saturating_sub(since_ms) as f64 / 1000.0;
         dues.sort_by(f64::total_cmp);
-        if dues.last().is_some_and(|due| age > due * STARVED) {
+        if dues.last().is_some_and(|due| age > due * STARVATION_FACTOR) {
             return None;
         }
         let run = self.estimated_run_time(job);
@@ -110,18 +115,18 @@
             dues.dedup();
         }
         dues.retain(|due| *due >= run);
-        Some(Entry {
+        Some(DatedJob {
             id: id.clone(),
-            work: spec.need.share_of(finite).min(SHARE_MOST)
+            work_s: spec.need.share_of(finite).min(MAX_CAPACITY_SHARE)
                 * run
                 * f64::from(spec.tasks - job.done_count),
-            least: run,
-            dues,
+            min_run_s: run,
+            due_times_s: dues,
         })
     }
 
     /// Completion objectives of the job's class, in seconds.
-    fn objectives_to_finish(&self, spec: &JobSpec) -> Vec<f64> {
+    fn completion_objectives(&self, spec: &JobSpec) -> Vec<f64> {
         let objectives = self.config.objectives.iter();
         let own = objectives.filter(|o| o.kind == "finished" && *o.class == *spec.class);
         own.map(|o| o.within_s).collect()
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -21,11 +21,11 @@
 };
 
 /// Maximum number of terminal states that the leader reads at a time.
-const LOOKUPS_MOST: usize = 16;
+const MAX_LOOKUPS: usize = 16;
 /// Delay before a terminal state is read, or its write requested, again.
-const LOOKUP_AGAIN: Duration = Duration::from_secs(2);
+const LOOKUP_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Interval between the leader's checks for pipelines that will probably be late.
-const RISK_EVERY: Duration = Duration::from_secs(1);
+const RISK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Dependency graph of the active jobs known to this node, and the pending reads for it.
 #[derive(Debug, Default)]
@@ -35,8 +35,8 @@
     lookups: BTreeMap<JobId, Duration>,
     /// Active jobs that need a cancelled one, with the time from which the write of their
     /// terminal state may be requested.
-    cancelled: BTreeMap<JobId, Duration>,
-    next_risk: Duration,
+    cancelled_dependents: BTreeMap<JobId, Duration>,
+    next_risk_check: Duration,
 }
 
 impl Dependencies {
@@ -52,26 +52,26 @@
 }
 
 /// Expected run time of a job, as a multiple of the run time of one task.
-const LAST_TASK: f64 = 1.5;
+const RUN_TIME_FACTOR: f64 = 1.5;
 /// Overhead of a job beside its run time: image fetch, starts and storing the terminal state.
 const STAGE_OVERHEAD: Duration = Duration::from_secs(5);
 /// Time within which capacity for one more task usually becomes free.
-const WAITS_FOR_ROOM: Duration = Duration::from_secs(10);
+const CAPACITY_WAIT: Duration = Duration::from_secs(10);
 
 /// Expected time from when a job may start until its terminal state is stored.
-fn expected_time(run_time: Duration) -> Duration {
-    run_time.mul_f64(LAST_TASK) + STAGE_OVERHEAD
+fn expected_duration(run_time: Duration) -> Duration {
+    run_time.mul_f64(RUN_TIME_FACTOR) + STAGE_OVERHEAD
 }
 
 /// Returns the facts about a job that the graph needs.
-fn facts(job: &LiveJob) -> JobFacts<JobId> {
+fn job_facts(job: &LiveJob) -> JobFacts<JobId> {
     let (spec, accepted_ms) = (&job.record.spec, job.record.accepted_ms);
     JobFacts {
         needs: spec.needs.clone(),
         priority: spec.priority as u8,
         accepted_ms,
         deadline_ms: deadline_ms(spec, accepted_ms),
-        expected: expected_time(crate::settings::seconds(spec.estimate_s)),
+        expected: expected_duration(crate::settings::seconds(spec.estimate_s)),
     }
 }
 
@@ -81,7 +81,7 @@
     Some(accepted_ms.saturating_add(deadline.as_millis() as u64))
 }
 
-fn end(record: TerminalRecord) -> End {
+fn graph_end(record: TerminalRecord) -> End {
     End {
         outcome: match record.state {
             JobState::Cancelled => Outcome::Cancelled,
@@ -93,7 +93,7 @@
 
 impl Node {
     /// Rebuilds the graph after all active jobs were read.
-    pub(super) fn build_graph(&mut self) {
+    pub(super) fn rebuild_graph(&mut self) {
         self.dependencies = Dependencies::default();
         let mut jobs: Vec<(u64, JobId)> = self
             .cache
@@ -113,13 +113,13 @@
         let Some(job) = self.cache.jobs.get(id) else {
             return;
         };
-        let facts = facts(job);
+        let facts = job_facts(job);
         let needs = facts.needs.clone();
         let id = id.clone();
         self.step_graph(Input::Added { id, facts });
         for need in needs {
             if let Some(record) = self.terminal_cache.get(&need).copied() {
-                let end = end(record);
+                let end = graph_end(record);
                 self.step_graph(Input::Ended { id: need, end });
             }
         }
@@ -127,15 +127,15 @@
 
     /// Marks a job as no longer active in the graph; its terminal state is not known yet.
     pub(super) fn remove_from_graph(&mut self, id: &JobId) {
-        self.dependencies.cancelled.remove(id);
+        self.dependencies.cancelled_dependents.remove(id);
         self.step_graph(Input::Removed { id: id.clone() });
     }
 
     /// Records a terminal state that was read or written.
-    pub(super) fn end_in_graph(&mut self, id: &JobId, record: TerminalRecord) {
+    pub(super) fn record_end_in_graph(&mut self, id: &JobId, record: TerminalRecord) {
         self.dependencies.lookups.remove(id);
-        self.dependencies.cancelled.remove(id);
-        let (id, end) = (id.clone(), end(record));
+        self.dependencies.cancelled_dependents.remove(id);
+        let (id, end) = (id.clone(), graph_end(record));
         self.step_graph(Input::Ended { id, end });
     }
 
@@ -148,7 +148,9 @@
                     }
                 }
                 Output::Cancelled { id } => {
-                    self.dependencies.cancelled.insert(id, Duration::ZERO);
+                    self.dependencies
+                        .cancelled_dependents
+                        .insert(id, Duration::ZERO);
                 }
                 Output::Urgency { id, urgency } => {
                     if let Some(cluster) = &mut self.cluster {
@@ -163,18 +165,18 @@
     }
 
     /// Applies the graph's state of every job to the cluster state of a new leader.
-    pub(super) fn tell_leader_of_graph(&mut self) {
+    pub(super) fn apply_graph(&mut self) {
         let Some(cluster) = &mut self.cluster else {
             return;
         };
         let ids: Vec<JobId> = cluster.jobs.keys().cloned().collect();
         for id in ids {
-            self.tell_leader_of_job(&id);
+            self.apply_graph_to_job(&id);
         }
     }
 
     /// Applies the graph's state of one job to the cluster state.
-    pub(super) fn tell_leader_of_job(&mut self, id: &JobId) {
+    pub(super) fn apply_graph_to_job(&mut self, id: &JobId) {
         let graph = &self.dependencies.graph;
         let Some(cluster) = &mut self.cluster else {
             return;
@@ -191,17 +193,17 @@
         if !self.is_leader() || self.cluster.is_none() {
             return;
         }
-        self.look_up_ends();
+        self.look_up_terminal_states();
         self.store_cancelled_dependents();
         self.warn_of_late_pipelines();
     }
 
     /// Reads the terminal states that decide whether waiting jobs may start.
-    fn look_up_ends(&mut self) {
+    fn look_up_terminal_states(&mut self) {
         let now = self.now();
         let dependencies = &mut self.dependencies;
         dependencies.lookups.retain(|_, again| *again > now);
-        let free = LOOKUPS_MOST.saturating_sub(dependencies.lookups.len());
+        let free = MAX_LOOKUPS.saturating_sub(dependencies.lookups.len());
         if free == 0 {
             return;
         }
@@ -212,9 +214,9 @@
             if self.cache.jobs.contains_key(&id) || self.cache.is_unreadable(&id) {
                 continue;
             }
-            let again = now + LOOKUP_AGAIN;
+            let again = now + LOOKUP_RETRY_DELAY;
             self.dependencies.lookups.insert(id.clone(), again);
-            self.look_for_end(INTERNAL, id, Question::Status);
+            self.look_up_terminal_state(INTERNAL, id, Question::Status);
         }
     }
 
@@ -225,11 +227,11 @@
         if !self.write_queue.has_spare_budget() {
             return;
         }
-        let mut due = self.dependencies.cancelled.iter_mut();
+        let mut due = self.dependencies.cancelled_dependents.iter_mut();
         let Some((id, again)) = due.find(|(_, again)| **again <= now) else {
             return;
         };
-        *again = now + LOOKUP_AGAIN;
+        *again = now + LOOKUP_RETRY_DELAY;
         let id = id.clone();
         self.write_queue.charge(2.0);
         self.cancel(INTERNAL, id);
@@ -238,17 +240,22 @@
     /// Warns periodically about pipelines that will probably miss their deadlines.
     fn warn_of_late_pipelines(&mut self) {
         let now = self.now();
-        if now < self.dependencies.next_risk {
+        if now < self.dependencies.next_risk_check {
             return;
         }
-        self.dependencies.next_risk = now + RISK_EVERY;
+        self.dependencies.next_risk_check = now + RISK_CHECK_INTERVAL;
         if let Some(cluster) = &mut self.cluster {
             cluster.warn_of_late_pipelines();
         }
     }
 
     /// Reads the terminal state of a job that is not active.
-    pub(super) fn look_for_end(&mut self, request: RequestId, id: JobId, question: Question) {
+    pub(super) fn look_up_terminal_state(
+        &mut self,
+        request: RequestId,
+        id: JobId,
+        question: Question,
+    ) {
         let read = TerminalRead::new(request, id, question, &self.cache.cluster);
         self.read_terminal_state(read);
     }
@@ -306,8 +313,8 @@
         let Some(latest_ms) = job.latest_finish_ms.filter(|_| inherits) else {
             return false;
         };
-        let expected = expected_time(crate::settings::seconds(self.estimated_run_time(job)));
-        let needed = (expected + WAITS_FOR_ROOM).as_millis() as u64;
+        let expected = expected_duration(crate::settings::seconds(self.estimated_run_time(job)));
+        let needed = (expected + CAPACITY_WAIT).as_millis() as u64;
         self.wall_ms + needed < latest_ms
     }
 
@@ -319,7 +326,7 @@
                 continue;
             };
             let run_time = crate::settings::seconds(self.estimated_run_time(job));
-            let expected_ms = wall_ms + expected_time(run_time).as_millis() as u64;
+            let expected_ms = wall_ms + expected_duration(run_time).as_millis() as u64;
             if expected_ms > latest_ms {
                 late.push((id.clone(), expected_ms - latest_ms));
             }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -25,14 +25,14 @@
 
 /// Progress of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Progress {
+pub struct DrainProgress {
     pub tasks: u32,
     pub waits: Waits,
 }
 
 impl ClusterState {
     /// Returns the replica counts of one service for the ledger.
-    pub(super) fn standing(&self, id: &JobId) -> Replicas {
+    pub(super) fn replica_counts(&self, id: &JobId) -> Replicas {
         let wanted = self.jobs.get(id).map_or(0, |job| job.spec.tasks);
         let mut replicas = Replicas {
             wanted,
@@ -40,7 +40,7 @@
         };
         let placements = self.machines.values().flat_map(|m| &m.tasks);
         let own = placements.filter(|((task, _), _)| task.job == *id);
-        own.for_each(|(_, placement)| count(&mut replicas, placement));
+        own.for_each(|(_, placement)| count_replica(&mut replicas, placement));
         replicas
     }
 
@@ -62,7 +62,7 @@
             .collect();
         for ((task, _), placement) in self.machines.values().flat_map(|m| &m.tasks) {
             if let Some(replicas) = all.get_mut(&task.job) {
-                count(replicas, placement);
+                count_replica(replicas, placement);
             }
         }
         let jobs = &self.jobs;
@@ -72,13 +72,13 @@
     }
 
     /// Whether the machine is cordoned: no new tasks are placed on it.
-    pub(super) fn cordoned(&self, id: &str) -> bool {
+    pub(super) fn is_cordoned(&self, id: &str) -> bool {
         !self.drains.machines.is_empty() && self.drains.machines.contains_key(id)
     }
 
     /// Applies a changed list of drains. Tasks that were placed on a newly cordoned machine but
     /// not sent are released, and nominations to it are dropped.
-    pub fn cordon(&mut self, drains: drain::Drains, now: Duration) {
+    pub fn apply_drains(&mut self, drains: drain::Drains, now: Duration) {
         if drains == self.drains {
             return;
         }
@@ -114,7 +114,7 @@
     }
 
     /// Advances all drains.
-    pub(super) fn plan_drains(&mut self, now: Duration) {
+    pub(super) fn advance_drains(&mut self, now: Duration) {
         if self.drains.machines.is_empty() {
             self.draining.clear();
             return;
@@ -138,7 +138,7 @@
             let Some(machine) = self.machines.get(&id) else {
                 continue;
             };
-            let mut tasks = self.tasks_to_move(&id, &services, now);
+            let mut tasks = self.remaining_tasks(&id, &services, now);
             let left = tasks.len() as u32;
             let over = ordered.by_ms.is_some_and(|by| self.wall_ms >= by);
             let (stop, waits) = match pause {
@@ -156,13 +156,13 @@
                 info!(task = %key.0, machine = %id, "stopping task on draining machine");
                 self.stop(&id, &key, self.config.options.grace, now);
             }
-            draining.insert(id, Progress { tasks: left, waits });
+            draining.insert(id, DrainProgress { tasks: left, waits });
         }
         self.draining = draining;
     }
 
     /// Returns the tasks left on a draining machine, replicas last.
-    fn tasks_to_move(
+    fn remaining_tasks(
         &self,
         id: &MachineId,
         services: &BTreeMap<JobId, Replicas>,
@@ -185,7 +185,7 @@
                     stopping: placement.stopping(),
                     service: services.get(&key.0.job).copied(),
                     room: self.has_room_elsewhere(id, placement, now),
-                    lost: work_lost(placement, now),
+                    lost: unsaved_run_time(placement, now),
                 })
             })
             .collect();
@@ -209,7 +209,7 @@
     }
 }
 
-fn count(replicas: &mut Replicas, placement: &Placement) {
+fn count_replica(replicas: &mut Replicas, placement: &Placement) {
     if !placement.exited() {
         let runs = placement.phase == Phase::Seen(TaskPhase::Running);
         replicas.stopping += u32::from(placement.stopping());
@@ -218,7 +218,7 @@
 }
 
 /// Run time that a stop would lose, at most one checkpoint interval.
-fn work_lost(placement: &Placement, now: Duration) -> Duration {
+fn unsaved_run_time(placement: &Placement, now: Duration) -> Duration {
     let Some(spec) = placement.spec.as_ref().filter(|s| s.kind != Kind::Service) else {
         return Duration::ZERO;
     };
--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -169,7 +169,7 @@
         let mut cluster = ClusterState::new(self.config.clone(), claim, types, found, now);
         cluster.apply_handover(std::mem::take(&mut self.handover), now);
         self.cluster = Some(cluster);
-        self.tell_leader_of_graph();
+        self.apply_graph();
     }
 
     pub(super) fn failover_timeout(&self) -> Duration {
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -15,12 +15,12 @@
     job::{JobSpec, TaskId},
 };
 
-fn times(needs: &BTreeMap<String, u32>, count: u32) -> Needs {
+fn multiply_needs(needs: &BTreeMap<String, u32>, count: u32) -> Needs {
     let times = |seats: &u32| seats.saturating_mul(count);
     needs.iter().map(|(l, n)| (l.clone(), times(n))).collect()
 }
 
-fn named(task: &TaskId, attempt: u64) -> Attempt {
+fn attempt_of(task: &TaskId, attempt: u64) -> Attempt {
     Attempt {
         task: task.to_string(),
         attempt,
@@ -44,7 +44,7 @@
 }
 
 /// Machine name under which the ledger counts the seats that unresponsive machines may hold.
-const SILENT: &str = "silent";
+const UNRESOLVED_MACHINES: &str = "silent";
 
 impl ClusterState {
     pub fn licence_view(&self) -> Vec<LicenceView> {
@@ -71,13 +71,13 @@
         view.collect()
     }
 
-    pub(super) fn new_ledger(&self, now: Duration) -> Option<Ledger> {
+    pub(super) fn new_licence_ledger(&self, now: Duration) -> Option<Ledger> {
         let config = self.config.options.licences.as_ref()?;
         Some(Ledger::after_take_over((**config).clone(), now))
     }
 
     /// Updates the ledger with the current seat holders.
-    pub(super) fn count_seats(&mut self, now: Duration) {
+    pub(super) fn update_seat_holders(&mut self, now: Duration) {
         let Some(ledger) = &mut self.licence_ledger else {
             return;
         };
@@ -90,7 +90,7 @@
                     Some(spec) if spec.licences.is_empty() => {}
                     Some(spec) => {
                         let holder = (spec.team.to_string(), spec.licences.clone());
-                        held.insert(named(task, *attempt), holder);
+                        held.insert(attempt_of(task, *attempt), holder);
                     }
                     None => unknown = true,
                 }
@@ -107,7 +107,7 @@
                 let hidden = job
                     .unplaced_count()
                     .min(job.spec.need.times_in(&machine.size));
-                for (licence, seats) in times(&job.spec.licences, hidden) {
+                for (licence, seats) in multiply_needs(&job.spec.licences, hidden) {
                     *maybe.entry(licence).or_insert(0) += seats;
                 }
             }
@@ -118,14 +118,14 @@
             }
         }
         ledger.step(now, Input::Holding(held));
-        let machine = SILENT.to_owned();
+        let machine = UNRESOLVED_MACHINES.to_owned();
         let needs = maybe;
         ledger.step(now, Input::MayHold { machine, needs });
     }
 
     /// Number of further tasks of the job that free seats suffice for. Seats for nominations of
     /// other jobs of equal or higher priority do not count as free.
-    pub(super) fn seats_for(&self, spec: &JobSpec, now: Duration) -> u32 {
+    pub(super) fn tasks_within_seats(&self, spec: &JobSpec, now: Duration) -> u32 {
         let (Some(ledger), false) = (&self.licence_ledger, spec.licences.is_empty()) else {
             return u32::MAX;
         };
@@ -158,7 +158,7 @@
         };
         let take = Input::Take {
             team: spec.team.to_string(),
-            attempts: vec![named(task, attempt)],
+            attempts: vec![attempt_of(task, attempt)],
             needs: spec.licences.clone(),
         };
         ledger.step(now, take);
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -16,9 +16,9 @@
 use crate::settings::TXN_OPS_LEAST;
 
 /// Minimum limit on the size of a value, in bytes.
-const VALUE_FLOOR: usize = 512;
+const MIN_VALUE_BYTES: usize = 512;
 /// Minimum interval between two warnings about rejected writes of the same key.
-const WARN_EVERY: Duration = Duration::from_secs(60);
+const WARN_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Size of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     pub value_bytes: usize,
     pub txn_ops: usize,
     /// Time of the last warning about a rejected write, by key.
-    warned: HashMap<String, Duration>,
+    warned_at: HashMap<String, Duration>,
 }
 
 impl WriteLimits {
@@ -64,35 +64,35 @@
         Self {
             value_bytes: config.value_most,
             txn_ops: config.txn_ops,
-            warned: HashMap::new(),
+            warned_at: HashMap::new(),
         }
     }
 
     /// Lowers a limit after a rejected write. Returns false if no limit can be lowered further.
-    pub fn rejected(&mut self, size: &WriteSize, now: Duration) -> bool {
-        self.tell(size, now);
+    pub fn lower_after_rejection(&mut self, size: &WriteSize, now: Duration) -> bool {
+        self.warn_of_rejection(size, now);
         let before = (self.value_bytes, self.txn_ops);
         if size.changes > TXN_OPS_LEAST {
             self.txn_ops = self.txn_ops.min(size.changes / 2).max(TXN_OPS_LEAST);
-        } else if size.value_bytes > VALUE_FLOOR {
-            let half = (size.value_bytes / 2).max(VALUE_FLOOR);
+        } else if size.value_bytes > MIN_VALUE_BYTES {
+            let half = (size.value_bytes / 2).max(MIN_VALUE_BYTES);
             self.value_bytes = self.value_bytes.min(half);
         }
         before != (self.value_bytes, self.txn_ops)
     }
 
     /// Whether a rejected write of the key is due for a warning; if so, records the warning.
-    pub fn is_news(&mut self, key: &str, now: Duration) -> bool {
-        self.warned.retain(|_, at| now < *at + WARN_EVERY);
-        let news = !self.warned.contains_key(key);
+    pub fn should_warn(&mut self, key: &str, now: Duration) -> bool {
+        self.warned_at.retain(|_, at| now < *at + WARN_INTERVAL);
+        let news = !self.warned_at.contains_key(key);
         if news {
-            self.warned.insert(key.to_owned(), now);
+            self.warned_at.insert(key.to_owned(), now);
         }
         news
     }
 
-    fn tell(&mut self, size: &WriteSize, now: Duration) {
-        if !self.is_news(&size.key, now) {
+    fn warn_of_rejection(&mut self, size: &WriteSize, now: Duration) {
+        if !self.should_warn(&size.key, now) {
             return;
         }
         warn!(
@@ -107,53 +107,53 @@
 }
 
 /// Shortest and longest time for which the write rate is reduced.
-const REDUCED_FIRST: Duration = Duration::from_secs(10);
-const REDUCED_MOST: Duration = Duration::from_secs(300);
+const MIN_REDUCTION_TIME: Duration = Duration::from_secs(10);
+const MAX_REDUCTION_TIME: Duration = Duration::from_secs(300);
 /// Time after a reduction within which replies to writes sent before it are ignored.
-const SETTLES: Duration = Duration::from_secs(2);
+const REDUCTION_SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Write rate that the leader plans with, in changes per second: the current limit, or the
 /// announced lower one for a while after a write was refused for its rate.
 #[derive(Debug)]
 pub struct WriteRate {
-    present: f64,
+    current: f64,
     announced: Option<f64>,
     reduced_since: Duration,
     reduced_until: Duration,
-    reduced_for: Duration,
+    reduction_time: Duration,
 }
 
 impl WriteRate {
     pub fn new(present: f64, announced: Option<f64>) -> Self {
         Self {
-            present,
+            current: present,
             announced: announced.filter(|rate| *rate < present),
             reduced_since: Duration::ZERO,
             reduced_until: Duration::ZERO,
-            reduced_for: Duration::ZERO,
+            reduction_time: Duration::ZERO,
         }
     }
 
-    pub fn at(&self, now: Duration) -> f64 {
+    pub fn rate_at(&self, now: Duration) -> f64 {
         match self.announced {
             Some(rate) if now < self.reduced_until => rate,
-            _ => self.present,
+            _ => self.current,
         }
     }
 
     /// Reduces the rate after a write was refused for its rate, for twice as long if that happens
     /// soon after the last reduction.
-    pub fn limited(&mut self, now: Duration) {
+    pub fn reduce(&mut self, now: Duration) {
         let reduced = now < self.reduced_until;
-        if reduced && now < self.reduced_since + SETTLES {
+        if reduced && now < self.reduced_since + REDUCTION_SETTLE_TIME {
             return;
         }
-        let again = now < self.reduced_until + self.reduced_for;
-        self.reduced_for = match again {
-            true => (self.reduced_for * 2).min(REDUCED_MOST),
-            false => REDUCED_FIRST,
+        let again = now < self.reduced_until + self.reduction_time;
+        self.reduction_time = match again {
+            true => (self.reduction_time * 2).min(MAX_REDUCTION_TIME),
+            false => MIN_REDUCTION_TIME,
         };
         self.reduced_since = now;
-        self.reduced_until = now + self.reduced_for;
+        self.reduced_until = now + self.reduction_time;
     }
 }
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -18,7 +18,7 @@
 };
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum MaintenanceRequest {
     Status,
     /// Shows what a drain of these machines would do.
     Plan(Vec<String>),
@@ -46,17 +46,21 @@
 
 #[derive(Debug, Default)]
 pub struct Maintenance {
-    retry: Duration,
+    next_store: Duration,
     storing: bool,
 }
 
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Maximum size of the stored list. The state service limits a transaction to 64 KiB, which
 /// includes keys and conditions.
-const TRANSACTION_BYTES: usize = 63 * 1024;
+const MAX_LIST_BYTES: usize = 63 * 1024;
 
 impl Node {
-    pub(super) fn maintenance_asked(&mut self, request: RequestId, ask: Ask) {
+    pub(super) fn handle_maintenance_request(
+        &mut self,
+        request: RequestId,
+        ask: MaintenanceRequest,
+    ) {
         if self.config.options.maintenance.is_none() {
             let why = "maintenance is disabled: start the nodes with --maintenance FILE";
             self.answer(request, Answer::Impossible(why.into()));
@@ -65,24 +69,24 @@
         if !self.places() || !self.has_previous_leader_stopped() {
             // Only the leader knows the machines, and a previous leader may still start
             // tasks on them.
-            self.answer(request, Answer::Later { retry: RETRY });
+            self.answer(request, Answer::Later { retry: RETRY_DELAY });
             return;
         }
         match ask {
-            Ask::Status => self.answer_drains(request, None),
-            Ask::Plan(machines) => match self.objection_to_drain(&machines, None) {
+            MaintenanceRequest::Status => self.answer_drains(request, None),
+            MaintenanceRequest::Plan(machines) => match self.drain_refusal(&machines, None) {
                 Some(why) => self.answer(request, Answer::Impossible(why)),
                 None => self.answer_drains(request, Some(machines)),
             },
-            Ask::Start { machines, by } => {
-                if let Some(why) = self.objection_to_drain(&machines, by) {
+            MaintenanceRequest::Start { machines, by } => {
+                if let Some(why) = self.drain_refusal(&machines, by) {
                     self.answer(request, Answer::Impossible(why));
                     return;
                 }
                 let drains = self.drains_with(&machines, by);
                 self.store_drains(drains, Some(request));
             }
-            Ask::Cancel(machines) => {
+            MaintenanceRequest::Cancel(machines) => {
                 let mut drains = self.cache.drains.0.clone();
                 let unknown = machines.iter().find(|m| !drains.machines.contains_key(*m));
                 if let Some(machine) = unknown {
@@ -112,7 +116,7 @@
     }
 
     /// Returns the reason why these machines can't be drained, if any.
-    fn objection_to_drain(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
+    fn drain_refusal(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
         let cluster = self.cluster.as_ref()?;
         if self.cache.cluster.0.written() < DRAINS.since {
             let needs = DRAINS.since;
@@ -123,7 +127,7 @@
         if machines.is_empty() {
             return Some("machines: name at least one machine".into());
         }
-        if let Some(why) = self.too_long(&self.drains_with(machines, by)) {
+        if let Some(why) = self.list_too_large(&self.drains_with(machines, by)) {
             return Some(why);
         }
         for name in machines {
@@ -161,8 +165,8 @@
     }
 
     /// Returns an error if the list, which is stored as one value, would be too large.
-    fn too_long(&self, drains: &Drains) -> Option<String> {
-        let most = self.limits.value_bytes.min(TRANSACTION_BYTES);
+    fn list_too_large(&self, drains: &Drains) -> Option<String> {
+        let most = self.limits.value_bytes.min(MAX_LIST_BYTES);
         let bytes = serde_json::to_vec(drains).map_or(usize::MAX, |text| text.len());
         let machines = drains.machines.len();
         (bytes > most).then(|| {
@@ -228,14 +232,14 @@
         );
     }
 
-    pub(super) fn drains_stored(
+    pub(super) fn handle_drains_stored(
         &mut self,
         request: Option<RequestId>,
         drains: Drains,
         reply: &StateReply,
     ) {
         self.maintenance.storing = false;
-        self.maintenance.retry = self.now() + BACK_OFF;
+        self.maintenance.next_store = self.now() + BACK_OFF;
         let committed = match reply {
             StateReply::Committed { revision } => {
                 if *revision > self.cache.drains.1 {
@@ -246,18 +250,18 @@
             _ => false,
         };
         // Cordons before answering: after the answer nothing more is started on the machines.
-        self.cordon();
+        self.apply_drains();
         let Some(request) = request else { return };
         match committed && self.places() {
             true => self.answer_drains(request, None),
-            false => self.answer(request, Answer::Later { retry: RETRY }),
+            false => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
         }
     }
 
-    fn cordon(&mut self) {
+    fn apply_drains(&mut self) {
         let now = self.now();
         if let Some(cluster) = &mut self.cluster {
-            cluster.cordon(self.cache.drains.0.clone(), now);
+            cluster.apply_drains(self.cache.drains.0.clone(), now);
         }
     }
 
@@ -267,14 +271,14 @@
         if self.cache.drains.1 == 0 || !self.places() {
             return;
         }
-        self.cordon();
+        self.apply_drains();
         let moves = self.cache.cluster.0.stage != Stage::Settled;
         let off = self.cache.cluster.0.written() < DRAINS.since;
         let Some(cluster) = &mut self.cluster else {
             return;
         };
         cluster.drains_pause = moves.then_some(Waits::Rollout);
-        if self.maintenance.storing || now < self.maintenance.retry {
+        if self.maintenance.storing || now < self.maintenance.next_store {
             return;
         }
         let mut drains = self.cache.drains.0.clone();
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -62,7 +62,7 @@
     },
     Maintenance {
         request: RequestId,
-        ask: maintenance::Ask,
+        ask: maintenance::MaintenanceRequest,
     },
     /// The process is about to end.
     Retire,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -87,8 +87,8 @@
 
 /// Schedules what waits, where that is due.
 fn run_due_pass(cluster: &mut ClusterState, now: Duration) {
-    if cluster.queue.dirty && now >= cluster.next_pass {
-        cluster.pass(now);
+    if cluster.queue.pass_requested && now >= cluster.next_pass {
+        cluster.run_pass(now);
     }
 }
 
@@ -178,7 +178,7 @@
             Input::Ready { request } => self.answer(request, Answer::Ready(self.is_ready())),
             Input::Licences { request } => self.licences(request),
             Input::Rollout { request, ask } => self.rollout_asked(request, ask),
-            Input::Maintenance { request, ask } => self.maintenance_asked(request, ask),
+            Input::Maintenance { request, ask } => self.handle_maintenance_request(request, ask),
             Input::Retire => self.retire(),
             Input::Report { request, report } => self.report(request, report),
             Input::State { call, reply } => self.state_service_answered(call, reply),
@@ -420,7 +420,7 @@
             Purpose::Order { request } => self.order_stored(request, &reply),
             Purpose::Migrate(about, asked) => self.migrated(about, asked, reply),
             Purpose::StoreDrains { request, drains } => {
-                self.drains_stored(request, drains, &reply);
+                self.handle_drains_stored(request, drains, &reply);
             }
             Purpose::StorePartitions { claim, record } => self.zones_stored(claim, record, &reply),
             Purpose::Failover(loading) => self.failover_reply(loading, reply),
@@ -448,7 +448,7 @@
     }
 
     fn cache_terminal_state(&mut self, id: JobId, record: TerminalRecord) {
-        self.end_in_graph(&id, record);
+        self.record_end_in_graph(&id, record);
         if self.terminal_cache.insert(id.clone(), record).is_none() {
             self.terminal_cache_order.push_back(id);
             if self.terminal_cache_order.len() > TERMINAL_CACHE_MOST
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -197,7 +197,7 @@
             // One that hears nobody can't tell what is needed.
             if !self.reachability.is_uncertain {
                 self.plan_scale_in(now);
-                self.plan_drains(now);
+                self.advance_drains(now);
                 self.plan_consolidation(now);
                 self.plan_scale_out(now);
             }
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -24,7 +24,7 @@
     queued: HashSet<JobId>,
     parked: BTreeSet<JobId>,
     /// Whether a scheduling pass has been requested since the last one.
-    pub dirty: bool,
+    pub pass_requested: bool,
 }
 
 impl Queue {
@@ -39,10 +39,10 @@
 
     /// Rebuilds the heap with the current priorities of the jobs, and the given positions among
     /// jobs of equal priority.
-    pub fn rank(&mut self, places: &HashMap<JobId, usize>, jobs: &BTreeMap<JobId, Job>) {
+    pub fn reorder(&mut self, positions: &HashMap<JobId, usize>, jobs: &BTreeMap<JobId, Job>) {
         let ranked = |id: &JobId| {
             let priority = jobs.get(id)?.spec.priority;
-            let place = places.get(id).map_or(u64::MAX, |place| *place as u64);
+            let place = positions.get(id).map_or(u64::MAX, |place| *place as u64);
             Some((priority, Reverse((place, 0)), Reverse(id.clone())))
         };
         self.heap = self.queued.iter().filter_map(ranked).collect();
@@ -77,7 +77,7 @@
         self.parked.remove(id);
     }
 
-    fn holds(&self, id: &JobId) -> bool {
+    fn contains(&self, id: &JobId) -> bool {
         self.queued.contains(id) || self.parked.contains(id)
     }
 
@@ -115,10 +115,10 @@
 impl Node {
     /// Returns a job with waiting tasks that is neither queued nor parked, and so would never be
     /// tried again. An invariant check for tests: there must be none.
-    pub fn lost_job(&self) -> Option<JobId> {
+    pub fn unqueued_job(&self) -> Option<JobId> {
         let cluster = self.cluster.as_ref()?;
         let waits =
-            |(id, job): &(&JobId, &Job)| job.waiting_count() > 0 && !cluster.queue.holds(id);
+            |(id, job): &(&JobId, &Job)| job.waiting_count() > 0 && !cluster.queue.contains(id);
         cluster.jobs.iter().find(waits).map(|(id, _)| id.clone())
     }
 }
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -56,7 +56,7 @@
         let mut counts: BTreeMap<Arc<str>, Count> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.assignment.stored) {
             let count = counts.entry(machine.zone.clone()).or_insert_with(|| Count {
-                cut: !self.reaches(&machine.zone),
+                cut: !self.is_zone_reachable(&machine.zone),
                 ..Count::default()
             });
             count.stored += 1;
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -221,7 +221,7 @@
             }
             // A machine for what the team may not run, or has no seats for, would stand
             // idle.
-            tasks = tasks.min(self.seats_for(spec, now));
+            tasks = tasks.min(self.tasks_within_seats(spec, now));
             if let Some(left) = left.get_mut(&spec.team) {
                 tasks = tasks.min(spec.need.times_in(left));
                 *left = left.plus_times(&spec.need, -f64::from(tasks));
@@ -297,7 +297,7 @@
                     };
                     if !spec.allows_place(zone, spot)
                         || self.provisioning.is_refused(&kind)
-                        || !self.reaches(zone)
+                        || !self.is_zone_reachable(zone)
                     {
                         continue;
                     }
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -23,40 +23,40 @@
 };
 
 /// Minimum interval between two scheduling passes.
-pub const PASS_EVERY: Duration = Duration::from_millis(60);
+pub const PASS_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Delay before a job that waits for licence seats is retried.
-const SEATS_AGAIN: Duration = Duration::from_secs(1);
+const SEATS_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Delay before a job that postponed its preemption is retried.
-const SLACK_AGAIN: Duration = Duration::from_secs(1);
+const SLACK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Delay before waiting jobs are retried after a nomination released its capacity.
-const HELD_AGAIN: Duration = Duration::from_secs(1);
+const RELEASE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Preemption plan for one machine: the tasks to stop there so that one task fits.
-struct Plan {
-    room: usize,
+struct PreemptionPlan {
+    index: usize,
     victims: Vec<(TaskId, u64)>,
     breaches: usize,
-    highest: Option<Priority>,
+    highest_priority: Option<Priority>,
     freed: Resources,
     /// Estimated time to fetch the image, in seconds.
-    fetch: f64,
+    fetch_s: f64,
     /// Relative price of the machine; 0 unless the job is a service.
-    keeping: f64,
+    retention_cost: f64,
 }
 
-impl Plan {
+impl PreemptionPlan {
     /// Compares by budget breaches, then by the highest victim priority. Among equal plans a
     /// machine with the image wins, even at the cost of one more victim: a fetch delays the new
     /// task by more than one more victim loses.
-    fn better_than(&self, other: &Plan) -> bool {
-        (self.breaches, self.highest)
-            .cmp(&(other.breaches, other.highest))
-            .then(self.fetch.total_cmp(&other.fetch))
-            .then(self.keeping.total_cmp(&other.keeping))
-            .then((self.victims.len(), self.room).cmp(&(other.victims.len(), other.room)))
+    fn is_better_than(&self, other: &PreemptionPlan) -> bool {
+        (self.breaches, self.highest_priority)
+            .cmp(&(other.breaches, other.highest_priority))
+            .then(self.fetch_s.total_cmp(&other.fetch_s))
+            .then(self.retention_cost.total_cmp(&other.retention_cost))
+            .then((self.victims.len(), self.index).cmp(&(other.victims.len(), other.index)))
             .is_lt()
     }
 }
@@ -66,8 +66,8 @@
         machine.standing == Standing::Up
             && machine.fenced
             && machine.notice_at.is_none()
-            && !self.cordoned(&machine.id)
-            && self.reaches(&machine.zone)
+            && !self.is_cordoned(&machine.id)
+            && self.is_zone_reachable(&machine.zone)
             && machine
                 .heard_at
                 .is_some_and(|at| now < at + self.config.report * 2 + Duration::from_millis(700))
@@ -75,7 +75,7 @@
 
     /// Whether commands can be delivered to the zone. If not, nothing is started there, and
     /// nothing is preempted there.
-    pub(super) fn reaches(&self, zone: &str) -> bool {
+    pub(super) fn is_zone_reachable(&self, zone: &str) -> bool {
         !self.reachability.is_uncertain
             && !self.reachability.partitioned_zones.contains(zone)
             && !self.withheld.contains(zone)
@@ -83,13 +83,13 @@
 
     /// Runs a scheduling pass: places jobs that fit, preempts for those that do not, and parks
     /// the rest.
-    pub fn pass(&mut self, now: Duration) {
-        self.queue.dirty = false;
-        self.next_pass = now + PASS_EVERY;
+    pub fn run_pass(&mut self, now: Duration) {
+        self.queue.pass_requested = false;
+        self.next_pass = now + PASS_INTERVAL;
         let places = self.deadline_order();
-        self.queue.rank(&places, &self.jobs);
-        self.count_seats(now);
-        let mut view = self.view(now);
+        self.queue.reorder(&places, &self.jobs);
+        self.update_seat_holders(now);
+        let mut view = self.snapshot(now);
         self.closed_priority = self.priority_to_close(now);
         // Arrays that had their turn on machines with their image, in queue order.
         let mut with_image: Vec<JobId> = Vec::new();
@@ -100,7 +100,7 @@
                 }
             }
             let Some(id) = self.queue.pop() else { break };
-            if self.waits(&mut view, &id, now) {
+            if self.should_skip(&mut view, &id, now) {
                 self.queue.park(id);
             } else if self
                 .jobs
@@ -116,7 +116,7 @@
     }
 
     /// Whether the job is skipped in this pass.
-    fn waits(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) -> bool {
+    fn should_skip(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -134,7 +134,7 @@
         {
             return true;
         }
-        if !self.at_limit(view, spec, now) {
+        if !self.is_at_limit(view, spec, now) {
             return false;
         }
         // A job at a limit is not matched with machines, but its locality wait starts as if it was.
@@ -143,24 +143,24 @@
             !spec.licences.is_empty(),
         );
         if seats {
-            self.retry_by(now + SEATS_AGAIN);
+            self.retry_by(now + SEATS_RETRY_DELAY);
         }
         if with_image && let Some(job) = self.jobs.get_mut(id) {
             job.locality_wait_since.get_or_insert(now);
         }
         // Capacity that was freed for the job is released to others in the meantime.
-        self.drop_spent(view, id, now);
+        self.drop_completed_nominations(view, id, now);
         true
     }
 
     /// Whether even the smallest startable part of the job (a whole gang, or one task) exceeds
     /// the limits of its team or the free licence seats.
-    fn at_limit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> bool {
+    fn is_at_limit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> bool {
         let least = match spec.kind {
             Kind::Gang => spec.tasks,
             _ => 1,
         };
-        self.over_limit(view, spec, least, now)
+        self.exceeds_limit(view, spec, least, now)
     }
 
     /// Schedules a retry of the parked jobs at the given time, unless an earlier one is due.
@@ -176,9 +176,10 @@
             return;
         };
         let spec = job.spec.clone();
-        if view.rules_out(&spec, !job.nominations.is_empty()) || self.at_limit(view, &spec, now) {
+        if view.rules_out(&spec, !job.nominations.is_empty()) || self.is_at_limit(view, &spec, now)
+        {
             if !spec.licences.is_empty() {
-                self.retry_by(now + SEATS_AGAIN);
+                self.retry_by(now + SEATS_RETRY_DELAY);
             }
             self.queue.park(id);
             return;
@@ -191,13 +192,13 @@
         if !all {
             // Licence seats may be returned without any event that triggers a retry.
             if !spec.licences.is_empty() {
-                self.retry_by(now + SEATS_AGAIN);
+                self.retry_by(now + SEATS_RETRY_DELAY);
             }
             self.queue.park(id);
         }
     }
 
-    fn view(&self, now: Duration) -> Snapshot {
+    fn snapshot(&self, now: Duration) -> Snapshot {
         let (usage, leaving) = self.usage();
         let rooms: Vec<MachineCapacity> = self
             .machines
@@ -238,7 +239,7 @@
                 let room = &view.rooms[*room];
                 !with_image || (spec.need.fits_in(&room.free) && has_image(room))
             })
-            .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
+            .filter_map(|room| Some((self.placement_cost(view, room, spec, now)?, room)))
             .collect();
         costs.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         for (_, room) in costs {
@@ -250,7 +251,7 @@
                 let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) else {
                     return;
                 };
-                if self.over_limit(view, spec, 1, now) {
+                if self.exceeds_limit(view, spec, 1, now) {
                     return;
                 }
                 let attempt = self.next_attempt();
@@ -258,7 +259,7 @@
                     job: id.clone(),
                     index,
                 };
-                self.put(view, room, &machine, task, attempt, now);
+                self.place_task(view, room, &machine, task, attempt, now);
             }
         }
     }
@@ -275,8 +276,8 @@
             self.fill_machines(view, id, spec, false, now);
         }
         while let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) {
-            if self.over_limit(view, spec, 1, now) || self.jobs[id].tries_enough() {
-                self.drop_spent(view, id, now);
+            if self.exceeds_limit(view, spec, 1, now) || self.jobs[id].tries_enough() {
+                self.drop_completed_nominations(view, id, now);
                 return false;
             }
             let task = TaskId {
@@ -286,16 +287,16 @@
             if let Some(room) = self.best_fit(view, spec, now) {
                 let machine = view.rooms[room].id.clone();
                 let attempt = self.next_attempt();
-                self.put(view, room, &machine, task, attempt, now);
+                self.place_task(view, room, &machine, task, attempt, now);
                 continue;
             }
             // A job that fails on every machine does not preempt others.
-            return !self.jobs[id].faulty() && self.make_room(view, id, spec, now);
+            return !self.jobs[id].faulty() && self.preempt_for(view, id, spec, now);
         }
         true
     }
 
-    fn put(
+    fn place_task(
         &mut self,
         view: &mut Snapshot,
         room: usize,
@@ -320,8 +321,8 @@
         view.refresh_held(&job.spec, &job.nominations);
     }
 
-    fn over_limit(&self, view: &Snapshot, spec: &JobSpec, tasks: u32, now: Duration) -> bool {
-        if self.seats_for(spec, now) < tasks {
+    fn exceeds_limit(&self, view: &Snapshot, spec: &JobSpec, tasks: u32, now: Duration) -> bool {
+        if self.tasks_within_seats(spec, now) < tasks {
             return true;
         }
         let Some(team) = self.config.teams.get(&spec.team) else {
@@ -334,10 +335,10 @@
     }
 
     /// Whether the job's constraints allow a task on the machine, free resources aside.
-    fn allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
+    fn is_allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
         spec.allows_type(&room.machine_type)
             && spec.allows_place(&room.zone, room.spot)
-            && zone_allowed(&view.zones, &room.zone, spec)
+            && is_zone_allowed(&view.zones, &room.zone, spec)
     }
 
     /// Checks that a task fits twice: without the nominated tasks, and again with those of equal
@@ -358,19 +359,25 @@
                 left = left.minus(need);
             }
         }
-        spec.need.fits_in(&left) && self.allowed(view, room, spec)
+        spec.need.fits_in(&left) && self.is_allowed(view, room, spec)
     }
 
     fn best_fit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
         view.may_fit(spec)
-            .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
+            .filter_map(|room| Some((self.placement_cost(view, room, spec, now)?, room)))
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, room)| room)
     }
 
     /// Cost of placing a task of the job on the machine, or none if it does not fit there. The
     /// machine with the lowest cost is preferred.
-    fn cost(&self, view: &Snapshot, index: usize, spec: &JobSpec, now: Duration) -> Option<f64> {
+    fn placement_cost(
+        &self,
+        view: &Snapshot,
+        index: usize,
+        spec: &JobSpec,
+        now: Duration,
+    ) -> Option<f64> {
         let room = &view.rooms[index];
         if !self.fits(view, room, spec, &room.free) {
             return None;
@@ -403,11 +410,11 @@
         }
         // Prefers spot machines for jobs that accept them.
         if spec.spot && !machine.spot {
-            cost += self.dearer(machine) * spec.estimate_s;
+            cost += self.on_demand_premium(machine) * spec.estimate_s;
         }
         // A service holds its machine for an unlimited time, so an expensive machine would stay
         // rented for it alone. Arrays and gangs leave the cheap machines to services.
-        let keep = self.keeping(machine);
+        let keep = self.relative_price(machine);
         cost += match spec.kind {
             Kind::Service => 1.5 * keep,
             _ if machine.spot => 0.0,
@@ -419,40 +426,40 @@
 
     /// Extra price of the machine over a spot machine of its type, as a fraction of the on-demand
     /// price.
-    fn dearer(&self, machine: &Machine) -> f64 {
+    fn on_demand_premium(&self, machine: &Machine) -> f64 {
         let price = |spot| self.price(&machine.machine_type, spot);
         (1.0 - price(true) / price(false).max(1e-9)).max(0.0)
     }
 
     /// Price of the machine as a fraction of the price of the most expensive type.
-    fn keeping(&self, machine: &Machine) -> f64 {
+    fn relative_price(&self, machine: &Machine) -> f64 {
         let dearest = self.types.iter().map(|t| t.price).fold(0.0, f64::max);
         self.price(&machine.machine_type, machine.spot) / dearest.max(1e-9)
     }
 
     /// Preempts for the waiting tasks of a job that have no nomination yet.
-    fn make_room(
+    fn preempt_for(
         &mut self,
         view: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
-        self.drop_spent(view, id, now);
+        self.drop_completed_nominations(view, id, now);
         if self.awaits_capacity(spec, DeferredAction::Preempt) {
             return false;
         }
         if self.has_time_before_preempting(id) {
-            self.retry_by(now + SLACK_AGAIN);
+            self.retry_by(now + SLACK_RETRY_DELAY);
             return false;
         }
         let waiting = self.jobs[id].waiting_count() as usize;
         while self.jobs[id].nominations.len() < waiting {
             let nominated = self.jobs[id].nominations.len() as u32;
-            if self.over_limit(view, spec, nominated + 1, now) {
+            if self.exceeds_limit(view, spec, nominated + 1, now) {
                 break;
             }
-            let Some(plan) = self.best_plan(view, spec) else {
+            let Some(plan) = self.best_preemption_plan(view, spec) else {
                 // With zone constraints, machines may be ruled out for this job alone.
                 if nominated == 0 && !spec.one_zone && !spec.spread {
                     let spec = spec.clone();
@@ -468,7 +475,7 @@
     /// Drops the nominations of a job to machines where no task is stopping any more. A task
     /// whose victims are gone and that still did not fit may preempt again; one whose victims
     /// are still stopping may not.
-    fn drop_spent(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
+    fn drop_completed_nominations(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
         let machines = &self.machines;
         let job = self.jobs.get_mut(id).expect("job at hand");
         let before = job.nominations.len();
@@ -480,27 +487,27 @@
         if job.nominations.len() != before {
             self.refresh_held(view, id);
             // Jobs of the same priority may have had their turn in this pass already.
-            self.retry_by(now + HELD_AGAIN);
+            self.retry_by(now + RELEASE_RETRY_DELAY);
         }
     }
 
-    fn best_plan(&self, view: &Snapshot, spec: &JobSpec) -> Option<Plan> {
-        let reclaims = self.within_guarantee(view, spec);
-        let mut best: Option<Plan> = None;
+    fn best_preemption_plan(&self, view: &Snapshot, spec: &JobSpec) -> Option<PreemptionPlan> {
+        let reclaims = self.is_within_guarantee(view, spec);
+        let mut best: Option<PreemptionPlan> = None;
         for (index, room) in view.rooms.iter().enumerate() {
             let most = room.most_free(spec.priority, reclaims);
-            if !spec.need.fits_in(&most) || !self.allowed(view, room, spec) {
+            if !spec.need.fits_in(&most) || !self.is_allowed(view, room, spec) {
                 continue;
             }
             if best
                 .as_ref()
-                .is_some_and(|b| self.loses(room, spec, reclaims, b))
+                .is_some_and(|b| self.is_worse_than(room, spec, reclaims, b))
             {
                 continue;
             }
-            let plan = self.plan(view, index, spec, reclaims);
+            let plan = self.preemption_plan(view, index, spec, reclaims);
             best = match (best, plan) {
-                (Some(best), Some(plan)) if plan.better_than(&best) => Some(plan),
+                (Some(best), Some(plan)) if plan.is_better_than(&best) => Some(plan),
                 (None, plan) => plan,
                 (best, _) => best,
             };
@@ -511,28 +518,43 @@
     /// Whether any plan for the machine would be worse than `best`. This check avoids visiting
     /// all tasks of each machine for each waiting service, which took most of the time of a pass
     /// under high load.
-    fn loses(&self, room: &MachineCapacity, spec: &JobSpec, reclaims: bool, best: &Plan) -> bool {
+    fn is_worse_than(
+        &self,
+        room: &MachineCapacity,
+        spec: &JobSpec,
+        reclaims: bool,
+        best: &PreemptionPlan,
+    ) -> bool {
         let least = room.least_highest(spec, reclaims);
-        if best.breaches > 0 || least != best.highest {
-            return best.breaches == 0 && least > best.highest;
+        if best.breaches > 0 || least != best.highest_priority {
+            return best.breaches == 0 && least > best.highest_priority;
         }
         let machine = &self.machines[&room.id];
-        let by_fetch = self.fetch_time(machine, spec).total_cmp(&best.fetch);
+        let by_fetch = self.fetch_time(machine, spec).total_cmp(&best.fetch_s);
         by_fetch
-            .then_with(|| self.keeping_for(machine, spec).total_cmp(&best.keeping))
+            .then_with(|| {
+                self.retention_cost(machine, spec)
+                    .total_cmp(&best.retention_cost)
+            })
             .is_gt()
     }
 
-    fn keeping_for(&self, machine: &Machine, spec: &JobSpec) -> f64 {
+    fn retention_cost(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         match spec.kind {
-            Kind::Service => self.keeping(machine),
+            Kind::Service => self.relative_price(machine),
             _ => 0.0,
         }
     }
 
     /// Builds the plan for one machine: removes every task that may be preempted, then restores
     /// those that can stay.
-    fn plan(&self, view: &Snapshot, index: usize, spec: &JobSpec, reclaims: bool) -> Option<Plan> {
+    fn preemption_plan(
+        &self,
+        view: &Snapshot,
+        index: usize,
+        spec: &JobSpec,
+        reclaims: bool,
+    ) -> Option<PreemptionPlan> {
         let room = &view.rooms[index];
         let machine = &self.machines[&room.id];
         let mut free = room.free;
@@ -582,19 +604,19 @@
         let mut budgeted: Vec<_> = candidates
             .into_iter()
             .map(|(key, victim, since)| {
-                let breaks = self.breaks_budget(victim, &mut stopping);
+                let breaks = self.breaches_budget(victim, &mut stopping);
                 (breaks, victim.priority, Reverse(since), key, victim)
             })
             .collect();
         budgeted.sort_by(|a, b| (b.0, b.1, b.2, a.3).cmp(&(a.0, a.1, a.2, b.3)));
-        let mut plan = Plan {
-            room: index,
+        let mut plan = PreemptionPlan {
+            index: index,
             victims: Vec::new(),
             breaches: 0,
-            highest: None,
+            highest_priority: None,
             freed: Resources::default(),
-            fetch: self.fetch_time(machine, spec),
-            keeping: self.keeping_for(machine, spec),
+            fetch_s: self.fetch_time(machine, spec),
+            retention_cost: self.retention_cost(machine, spec),
         };
         for (breaks, priority, _, key, victim) in budgeted {
             let without = free.minus(&victim.need);
@@ -603,7 +625,7 @@
                 continue;
             }
             plan.breaches += usize::from(breaks);
-            plan.highest = plan.highest.max(Some(priority));
+            plan.highest_priority = plan.highest_priority.max(Some(priority));
             plan.freed = plan.freed.plus(&victim.need);
             plan.victims.push(key.clone());
         }
@@ -612,7 +634,7 @@
 
     /// Whether one more task of the job, added to the team's running and nominated tasks, is
     /// within the team's guarantee.
-    fn within_guarantee(&self, view: &Snapshot, spec: &JobSpec) -> bool {
+    fn is_within_guarantee(&self, view: &Snapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
         };
@@ -646,13 +668,17 @@
 
     /// Whether stopping one more replica of the service would breach its disruption budget.
     /// Counts the replica in `more`.
-    fn breaks_budget(&self, victim: &JobSpec, more: &mut HashMap<JobId, (Replicas, u32)>) -> bool {
+    fn breaches_budget(
+        &self,
+        victim: &JobSpec,
+        more: &mut HashMap<JobId, (Replicas, u32)>,
+    ) -> bool {
         if victim.kind != Kind::Service {
             return false;
         }
         let (standing, count) = more
             .entry(victim.id.clone())
-            .or_insert_with(|| (self.standing(&victim.id), 0));
+            .or_insert_with(|| (self.replica_counts(&victim.id), 0));
         *count += 1;
         self.ledger.breach(&victim.team, *standing, *count)
     }
@@ -662,10 +688,10 @@
         view: &mut Snapshot,
         id: &JobId,
         spec: &JobSpec,
-        plan: Plan,
+        plan: PreemptionPlan,
         now: Duration,
     ) {
-        let machine = view.rooms[plan.room].id.clone();
+        let machine = view.rooms[plan.index].id.clone();
         info!(
             job = %id,
             machine = %machine,
@@ -683,18 +709,18 @@
             }
             self.stop(&machine, key, grace, now);
         }
-        view.recount(plan.room, &self.machines[&machine]);
+        view.recount(plan.index, &self.machines[&machine]);
         self.jobs
             .get_mut(id)
             .expect("job at hand")
             .nominations
             .push(machine.clone());
         self.refresh_held(view, id);
-        self.clear_lower(view, plan.room, spec);
+        self.clear_lower_nominations(view, plan.index, spec);
     }
 
     /// Clears nominations of a lower priority that no longer fit beside the new one.
-    fn clear_lower(&mut self, view: &mut Snapshot, index: usize, spec: &JobSpec) {
+    fn clear_lower_nominations(&mut self, view: &mut Snapshot, index: usize, spec: &JobSpec) {
         let machine = self.machines[&view.rooms[index].id].clone();
         let mut lower: Vec<(Priority, JobId, Resources)> = Vec::new();
         let mut free = machine.free();
@@ -736,7 +762,7 @@
     }
 }
 
-fn zone_allowed(zones: &BTreeMap<Arc<str>, u32>, zone: &Arc<str>, spec: &JobSpec) -> bool {
+fn is_zone_allowed(zones: &BTreeMap<Arc<str>, u32>, zone: &Arc<str>, spec: &JobSpec) -> bool {
     if spec.one_zone && zones.iter().any(|(z, n)| z != zone && *n > 0) {
         return false;
     }
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -21,7 +21,7 @@
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
-        if self.jobs[id].placed > 0 || self.over_limit(view, spec, spec.tasks, now) {
+        if self.jobs[id].placed > 0 || self.exceeds_limit(view, spec, spec.tasks, now) {
             return false;
         }
         let lingering = match by_zone(spec) {
@@ -51,19 +51,19 @@
                         job: id.clone(),
                         index: *index,
                     };
-                    self.put(view, room, &machine, task, attempt, now);
+                    self.place_task(view, room, &machine, task, attempt, now);
                 }
                 return true;
             }
         }
-        self.drop_spent(view, id, now);
+        self.drop_completed_nominations(view, id, now);
         if self.jobs[id].nominations.is_empty()
             && !self.awaits_capacity(spec, DeferredAction::Preempt)
         {
-            self.make_room_for_gang(view, id, spec, &tasks, now);
+            self.preempt_for_gang(view, id, spec, &tasks, now);
         }
         if self.jobs[id].nominations.is_empty() {
-            self.gather(view, id, spec, tasks.len());
+            self.reserve_for_gang(view, id, spec, tasks.len());
         }
         false
     }
@@ -72,7 +72,7 @@
     /// them, until the end of the pass. Tasks of a lower priority would be preempted as soon as
     /// the rest of the gang fits, and would delay it until then. Jobs of the same priority may go
     /// first until the gang has waited for `gather_after`.
-    fn gather(&self, view: &mut Snapshot, id: &JobId, spec: &JobSpec, tasks: usize) {
+    fn reserve_for_gang(&self, view: &mut Snapshot, id: &JobId, spec: &JobSpec, tasks: usize) {
         let mut best: Vec<usize> = Vec::new();
         for zones in view.gang_zones(spec) {
             let there = view.may_fit(spec).filter(|index| {
@@ -136,7 +136,7 @@
     }
 
     /// Preempts for all tasks of a gang, or for none.
-    fn make_room_for_gang(
+    fn preempt_for_gang(
         &mut self,
         view: &mut Snapshot,
         id: &JobId,
@@ -144,7 +144,7 @@
         tasks: &[u32],
         now: Duration,
     ) {
-        let reclaims = self.within_guarantee(view, spec);
+        let reclaims = self.is_within_guarantee(view, spec);
         let most = |room: &MachineCapacity| room.most_free(spec.priority, reclaims);
         for zones in view.gang_zones(spec) {
             if !view.may_hold(spec, tasks.len(), &zones, most) {
@@ -159,10 +159,10 @@
                 }
             }
             for _ in tasks {
-                let Some(plan) = self.best_plan(view, spec) else {
+                let Some(plan) = self.best_preemption_plan(view, spec) else {
                     break;
                 };
-                let room = &mut view.rooms[plan.room];
+                let room = &mut view.rooms[plan.index];
                 room.free = room.free.plus(&plan.freed).minus(&spec.need);
                 room.victims.extend(plan.victims.iter().cloned());
                 let zone = room.zone.clone();
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -36,13 +36,13 @@
                 }
             }
         }
-        self.add_unresolved(&mut usage);
+        self.add_unresolved_usage(&mut usage);
         (usage, leaving)
     }
 
     /// Counts tasks that unresponsive machines may hold as running. A waiting task is on at most
     /// one of them, so a task that several machines list counts once.
-    fn add_unresolved(&self, usage: &mut Usage) {
+    fn add_unresolved_usage(&self, usage: &mut Usage) {
         let mut hidden: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.unresolved) {
             let mut listed = machine.assignment.may_list();
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -187,7 +187,7 @@
             // Not active now: if it was accepted before, its end was stored by now.
             StateReply::Missing => {
                 let request = check.request;
-                self.look_for_end(request, need, Question::Named(Box::new(check)));
+                self.look_up_terminal_state(request, need, Question::Named(Box::new(check)));
             }
             _ => self.answer(check.request, Answer::Later { retry: RETRY }),
         }
@@ -415,7 +415,7 @@
             }
             // Neither active nor known to be over: its end, if it had one, was
             // stored with its removal from the active ones.
-            self.look_for_end(request, id, question);
+            self.look_up_terminal_state(request, id, question);
             return;
         };
         let waits_on = match self.dependencies.status(&id) {
@@ -431,7 +431,11 @@
                         id,
                         question,
                     };
-                    self.look_for_end(request, end, Question::NeededBy(Box::new(pending)));
+                    self.look_up_terminal_state(
+                        request,
+                        end,
+                        Question::NeededBy(Box::new(pending)),
+                    );
                 }
                 return;
             }
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -70,7 +70,7 @@
         } else {
             self.loading = false;
             self.cache.loaded = true;
-            self.build_graph();
+            self.rebuild_graph();
             self.observe_leader();
         }
     }
@@ -132,6 +132,6 @@
             cluster.add_job(id, job, Results::default());
         }
         self.add_to_graph(id);
-        self.tell_leader_of_job(id);
+        self.apply_graph_to_job(id);
     }
 }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -191,13 +191,13 @@
     fn refill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = now;
-        self.rate = self.rates.at(now);
+        self.rate = self.rates.rate_at(now);
         self.allowance = (self.allowance + passed * self.rate).min(self.rate);
     }
 
     /// A write was refused for the rate.
     pub fn limited(&mut self, now: Duration) {
-        self.rates.limited(now);
+        self.rates.reduce(now);
     }
 
     /// A write was rejected; it will be made smaller, or can't be.
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -160,7 +160,10 @@
             Handle::Ready => self.api.ask(|request| Input::Ready { request }).await,
             Handle::Licences => self.api.ask(|request| Input::Licences { request }).await,
             Handle::Rollout => self.rollout(Ask::Status).await,
-            Handle::Drains => self.maintenance(maintenance::Ask::Status).await,
+            Handle::Drains => {
+                self.maintenance(maintenance::MaintenanceRequest::Status)
+                    .await
+            }
             Handle::Drain => {
                 let order = request.path_params::<String>().unwrap_or_default();
                 match read(request)
@@ -204,7 +207,7 @@
         }
     }
 
-    async fn maintenance(&self, ask: maintenance::Ask) -> Response {
+    async fn maintenance(&self, ask: maintenance::MaintenanceRequest) -> Response {
         self.api
             .ask(move |request| Input::Maintenance { request, ask })
             .await
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -259,7 +259,7 @@
 }
 
 /// What an operator wants done about machines.
-pub fn parse_drain(order: &str, body: &[u8]) -> Result<maintenance::Ask, String> {
+pub fn parse_drain(order: &str, body: &[u8]) -> Result<maintenance::MaintenanceRequest, String> {
     let parsed: DrainOrder = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let by = match parsed.by_s {
         Some(by) if !(0.0..=30.0 * 86_400.0).contains(&by) => {
@@ -269,9 +269,9 @@
     };
     let machines = parsed.machines;
     match order {
-        "plan" => Ok(maintenance::Ask::Plan(machines)),
-        "start" => Ok(maintenance::Ask::Start { machines, by }),
-        "cancel" => Ok(maintenance::Ask::Cancel(machines)),
+        "plan" => Ok(maintenance::MaintenanceRequest::Plan(machines)),
+        "start" => Ok(maintenance::MaintenanceRequest::Start { machines, by }),
+        "cancel" => Ok(maintenance::MaintenanceRequest::Cancel(machines)),
         _ => Err(format!("no order {order}")),
     }
 }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -11,7 +11,7 @@
         config::{Config, Options},
         heartbeat_forwarding::PeerMessage,
         machine::{ReportedTask, TaskPhase, WorkerReport},
-        maintenance::Ask,
+        maintenance::MaintenanceRequest,
         membership::nodes::NodeHeartbeat,
         state_cache::LeaderRecord,
         store::{
@@ -357,7 +357,7 @@
         let mut settings = settings(700);
         settings.params.state.value_kb = value_kb;
         let mut leading = LeadingNode::new(&settings, Vec::new());
-        let ask = Ask::Start {
+        let ask = MaintenanceRequest::Start {
             machines: (0..machines).map(|i| format!("{names}{i}")).collect(),
             by: Some(Duration::from_secs(60)),
         };
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -183,7 +183,7 @@
     }
 
     pub fn pass(&mut self) {
-        self.cluster.pass(self.now);
+        self.cluster.run_pass(self.now);
     }
 
     pub fn on(&self, job: &JobId) -> Vec<String> {
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -769,7 +769,7 @@
     names.iter().for_each(|name| drop(c.report(name)));
     // Only the retry time returns it to the queue.
     c.cluster.tick(c.now);
-    assert!(c.cluster.queue.dirty);
+    assert!(c.cluster.queue.pass_requested);
     c.pass();
     assert_eq!(c.on(&broken).len(), 1);
     // It preempts no task of the healthy job, which fills the machines.
--- a/tests/scheduling/requeue.rs
+++ b/tests/scheduling/requeue.rs
@@ -14,7 +14,7 @@
 
 fn looks(c: &mut Cluster) {
     c.cluster.tick(c.now);
-    if c.cluster.queue.dirty {
+    if c.cluster.queue.pass_requested {
         c.pass();
     }
 }
--- a/tests/world/between.rs
+++ b/tests/world/between.rs
@@ -98,7 +98,7 @@
     /// No job has waiting tasks that nothing will ever look at again.
     pub fn look_for_lost(&mut self) {
         let nodes = self.nodes.iter().flatten();
-        let lost: Vec<_> = nodes.filter_map(|node| node.lost_job()).collect();
+        let lost: Vec<_> = nodes.filter_map(|node| node.unqueued_job()).collect();
         for id in lost {
             self.observer
                 .breaks(self.now, "lost", format!("{id} is in no queue"));
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -265,7 +265,7 @@
         }
         self.roll.wanted = machines.clone();
         let node = self.leading();
-        let ask = maintenance::Ask::Start {
+        let ask = maintenance::MaintenanceRequest::Start {
             machines: machines.clone(),
             by: Some(Duration::from_secs(10)),
         };
