--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -105,8 +105,8 @@
             return;
         }
         self.next_log = now + Duration::from_secs(5);
-        let standing = |m: &&Machine| m.standing == Standing::Up;
-        let up = self.machines.values().filter(standing).count();
+        let is_up = |m: &&Machine| m.standing == Standing::Up;
+        let up = self.machines.values().filter(is_up).count();
         let booting = self.machines.len() - up;
         let waiting: u32 = self.jobs.values().map(|j| j.waiting_count()).sum();
         let Counts {
@@ -148,13 +148,13 @@
     /// Logs the use of machines by kind of job, in whole machines of the scarcest resource.
     fn log_machine_use(&self) {
         let mut used = [[0.0; 2]; 3];
-        let (mut idle, mut all) = ([0; 2], [0; 2]);
+        let (mut idle, mut totals) = ([0; 2], [0; 2]);
         for machine in self.machines.values() {
             if machine.standing != Standing::Up {
                 continue;
             }
             let spot = usize::from(machine.spot);
-            all[spot] += 1;
+            totals[spot] += 1;
             idle[spot] += usize::from(!machine.busy());
             for p in machine.tasks.values().filter(|p| !p.exited()) {
                 let kind = p.spec.as_ref().map_or(0, |spec| spec.kind as usize);
@@ -163,7 +163,7 @@
         }
         let [arrays, gangs, services] = used.map(|[ordinary, _]| ordinary.round());
         let [spot_arrays, ..] = used.map(|[_, spot]| spot.round());
-        let ([ordinary, spot], [idle, idle_spot]) = (all, idle);
+        let ([ordinary, spot], [idle, idle_spot]) = (totals, idle);
         debug!(
             ordinary,
             arrays, gangs, services, idle, spot, spot_arrays, idle_spot, "machine use"
@@ -174,7 +174,7 @@
     /// higher priorities have waited for a whole span than started within one.
     pub(super) fn priority_to_close(&mut self, now: Duration) -> Option<Priority> {
         let span = self.start_rate.span;
-        let mut late = [0; Priority::ALL.len()];
+        let mut overdue = [0; Priority::ALL.len()];
         for machine in self.machines.values() {
             if machine.standing != Standing::Up {
                 continue;
@@ -184,15 +184,15 @@
                     && now > p.since + span
                     && let Some(spec) = &p.spec
                 {
-                    late[spec.priority as usize] += 1;
+                    overdue[spec.priority as usize] += 1;
                 }
             }
         }
         let starts = self.start_rate.recent_starts(now);
-        let mut sum = 0;
+        let mut total = 0;
         let closed_priority = Priority::ALL.into_iter().rev().find(|priority| {
-            sum += late[*priority as usize];
-            sum > starts
+            total += overdue[*priority as usize];
+            total > starts
         });
         if closed_priority.is_some() {
             // The backlog can clear without any task ending, so nothing else would trigger a retry.
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -55,7 +55,7 @@
     /// Returns the most expensive underused machine that runs only settled replicas, all of which
     /// fit on other machines now.
     fn underused_machine(&self, now: Duration) -> Option<MachineId> {
-        let dear = self
+        let candidates = self
             .machines
             .values()
             .filter(|m| self.usable(m, now) && !m.direct)
@@ -76,13 +76,14 @@
             })
             .filter(|m| self.fits_elsewhere(m, now));
         let price = |m: &Machine| self.price(&m.machine_type, m.spot);
-        dear.max_by(|a, b| price(a).total_cmp(&price(b)))
+        candidates
+            .max_by(|a, b| price(a).total_cmp(&price(b)))
             .map(|m| m.id.clone())
     }
 
     /// Whether other busy machines have capacity and the images for all tasks of the machine.
     fn fits_elsewhere(&self, machine: &Machine, now: Duration) -> bool {
-        let mut rooms: Vec<_> = self
+        let mut free_capacity: Vec<_> = self
             .machines
             .values()
             .filter(|m| m.id != machine.id && m.busy() && self.usable(m, now))
@@ -90,7 +91,7 @@
             .collect();
         machine.tasks.values().filter(|p| !p.exited()).all(|p| {
             let Some(spec) = &p.spec else { return false };
-            let room = rooms.iter_mut().find(|(m, free)| {
+            let target = free_capacity.iter_mut().find(|(m, free)| {
                 // A move within the zone can't violate a zone constraint of the service.
                 (m.zone == machine.zone || !(spec.one_zone || spec.spread))
                     && spec.allows_type(&m.machine_type)
@@ -98,7 +99,8 @@
                     && m.has_image(&spec.image)
                     && spec.need.fits_in(free)
             });
-            room.map(|(_, free)| *free = free.minus(&spec.need))
+            target
+                .map(|(_, free)| *free = free.minus(&spec.need))
                 .is_some()
         })
     }
@@ -112,17 +114,17 @@
             .filter(|(_, p)| !p.exited() && !p.stopping() && !p.foreign)
             .map(|(key, _)| key.clone())
             .collect();
-        let mut moved: HashMap<JobId, u32> = HashMap::new();
+        let mut stopped_by_service: HashMap<JobId, u32> = HashMap::new();
         for key in running {
-            let (Some(job), Some(standing)) = (self.jobs.get(&key.0.job), services.get(&key.0.job))
+            let (Some(job), Some(counts)) = (self.jobs.get(&key.0.job), services.get(&key.0.job))
             else {
                 continue;
             };
-            let stops = moved.entry(key.0.job.clone()).or_insert(0);
+            let stopped = stopped_by_service.entry(key.0.job.clone()).or_insert(0);
             let service = Replicas {
-                up: standing.up.saturating_sub(*stops),
-                stopping: standing.stopping + *stops,
-                ..*standing
+                up: counts.up.saturating_sub(*stopped),
+                stopping: counts.stopping + *stopped,
+                ..*counts
             };
             let team = job.spec.team.clone();
             let ask = Ask {
@@ -132,7 +134,7 @@
             };
             if self.ledger.ask(now, &ask).is_ok() {
                 self.ledger.take(now, &ask);
-                *stops += 1;
+                *stopped += 1;
                 self.stop(id, &key, self.config.options.grace, now);
             }
         }
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -32,59 +32,62 @@
 impl ClusterState {
     /// Returns the position of each waiting job in the order, starting at 0.
     pub fn deadline_order(&self) -> HashMap<JobId, usize> {
-        let mut first: Vec<(&JobId, &Job)> = Vec::new();
-        let finite = self.batch_capacity();
-        let mut left: Vec<DatedJob> = Vec::new();
-        let mut last: Vec<JobId> = Vec::new();
+        let mut by_ready_time: Vec<(&JobId, &Job)> = Vec::new();
+        let batch_capacity = self.batch_capacity();
+        let mut remaining: Vec<DatedJob> = Vec::new();
+        let mut faulty: Vec<JobId> = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.waiting_count() > 0) {
             if job.faulty() {
-                last.push(id.clone());
+                faulty.push(id.clone());
                 continue;
             }
-            match self.dated_job(id, job, &finite) {
-                Some(entry) => left.push(entry),
-                None => first.push((id, job)),
+            match self.dated_job(id, job, &batch_capacity) {
+                Some(entry) => remaining.push(entry),
+                None => by_ready_time.push((id, job)),
             }
         }
-        first.sort_by_key(|(id, job)| (job.ready_ms, job.version, (*id).clone()));
-        let mut order: Vec<JobId> = first.into_iter().map(|(id, _)| id.clone()).collect();
-        let mut ahead = 0.0;
+        by_ready_time.sort_by_key(|(id, job)| (job.ready_ms, job.version, (*id).clone()));
+        let mut order: Vec<JobId> = by_ready_time
+            .into_iter()
+            .map(|(id, _)| id.clone())
+            .collect();
+        let mut total_work = 0.0;
         for round in 0..2 {
-            let (mut taken, mut late): (Vec<Option<DatedJob>>, _) = (Vec::new(), Vec::new());
+            let (mut taken, mut deferred): (Vec<Option<DatedJob>>, _) = (Vec::new(), Vec::new());
             // Most work first; among equals the job taken last.
-            let mut largest: BinaryHeap<(u64, usize)> = BinaryHeap::new();
-            left.sort_by(|a, b| {
+            let mut by_work: BinaryHeap<(u64, usize)> = BinaryHeap::new();
+            remaining.sort_by(|a, b| {
                 let due = |e: &DatedJob| e.due_times_s.get(round).copied().unwrap_or(f64::INFINITY);
                 due(a).total_cmp(&due(b)).then_with(|| a.id.cmp(&b.id))
             });
-            for entry in left {
+            for entry in remaining {
                 let Some(due) = entry
                     .due_times_s
                     .get(round)
                     .copied()
                     .filter(|d| entry.min_run_s <= *d)
                 else {
-                    late.push(entry);
+                    deferred.push(entry);
                     continue;
                 };
-                ahead += entry.work_s;
+                total_work += entry.work_s;
                 // Work is never negative, so its bit patterns sort like its values.
-                largest.push((entry.work_s.to_bits(), taken.len()));
+                by_work.push((entry.work_s.to_bits(), taken.len()));
                 taken.push(Some(entry));
-                if ahead > due
-                    && let Some((_, largest)) = largest.pop()
-                    && let Some(put_back) = taken[largest].take()
+                if total_work > due
+                    && let Some((_, index)) = by_work.pop()
+                    && let Some(removed) = taken[index].take()
                 {
-                    ahead -= put_back.work_s;
-                    late.push(put_back);
+                    total_work -= removed.work_s;
+                    deferred.push(removed);
                 }
             }
             order.extend(taken.into_iter().flatten().map(|e| e.id));
-            left = late;
+            remaining = deferred;
         }
-        left.sort_by(|a, b| a.work_s.total_cmp(&b.work_s).then_with(|| a.id.cmp(&b.id)));
-        order.extend(left.into_iter().map(|e| e.id));
-        order.extend(last);
+        remaining.sort_by(|a, b| a.work_s.total_cmp(&b.work_s).then_with(|| a.id.cmp(&b.id)));
+        order.extend(remaining.into_iter().map(|e| e.id));
+        order.extend(faulty);
         order
             .into_iter()
             .enumerate()
@@ -93,43 +96,46 @@
     }
 
     /// Returns none for jobs that are ordered by the time they became ready.
-    fn dated_job(&self, id: &JobId, job: &Job, finite: &Resources) -> Option<DatedJob> {
+    fn dated_job(&self, id: &JobId, job: &Job, batch_capacity: &Resources) -> Option<DatedJob> {
         let spec = &job.spec;
         if spec.kind != Kind::Array {
             return None;
         }
-        let (mut dues, since_ms) = match spec.deadline_s {
+        let (mut due_times, since_ms) = match spec.deadline_s {
             Some(deadline) => (vec![deadline], job.accepted_ms),
             None => (self.completion_objectives(spec), job.ready_ms),
         };
         let age = self.wall_ms.saturating_sub(since_ms) as f64 / 1000.0;
-        dues.sort_by(f64::total_cmp);
-        if dues.last().is_some_and(|due| age > due * STARVATION_FACTOR) {
+        due_times.sort_by(f64::total_cmp);
+        if due_times
+            .last()
+            .is_some_and(|due| age > due * STARVATION_FACTOR)
+        {
             return None;
         }
-        let run = self.estimated_run_time(job);
-        dues.iter_mut().for_each(|due| *due -= age);
+        let run_time_s = self.estimated_run_time(job);
+        due_times.iter_mut().for_each(|due| *due -= age);
         if let Some(latest_ms) = job.latest_finish_ms {
-            dues.push((latest_ms as f64 - self.wall_ms as f64) / 1000.0);
-            dues.sort_by(f64::total_cmp);
-            dues.dedup();
+            due_times.push((latest_ms as f64 - self.wall_ms as f64) / 1000.0);
+            due_times.sort_by(f64::total_cmp);
+            due_times.dedup();
         }
-        dues.retain(|due| *due >= run);
+        due_times.retain(|due| *due >= run_time_s);
         Some(DatedJob {
             id: id.clone(),
-            work_s: spec.need.share_of(finite).min(MAX_CAPACITY_SHARE)
-                * run
+            work_s: spec.need.share_of(batch_capacity).min(MAX_CAPACITY_SHARE)
+                * run_time_s
                 * f64::from(spec.tasks - job.done_count),
-            min_run_s: run,
-            due_times_s: dues,
+            min_run_s: run_time_s,
+            due_times_s: due_times,
         })
     }
 
     /// Completion objectives of the job's class, in seconds.
     fn completion_objectives(&self, spec: &JobSpec) -> Vec<f64> {
         let objectives = self.config.objectives.iter();
-        let own = objectives.filter(|o| o.kind == "finished" && *o.class == *spec.class);
-        own.map(|o| o.within_s).collect()
+        let matching = objectives.filter(|o| o.kind == "finished" && *o.class == *spec.class);
+        matching.map(|o| o.within_s).collect()
     }
 
     /// Returns the owner's run time estimate, corrected by observed run times of the class.
@@ -143,12 +149,12 @@
     }
 
     /// Updates the correction for the job's class with the observed run time of a task.
-    pub fn record_run_time(&mut self, job: &JobId, ran: Duration) {
+    pub fn record_run_time(&mut self, job: &JobId, run_time: Duration) {
         let Some(job) = self.jobs.get(job) else {
             return;
         };
-        if job.spec.estimate_s > 0.0 && ran > Duration::ZERO {
-            let ratio = (ran.as_secs_f64() / job.spec.estimate_s)
+        if job.spec.estimate_s > 0.0 && run_time > Duration::ZERO {
+            let ratio = (run_time.as_secs_f64() / job.spec.estimate_s)
                 .ln()
                 .clamp(-2.0, 2.0);
             let correction = self
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -202,7 +202,7 @@
     fn look_up_terminal_states(&mut self) {
         let now = self.now();
         let dependencies = &mut self.dependencies;
-        dependencies.lookups.retain(|_, again| *again > now);
+        dependencies.lookups.retain(|_, retry_at| *retry_at > now);
         let free = MAX_LOOKUPS.saturating_sub(dependencies.lookups.len());
         if free == 0 {
             return;
@@ -214,8 +214,8 @@
             if self.cache.jobs.contains_key(&id) || self.cache.is_unreadable(&id) {
                 continue;
             }
-            let again = now + LOOKUP_RETRY_DELAY;
-            self.dependencies.lookups.insert(id.clone(), again);
+            let retry_at = now + LOOKUP_RETRY_DELAY;
+            self.dependencies.lookups.insert(id.clone(), retry_at);
             self.look_up_terminal_state(INTERNAL, id, Question::Status);
         }
     }
@@ -228,10 +228,10 @@
             return;
         }
         let mut due = self.dependencies.cancelled_dependents.iter_mut();
-        let Some((id, again)) = due.find(|(_, again)| **again <= now) else {
+        let Some((id, retry_at)) = due.find(|(_, retry_at)| **retry_at <= now) else {
             return;
         };
-        *again = now + LOOKUP_RETRY_DELAY;
+        *retry_at = now + LOOKUP_RETRY_DELAY;
         let id = id.clone();
         self.write_queue.charge(2.0);
         self.cancel(INTERNAL, id);
@@ -281,8 +281,10 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let own = deadline_ms(&job.spec, job.accepted_ms).unwrap_or(u64::MAX);
-        job.latest_finish_ms = urgency.latest_finish_ms.filter(|latest| *latest < own);
+        let own_deadline_ms = deadline_ms(&job.spec, job.accepted_ms).unwrap_or(u64::MAX);
+        job.latest_finish_ms = urgency
+            .latest_finish_ms
+            .filter(|latest| *latest < own_deadline_ms);
         let priority = Priority::ALL.get(usize::from(urgency.priority)).copied();
         let Some(priority) = priority.filter(|priority| *priority != job.spec.priority) else {
             return;
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -48,7 +48,7 @@
     pub(super) fn observe_services(&mut self) -> BTreeMap<JobId, Replicas> {
         let services = self.jobs.iter();
         let services = services.filter(|(_, job)| job.spec.kind == Kind::Service);
-        let mut all: BTreeMap<JobId, Replicas> = services
+        let mut counts_by_service: BTreeMap<JobId, Replicas> = services
             .map(|(id, job)| {
                 let wanted = job.spec.tasks;
                 (
@@ -61,14 +61,16 @@
             })
             .collect();
         for ((task, _), placement) in self.machines.values().flat_map(|m| &m.tasks) {
-            if let Some(replicas) = all.get_mut(&task.job) {
+            if let Some(replicas) = counts_by_service.get_mut(&task.job) {
                 count_replica(replicas, placement);
             }
         }
         let jobs = &self.jobs;
-        let told = all.iter().map(|(id, s)| (&*jobs[id].spec.team, *s));
-        self.ledger.observe(told);
-        all
+        let counts = counts_by_service
+            .iter()
+            .map(|(id, s)| (&*jobs[id].spec.team, *s));
+        self.ledger.observe(counts);
+        counts_by_service
     }
 
     /// Whether the machine is cordoned: no new tasks are placed on it.
@@ -82,13 +84,13 @@
         if drains == self.drains {
             return;
         }
-        let new = drains.machines.keys();
-        let new: Vec<MachineId> = new
+        let newly_cordoned = drains.machines.keys();
+        let newly_cordoned: Vec<MachineId> = newly_cordoned
             .filter(|id| !self.drains.machines.contains_key(*id))
             .map(|id| MachineId::from(id.as_str()))
             .collect();
         self.drains = drains;
-        for id in new {
+        for id in newly_cordoned {
             for job in self.jobs.values_mut() {
                 job.nominations.retain(|machine| *machine != id);
             }
@@ -133,21 +135,21 @@
         }
         let services = self.observe_services();
         let mut draining = BTreeMap::new();
-        for (name, ordered) in self.drains.machines.clone() {
+        for (name, order) in self.drains.machines.clone() {
             let id = MachineId::from(name.as_str());
             let Some(machine) = self.machines.get(&id) else {
                 continue;
             };
             let mut tasks = self.remaining_tasks(&id, &services, now);
             let left = tasks.len() as u32;
-            let over = ordered.by_ms.is_some_and(|by| self.wall_ms >= by);
+            let is_overdue = order.by_ms.is_some_and(|by| self.wall_ms >= by);
             let (stop, waits) = match pause {
                 Some(why) if left > 0 => (Vec::new(), why),
-                _ => drain::step(now, over, &mut tasks, &mut self.ledger),
+                _ => drain::step(now, is_overdue, &mut tasks, &mut self.ledger),
             };
             let empty = machine.tasks.is_empty() && !machine.unresolved;
-            let leaves = empty && matches!(machine.standing, Standing::Up | Standing::Booting);
-            if leaves && pause.is_none() {
+            let can_release = empty && matches!(machine.standing, Standing::Up | Standing::Booting);
+            if can_release && pause.is_none() {
                 info!(machine = %id, why = "drained", "releasing machine");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.standing = Standing::Leaving;
@@ -211,9 +213,9 @@
 
 fn count_replica(replicas: &mut Replicas, placement: &Placement) {
     if !placement.exited() {
-        let runs = placement.phase == Phase::Seen(TaskPhase::Running);
+        let is_running = placement.phase == Phase::Seen(TaskPhase::Running);
         replicas.stopping += u32::from(placement.stopping());
-        replicas.up += u32::from(runs && !placement.stopping());
+        replicas.up += u32::from(is_running && !placement.stopping());
     }
 }
 
--- a/src/core/image_locality.rs
+++ b/src/core/image_locality.rs
@@ -32,21 +32,21 @@
     /// Whether the job is still restricted to machines with its image in its first turn.
     pub(super) fn prefers_image_locality(&self, job: &Job, now: Duration) -> bool {
         let spec = &job.spec;
-        let patience = Duration::from_secs_f64(self.fetch_alone(spec).min(3600.0));
+        let max_wait = Duration::from_secs_f64(self.fetch_alone(spec).min(3600.0));
         spec.kind == Kind::Array
             && job.nominations.is_empty()
             && job
                 .locality_wait_since
-                .is_none_or(|since| now < since + patience)
+                .is_none_or(|since| now < since + max_wait)
     }
 
-    pub(super) fn place_with_image(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
+    pub(super) fn place_with_image(&mut self, snapshot: &mut Snapshot, id: &JobId, now: Duration) {
         let Some(job) = self.jobs.get(id) else { return };
-        let (spec, before) = (job.spec.clone(), job.placed);
-        view.select_job(&spec, &self.machines);
-        self.fill_machines(view, id, &spec, true, now);
+        let (spec, placed_before) = (job.spec.clone(), job.placed);
+        snapshot.select_job(&spec, &self.machines);
+        self.fill_machines(snapshot, id, &spec, true, now);
         if let Some(job) = self.jobs.get_mut(id) {
-            match job.placed > before {
+            match job.placed > placed_before {
                 true => job.locality_wait_since = None,
                 false => {
                     job.locality_wait_since.get_or_insert(now);
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -51,11 +51,11 @@
         let Some(ledger) = &self.licence_ledger else {
             return Vec::new();
         };
-        let view = ledger.licences().filter_map(|name| {
+        let views = ledger.licences().filter_map(|name| {
             let standing = ledger.standing(name)?;
-            let wants = self.jobs.values().filter_map(|job| {
-                let each = job.spec.licences.get(name)?;
-                Some(u64::from(*each) * u64::from(job.waiting_count()))
+            let wanted = self.jobs.values().filter_map(|job| {
+                let seats_per_task = job.spec.licences.get(name)?;
+                Some(u64::from(*seats_per_task) * u64::from(job.waiting_count()))
             });
             Some(LicenceView {
                 name: name.to_owned(),
@@ -64,11 +64,11 @@
                 lingering: standing.lingering,
                 maybe: standing.maybe.min(standing.seats),
                 elsewhere: standing.elsewhere,
-                waiting: wants.sum(),
+                waiting: wanted.sum(),
                 teams: ledger.by_team(name),
             })
         });
-        view.collect()
+        views.collect()
     }
 
     pub(super) fn new_licence_ledger(&self, now: Duration) -> Option<Ledger> {
@@ -83,7 +83,7 @@
         };
         let mut held = BTreeMap::new();
         let mut maybe = Needs::new();
-        let mut unknown = false;
+        let mut has_unknown_holders = false;
         for machine in self.machines.values() {
             for ((task, attempt), p) in machine.tasks.iter().filter(|(_, p)| !p.exited()) {
                 match &p.spec {
@@ -92,7 +92,7 @@
                         let holder = (spec.team.to_string(), spec.licences.clone());
                         held.insert(attempt_of(task, *attempt), holder);
                     }
-                    None => unknown = true,
+                    None => has_unknown_holders = true,
                 }
             }
             if !machine.unresolved {
@@ -101,18 +101,18 @@
             for id in machine.assignment.may_list() {
                 let Some(job) = self.jobs.get(id) else {
                     // The job is no longer known, so it may hold seats of any licence.
-                    unknown = true;
+                    has_unknown_holders = true;
                     continue;
                 };
-                let hidden = job
+                let possible_tasks = job
                     .unplaced_count()
                     .min(job.spec.need.times_in(&machine.size));
-                for (licence, seats) in multiply_needs(&job.spec.licences, hidden) {
+                for (licence, seats) in multiply_needs(&job.spec.licences, possible_tasks) {
                     *maybe.entry(licence).or_insert(0) += seats;
                 }
             }
         }
-        if unknown {
+        if has_unknown_holders {
             for licence in ledger.licences() {
                 maybe.insert(licence.to_owned(), u32::MAX / 4);
             }
@@ -137,8 +137,8 @@
                     && !job.nominations.is_empty()
             });
             let held = nominated.map(|job| {
-                let each = job.spec.licences.get(licence).copied().unwrap_or(0);
-                each.saturating_mul(job.nominations.len() as u32)
+                let seats_per_task = job.spec.licences.get(licence).copied().unwrap_or(0);
+                seats_per_task.saturating_mul(job.nominations.len() as u32)
             });
             free.saturating_sub(held.fold(0, u32::saturating_add)) / seats
         });
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -71,24 +71,24 @@
     /// Lowers a limit after a rejected write. Returns false if no limit can be lowered further.
     pub fn lower_after_rejection(&mut self, size: &WriteSize, now: Duration) -> bool {
         self.warn_of_rejection(size, now);
-        let before = (self.value_bytes, self.txn_ops);
+        let old_limits = (self.value_bytes, self.txn_ops);
         if size.changes > TXN_OPS_LEAST {
             self.txn_ops = self.txn_ops.min(size.changes / 2).max(TXN_OPS_LEAST);
         } else if size.value_bytes > MIN_VALUE_BYTES {
             let half = (size.value_bytes / 2).max(MIN_VALUE_BYTES);
             self.value_bytes = self.value_bytes.min(half);
         }
-        before != (self.value_bytes, self.txn_ops)
+        old_limits != (self.value_bytes, self.txn_ops)
     }
 
     /// Whether a rejected write of the key is due for a warning; if so, records the warning.
     pub fn should_warn(&mut self, key: &str, now: Duration) -> bool {
         self.warned_at.retain(|_, at| now < *at + WARN_INTERVAL);
-        let news = !self.warned_at.contains_key(key);
-        if news {
+        let is_due = !self.warned_at.contains_key(key);
+        if is_due {
             self.warned_at.insert(key.to_owned(), now);
         }
-        news
+        is_due
     }
 
     fn warn_of_rejection(&mut self, size: &WriteSize, now: Duration) {
@@ -144,12 +144,12 @@
     /// Reduces the rate after a write was refused for its rate, for twice as long if that happens
     /// soon after the last reduction.
     pub fn reduce(&mut self, now: Duration) {
-        let reduced = now < self.reduced_until;
-        if reduced && now < self.reduced_since + REDUCTION_SETTLE_TIME {
+        let is_reduced = now < self.reduced_until;
+        if is_reduced && now < self.reduced_since + REDUCTION_SETTLE_TIME {
             return;
         }
-        let again = now < self.reduced_until + self.reduction_time;
-        self.reduction_time = match again {
+        let is_repeated = now < self.reduced_until + self.reduction_time;
+        self.reduction_time = match is_repeated {
             true => (self.reduction_time * 2).min(MAX_REDUCTION_TIME),
             false => MIN_REDUCTION_TIME,
         };
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -138,8 +138,8 @@
                 let Some(spec) = placement.spec.as_ref() else {
                     continue;
                 };
-                let none = cluster.ledger.most_down(&spec.team, spec.tasks) == 0;
-                if spec.kind == Kind::Service && none {
+                let allows_none = cluster.ledger.most_down(&spec.team, spec.tasks) == 0;
+                if spec.kind == Kind::Service && allows_none {
                     let (team, id) = (&spec.team, &spec.id);
                     return Some(format!(
                         "{name} runs a replica of {id}, and team {team} allows none to be down"
@@ -166,12 +166,12 @@
 
     /// Returns an error if the list, which is stored as one value, would be too large.
     fn list_too_large(&self, drains: &Drains) -> Option<String> {
-        let most = self.limits.value_bytes.min(MAX_LIST_BYTES);
+        let max_bytes = self.limits.value_bytes.min(MAX_LIST_BYTES);
         let bytes = serde_json::to_vec(drains).map_or(usize::MAX, |text| text.len());
         let machines = drains.machines.len();
-        (bytes > most).then(|| {
+        (bytes > max_bytes).then(|| {
             format!(
-                "a list of {machines} machines takes {bytes} bytes, more than the limit of {most}"
+                "a list of {machines} machines takes {bytes} bytes, more than the limit of {max_bytes}"
             )
         })
     }
@@ -183,7 +183,7 @@
             Some(names) => names.clone(),
             None => drains.keys().cloned().collect(),
         };
-        let view = |name: String| {
+        let machine_view = |name: String| {
             let machine = cluster.machines.get(&*name);
             let count = |kind: Kind| {
                 let tasks = machine.into_iter().flat_map(|m| m.tasks.values());
@@ -210,7 +210,7 @@
                 machine: name,
             }
         };
-        let views = names.into_iter().map(view).collect();
+        let views = names.into_iter().map(machine_view).collect();
         self.answer(request, Answer::Drains(views));
     }
 
@@ -272,12 +272,12 @@
             return;
         }
         self.apply_drains();
-        let moves = self.cache.cluster.0.stage != Stage::Settled;
-        let off = self.cache.cluster.0.written() < DRAINS.since;
+        let is_changing = self.cache.cluster.0.stage != Stage::Settled;
+        let is_unsupported = self.cache.cluster.0.written() < DRAINS.since;
         let Some(cluster) = &mut self.cluster else {
             return;
         };
-        cluster.drains_pause = moves.then_some(Waits::Rollout);
+        cluster.drains_pause = is_changing.then_some(Waits::Rollout);
         if self.maintenance.storing || now < self.maintenance.next_store {
             return;
         }
@@ -285,7 +285,7 @@
         // A downgrade to a generation without drains empties the list.
         drains
             .machines
-            .retain(|machine, _| !off && !cluster.is_gone(machine, now));
+            .retain(|machine, _| !is_unsupported && !cluster.is_gone(machine, now));
         if drains != self.cache.drains.0 {
             let left = drains.machines.len();
             info!(left, "removing finished drains from the stored list");
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -40,12 +40,14 @@
     /// Rebuilds the heap with the current priorities of the jobs, and the given positions among
     /// jobs of equal priority.
     pub fn reorder(&mut self, positions: &HashMap<JobId, usize>, jobs: &BTreeMap<JobId, Job>) {
-        let ranked = |id: &JobId| {
+        let heap_entry = |id: &JobId| {
             let priority = jobs.get(id)?.spec.priority;
-            let place = positions.get(id).map_or(u64::MAX, |place| *place as u64);
-            Some((priority, Reverse((place, 0)), Reverse(id.clone())))
+            let position = positions
+                .get(id)
+                .map_or(u64::MAX, |position| *position as u64);
+            Some((priority, Reverse((position, 0)), Reverse(id.clone())))
         };
-        self.heap = self.queued.iter().filter_map(ranked).collect();
+        self.heap = self.queued.iter().filter_map(heap_entry).collect();
     }
 
     /// Returns the job that `pop` would return next.
@@ -117,8 +119,12 @@
     /// tried again. An invariant check for tests: there must be none.
     pub fn unqueued_job(&self) -> Option<JobId> {
         let cluster = self.cluster.as_ref()?;
-        let waits =
+        let is_unqueued =
             |(id, job): &(&JobId, &Job)| job.waiting_count() > 0 && !cluster.queue.contains(id);
-        cluster.jobs.iter().find(waits).map(|(id, _)| id.clone())
+        cluster
+            .jobs
+            .iter()
+            .find(is_unqueued)
+            .map(|(id, _)| id.clone())
     }
 }
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -86,37 +86,37 @@
     pub fn run_pass(&mut self, now: Duration) {
         self.queue.pass_requested = false;
         self.next_pass = now + PASS_INTERVAL;
-        let places = self.deadline_order();
-        self.queue.reorder(&places, &self.jobs);
+        let positions = self.deadline_order();
+        self.queue.reorder(&positions, &self.jobs);
         self.update_seat_holders(now);
-        let mut view = self.snapshot(now);
+        let mut snapshot = self.snapshot(now);
         self.closed_priority = self.priority_to_close(now);
         // Arrays that had their turn on machines with their image, in queue order.
-        let mut with_image: Vec<JobId> = Vec::new();
+        let mut locality_round: Vec<JobId> = Vec::new();
         loop {
-            if !self.shares_locality_round(with_image.first()) {
-                for id in std::mem::take(&mut with_image) {
-                    self.place_job(&mut view, id, now);
+            if !self.shares_locality_round(locality_round.first()) {
+                for id in std::mem::take(&mut locality_round) {
+                    self.place_job(&mut snapshot, id, now);
                 }
             }
             let Some(id) = self.queue.pop() else { break };
-            if self.should_skip(&mut view, &id, now) {
+            if self.should_skip(&mut snapshot, &id, now) {
                 self.queue.park(id);
             } else if self
                 .jobs
                 .get(&id)
                 .is_some_and(|job| self.prefers_image_locality(job, now))
             {
-                self.place_with_image(&mut view, &id, now);
-                with_image.push(id);
+                self.place_with_image(&mut snapshot, &id, now);
+                locality_round.push(id);
             } else {
-                self.place_job(&mut view, id, now);
+                self.place_job(&mut snapshot, id, now);
             }
         }
     }
 
     /// Whether the job is skipped in this pass.
-    fn should_skip(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) -> bool {
+    fn should_skip(&mut self, snapshot: &mut Snapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -126,57 +126,58 @@
             return true;
         }
         let spec = &job.spec;
-        if (job.version < self.claim && view.on_unresolved.contains(id))
+        if (job.version < self.claim && snapshot.on_unresolved.contains(id))
             || self
                 .closed_priority
                 .is_some_and(|closed_priority| spec.priority <= closed_priority)
-            || view.rules_out(spec, !job.nominations.is_empty())
+            || snapshot.rules_out(spec, !job.nominations.is_empty())
         {
             return true;
         }
-        if !self.is_at_limit(view, spec, now) {
+        if !self.is_at_limit(snapshot, spec, now) {
             return false;
         }
         // A job at a limit is not matched with machines, but its locality wait starts as if it was.
-        let (with_image, seats) = (
+        let (wants_locality, needs_seats) = (
             self.prefers_image_locality(job, now),
             !spec.licences.is_empty(),
         );
-        if seats {
+        if needs_seats {
             self.retry_by(now + SEATS_RETRY_DELAY);
         }
-        if with_image && let Some(job) = self.jobs.get_mut(id) {
+        if wants_locality && let Some(job) = self.jobs.get_mut(id) {
             job.locality_wait_since.get_or_insert(now);
         }
         // Capacity that was freed for the job is released to others in the meantime.
-        self.drop_completed_nominations(view, id, now);
+        self.drop_completed_nominations(snapshot, id, now);
         true
     }
 
     /// Whether even the smallest startable part of the job (a whole gang, or one task) exceeds
     /// the limits of its team or the free licence seats.
-    fn is_at_limit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> bool {
-        let least = match spec.kind {
+    fn is_at_limit(&self, snapshot: &Snapshot, spec: &JobSpec, now: Duration) -> bool {
+        let min_tasks = match spec.kind {
             Kind::Gang => spec.tasks,
             _ => 1,
         };
-        self.exceeds_limit(view, spec, least, now)
+        self.exceeds_limit(snapshot, spec, min_tasks, now)
     }
 
     /// Schedules a retry of the parked jobs at the given time, unless an earlier one is due.
     pub(super) fn retry_by(&mut self, at: Duration) {
-        let next = self.next_retry.unwrap_or(Duration::MAX);
-        self.next_retry = Some(next.min(at));
+        let scheduled = self.next_retry.unwrap_or(Duration::MAX);
+        self.next_retry = Some(scheduled.min(at));
     }
 
     /// Places as many of the job's tasks as fit, preempts for the others, and parks the job if
     /// tasks are left.
-    fn place_job(&mut self, view: &mut Snapshot, id: JobId, now: Duration) {
+    fn place_job(&mut self, snapshot: &mut Snapshot, id: JobId, now: Duration) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.waiting_count() > 0) else {
             return;
         };
         let spec = job.spec.clone();
-        if view.rules_out(&spec, !job.nominations.is_empty()) || self.is_at_limit(view, &spec, now)
+        if snapshot.rules_out(&spec, !job.nominations.is_empty())
+            || self.is_at_limit(snapshot, &spec, now)
         {
             if !spec.licences.is_empty() {
                 self.retry_by(now + SEATS_RETRY_DELAY);
@@ -184,12 +185,12 @@
             self.queue.park(id);
             return;
         }
-        view.select_job(&spec, &self.machines);
-        let all = match spec.kind {
-            Kind::Gang => self.place_gang(view, &id, &spec, now),
-            _ => self.place_tasks(view, &id, &spec, now),
+        snapshot.select_job(&spec, &self.machines);
+        let all_placed = match spec.kind {
+            Kind::Gang => self.place_gang(snapshot, &id, &spec, now),
+            _ => self.place_tasks(snapshot, &id, &spec, now),
         };
-        if !all {
+        if !all_placed {
             // Licence seats may be returned without any event that triggers a retry.
             if !spec.licences.is_empty() {
                 self.retry_by(now + SEATS_RETRY_DELAY);
@@ -200,17 +201,22 @@
 
     fn snapshot(&self, now: Duration) -> Snapshot {
         let (usage, leaving) = self.usage();
-        let rooms: Vec<MachineCapacity> = self
+        let capacities: Vec<MachineCapacity> = self
             .machines
             .values()
             .filter(|m| self.usable(m, now))
             .map(MachineCapacity::new)
             .collect();
-        let mut view = Snapshot::new(rooms, usage, leaving, jobs_on_unresolved(&self.machines));
+        let mut snapshot = Snapshot::new(
+            capacities,
+            usage,
+            leaving,
+            jobs_on_unresolved(&self.machines),
+        );
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
-            view.hold(&job.spec, &job.nominations);
+            snapshot.hold(&job.spec, &job.nominations);
         }
-        view
+        snapshot
     }
 
     /// Fills machines with an array's tasks in the order of their cost. Placing a task changes
@@ -220,38 +226,48 @@
     /// With `with_image`, uses only machines that have the image or are fetching it.
     pub(super) fn fill_machines(
         &mut self,
-        view: &mut Snapshot,
+        snapshot: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         with_image: bool,
         now: Duration,
     ) {
         let failed_on = &self.jobs[id].failed_on;
-        let has_image = |room: &MachineCapacity| {
-            let machine = &self.machines[&room.id];
+        let has_image = |capacity: &MachineCapacity| {
+            let machine = &self.machines[&capacity.id];
             // Machines with failed tasks are a last resort, whatever images they have.
-            let sound = machine.failures.is_empty() && !failed_on.contains(&room.id);
-            sound && (machine.has_image(&spec.image) || machine.fetches(&spec.image))
+            let is_healthy = machine.failures.is_empty() && !failed_on.contains(&capacity.id);
+            is_healthy && (machine.has_image(&spec.image) || machine.fetches(&spec.image))
         };
-        let mut costs: Vec<(f64, usize)> = view
+        let mut costs: Vec<(f64, usize)> = snapshot
             .may_fit(spec)
-            .filter(|room| {
-                let room = &view.rooms[*room];
-                !with_image || (spec.need.fits_in(&room.free) && has_image(room))
+            .filter(|candidate| {
+                let capacity = &snapshot.rooms[*candidate];
+                !with_image || (spec.need.fits_in(&capacity.free) && has_image(capacity))
+            })
+            .filter_map(|candidate| {
+                Some((
+                    self.placement_cost(snapshot, candidate, spec, now)?,
+                    candidate,
+                ))
             })
-            .filter_map(|room| Some((self.placement_cost(view, room, spec, now)?, room)))
             .collect();
         costs.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (_, room) in costs {
-            let machine = view.rooms[room].id.clone();
-            while self.fits(view, &view.rooms[room], spec, &view.rooms[room].free) {
+        for (_, candidate) in costs {
+            let machine = snapshot.rooms[candidate].id.clone();
+            while self.fits(
+                snapshot,
+                &snapshot.rooms[candidate],
+                spec,
+                &snapshot.rooms[candidate].free,
+            ) {
                 if self.jobs[id].tries_enough() {
                     return;
                 }
                 let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) else {
                     return;
                 };
-                if self.exceeds_limit(view, spec, 1, now) {
+                if self.exceeds_limit(snapshot, spec, 1, now) {
                     return;
                 }
                 let attempt = self.next_attempt();
@@ -259,7 +275,7 @@
                     job: id.clone(),
                     index,
                 };
-                self.place_task(view, room, &machine, task, attempt, now);
+                self.place_task(snapshot, candidate, &machine, task, attempt, now);
             }
         }
     }
@@ -267,123 +283,135 @@
     /// Places the tasks of an array or a service; returns false if tasks are left.
     fn place_tasks(
         &mut self,
-        view: &mut Snapshot,
+        snapshot: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
         if spec.kind == Kind::Array {
-            self.fill_machines(view, id, spec, false, now);
+            self.fill_machines(snapshot, id, spec, false, now);
         }
         while let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) {
-            if self.exceeds_limit(view, spec, 1, now) || self.jobs[id].tries_enough() {
-                self.drop_completed_nominations(view, id, now);
+            if self.exceeds_limit(snapshot, spec, 1, now) || self.jobs[id].tries_enough() {
+                self.drop_completed_nominations(snapshot, id, now);
                 return false;
             }
             let task = TaskId {
                 job: id.clone(),
                 index,
             };
-            if let Some(room) = self.best_fit(view, spec, now) {
-                let machine = view.rooms[room].id.clone();
+            if let Some(candidate) = self.best_fit(snapshot, spec, now) {
+                let machine = snapshot.rooms[candidate].id.clone();
                 let attempt = self.next_attempt();
-                self.place_task(view, room, &machine, task, attempt, now);
+                self.place_task(snapshot, candidate, &machine, task, attempt, now);
                 continue;
             }
             // A job that fails on every machine does not preempt others.
-            return !self.jobs[id].faulty() && self.preempt_for(view, id, spec, now);
+            return !self.jobs[id].faulty() && self.preempt_for(snapshot, id, spec, now);
         }
         true
     }
 
     fn place_task(
         &mut self,
-        view: &mut Snapshot,
-        room: usize,
+        snapshot: &mut Snapshot,
+        candidate: usize,
         machine: &MachineId,
         task: TaskId,
         attempt: u64,
         now: Duration,
     ) {
         let id = task.job.clone();
-        let held = self.jobs[&id].nominations.len();
+        let nominations_before = self.jobs[&id].nominations.len();
         let spec = self.jobs[&id].spec.clone();
         self.take_seats(&spec, &task, attempt, now);
         self.place(machine, task, attempt, now);
-        view.put(room, &spec);
-        if self.jobs[&id].nominations.len() != held {
-            self.refresh_held(view, &id);
+        snapshot.put(candidate, &spec);
+        if self.jobs[&id].nominations.len() != nominations_before {
+            self.refresh_held(snapshot, &id);
         }
     }
 
-    fn refresh_held(&self, view: &mut Snapshot, id: &JobId) {
+    fn refresh_held(&self, snapshot: &mut Snapshot, id: &JobId) {
         let job = &self.jobs[id];
-        view.refresh_held(&job.spec, &job.nominations);
+        snapshot.refresh_held(&job.spec, &job.nominations);
     }
 
-    fn exceeds_limit(&self, view: &Snapshot, spec: &JobSpec, tasks: u32, now: Duration) -> bool {
+    fn exceeds_limit(
+        &self,
+        snapshot: &Snapshot,
+        spec: &JobSpec,
+        tasks: u32,
+        now: Duration,
+    ) -> bool {
         if self.tasks_within_seats(spec, now) < tasks {
             return true;
         }
         let Some(team) = self.config.teams.get(&spec.team) else {
             return true;
         };
-        let used = view.usage.of(&spec.team);
+        let used = snapshot.usage.of(&spec.team);
         let sum = used.plus_times(&spec.need, f64::from(tasks));
-        let over = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
-        over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus)
+        let exceeds = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
+        exceeds(team.cpus_max, sum.cpus) || exceeds(team.gpus_max, sum.gpus)
     }
 
     /// Whether the job's constraints allow a task on the machine, free resources aside.
-    fn is_allowed(&self, view: &Snapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
-        spec.allows_type(&room.machine_type)
-            && spec.allows_place(&room.zone, room.spot)
-            && is_zone_allowed(&view.zones, &room.zone, spec)
+    fn is_allowed(&self, snapshot: &Snapshot, capacity: &MachineCapacity, spec: &JobSpec) -> bool {
+        spec.allows_type(&capacity.machine_type)
+            && spec.allows_place(&capacity.zone, capacity.spot)
+            && is_zone_allowed(&snapshot.zones, &capacity.zone, spec)
     }
 
     /// Checks that a task fits twice: without the nominated tasks, and again with those of equal
     /// or higher priority taken as running.
     fn fits(
         &self,
-        view: &Snapshot,
-        room: &MachineCapacity,
+        snapshot: &Snapshot,
+        capacity: &MachineCapacity,
         spec: &JobSpec,
         free: &Resources,
     ) -> bool {
         if !spec.need.fits_in(free) {
             return false;
         }
-        let mut left = *free;
-        for (priority, job, need) in &room.held {
+        let mut remaining = *free;
+        for (priority, job, need) in &capacity.held {
             if *priority >= spec.priority && *job != spec.id {
-                left = left.minus(need);
+                remaining = remaining.minus(need);
             }
         }
-        spec.need.fits_in(&left) && self.is_allowed(view, room, spec)
+        spec.need.fits_in(&remaining) && self.is_allowed(snapshot, capacity, spec)
     }
 
-    fn best_fit(&self, view: &Snapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
-        view.may_fit(spec)
-            .filter_map(|room| Some((self.placement_cost(view, room, spec, now)?, room)))
+    fn best_fit(&self, snapshot: &Snapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
+        snapshot
+            .may_fit(spec)
+            .filter_map(|candidate| {
+                Some((
+                    self.placement_cost(snapshot, candidate, spec, now)?,
+                    candidate,
+                ))
+            })
             .min_by(|a, b| a.0.total_cmp(&b.0))
-            .map(|(_, room)| room)
+            .map(|(_, candidate)| candidate)
     }
 
     /// Cost of placing a task of the job on the machine, or none if it does not fit there. The
     /// machine with the lowest cost is preferred.
     fn placement_cost(
         &self,
-        view: &Snapshot,
-        index: usize,
+        snapshot: &Snapshot,
+        candidate: usize,
         spec: &JobSpec,
         now: Duration,
     ) -> Option<f64> {
-        let room = &view.rooms[index];
-        if !self.fits(view, room, spec, &room.free) {
+        let capacity = &snapshot.rooms[candidate];
+        if !self.fits(snapshot, capacity, spec, &capacity.free) {
             return None;
         }
         let job = self.jobs.get(&spec.id)?;
-        let machine = &self.machines[&room.id];
+        let machine = &self.machines[&capacity.id];
         let mut cost = self.fetch_time(machine, spec);
         let failures = machine
             .failures
@@ -396,13 +424,13 @@
         }
         // Spreads the replicas of a service over machines and zones.
         if spec.kind == Kind::Service {
-            let beside = machine
+            let on_machine = machine
                 .tasks
                 .iter()
                 .filter(|((task, _), p)| task.job == spec.id && !p.exited())
                 .count();
-            let in_zone = view.zones.get(&machine.zone).copied().unwrap_or(0);
-            cost += 4.0 * beside as f64 + f64::from(in_zone);
+            let in_zone = snapshot.zones.get(&machine.zone).copied().unwrap_or(0);
+            cost += 4.0 * on_machine as f64 + f64::from(in_zone);
         }
         // Keeps idle machines that have images of services free for those services.
         if !machine.has_image(&spec.image) && !machine.busy() {
@@ -414,14 +442,14 @@
         }
         // A service holds its machine for an unlimited time, so an expensive machine would stay
         // rented for it alone. Arrays and gangs leave the cheap machines to services.
-        let keep = self.relative_price(machine);
+        let relative_price = self.relative_price(machine);
         cost += match spec.kind {
-            Kind::Service => 1.5 * keep,
+            Kind::Service => 1.5 * relative_price,
             _ if machine.spot => 0.0,
-            _ => 0.5 * (1.0 - keep),
+            _ => 0.5 * (1.0 - relative_price),
         };
         // Prefers the fullest machine, so that idle ones can be released or taken as a whole.
-        Some(cost + 1.0 - machine.size.minus(&room.free).share_of(&machine.size))
+        Some(cost + 1.0 - machine.size.minus(&capacity.free).share_of(&machine.size))
     }
 
     /// Extra price of the machine over a spot machine of its type, as a fraction of the on-demand
@@ -433,19 +461,19 @@
 
     /// Price of the machine as a fraction of the price of the most expensive type.
     fn relative_price(&self, machine: &Machine) -> f64 {
-        let dearest = self.types.iter().map(|t| t.price).fold(0.0, f64::max);
-        self.price(&machine.machine_type, machine.spot) / dearest.max(1e-9)
+        let max_price = self.types.iter().map(|t| t.price).fold(0.0, f64::max);
+        self.price(&machine.machine_type, machine.spot) / max_price.max(1e-9)
     }
 
     /// Preempts for the waiting tasks of a job that have no nomination yet.
     fn preempt_for(
         &mut self,
-        view: &mut Snapshot,
+        snapshot: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
-        self.drop_completed_nominations(view, id, now);
+        self.drop_completed_nominations(snapshot, id, now);
         if self.awaits_capacity(spec, DeferredAction::Preempt) {
             return false;
         }
@@ -456,18 +484,18 @@
         let waiting = self.jobs[id].waiting_count() as usize;
         while self.jobs[id].nominations.len() < waiting {
             let nominated = self.jobs[id].nominations.len() as u32;
-            if self.exceeds_limit(view, spec, nominated + 1, now) {
+            if self.exceeds_limit(snapshot, spec, nominated + 1, now) {
                 break;
             }
-            let Some(plan) = self.best_preemption_plan(view, spec) else {
+            let Some(plan) = self.best_preemption_plan(snapshot, spec) else {
                 // With zone constraints, machines may be ruled out for this job alone.
                 if nominated == 0 && !spec.one_zone && !spec.spread {
                     let spec = spec.clone();
-                    view.unplaceable.push(Unplaceable { spec });
+                    snapshot.unplaceable.push(Unplaceable { spec });
                 }
                 break;
             };
-            self.nominate(view, id, spec, plan, now);
+            self.nominate(snapshot, id, spec, plan, now);
         }
         false
     }
@@ -475,37 +503,37 @@
     /// Drops the nominations of a job to machines where no task is stopping any more. A task
     /// whose victims are gone and that still did not fit may preempt again; one whose victims
     /// are still stopping may not.
-    fn drop_completed_nominations(&mut self, view: &mut Snapshot, id: &JobId, now: Duration) {
+    fn drop_completed_nominations(&mut self, snapshot: &mut Snapshot, id: &JobId, now: Duration) {
         let machines = &self.machines;
         let job = self.jobs.get_mut(id).expect("job at hand");
-        let before = job.nominations.len();
+        let count_before = job.nominations.len();
         job.nominations.retain(|m| {
             machines
                 .get(m)
                 .is_some_and(|m| m.tasks.values().any(|p| p.stopping() && !p.exited()))
         });
-        if job.nominations.len() != before {
-            self.refresh_held(view, id);
+        if job.nominations.len() != count_before {
+            self.refresh_held(snapshot, id);
             // Jobs of the same priority may have had their turn in this pass already.
             self.retry_by(now + RELEASE_RETRY_DELAY);
         }
     }
 
-    fn best_preemption_plan(&self, view: &Snapshot, spec: &JobSpec) -> Option<PreemptionPlan> {
-        let reclaims = self.is_within_guarantee(view, spec);
+    fn best_preemption_plan(&self, snapshot: &Snapshot, spec: &JobSpec) -> Option<PreemptionPlan> {
+        let reclaims = self.is_within_guarantee(snapshot, spec);
         let mut best: Option<PreemptionPlan> = None;
-        for (index, room) in view.rooms.iter().enumerate() {
-            let most = room.most_free(spec.priority, reclaims);
-            if !spec.need.fits_in(&most) || !self.is_allowed(view, room, spec) {
+        for (index, capacity) in snapshot.rooms.iter().enumerate() {
+            let max_free = capacity.most_free(spec.priority, reclaims);
+            if !spec.need.fits_in(&max_free) || !self.is_allowed(snapshot, capacity, spec) {
                 continue;
             }
             if best
                 .as_ref()
-                .is_some_and(|b| self.is_worse_than(room, spec, reclaims, b))
+                .is_some_and(|b| self.is_worse_than(capacity, spec, reclaims, b))
             {
                 continue;
             }
-            let plan = self.preemption_plan(view, index, spec, reclaims);
+            let plan = self.preemption_plan(snapshot, index, spec, reclaims);
             best = match (best, plan) {
                 (Some(best), Some(plan)) if plan.is_better_than(&best) => Some(plan),
                 (None, plan) => plan,
@@ -520,18 +548,18 @@
     /// under high load.
     fn is_worse_than(
         &self,
-        room: &MachineCapacity,
+        capacity: &MachineCapacity,
         spec: &JobSpec,
         reclaims: bool,
         best: &PreemptionPlan,
     ) -> bool {
-        let least = room.least_highest(spec, reclaims);
-        if best.breaches > 0 || least != best.highest_priority {
-            return best.breaches == 0 && least > best.highest_priority;
+        let min_highest = capacity.least_highest(spec, reclaims);
+        if best.breaches > 0 || min_highest != best.highest_priority {
+            return best.breaches == 0 && min_highest > best.highest_priority;
         }
-        let machine = &self.machines[&room.id];
-        let by_fetch = self.fetch_time(machine, spec).total_cmp(&best.fetch_s);
-        by_fetch
+        let machine = &self.machines[&capacity.id];
+        let by_fetch_time = self.fetch_time(machine, spec).total_cmp(&best.fetch_s);
+        by_fetch_time
             .then_with(|| {
                 self.retention_cost(machine, spec)
                     .total_cmp(&best.retention_cost)
@@ -550,23 +578,23 @@
     /// those that can stay.
     fn preemption_plan(
         &self,
-        view: &Snapshot,
+        snapshot: &Snapshot,
         index: usize,
         spec: &JobSpec,
         reclaims: bool,
     ) -> Option<PreemptionPlan> {
-        let room = &view.rooms[index];
-        let machine = &self.machines[&room.id];
-        let mut free = room.free;
+        let capacity = &snapshot.rooms[index];
+        let machine = &self.machines[&capacity.id];
+        let mut free = capacity.free;
         // The job's own nominations here stand for other tasks of it.
-        for (_, job, need) in &room.held {
+        for (_, job, need) in &capacity.held {
             if *job == spec.id {
                 free = free.minus(need);
             }
         }
         let mut candidates = Vec::new();
         for (key, p) in &machine.tasks {
-            if p.exited() || room.victims.contains(key) {
+            if p.exited() || capacity.victims.contains(key) {
                 continue;
             }
             if p.stopping() {
@@ -581,36 +609,36 @@
         // Newest first, so that a team loses the tasks that exceed its guarantee.
         candidates.sort_by(|a, b| (b.2, b.0).cmp(&(a.2, a.0)));
         let mut leaving = match reclaims {
-            true => view.leaving.clone(),
+            true => snapshot.leaving.clone(),
             false => Usage::default(),
         };
         candidates.retain(|(_, victim, _)| {
-            let may = victim.priority < spec.priority
-                || (reclaims && self.may_reclaim(view, &leaving, spec, victim));
-            if may {
+            let is_eligible = victim.priority < spec.priority
+                || (reclaims && self.may_reclaim(snapshot, &leaving, spec, victim));
+            if is_eligible {
                 if reclaims {
                     leaving.add(&victim.team, &victim.need);
                 }
                 free = free.plus(&victim.need);
             }
-            may
+            is_eligible
         });
-        if !self.fits(view, room, spec, &free) {
+        if !self.fits(snapshot, capacity, spec, &free) {
             return None;
         }
         // Restores first the tasks whose stop would breach a disruption budget, then by priority,
         // then the oldest.
         let mut stopping: HashMap<JobId, (Replicas, u32)> = HashMap::new();
-        let mut budgeted: Vec<_> = candidates
+        let mut ordered: Vec<_> = candidates
             .into_iter()
             .map(|(key, victim, since)| {
-                let breaks = self.breaches_budget(victim, &mut stopping);
-                (breaks, victim.priority, Reverse(since), key, victim)
+                let is_breach = self.breaches_budget(victim, &mut stopping);
+                (is_breach, victim.priority, Reverse(since), key, victim)
             })
             .collect();
-        budgeted.sort_by(|a, b| (b.0, b.1, b.2, a.3).cmp(&(a.0, a.1, a.2, b.3)));
+        ordered.sort_by(|a, b| (b.0, b.1, b.2, a.3).cmp(&(a.0, a.1, a.2, b.3)));
         let mut plan = PreemptionPlan {
-            index: index,
+            index,
             victims: Vec::new(),
             breaches: 0,
             highest_priority: None,
@@ -618,13 +646,13 @@
             fetch_s: self.fetch_time(machine, spec),
             retention_cost: self.retention_cost(machine, spec),
         };
-        for (breaks, priority, _, key, victim) in budgeted {
-            let without = free.minus(&victim.need);
-            if self.fits(view, room, spec, &without) {
-                free = without;
+        for (is_breach, priority, _, key, victim) in ordered {
+            let remaining = free.minus(&victim.need);
+            if self.fits(snapshot, capacity, spec, &remaining) {
+                free = remaining;
                 continue;
             }
-            plan.breaches += usize::from(breaks);
+            plan.breaches += usize::from(is_breach);
             plan.highest_priority = plan.highest_priority.max(Some(priority));
             plan.freed = plan.freed.plus(&victim.need);
             plan.victims.push(key.clone());
@@ -634,11 +662,11 @@
 
     /// Whether one more task of the job, added to the team's running and nominated tasks, is
     /// within the team's guarantee.
-    fn is_within_guarantee(&self, view: &Snapshot, spec: &JobSpec) -> bool {
+    fn is_within_guarantee(&self, snapshot: &Snapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
         };
-        let mut sum = view.usage.of(&spec.team);
+        let mut sum = snapshot.usage.of(&spec.team);
         for job in self.jobs.values().filter(|j| j.spec.team == spec.team) {
             sum = sum.plus_times(&job.spec.need, job.nominations.len() as f64);
         }
@@ -651,7 +679,7 @@
     /// it would only preempt in turn.
     fn may_reclaim(
         &self,
-        view: &Snapshot,
+        snapshot: &Snapshot,
         leaving: &Usage,
         spec: &JobSpec,
         victim: &JobSpec,
@@ -662,8 +690,11 @@
         let Some(team) = self.config.teams.get(&victim.team) else {
             return false;
         };
-        let stays = view.usage.of(&victim.team).minus(&leaving.of(&victim.team));
-        stays.cpus > team.cpus + 1e-6 || stays.gpus > team.gpus + 1e-6
+        let remaining = snapshot
+            .usage
+            .of(&victim.team)
+            .minus(&leaving.of(&victim.team));
+        remaining.cpus > team.cpus + 1e-6 || remaining.gpus > team.gpus + 1e-6
     }
 
     /// Whether stopping one more replica of the service would breach its disruption budget.
@@ -671,27 +702,27 @@
     fn breaches_budget(
         &self,
         victim: &JobSpec,
-        more: &mut HashMap<JobId, (Replicas, u32)>,
+        stopping: &mut HashMap<JobId, (Replicas, u32)>,
     ) -> bool {
         if victim.kind != Kind::Service {
             return false;
         }
-        let (standing, count) = more
+        let (replicas, count) = stopping
             .entry(victim.id.clone())
             .or_insert_with(|| (self.replica_counts(&victim.id), 0));
         *count += 1;
-        self.ledger.breach(&victim.team, *standing, *count)
+        self.ledger.breach(&victim.team, *replicas, *count)
     }
 
     fn nominate(
         &mut self,
-        view: &mut Snapshot,
+        snapshot: &mut Snapshot,
         id: &JobId,
         spec: &JobSpec,
         plan: PreemptionPlan,
         now: Duration,
     ) {
-        let machine = view.rooms[plan.index].id.clone();
+        let machine = snapshot.rooms[plan.index].id.clone();
         info!(
             job = %id,
             machine = %machine,
@@ -705,23 +736,23 @@
             info!(task = %key.0, machine = %machine, by = %id, "preempting task");
             self.counts.victims += 1;
             if let Some(victim) = self.jobs.get(&key.0.job).map(|j| j.spec.clone()) {
-                view.leaving.add(&victim.team, &victim.need);
+                snapshot.leaving.add(&victim.team, &victim.need);
             }
             self.stop(&machine, key, grace, now);
         }
-        view.recount(plan.index, &self.machines[&machine]);
+        snapshot.recount(plan.index, &self.machines[&machine]);
         self.jobs
             .get_mut(id)
             .expect("job at hand")
             .nominations
             .push(machine.clone());
-        self.refresh_held(view, id);
-        self.clear_lower_nominations(view, plan.index, spec);
+        self.refresh_held(snapshot, id);
+        self.clear_lower_nominations(snapshot, plan.index, spec);
     }
 
     /// Clears nominations of a lower priority that no longer fit beside the new one.
-    fn clear_lower_nominations(&mut self, view: &mut Snapshot, index: usize, spec: &JobSpec) {
-        let machine = self.machines[&view.rooms[index].id].clone();
+    fn clear_lower_nominations(&mut self, snapshot: &mut Snapshot, index: usize, spec: &JobSpec) {
+        let machine = self.machines[&snapshot.rooms[index].id].clone();
         let mut lower: Vec<(Priority, JobId, Resources)> = Vec::new();
         let mut free = machine.free();
         for p in machine
@@ -731,7 +762,7 @@
         {
             free = free.plus(&p.need);
         }
-        for held in &view.rooms[index].held {
+        for held in &snapshot.rooms[index].held {
             if held.0 >= spec.priority {
                 free = free.minus(&held.2);
             } else {
@@ -746,9 +777,9 @@
             }
             if let Some(entry) = self.jobs.get_mut(&job)
                 // Capacity that is only reserved for a gang in this pass is no nomination.
-                && let Some(at) = entry.nominations.iter().position(|m| *m == machine.id)
+                && let Some(position) = entry.nominations.iter().position(|m| *m == machine.id)
             {
-                entry.nominations.remove(at);
+                entry.nominations.remove(position);
                 info!(
                     job = %job,
                     machine = %machine.id,
@@ -756,7 +787,7 @@
                 );
                 self.counts.cleared += 1;
                 self.queue.push(&job, entry);
-                self.refresh_held(view, &job);
+                self.refresh_held(snapshot, &job);
             }
         }
     }
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -16,54 +16,54 @@
     /// Returns whether it did.
     pub(super) fn place_gang(
         &mut self,
-        view: &mut Snapshot,
+        snapshot: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
-        if self.jobs[id].placed > 0 || self.exceeds_limit(view, spec, spec.tasks, now) {
+        if self.jobs[id].placed > 0 || self.exceeds_limit(snapshot, spec, spec.tasks, now) {
             return false;
         }
-        let lingering = match by_zone(spec) {
+        let has_remaining_tasks = match by_zone(spec) {
             // For such a job, `zones` counts the tasks that are still on machines.
-            true => !view.zones.is_empty(),
+            true => !snapshot.zones.is_empty(),
             false => self.machines.values().any(|m| {
                 let mut tasks = m.tasks.iter();
                 tasks.any(|((task, _), p)| task.job == *id && !p.exited())
             }),
         };
-        if lingering {
+        if has_remaining_tasks {
             return false;
         }
         let tasks: Vec<u32> = (0..spec.tasks)
             .filter(|i| self.jobs[id].slots[*i as usize] == Slot::Waiting)
             .collect();
-        for zones in view.gang_zones(spec) {
-            if let Some(rooms) = self.fit_gang(view, spec, &tasks, &zones, now) {
+        for zones in snapshot.gang_zones(spec) {
+            if let Some(candidates) = self.fit_gang(snapshot, spec, &tasks, &zones, now) {
                 let job = self.jobs.get_mut(id).expect("job at hand");
                 job.gathers = false;
                 job.nominations.clear();
-                self.refresh_held(view, id);
+                self.refresh_held(snapshot, id);
                 let attempt = self.next_attempt();
-                for (index, room) in tasks.iter().zip(rooms) {
-                    let machine = view.rooms[room].id.clone();
+                for (index, candidate) in tasks.iter().zip(candidates) {
+                    let machine = snapshot.rooms[candidate].id.clone();
                     let task = TaskId {
                         job: id.clone(),
                         index: *index,
                     };
-                    self.place_task(view, room, &machine, task, attempt, now);
+                    self.place_task(snapshot, candidate, &machine, task, attempt, now);
                 }
                 return true;
             }
         }
-        self.drop_completed_nominations(view, id, now);
+        self.drop_completed_nominations(snapshot, id, now);
         if self.jobs[id].nominations.is_empty()
             && !self.awaits_capacity(spec, DeferredAction::Preempt)
         {
-            self.preempt_for_gang(view, id, spec, &tasks, now);
+            self.preempt_for_gang(snapshot, id, spec, &tasks, now);
         }
         if self.jobs[id].nominations.is_empty() {
-            self.reserve_for_gang(view, id, spec, tasks.len());
+            self.reserve_for_gang(snapshot, id, spec, tasks.len());
         }
         false
     }
@@ -72,28 +72,35 @@
     /// them, until the end of the pass. Tasks of a lower priority would be preempted as soon as
     /// the rest of the gang fits, and would delay it until then. Jobs of the same priority may go
     /// first until the gang has waited for `gather_after`.
-    fn reserve_for_gang(&self, view: &mut Snapshot, id: &JobId, spec: &JobSpec, tasks: usize) {
+    fn reserve_for_gang(
+        &self,
+        snapshot: &mut Snapshot,
+        id: &JobId,
+        spec: &JobSpec,
+        task_count: usize,
+    ) {
         let mut best: Vec<usize> = Vec::new();
-        for zones in view.gang_zones(spec) {
-            let there = view.may_fit(spec).filter(|index| {
-                let room = &view.rooms[*index];
-                zones.contains(&room.zone) && self.fits(view, room, spec, &room.free)
+        for zones in snapshot.gang_zones(spec) {
+            let candidates = snapshot.may_fit(spec).filter(|index| {
+                let capacity = &snapshot.rooms[*index];
+                zones.contains(&capacity.zone)
+                    && self.fits(snapshot, capacity, spec, &capacity.free)
             });
-            let there: Vec<usize> = there.take(tasks).collect();
-            if there.len() > best.len() {
-                best = there;
+            let candidates: Vec<usize> = candidates.take(task_count).collect();
+            if candidates.len() > best.len() {
+                best = candidates;
             }
         }
         let waited = Duration::from_millis(self.wall_ms.saturating_sub(self.jobs[id].ready_ms));
-        let against = match waited > self.config.options.gather_after {
+        let held_priority = match waited > self.config.options.gather_after {
             true => Some(spec.priority),
             false => spec.priority.below(),
         };
-        if let Some(against) = against {
+        if let Some(held_priority) = held_priority {
             for index in best {
-                view.rooms[index]
+                snapshot.rooms[index]
                     .held
-                    .push((against, id.clone(), spec.need));
+                    .push((held_priority, id.clone(), spec.need));
             }
         }
     }
@@ -102,81 +109,83 @@
     /// restored afterwards.
     fn fit_gang(
         &self,
-        view: &mut Snapshot,
+        snapshot: &mut Snapshot,
         spec: &JobSpec,
         tasks: &[u32],
         zones: &[Arc<str>],
         now: Duration,
     ) -> Option<Vec<usize>> {
-        if !view.may_hold(spec, tasks.len(), zones, |room| room.free) {
+        if !snapshot.may_hold(spec, tasks.len(), zones, |capacity| capacity.free) {
             return None;
         }
-        let before: Vec<Resources> = view.rooms.iter().map(|r| r.free).collect();
-        let zones_before = view.zones.clone();
+        let free_before: Vec<Resources> = snapshot.rooms.iter().map(|r| r.free).collect();
+        let zones_before = snapshot.zones.clone();
         let mut chosen = Vec::new();
-        for room in &mut view.rooms {
-            if !zones.contains(&room.zone) {
-                room.free = Resources::default().minus(&spec.need);
+        for capacity in &mut snapshot.rooms {
+            if !zones.contains(&capacity.zone) {
+                capacity.free = Resources::default().minus(&spec.need);
             }
         }
         for _ in tasks {
-            let Some(i) = self.best_fit(view, spec, now) else {
+            let Some(candidate) = self.best_fit(snapshot, spec, now) else {
                 break;
             };
-            view.rooms[i].free = view.rooms[i].free.minus(&spec.need);
-            let zone = view.rooms[i].zone.clone();
-            *view.zones.entry(zone).or_insert(0) += 1;
-            chosen.push(i);
+            snapshot.rooms[candidate].free = snapshot.rooms[candidate].free.minus(&spec.need);
+            let zone = snapshot.rooms[candidate].zone.clone();
+            *snapshot.zones.entry(zone).or_insert(0) += 1;
+            chosen.push(candidate);
         }
-        for (room, free) in view.rooms.iter_mut().zip(before) {
-            room.free = free;
+        for (capacity, free) in snapshot.rooms.iter_mut().zip(free_before) {
+            capacity.free = free;
         }
-        view.zones = zones_before;
+        snapshot.zones = zones_before;
         (chosen.len() == tasks.len()).then_some(chosen)
     }
 
     /// Preempts for all tasks of a gang, or for none.
     fn preempt_for_gang(
         &mut self,
-        view: &mut Snapshot,
+        snapshot: &mut Snapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         tasks: &[u32],
         now: Duration,
     ) {
-        let reclaims = self.is_within_guarantee(view, spec);
-        let most = |room: &MachineCapacity| room.most_free(spec.priority, reclaims);
-        for zones in view.gang_zones(spec) {
-            if !view.may_hold(spec, tasks.len(), &zones, most) {
+        let reclaims = self.is_within_guarantee(snapshot, spec);
+        let max_free = |capacity: &MachineCapacity| capacity.most_free(spec.priority, reclaims);
+        for zones in snapshot.gang_zones(spec) {
+            if !snapshot.may_hold(spec, tasks.len(), &zones, max_free) {
                 continue;
             }
-            let before: Vec<Resources> = view.rooms.iter().map(|r| r.free).collect();
-            let zones_before = view.zones.clone();
+            let free_before: Vec<Resources> = snapshot.rooms.iter().map(|r| r.free).collect();
+            let zones_before = snapshot.zones.clone();
             let mut plans = Vec::new();
-            for room in &mut view.rooms {
-                if !zones.contains(&self.machines[&room.id].zone) {
-                    room.free = room.free.plus_times(&self.machines[&room.id].size, -2.0);
+            for capacity in &mut snapshot.rooms {
+                if !zones.contains(&self.machines[&capacity.id].zone) {
+                    capacity.free = capacity
+                        .free
+                        .plus_times(&self.machines[&capacity.id].size, -2.0);
                 }
             }
             for _ in tasks {
-                let Some(plan) = self.best_preemption_plan(view, spec) else {
+                let Some(plan) = self.best_preemption_plan(snapshot, spec) else {
                     break;
                 };
-                let room = &mut view.rooms[plan.index];
-                room.free = room.free.plus(&plan.freed).minus(&spec.need);
-                room.victims.extend(plan.victims.iter().cloned());
-                let zone = room.zone.clone();
-                *view.zones.entry(zone).or_insert(0) += 1;
+                let capacity = &mut snapshot.rooms[plan.index];
+                capacity.free = capacity.free.plus(&plan.freed).minus(&spec.need);
+                capacity.victims.extend(plan.victims.iter().cloned());
+                let zone = capacity.zone.clone();
+                *snapshot.zones.entry(zone).or_insert(0) += 1;
                 plans.push(plan);
             }
-            for (room, free) in view.rooms.iter_mut().zip(before) {
-                room.free = free;
-                room.victims.clear();
+            for (capacity, free) in snapshot.rooms.iter_mut().zip(free_before) {
+                capacity.free = free;
+                capacity.victims.clear();
             }
-            view.zones = zones_before;
+            snapshot.zones = zones_before;
             if plans.len() == tasks.len() {
                 for plan in plans {
-                    self.nominate(view, id, spec, plan, now);
+                    self.nominate(snapshot, id, spec, plan, now);
                 }
                 return;
             }
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -14,13 +14,14 @@
     pub(super) fn usage(&self) -> (Usage, Usage) {
         let (mut usage, mut leaving) = (Usage::default(), Usage::default());
         for machine in self.machines.values() {
-            let held: Vec<&Placement> = machine.tasks.values().filter(|p| !p.exited()).collect();
+            let placements: Vec<&Placement> =
+                machine.tasks.values().filter(|p| !p.exited()).collect();
             // Tasks of one job are adjacent, so the team is looked up once for all of them.
-            let alike = |a: &&Placement, b: &&Placement| match (&a.spec, &b.spec) {
+            let same_job = |a: &&Placement, b: &&Placement| match (&a.spec, &b.spec) {
                 (Some(a), Some(b)) => Arc::ptr_eq(a, b),
                 _ => false,
             };
-            for tasks in held.chunk_by(alike) {
+            for tasks in placements.chunk_by(same_job) {
                 let Some(spec) = &tasks[0].spec else {
                     // The team is no longer known, so the task counts against every team.
                     for team in self.config.teams.keys() {
@@ -43,7 +44,7 @@
     /// Counts tasks that unresponsive machines may hold as running. A waiting task is on at most
     /// one of them, so a task that several machines list counts once.
     fn add_unresolved_usage(&self, usage: &mut Usage) {
-        let mut hidden: BTreeMap<&JobId, u32> = BTreeMap::new();
+        let mut possible_tasks: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.unresolved) {
             let mut listed = machine.assignment.may_list();
             // A job that has been cancelled since may still run there, and its team is no longer
@@ -59,13 +60,13 @@
                 .may_list()
                 .filter_map(|id| self.jobs.get_key_value(id))
             {
-                let tasks = hidden.entry(id).or_default();
+                let tasks = possible_tasks.entry(id).or_default();
                 *tasks = tasks.saturating_add(job.spec.need.times_in(&machine.size));
             }
         }
-        for (id, most) in hidden {
+        for (id, possible) in possible_tasks {
             let job = &self.jobs[id];
-            let tasks = job.unplaced_count().min(most);
+            let tasks = job.unplaced_count().min(possible);
             let sum = Resources::default().plus_times(&job.spec.need, f64::from(tasks));
             usage.add(&job.spec.team, &sum);
         }
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -56,25 +56,25 @@
         return None;
     }
     // One task of each service may be stopped, the newest; any further one breaches its budget.
-    let mut aside: Vec<&Task> = tasks.iter().filter(|t| t.priority < priority).collect();
-    aside.sort_by_key(|task| std::cmp::Reverse(task.age));
+    let mut candidates: Vec<&Task> = tasks.iter().filter(|t| t.priority < priority).collect();
+    candidates.sort_by_key(|task| std::cmp::Reverse(task.age));
     let mut seen = BTreeSet::new();
-    let mut marked: Vec<(&Task, bool)> = Vec::new();
-    for task in aside {
+    let mut ordered: Vec<(&Task, bool)> = Vec::new();
+    for task in candidates {
         let breaks = task.service && !seen.insert(task.id.job.clone());
-        marked.push((task, breaks));
+        ordered.push((task, breaks));
     }
     let mut victims = Vec::new();
-    while !marked.is_empty() {
+    while !ordered.is_empty() {
         // Budget breaches first, then the highest priority, then the oldest.
         let mut first = 0;
-        for i in 1..marked.len() {
+        for i in 1..ordered.len() {
             let key = |(t, breaks): &(&Task, bool)| (*breaks, t.priority, usize::MAX - t.age);
-            if key(&marked[i]) > key(&marked[first]) {
+            if key(&ordered[i]) > key(&ordered[first]) {
                 first = i;
             }
         }
-        let (task, breaks) = marked.remove(first);
+        let (task, breaks) = ordered.remove(first);
         if used(&kept) + task.cpus + need <= cpus + 1e-6 {
             kept.push(task);
         } else {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_core_agrees_with_the_plain_model() {
+fn scheduler_agrees_with_reference_model() {
     let (mut placed, mut preempted, mut parked) = (0, 0, 0);
     for seed in 0..400 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -191,7 +191,7 @@
 
 /// Example 1 of the paper: a job must not take capacity that a higher-priority job waits for.
 #[test]
-fn a_nomination_holds_room_against_lower_priorities() {
+fn a_nomination_holds_capacity_against_lower_priorities() {
     let mut c = Cluster::new(10.0);
     c.machine("vm-1");
     let a = c.job(spec(1, Kind::Array, Priority::Normal, 1, 5.0));
@@ -417,7 +417,7 @@
 /// Tasks of a job that was cancelled during a failover still count against team limits while
 /// their machine is unresponsive, although their team is no longer known.
 #[test]
-fn a_cancelled_job_on_a_silent_machine_counts_against_the_limit() {
+fn a_cancelled_job_on_an_unresponsive_machine_counts_against_the_limit() {
     let shard = serde_json::json!({
         "kinds": [["m", "a", false]], "jobs": ["run-000001"], "machines": [["vm-1", 0, [0]]]
     });
@@ -448,11 +448,11 @@
 /// A shard of the assignment index lists many machines in one value and never exceeds the limit
 /// of a value. Starts that do not fit into it are delayed.
 #[test]
-fn a_full_shard_delays_starts_and_drops_nothing_that_is_listed() {
+fn a_full_shard_delays_starts_and_drops_no_listing() {
     use kiteyard::core::store::{Change, StateReply};
-    let most = 2048;
+    let max_bytes = 2048;
     let mut c = Cluster::new(400.0);
-    c.cluster.assignment_index = AssignmentIndex::new(most);
+    c.cluster.assignment_index = AssignmentIndex::new(max_bytes);
     for i in 0..4 {
         c.machine(&format!("vm-{i}"));
     }
@@ -467,7 +467,7 @@
             let Change::Put { value, .. } = change else {
                 panic!("a shard was deleted");
             };
-            assert!(value.get().len() <= most, "a value is too large");
+            assert!(value.get().len() <= max_bytes, "a value is too large");
             let record: ShardRecord = serde_json::from_str(value.get()).expect("a shard");
             let now: BTreeSet<JobId> = record.machines().flat_map(|m| m.jobs).collect();
             listed.extend(now);
@@ -521,7 +521,7 @@
 /// Among preemption plans with the same disruption, a machine with the image is chosen, even at
 /// the cost of one more victim of the lowest priority.
 #[test]
-fn the_image_decides_among_machines_that_are_disrupted_alike() {
+fn image_locality_breaks_ties_between_preemption_plans() {
     let mut c = Cluster::new(4.0);
     c.machine("vm-1");
     c.machine("vm-2");
@@ -547,13 +547,13 @@
 /// Partitioned machines keep working, and many of them stop reporting at once. Machines that
 /// hang stop reporting while others in their zone still report. Only those are given up.
 #[test]
-fn silent_machines_are_given_up_only_while_their_zone_is_heard() {
+fn unresponsive_machines_are_released_only_while_their_zone_reports() {
     use kiteyard::core::{
         machine::DirectReply,
         membership::reachability::{FailureDetector, HeartbeatPath},
         provisioning::CloudRequest,
     };
-    let given_up = |silent: usize| {
+    let released_count = |unresponsive: usize| {
         let mut c = Cluster::new(4.0);
         let mut detector = FailureDetector::new(Duration::from_secs(1), Duration::from_secs(10));
         let names: Vec<String> = (0..20).map(|i| format!("vm-{i:02}")).collect();
@@ -571,8 +571,8 @@
             detector.tick(c.now);
             let at = c.now;
             for (number, name) in names.iter().enumerate() {
-                let speaks = tick < 20 || number >= silent;
-                if speaks && tick as usize % 10 == number % 10 {
+                let is_reporting = tick < 20 || number >= unresponsive;
+                if is_reporting && tick as usize % 10 == number % 10 {
                     detector.record_heartbeat(
                         &Arc::from(name.as_str()),
                         &zone,
@@ -595,17 +595,17 @@
         }
         released.len()
     };
-    assert_eq!(given_up(0), 0);
-    assert_eq!(given_up(2), 2);
-    assert_eq!(given_up(8), 8);
-    assert_eq!(given_up(14), 0);
-    assert_eq!(given_up(20), 0);
+    assert_eq!(released_count(0), 0);
+    assert_eq!(released_count(2), 2);
+    assert_eq!(released_count(8), 8);
+    assert_eq!(released_count(14), 0);
+    assert_eq!(released_count(20), 0);
 }
 
 /// For a task that a new leader finds running, the start time is unknown. Measured from the
 /// failover, its run time would make estimates look too long.
 #[test]
-fn a_task_found_running_says_nothing_of_run_times() {
+fn a_task_found_running_does_not_update_run_time_estimates() {
     let seen = |found_running: bool| {
         let mut c = Cluster::new(4.0);
         c.machine("vm-1");
@@ -628,7 +628,7 @@
 /// A machine kept only for a few replicas is emptied, within the disruption budget of the
 /// service, and only if other machines have capacity and the image.
 #[test]
-fn a_hardly_used_machine_is_emptied_within_the_budget() {
+fn an_underused_machine_is_emptied_within_the_disruption_budget() {
     let stopping = |room_elsewhere: bool| {
         let mut c = Cluster::new(40.0);
         c.machine("vm-1");
@@ -639,7 +639,7 @@
         let need = if room_elsewhere { 20.0 } else { 39.0 };
         let array = c.job(spec(2, Kind::Array, Priority::Normal, 1, need));
         c.runs("vm-2", &array, 0);
-        let mut most = 0;
+        let mut max_stopping = 0;
         for second in 1..120 {
             c.now += Duration::from_secs(1);
             let at = c.now;
@@ -647,10 +647,10 @@
             c.report("vm-2");
             c.now = at;
             c.cluster.cloud_work(c.now);
-            most = most.max(c.victims("vm-1").len());
+            max_stopping = max_stopping.max(c.victims("vm-1").len());
             assert!(c.victims("vm-2").is_empty(), "second {second}");
         }
-        most
+        max_stopping
     };
     assert_eq!(stopping(true), 1);
     assert_eq!(stopping(false), 0);
@@ -659,7 +659,7 @@
 /// In a long queue, a job that still waits after a pass fits on no machine, even if it is
 /// smaller, of a higher priority or less constrained than a job that was not placed.
 #[test]
-fn no_job_is_passed_over_for_one_that_found_no_room() {
+fn a_job_that_fits_is_not_left_waiting_behind_one_that_does_not() {
     let mut waited = 0;
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -703,7 +703,7 @@
 }
 
 #[test]
-fn ids_are_ordered_as_their_texts_whatever_their_length() {
+fn job_ids_sort_like_their_texts() {
     let mut rng = StdRng::seed_from_u64(5);
     let ids: Vec<JobId> = (0..200)
         .map(|_| {
@@ -724,11 +724,11 @@
 /// A new leader can't observe the image caches of idle machines. It uses the handover snapshot of
 /// the previous leader, and leaves such a machine to the service whose image it has.
 #[test]
-fn images_that_the_former_leader_told_of_decide_between_rooms() {
+fn handed_over_image_caches_decide_between_machines() {
     let mut c = Cluster::new(4.0);
-    let told = r#"{"images": ["one", "two"], "machines": {"vm-1": [1], "vm-3": [0]}}"#;
+    let handover = r#"{"images": ["one", "two"], "machines": {"vm-1": [1], "vm-3": [0]}}"#;
     c.cluster
-        .apply_handover(serde_json::from_str(told).expect("caches"), c.now);
+        .apply_handover(serde_json::from_str(handover).expect("caches"), c.now);
     for name in ["vm-1", "vm-2", "vm-3"] {
         c.machine(name);
     }
@@ -751,7 +751,7 @@
 /// A faulty job fails on every machine. Its first failures made healthy machines look faulty,
 /// and all of its tasks were retried each time.
 #[test]
-fn a_job_that_fails_everywhere_is_tried_one_task_at_a_time() {
+fn a_faulty_job_is_retried_one_task_at_a_time() {
     let mut c = Cluster::new(4.0);
     let names = ["vm-1", "vm-2", "vm-3"];
     names.iter().for_each(|name| c.machine(name));
@@ -787,7 +787,7 @@
 
 /// No machine is rented for tasks beyond their team's limit: it would be paid for and idle.
 #[test]
-fn nothing_is_rented_for_what_a_team_may_not_run() {
+fn no_machine_is_rented_beyond_a_team_limit() {
     let mut c = Cluster::new(4.0);
     c.machine("vm-0");
     c.job(spec(1, Kind::Service, Priority::Normal, 900, 4.0));
@@ -816,7 +816,7 @@
 /// A service with a running replica is not considered faulty, so replicas that fail on faulty
 /// machines are restarted at once.
 #[test]
-fn a_service_with_a_running_replica_is_not_at_fault() {
+fn a_service_with_a_running_replica_is_not_faulty() {
     let mut c = Cluster::new(4.0);
     let names = ["vm-1", "vm-2", "vm-3", "vm-4"];
     names.iter().for_each(|name| c.machine(name));
@@ -834,7 +834,7 @@
 /// Listings of the first shards always became due again before the last shards had their turn,
 /// so tasks on machines of the last shards held capacity and never started.
 #[test]
-fn every_shard_of_the_roster_has_its_turn() {
+fn every_assignment_index_shard_is_written_in_turn() {
     use kiteyard::core::store::StateReply;
     let mut c = Cluster::new(8.0);
     c.cluster.assignment_index = AssignmentIndex::new(1024);
@@ -871,7 +871,7 @@
 /// Tasks are placed only as fast as they start: while no listing is stored, the number of
 /// unlisted tasks does not grow, and placement resumes once the state service answers.
 #[test]
-fn work_goes_in_only_as_fast_as_it_starts() {
+fn placements_are_limited_to_the_start_rate() {
     use kiteyard::core::store::StateReply;
     let mut c = Cluster::new(8.0);
     let names: Vec<String> = (0..10).map(|i| format!("vm-{i:02}")).collect();
@@ -915,7 +915,7 @@
 /// Under high load the next array in the queue took all freed capacity and fetched its image
 /// there, although another waiting array had its image on that machine.
 #[test]
-fn arrays_of_one_priority_take_rooms_with_their_image_first() {
+fn arrays_of_one_priority_take_machines_with_their_image_first() {
     let mut c = Cluster::new(4.0);
     let image = |number: usize, image: &str| JobSpec {
         image: Arc::from(image),
@@ -960,16 +960,16 @@
 /// directly into such a session was taken for lost, and its task ran twice (`ran_twice` in the
 /// simulated world).
 #[test]
-fn a_called_worker_is_not_lost_before_a_lease_after_its_answer() {
+fn a_called_worker_is_not_lost_within_a_lease_of_its_answer() {
     use kiteyard::core::machine::DirectReply;
 
     let shard = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],"machines":[["vm-1",0,[0]]]}"#;
     let shard = ShardRecord::parse(shard).expect("a shard");
     let resolve_by = Duration::from_secs(105);
     let mut c = Cluster::after_a_take_over(4.0, vec![(0, shard, 1)], resolve_by);
-    let told = r#"{"images":[],"machines":{},"workers":{"vm-1":["127.0.0.1:9",2]}}"#;
+    let handover = r#"{"images":[],"machines":{},"workers":{"vm-1":["127.0.0.1:9",2]}}"#;
     c.cluster.apply_handover(
-        serde_json::from_str(told).expect("a handover snapshot"),
+        serde_json::from_str(handover).expect("a handover snapshot"),
         c.now,
     );
     let direct = c
@@ -997,7 +997,7 @@
 /// task has ended. A worker told to forget the attempt at that point would run it again. This
 /// happened in the simulated world with an answer delayed by 0.9 s.
 #[test]
-fn an_attempt_is_not_forgotten_while_its_start_may_be_on_its_way() {
+fn an_attempt_is_not_forgotten_while_its_start_may_be_in_flight() {
     use kiteyard::core::machine::DirectReply;
 
     let mut c = Cluster::new(8.0);
@@ -1036,9 +1036,13 @@
     c.pass();
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.assignment.jobs.insert(other);
-    let straight = c.cluster.direct_commands(c.now);
-    assert_eq!(straight.len(), 1);
-    assert!(!straight.iter().any(|direct| forgets(&direct.commands)));
+    let direct_commands = c.cluster.direct_commands(c.now);
+    assert_eq!(direct_commands.len(), 1);
+    assert!(
+        !direct_commands
+            .iter()
+            .any(|direct| forgets(&direct.commands))
+    );
     // The next report proves that the worker has received that answer or never will.
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.direct = false;
--- a/tests/scheduling/requeue.rs
+++ b/tests/scheduling/requeue.rs
@@ -12,7 +12,7 @@
 
 use crate::cluster::{Cluster, spec};
 
-fn looks(c: &mut Cluster) {
+fn tick_and_pass(c: &mut Cluster) {
     c.cluster.tick(c.now);
     if c.cluster.queue.pass_requested {
         c.pass();
@@ -21,26 +21,26 @@
 
 /// A machine that misses a few reports within its lease gets no work until it reports again.
 #[test]
-fn a_machine_that_is_heard_again_within_its_lease_gets_what_waited() {
+fn a_machine_that_reports_again_within_its_lease_gets_waiting_jobs() {
     let mut c = Cluster::new(4.0);
     c.machine("vm-1");
     c.now += Duration::from_secs(4);
     let job = c.job(spec(1, Kind::Service, Priority::Normal, 1, 1.0));
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert!(c.on(&job).is_empty(), "the machine is unresponsive");
     c.report("vm-1");
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert_eq!(c.on(&job), ["vm-1"]);
 }
 
 /// Late starts reopen a closed priority without any write or any end of a task.
 #[test]
-fn what_was_not_let_in_is_tried_again_once_late_starts_went_out() {
+fn a_closed_priority_reopens_after_late_starts() {
     let mut c = Cluster::new(8.0);
     c.machine("vm-1");
     c.machine("vm-2");
     c.job(spec(0, Kind::Service, Priority::Normal, 1, 8.0));
-    looks(&mut c);
+    tick_and_pass(&mut c);
     let (listings, _, _) = c
         .cluster
         .assignment_index_write(true, 16)
@@ -49,21 +49,21 @@
     c.cluster.assignment_index_written(listings, &listed);
     c.now += Duration::from_millis(1_100);
     let late = c.job(spec(1, Kind::Service, Priority::Normal, 1, 8.0));
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert!(c.on(&late).is_empty(), "the priority is closed");
     for _ in 0..3 {
         c.now += Duration::from_millis(500);
         c.report("vm-1");
         c.report("vm-2");
         c.starts();
-        looks(&mut c);
+        tick_and_pass(&mut c);
     }
     assert_eq!(c.on(&late).len(), 1);
 }
 
 /// Capacity that was freed for a job whose team has reached its limit since goes to others.
 #[test]
-fn a_job_at_its_limit_keeps_no_room_from_others() {
+fn a_job_at_its_limit_holds_no_capacity() {
     let mut c = Cluster::new(600.0);
     c.machine("vm-1");
     c.machine("vm-2");
@@ -76,21 +76,21 @@
     let beside = c.job(spec(2, Kind::Array, Priority::Normal, 1, 300.0));
     c.runs("vm-2", &beside, 0);
     let high = c.job(spec(3, Kind::Array, Priority::High, 1, 600.0));
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert_eq!(c.nominated(&high), ["vm-1"]);
     // The team uses 500 of its 1,000 CPUs now.
     let urgent = c.job(spec(4, Kind::Array, Priority::Production, 1, 200.0));
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert_eq!(c.on(&urgent), ["vm-2"]);
     c.ends("vm-1", &victim, ExitReason::Stopped { saved: false });
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert!(c.on(&high).is_empty(), "the team is at its limit");
     assert_eq!(c.on(&victim), ["vm-1"]);
 }
 
 /// A waiting task is on at most one unresponsive machine, however many list its job.
 #[test]
-fn a_task_that_several_silent_machines_list_counts_once_against_the_limit() {
+fn a_task_that_several_unresponsive_machines_list_counts_once_against_the_limit() {
     let shard = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],
         "machines":[["vm-1",0,[0]],["vm-2",0,[0]],["vm-3",0,[0]]]}"#;
     let shard = ShardRecord::parse(shard).expect("a shard");
@@ -106,7 +106,7 @@
     let fits = c.job(spec(2, Kind::Array, Priority::Normal, 1, 500.0));
     let beyond = c.job(spec(3, Kind::Array, Priority::Low, 1, 250.0));
     c.machine("vm-5");
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert!(
         c.on(&listed.id).is_empty(),
         "it may run on an unresponsive machine"
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -86,14 +86,14 @@
     }
 }
 
-struct Split {
+struct SplitTest {
     cluster: Cluster,
     stored: Stored,
     rng: StdRng,
     next_job: usize,
 }
 
-impl Split {
+impl SplitTest {
     fn new(seed: u64, number: u32) -> Self {
         let mut stored = Stored {
             revision: 10,
@@ -185,7 +185,7 @@
         }
     }
 
-    fn late_write(&mut self) {
+    fn apply_late_write(&mut self) {
         if !self.stored.late.is_empty() {
             let at = self.rng.random_range(0..self.stored.late.len());
             let (conditions, changes) = self.stored.late.swap_remove(at);
@@ -213,7 +213,7 @@
         }
     }
 
-    fn resolve(&mut self, machine: usize) {
+    fn report(&mut self, machine: usize) {
         let name = name(machine);
         if !self.cluster.running.contains_key(&name) {
             self.cluster.machine(&name);
@@ -246,10 +246,10 @@
         }
     }
 
-    fn live(&mut self, steps: usize) {
+    fn run(&mut self, steps: usize) {
         for step in 0..steps {
             let machine = self.rng.random_range(0..MACHINES);
-            self.resolve(machine);
+            self.report(machine);
             if step % 5 == 0 {
                 self.next_job += 1;
                 let job = spec(self.next_job, Kind::Array, Priority::Normal, 3, 1.0);
@@ -259,23 +259,23 @@
             self.write();
             self.start();
             if self.rng.random_bool(0.1) {
-                self.late_write();
+                self.apply_late_write();
             }
         }
     }
 }
 
 #[test]
-fn a_large_shard_is_split_and_nothing_is_lost_on_the_way() {
+fn a_large_shard_is_split_without_losing_listings() {
     for (seed, number) in [(1, 0), (2, 9), (3, 99), (4, 10)] {
         let mut split = Split::new(seed, number);
-        split.live(60);
+        split.run(60);
         split.take_over();
         split.check();
-        split.live(60);
+        split.run(60);
         split.take_over();
-        (0..MACHINES).for_each(|machine| split.resolve(machine));
-        split.live(400);
+        (0..MACHINES).for_each(|machine| split.report(machine));
+        split.run(400);
         let large = format!("roster/{number}");
         let left = split.stored.shards.get(&large);
         let text = left.map_or(0, |(record, _)| {
@@ -290,7 +290,7 @@
 /// If a leader ends in the middle of a split, a machine that has not reported yet is listed in
 /// two shards, and both count.
 #[test]
-fn a_machine_in_two_shards_may_hold_what_either_lists() {
+fn a_machine_in_two_shards_counts_the_jobs_of_both() {
     let shard = |jobs: &[&str]| {
         let numbers: Vec<usize> = (0..jobs.len()).collect();
         let text = json!({"kinds": [["m", "a", false]], "jobs": jobs,
--- a/tests/scheduling/starting.rs
+++ b/tests/scheduling/starting.rs
@@ -12,12 +12,12 @@
 
 use crate::cluster::{Cluster, spec};
 
-const KEPT: &str = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],
+const STORED_SHARD: &str = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],
     "machines":[["vm-1",0,[0]],["vm-2",0,[0]]]}"#;
 
 /// New leader with two stored machines and jobs that were accepted before its claim.
-fn began(jobs: &[&JobSpec]) -> Cluster {
-    let shard = ShardRecord::parse(KEPT).expect("a shard");
+fn new_leader(jobs: &[&JobSpec]) -> Cluster {
+    let shard = ShardRecord::parse(STORED_SHARD).expect("a shard");
     let resolve_by = Duration::from_secs(140);
     let mut c = Cluster::after_a_take_over(4.0, vec![(0, shard, 1)], resolve_by);
     for (at, job) in jobs.iter().enumerate() {
@@ -31,95 +31,96 @@
     c
 }
 
-fn looks(c: &mut Cluster) {
+fn tick_and_pass(c: &mut Cluster) {
     c.cluster.tick(c.now);
     c.pass();
 }
 
 /// Only `vm-1` has reported. It runs the whole array, and a service waits for capacity.
-fn one_heard() -> (Cluster, JobId) {
+fn one_machine_reported() -> (Cluster, JobId) {
     let low = spec(1, Kind::Array, Priority::Normal, 1, 4.0);
     let high = spec(2, Kind::Service, Priority::High, 1, 4.0);
-    let mut c = began(&[&low, &high]);
+    let mut c = new_leader(&[&low, &high]);
     c.running.insert("vm-1".into(), Vec::new());
     c.runs("vm-1", &low.id, 0);
-    looks(&mut c);
+    tick_and_pass(&mut c);
     (c, high.id)
 }
 
 #[test]
-fn nobody_is_stopped_while_room_may_be_on_a_machine_that_is_still_to_be_heard() {
-    let (mut c, high) = one_heard();
+fn no_preemption_while_an_unreported_machine_may_have_capacity() {
+    let (mut c, high) = one_machine_reported();
     assert!(c.nominated(&high).is_empty() && c.victims("vm-1").is_empty());
     // The machine reports, and has the capacity.
     c.machine("vm-2");
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert_eq!(c.on(&high), ["vm-2"]);
     assert!(c.victims("vm-1").is_empty());
 }
 
 #[test]
-fn a_machine_that_stays_silent_holds_a_preemption_up_no_longer_than_a_worker_takes() {
-    let (mut c, high) = one_heard();
+fn an_unresponsive_machine_delays_preemption_only_for_a_bounded_time() {
+    let (mut c, high) = one_machine_reported();
     // The report interval is 1 s; no other machine has reported for a quarter of it.
     c.now += Duration::from_millis(300);
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert_eq!(c.nominated(&high), ["vm-1"]);
     // No machine reports: preemption is held back for as long as a live worker may take to report.
     let low = spec(1, Kind::Array, Priority::Normal, 1, 4.0);
-    let mut c = began(&[&low, &spec(2, Kind::Service, Priority::High, 1, 4.0)]);
+    let mut c = new_leader(&[&low, &spec(2, Kind::Service, Priority::High, 1, 4.0)]);
     c.running.insert("vm-1".into(), Vec::new());
     c.now += Duration::from_secs(3);
-    looks(&mut c);
+    tick_and_pass(&mut c);
     c.runs("vm-1", &low.id, 0);
-    looks(&mut c);
+    tick_and_pass(&mut c);
     assert_eq!(c.nominated(&high), ["vm-1"]);
 }
 
 #[test]
-fn nothing_is_rented_before_the_list_was_read_and_the_machines_heard() {
+fn no_machine_is_rented_before_the_cloud_list_is_read_and_machines_report() {
     // One task more than the unresponsive machine can hold.
     let wanted = spec(2, Kind::Service, Priority::High, 2, 4.0);
     // The same priority, so that neither job preempts the other.
     let low = spec(1, Kind::Array, Priority::High, 1, 4.0);
-    let mut c = began(&[&low, &wanted]);
+    let mut c = new_leader(&[&low, &wanted]);
     let list = c.cluster.cloud_work(c.now).expect("a request");
     assert!(matches!(list, CloudRequest::List { .. }), "{list:?}");
-    let none = CloudReply::Machines {
+    let no_machines = CloudReply::Machines {
         machines: Vec::new(),
         more: false,
     };
-    c.cluster.cloud_reply(&list, none, c.now);
+    c.cluster.cloud_reply(&list, no_machines, c.now);
     let next = |c: &mut Cluster, ms: u64| {
         c.now += Duration::from_millis(ms);
-        looks(c);
+        tick_and_pass(c);
         c.cluster.cloud_work(c.now)
     };
-    let rents = |request: Option<CloudRequest>| matches!(request, Some(CloudRequest::Provision(_)));
+    let is_rental =
+        |request: Option<CloudRequest>| matches!(request, Some(CloudRequest::Provision(_)));
     // The stored machines may have free capacity.
-    assert!(!rents(next(&mut c, 600)));
+    assert!(!is_rental(next(&mut c, 600)));
     // One machine reports, the other does not.
     c.running.insert("vm-1".into(), Vec::new());
     c.runs("vm-1", &low.id, 0);
     let mut later = (0..6).map(|_| next(&mut c, 600));
-    assert!(later.any(rents), "no machine was rented");
+    assert!(later.any(is_rental), "no machine was rented");
 }
 
 #[test]
-fn what_the_cloud_refused_the_former_leader_is_not_asked_for_again() {
+fn capacity_refused_to_the_previous_leader_is_not_requested_again() {
     let wanted = spec(2, Kind::Service, Priority::High, 1, 4.0);
     let mut c = Cluster::new(4.0);
-    let told = r#"{"images":[],"machines":{},"refused":[[["m","a",false],{"secs":9,"nanos":0}],
+    let handover = r#"{"images":[],"machines":{},"refused":[[["m","a",false],{"secs":9,"nanos":0}],
         [["m","b",false],{"secs":9,"nanos":0}]]}"#;
     c.cluster.apply_handover(
-        serde_json::from_str(told).expect("a handover snapshot"),
+        serde_json::from_str(handover).expect("a handover snapshot"),
         c.now,
     );
     c.job(wanted);
     let rents = |c: &mut Cluster, from: u64, to: u64| {
         (from..to).any(|second| {
             c.now = Duration::from_secs(100 + second);
-            looks(c);
+            tick_and_pass(c);
             let request = c.cluster.cloud_work(c.now);
             matches!(request, Some(CloudRequest::Provision(_)))
         })
