--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -268,7 +268,7 @@
 #[test]
 fn a_large_shard_is_split_without_losing_listings() {
     for (seed, number) in [(1, 0), (2, 9), (3, 99), (4, 10)] {
-        let mut split = Split::new(seed, number);
+        let mut split = SplitTest::new(seed, number);
         split.run(60);
         split.take_over();
         split.check();
