--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -21,6 +21,7 @@
     work_s: f64,
     /// Minimum remaining run time: that of one task.
     min_run_s: f64,
+    /// Times by which the job should finish, in ascending order.
     due_times_s: Vec<f64>,
 }
 
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Expected run time of a job, as a multiple of the run time of one task.
+/// Time until the last task of a job ends, as a multiple of the run time of one task.
 const RUN_TIME_FACTOR: f64 = 1.5;
 /// Overhead of a job beside its run time: image fetch, starts and storing the terminal state.
 const STAGE_OVERHEAD: Duration = Duration::from_secs(5);
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -15,7 +15,7 @@
 };
 use crate::settings::TXN_OPS_LEAST;
 
-/// Minimum limit on the size of a value, in bytes.
+/// Lowest limit on the size of a value that rejections lead to; such values are not split.
 const MIN_VALUE_BYTES: usize = 512;
 /// Minimum interval between two warnings about rejected writes of the same key.
 const WARN_INTERVAL: Duration = Duration::from_secs(60);
@@ -109,7 +109,8 @@
 /// Shortest and longest time for which the write rate is reduced.
 const MIN_REDUCTION_TIME: Duration = Duration::from_secs(10);
 const MAX_REDUCTION_TIME: Duration = Duration::from_secs(300);
-/// Time after a reduction within which replies to writes sent before it are ignored.
+/// Time after a reduction in which further refusals are ignored: they answer writes that were
+/// sent before it.
 const REDUCTION_SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Write rate that the leader plans with, in changes per second: the current limit, or the
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -36,10 +36,14 @@
 
 /// Preemption plan for one machine: the tasks to stop there so that one task fits.
 struct PreemptionPlan {
+    /// Index of the machine in the snapshot.
     index: usize,
     victims: Vec<(TaskId, u64)>,
+    /// Number of victims that breach a disruption budget.
     breaches: usize,
+    /// Highest priority of the victims.
     highest_priority: Option<Priority>,
+    /// Resources of the victims.
     freed: Resources,
     /// Estimated time to fetch the image, in seconds.
     fetch_s: f64,
@@ -62,6 +66,7 @@
 }
 
 impl ClusterState {
+    /// Whether tasks may be placed on the machine now.
     pub fn usable(&self, machine: &Machine, now: Duration) -> bool {
         machine.standing == Standing::Up
             && machine.fenced
@@ -137,7 +142,7 @@
         if !self.is_at_limit(snapshot, spec, now) {
             return false;
         }
-        // A job at a limit is not matched with machines, but its locality wait starts as if it was.
+        // A job at a limit is not matched with machines, but its locality wait starts all the same.
         let (wants_locality, needs_seats) = (
             self.prefers_image_locality(job, now),
             !spec.licences.is_empty(),
@@ -199,6 +204,7 @@
         }
     }
 
+    /// Builds the capacity snapshot for one pass.
     fn snapshot(&self, now: Duration) -> Snapshot {
         let (usage, leaving) = self.usage();
         let capacities: Vec<MachineCapacity> = self
@@ -312,6 +318,7 @@
         true
     }
 
+    /// Places one task on the machine, and updates the seats and the snapshot.
     fn place_task(
         &mut self,
         snapshot: &mut Snapshot,
@@ -505,7 +512,7 @@
     /// are still stopping may not.
     fn drop_completed_nominations(&mut self, snapshot: &mut Snapshot, id: &JobId, now: Duration) {
         let machines = &self.machines;
-        let job = self.jobs.get_mut(id).expect("job at hand");
+        let job = self.jobs.get_mut(id).expect("active job");
         let count_before = job.nominations.len();
         job.nominations.retain(|m| {
             machines
@@ -714,6 +721,7 @@
         self.ledger.breach(&victim.team, *replicas, *count)
     }
 
+    /// Executes a plan: stops its victims and nominates the machine for the job.
     fn nominate(
         &mut self,
         snapshot: &mut Snapshot,
@@ -743,7 +751,7 @@
         snapshot.recount(plan.index, &self.machines[&machine]);
         self.jobs
             .get_mut(id)
-            .expect("job at hand")
+            .expect("active job")
             .nominations
             .push(machine.clone());
         self.refresh_held(snapshot, id);
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -40,7 +40,7 @@
             .collect();
         for zones in snapshot.gang_zones(spec) {
             if let Some(candidates) = self.fit_gang(snapshot, spec, &tasks, &zones, now) {
-                let job = self.jobs.get_mut(id).expect("job at hand");
+                let job = self.jobs.get_mut(id).expect("active job");
                 job.gathers = false;
                 job.nominations.clear();
                 self.refresh_held(snapshot, id);
