--- a/tests/scheduling/dependencies.rs
+++ b/tests/scheduling/dependencies.rs
@@ -18,7 +18,7 @@
     (c, needed)
 }
 
-fn high(latest_finish_ms: u64) -> Urgency {
+fn high_urgency(latest_finish_ms: u64) -> Urgency {
     Urgency {
         priority: Priority::High as u8,
         latest_finish_ms: Some(latest_finish_ms),
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn an_inherited_priority_counts_in_the_queue_and_for_what_runs() {
+fn an_inherited_priority_applies_in_the_queue_and_to_running_tasks() {
     let mut c = Cluster::new(4.0);
     c.machine("vm-1");
     let low = c.job(spec(1, Kind::Array, Priority::Low, 1, 4.0));
     c.runs("vm-1", &low, 0);
-    c.cluster.set_urgency(&low, high(u64::MAX));
+    c.cluster.set_urgency(&low, high_urgency(u64::MAX));
     // It runs with high priority now: a normal job can't preempt it.
     let normal = c.job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
     c.pass();
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn a_needed_job_with_time_to_spare_waits_for_room() {
+fn a_needed_job_with_time_to_spare_waits_for_capacity() {
     let (mut c, needed) = full_machine_and_needed_job();
     c.cluster.wall_ms = 1_000;
-    c.cluster.set_urgency(&needed, high(600_000));
+    c.cluster.set_urgency(&needed, high_urgency(600_000));
     c.pass();
     assert!(c.nominated(&needed).is_empty());
     assert!(c.victims("vm-1").is_empty());
@@ -72,7 +72,7 @@
 fn a_needed_job_that_would_be_late_preempts() {
     let (mut c, needed) = full_machine_and_needed_job();
     c.cluster.wall_ms = 1_000;
-    c.cluster.set_urgency(&needed, high(600_000));
+    c.cluster.set_urgency(&needed, high_urgency(600_000));
     c.pass();
     // Time passes, and no capacity becomes free.
     c.cluster.wall_ms = 595_000;
@@ -88,7 +88,7 @@
     let (mut c, _) = full_machine_and_needed_job();
     let own = c.job(spec(3, Kind::Array, Priority::High, 1, 4.0));
     c.cluster.wall_ms = 1_000;
-    c.cluster.set_urgency(&own, high(600_000));
+    c.cluster.set_urgency(&own, high_urgency(600_000));
     c.pass();
     assert_eq!(c.nominated(&own), ["vm-1"]);
 }
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -61,28 +61,28 @@
     let mut seen = BTreeSet::new();
     let mut ordered: Vec<(&Task, bool)> = Vec::new();
     for task in candidates {
-        let breaks = task.service && !seen.insert(task.id.job.clone());
-        ordered.push((task, breaks));
+        let is_breach = task.service && !seen.insert(task.id.job.clone());
+        ordered.push((task, is_breach));
     }
     let mut victims = Vec::new();
     while !ordered.is_empty() {
         // Budget breaches first, then the highest priority, then the oldest.
         let mut first = 0;
         for i in 1..ordered.len() {
-            let key = |(t, breaks): &(&Task, bool)| (*breaks, t.priority, usize::MAX - t.age);
+            let key = |(t, is_breach): &(&Task, bool)| (*is_breach, t.priority, usize::MAX - t.age);
             if key(&ordered[i]) > key(&ordered[first]) {
                 first = i;
             }
         }
-        let (task, breaks) = ordered.remove(first);
+        let (task, is_breach) = ordered.remove(first);
         if used(&kept) + task.cpus + need <= cpus + 1e-6 {
             kept.push(task);
         } else {
-            victims.push((task, breaks));
+            victims.push((task, is_breach));
         }
     }
     let score = Score {
-        breaches: victims.iter().filter(|(_, breaks)| *breaks).count(),
+        breaches: victims.iter().filter(|(_, is_breach)| *is_breach).count(),
         highest: victims.iter().map(|(t, _)| t.priority).max(),
         victims: victims.len(),
     };
@@ -487,7 +487,7 @@
 /// new leader's token is not declared lost before that, even if a late report of it was
 /// answered: the answer may not have arrived.
 #[test]
-fn a_worker_that_a_former_leader_may_answer_is_not_lost() {
+fn a_worker_that_a_previous_leader_may_answer_is_not_lost() {
     let shard = serde_json::json!({
         "kinds": [["m", "a", false]], "jobs": ["run-000001"], "machines": [["vm-1", 0, [0]]]
     });
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -236,7 +236,7 @@
             let Some(running) = self.cluster.running.get_mut(&machine) else {
                 continue;
             };
-            if running.iter().all(|there| there.task != task) {
+            if running.iter().all(|reported| reported.task != task) {
                 running.push(kiteyard::core::machine::ReportedTask {
                     task,
                     attempt,
