--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -186,7 +186,7 @@
                     kind,
                     stopping: placement.stopping(),
                     service: services.get(&key.0.job).copied(),
-                    room: self.has_room_elsewhere(id, placement, now),
+                    room: self.has_capacity_elsewhere(id, placement, now),
                     lost: unsaved_run_time(placement, now),
                 })
             })
@@ -197,7 +197,7 @@
 
     /// Whether a task could start on another machine now. The image does not matter: a fetch is
     /// better than a drain that never completes.
-    fn has_room_elsewhere(&self, id: &MachineId, placement: &Placement, now: Duration) -> bool {
+    fn has_capacity_elsewhere(&self, id: &MachineId, placement: &Placement, now: Duration) -> bool {
         let Some(spec) = &placement.spec else {
             return false;
         };
@@ -225,9 +225,9 @@
         return Duration::ZERO;
     };
     let since = placement.running_since.unwrap_or(now);
-    let ran = now.saturating_sub(since);
+    let run_time = now.saturating_sub(since);
     match spec.checkpoint_s > 0.0 {
-        true => ran.min(crate::settings::seconds(spec.checkpoint_s)),
-        false => ran,
+        true => run_time.min(crate::settings::seconds(spec.checkpoint_s)),
+        false => run_time,
     }
 }
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -145,7 +145,7 @@
                         "{name} runs a replica of {id}, and team {team} allows none to be down"
                     ));
                 }
-                let elsewhere = cluster.types.iter().any(|t| {
+                let fits_any_type = cluster.types.iter().any(|t| {
                     spec.allows_type(&t.name)
                         && spec.need.fits_in(&t.size)
                         && spec
@@ -153,7 +153,7 @@
                             .as_ref()
                             .is_none_or(|z| t.zones.iter().any(|o| **o == **z))
                 });
-                if !elsewhere {
+                if !fits_any_type {
                     return Some(format!(
                         "{name} runs {}, which fits no machine type",
                         spec.id
