--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,11 +1,10 @@
-//! What holds room without running, and whether more may be let in.
+//! Admission control: limits placements to the rate at which placed tasks start.
 //!
-//! A task that was given a machine holds its room from then on, but starts only when
-//! its job is listed there, which takes a write of the state service. Where more is
-//! let in than gets out, machines fill up with tasks that wait, and whatever should
-//! run waits for the room they hold. So work goes in at the rate at which it starts:
-//! when more has been waiting too long than started in the same time, no more of the
-//! same or a lower priority goes in until the rest is through.
+//! A placed task holds capacity at once, but starts only after its job is listed with the
+//! machine in the state service. If tasks are placed faster than they are listed, machines
+//! fill up with tasks that wait, and tasks that could run wait for the capacity they hold.
+//! So when more tasks have waited too long than started in the same time, no more tasks of
+//! that priority or a lower one are placed until the backlog is cleared.
 
 use std::time::Duration;
 
@@ -17,63 +16,63 @@
     machine::{Machine, MachineState, Phase, TaskPhase},
 };
 
-/// Starts that were confirmed, over the last one to two spans of time.
+/// Count of confirmed starts in the current and the previous time span.
 #[derive(Debug)]
 pub struct StartRate {
     span: Duration,
-    since: Duration,
-    now: usize,
-    before: usize,
+    span_start: Duration,
+    current: usize,
+    previous: usize,
 }
 
 impl StartRate {
     pub fn new(span: Duration) -> Self {
         Self {
             span: span.max(Duration::from_millis(1)),
-            since: Duration::ZERO,
-            now: 0,
-            before: 0,
+            span_start: Duration::ZERO,
+            current: 0,
+            previous: 0,
         }
     }
 
-    fn turn(&mut self, now: Duration) {
-        let spans = now.saturating_sub(self.since).as_millis() / self.span.as_millis().max(1);
+    fn advance(&mut self, now: Duration) {
+        let spans = now.saturating_sub(self.span_start).as_millis() / self.span.as_millis().max(1);
         if spans > 0 {
-            self.before = if spans == 1 { self.now } else { 0 };
-            self.now = 0;
-            self.since = now;
+            self.previous = if spans == 1 { self.current } else { 0 };
+            self.current = 0;
+            self.span_start = now;
         }
     }
 
-    pub fn started(&mut self, now: Duration) {
-        self.turn(now);
-        self.now += 1;
+    pub fn record_start(&mut self, now: Duration) {
+        self.advance(now);
+        self.current += 1;
     }
 
-    /// Starts within about the last span.
-    pub fn lately(&mut self, now: Duration) -> usize {
-        self.turn(now);
-        self.now.max(self.before)
+    /// Returns the starts within about the last span: the larger of the two counts.
+    pub fn recent_starts(&mut self, now: Duration) -> usize {
+        self.advance(now);
+        self.current.max(self.previous)
     }
 }
 
-/// How much holds its room without running, by what it waits for.
+/// Tasks that hold capacity without running, counted by what they wait for.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct PendingPlacements {
-    /// Decided, and the job is not listed with the machine yet.
+    /// Placed, but the job is not listed with the machine yet.
     pub unlisted: usize,
-    /// Listed, in no message yet.
+    /// Listed, but not sent to the worker yet.
     pub unsent: usize,
-    /// Sent, in no report yet.
+    /// Sent, but not confirmed by a report yet.
     pub unconfirmed: usize,
     pub fetching: usize,
-    /// Tasks of gangs that wait for the others.
+    /// Tasks of gangs that wait for the rest of their gang.
     pub gathering: usize,
-    /// Told to stop, and not gone.
+    /// Told to stop, but not exited yet.
     pub stopping: usize,
-    /// Over, with a result that is not stored. These hold no room.
+    /// Exited, but the result is not stored yet. These hold no capacity.
     pub unstored: usize,
-    /// Machines that are held by nominations.
+    /// Number of nominations.
     pub nominated: usize,
 }
 
@@ -100,14 +99,14 @@
         pending_placements
     }
 
-    /// How things stand, for the log.
+    /// Logs counters, capacity use and pending placements every 5 seconds.
     pub(super) fn log_counts(&mut self, now: Duration) {
         if now < self.next_log {
             return;
         }
         self.next_log = now + Duration::from_secs(5);
-        let standing = |m: &&Machine| m.state == MachineState::Up;
-        let up = self.machines.values().filter(standing).count();
+        let is_up = |m: &&Machine| m.state == MachineState::Up;
+        let up = self.machines.values().filter(is_up).count();
         let booting = self.machines.len() - up;
         let waiting: u32 = self.jobs.values().map(|j| j.waiting_count()).sum();
         let Counts {
@@ -127,9 +126,9 @@
             nominations,
             cleared,
             lost,
-            "counts"
+            "cluster counters"
         );
-        self.log_use();
+        self.log_machine_use();
         let pending_placements = self.pending_placements();
         debug!(
             unlisted = pending_placements.unlisted,
@@ -140,22 +139,22 @@
             stopping = pending_placements.stopping,
             unstored = pending_placements.unstored,
             nominated = pending_placements.nominated,
-            started = self.start_rate.lately(now),
+            started = self.start_rate.recent_starts(now),
             closed_priority = ?self.closed_priority,
             "pending placements"
         );
     }
 
-    /// What the machines are used for, for the log: in whole machines, by what binds.
-    fn log_use(&self) {
+    /// Logs the use of machines by kind of job, in whole machines of the scarcest resource.
+    fn log_machine_use(&self) {
         let mut used = [[0.0; 2]; 3];
-        let (mut idle, mut all) = ([0; 2], [0; 2]);
+        let (mut idle, mut totals) = ([0; 2], [0; 2]);
         for machine in self.machines.values() {
             if machine.state != MachineState::Up {
                 continue;
             }
             let spot = usize::from(machine.spot);
-            all[spot] += 1;
+            totals[spot] += 1;
             idle[spot] += usize::from(!machine.busy());
             for p in machine.tasks.values().filter(|p| !p.exited()) {
                 let kind = p.spec.as_ref().map_or(0, |spec| spec.kind as usize);
@@ -164,18 +163,18 @@
         }
         let [arrays, gangs, services] = used.map(|[ordinary, _]| ordinary.round());
         let [spot_arrays, ..] = used.map(|[_, spot]| spot.round());
-        let ([ordinary, spot], [idle, idle_spot]) = (all, idle);
+        let ([ordinary, spot], [idle, idle_spot]) = (totals, idle);
         debug!(
             ordinary,
-            arrays, gangs, services, idle, spot, spot_arrays, idle_spot, "use"
+            arrays, gangs, services, idle, spot, spot_arrays, idle_spot, "machine use"
         );
     }
 
-    /// The highest priority that nothing more is let in of, if any: more of it, and of
-    /// what is above it, has waited for a whole span than started in one.
+    /// Returns the highest priority to close to new placements, if any: more tasks of this and
+    /// higher priorities have waited for a whole span than started within one.
     pub(super) fn priority_to_close(&mut self, now: Duration) -> Option<Priority> {
         let span = self.start_rate.span;
-        let mut late = [0; Priority::ALL.len()];
+        let mut overdue = [0; Priority::ALL.len()];
         for machine in self.machines.values() {
             if machine.state != MachineState::Up {
                 continue;
@@ -185,18 +184,18 @@
                     && now > p.since + span
                     && let Some(spec) = &p.spec
                 {
-                    late[spec.priority as usize] += 1;
+                    overdue[spec.priority as usize] += 1;
                 }
             }
         }
-        let starts = self.start_rate.lately(now);
-        let mut sum = 0;
+        let starts = self.start_rate.recent_starts(now);
+        let mut total = 0;
         let closed_priority = Priority::ALL.into_iter().rev().find(|priority| {
-            sum += late[*priority as usize];
-            sum > starts
+            total += overdue[*priority as usize];
+            total > starts
         });
         if closed_priority.is_some() {
-            // Starts are confirmed, and late ones go out, without an end of any task.
+            // The backlog can clear without any task ending, so nothing else would trigger a retry.
             self.retry_by(now + span);
         }
         closed_priority
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -165,7 +165,7 @@
         let now = self.now();
         match (write_size, reply) {
             (Some(size), StateReply::Rejected) => {
-                let lowered = self.limits.rejected(size, now);
+                let lowered = self.limits.lower_after_rejection(size, now);
                 self.write_queue.rejected(lowered);
             }
             (
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -26,7 +26,7 @@
     admission::StartRate,
     assignment_index::{AssignmentIndex, ShardRecord},
     config::Config,
-    drain::Progress,
+    drain::DrainProgress,
     handover::HandoverSnapshot,
     job::JobId,
     machine::{Command, Machine, MachineId, MachineType, Phase, Stop},
@@ -91,7 +91,7 @@
     pub(super) disruption_ledger: Ledger,
     /// Drains that operators requested, and their progress by machine.
     pub(super) drains: Drains,
-    pub(super) draining: BTreeMap<MachineId, Progress>,
+    pub(super) draining: BTreeMap<MachineId, DrainProgress>,
     /// Reason why draining is paused, as set by the node and as last logged.
     pub(super) drains_pause: Option<Waits>,
     pub(super) logged_drains_pause: Option<Waits>,
@@ -184,7 +184,7 @@
             zone_lease_ends,
             now,
         );
-        cluster.licence_ledger = cluster.new_ledger(now);
+        cluster.licence_ledger = cluster.new_licence_ledger(now);
         for (shard, record, version) in assignment_index {
             cluster.load_shard(shard, &record, version, now);
         }
@@ -356,7 +356,7 @@
 
     /// Requests a scheduling pass.
     pub fn request_pass(&mut self) {
-        self.queue.dirty = true;
+        self.queue.pass_requested = true;
     }
 
     /// Unparks all jobs and requests a pass; called when a task ends or a machine changes.
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -1,9 +1,9 @@
-//! Emptying dear machines that are kept for a few replicas only.
+//! Consolidation: empties expensive machines that are kept only for a few replicas.
 //!
-//! Replicas run for minutes and end one by one. What is left of them is spread
-//! over machines that were rented for a rush, and each keeps a whole one. When
-//! nothing waits, the machine that is used least is emptied: its replicas start
-//! anew where there is room and their image, and it is returned.
+//! Replicas run for minutes and end one by one. After a load peak the remaining ones are
+//! spread over many machines, and each keeps a whole machine rented. When no job waits, the
+//! most expensive underused machine is emptied: its replicas restart on machines that have
+//! capacity and their image, and the machine is released.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -16,13 +16,13 @@
     machine::{AttemptKey, Machine, MachineId, MachineState, Phase, TaskPhase},
 };
 
-/// A machine is worth emptying when it is used for less than one part in so many.
-const USED_ONE_IN: f64 = 4.0;
-/// A replica that started less than this ago stays where it is.
-const SETTLED: Duration = Duration::from_secs(30);
+/// A machine is underused if at most one part in this many of it is in use.
+const UNDERUSED_DIVISOR: f64 = 4.0;
+/// Minimum age of a replica before it is moved.
+const MIN_REPLICA_AGE: Duration = Duration::from_secs(30);
 
 impl ClusterState {
-    /// Begins to empty a machine, or goes on with one, as the ledger of disruption allows.
+    /// Starts emptying a machine, or continues with one, as the disruption budgets allow.
     pub(super) fn plan_consolidation(&mut self, now: Duration) {
         let draining = self
             .machines
@@ -45,7 +45,7 @@
                 let Some(id) = self.underused_machine(now) else {
                     return;
                 };
-                info!(machine = %id, why = "hardly used", "leaving");
+                info!(machine = %id, why = "underused", "emptying machine before its release");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.state = MachineState::Leaving;
                 id
@@ -54,18 +54,18 @@
         self.move_replicas(&id, now);
     }
 
-    /// The dearest machine with a few settled replicas and nothing else, all of
-    /// which others can take at once.
+    /// Returns the most expensive underused machine that runs only settled replicas, all of which
+    /// fit on other machines now.
     fn underused_machine(&self, now: Duration) -> Option<MachineId> {
-        let dear = self
+        let candidates = self
             .machines
             .values()
             .filter(|m| self.usable(m, now) && !m.direct_in_flight)
-            // What comes next may need it: it is kept as long as an idle one.
+            // New jobs may need the machine, so it is kept as long as an idle one.
             .filter(|m| now > self.provisioning.last_waiting_at + self.idle_time(&m.machine_type))
             .filter(|m| {
                 let used = m.size.minus(&m.free());
-                m.busy() && used.dominant_share_of(&m.size) * USED_ONE_IN <= 1.0
+                m.busy() && used.dominant_share_of(&m.size) * UNDERUSED_DIVISOR <= 1.0
             })
             .filter(|m| {
                 m.tasks.values().filter(|p| !p.exited()).all(|p| {
@@ -73,19 +73,19 @@
                     replica
                         && p.phase == Phase::Seen(TaskPhase::Running)
                         && !p.stopping()
-                        && now > p.since + SETTLED
+                        && now > p.since + MIN_REPLICA_AGE
                 })
             })
             .filter(|m| self.fits_elsewhere(m, now));
         let price = |m: &Machine| self.price(&m.machine_type, m.spot);
-        dear.max_by(|a, b| price(a).total_cmp(&price(b)))
+        candidates
+            .max_by(|a, b| price(a).total_cmp(&price(b)))
             .map(|m| m.id.clone())
     }
 
-    /// Whether other machines that are kept anyway have room for what runs here,
-    /// and the images of it.
+    /// Whether other busy machines have capacity and the images for all tasks of the machine.
     fn fits_elsewhere(&self, machine: &Machine, now: Duration) -> bool {
-        let mut rooms: Vec<_> = self
+        let mut free_capacity: Vec<_> = self
             .machines
             .values()
             .filter(|m| m.id != machine.id && m.busy() && self.usable(m, now))
@@ -93,20 +93,21 @@
             .collect();
         machine.tasks.values().filter(|p| !p.exited()).all(|p| {
             let Some(spec) = &p.spec else { return false };
-            let room = rooms.iter_mut().find(|(m, free)| {
-                // Within its zone a replica breaks no rule of where the others are.
+            let target = free_capacity.iter_mut().find(|(m, free)| {
+                // A move within the zone can't violate a zone constraint of the service.
                 (m.zone == machine.zone || !(spec.one_zone || spec.spread))
                     && spec.allows_type(&m.machine_type)
                     && spec.allows_placement(&m.zone, m.spot)
                     && m.has_image(&spec.image)
                     && spec.need.fits_in(free)
             });
-            room.map(|(_, free)| *free = free.minus(&spec.need))
+            target
+                .map(|(_, free)| *free = free.minus(&spec.need))
                 .is_some()
         })
     }
 
-    /// Stops replicas on a machine that is to go, as far as the ledger allows.
+    /// Stops the replicas on a machine being emptied, as far as the disruption budgets allow.
     fn move_replicas(&mut self, id: &MachineId, now: Duration) {
         let services = self.observe_services();
         let running: Vec<AttemptKey> = self.machines[id]
@@ -115,17 +116,17 @@
             .filter(|(_, p)| !p.exited() && !p.stopping() && !p.foreign)
             .map(|(key, _)| key.clone())
             .collect();
-        let mut moved: HashMap<JobId, u32> = HashMap::new();
+        let mut stopped_by_service: HashMap<JobId, u32> = HashMap::new();
         for key in running {
-            let (Some(job), Some(standing)) = (self.jobs.get(&key.0.job), services.get(&key.0.job))
+            let (Some(job), Some(counts)) = (self.jobs.get(&key.0.job), services.get(&key.0.job))
             else {
                 continue;
             };
-            let stops = moved.entry(key.0.job.clone()).or_insert(0);
+            let stopped = stopped_by_service.entry(key.0.job.clone()).or_insert(0);
             let service = Replicas {
-                up: standing.up.saturating_sub(*stops),
-                stopping: standing.stopping + *stops,
-                ..*standing
+                up: counts.up.saturating_sub(*stopped),
+                stopping: counts.stopping + *stopped,
+                ..*counts
             };
             let team = job.spec.team.clone();
             let ask = Ask {
@@ -135,7 +136,7 @@
             };
             if self.disruption_ledger.ask(now, &ask).is_ok() {
                 self.disruption_ledger.take(now, &ask);
-                *stops += 1;
+                *stopped += 1;
                 self.stop(id, &key, self.config.options.grace, now);
             }
         }
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -1,9 +1,9 @@
-//! The order among jobs of equal priority: as many as possible in time.
+//! Orders jobs of equal priority so that as many as possible finish in time.
 //!
-//! Jobs are taken by the time they are due; where that leaves one late, the one
-//! with the most work is put back (Moore and Hodgson), since it is late either
-//! way and would make many small ones late too. Those put back follow, again by
-//! the next time that is expected of them, and then the smallest first.
+//! Jobs are taken by due time. If that makes one late, the job with the most work among those
+//! taken is deferred (Moore-Hodgson): one job is late in any case, and a large one would make
+//! many small ones late too. Deferred jobs follow, ordered the same way by their next due time.
+//! Jobs without a due time left come last, the smallest first.
 
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
@@ -14,72 +14,81 @@
     machine::MachineState,
 };
 
-/// A finite job as far as its order is concerned. Times in seconds from now.
-struct Entry {
+/// Array job to be ordered. Times are in seconds from now.
+struct DatedJob {
     id: JobId,
-    /// Seconds that are left if the job had all that finite work may use to itself.
-    work: f64,
-    /// The least time it still takes.
-    least: f64,
-    dues: Vec<f64>,
+    /// Remaining run time if the job had the whole batch capacity to itself.
+    work_s: f64,
+    /// Minimum remaining run time: that of one task.
+    min_run_s: f64,
+    /// Times by which the job should finish, in ascending order.
+    due_times_s: Vec<f64>,
 }
 
-/// A job that is later than this many times its due time goes first at last.
-const STARVED: f64 = 6.0;
-/// A task takes no more than so many times all there is: sums stay numbers.
-const SHARE_MOST: f64 = 1e6;
+/// A job older than this many times its last due time goes first, to prevent starvation.
+const STARVATION_FACTOR: f64 = 6.0;
+/// Maximum share of the batch capacity that a task counts for, to keep sums finite.
+const MAX_CAPACITY_SHARE: f64 = 1e6;
 
 impl ClusterState {
-    /// Places of the waiting jobs, the first one lowest.
+    /// Returns the position of each waiting job in the order, starting at 0.
     pub fn deadline_order(&self) -> HashMap<JobId, usize> {
-        let mut first: Vec<(&JobId, &Job)> = Vec::new();
-        let finite = self.batch_capacity();
-        let mut left: Vec<Entry> = Vec::new();
-        let mut last: Vec<JobId> = Vec::new();
+        let mut by_ready_time: Vec<(&JobId, &Job)> = Vec::new();
+        let batch_capacity = self.batch_capacity();
+        let mut remaining: Vec<DatedJob> = Vec::new();
+        let mut faulty: Vec<JobId> = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.waiting_count() > 0) {
             if job.faulty() {
-                last.push(id.clone());
+                faulty.push(id.clone());
                 continue;
             }
-            match self.entry(id, job, &finite) {
-                Some(entry) => left.push(entry),
-                None => first.push((id, job)),
+            match self.dated_job(id, job, &batch_capacity) {
+                Some(entry) => remaining.push(entry),
+                None => by_ready_time.push((id, job)),
             }
         }
-        first.sort_by_key(|(id, job)| (job.ready_ms, job.version, (*id).clone()));
-        let mut order: Vec<JobId> = first.into_iter().map(|(id, _)| id.clone()).collect();
-        let mut ahead = 0.0;
+        by_ready_time.sort_by_key(|(id, job)| (job.ready_ms, job.version, (*id).clone()));
+        let mut order: Vec<JobId> = by_ready_time
+            .into_iter()
+            .map(|(id, _)| id.clone())
+            .collect();
+        let mut total_work = 0.0;
         for round in 0..2 {
-            let (mut taken, mut late): (Vec<Option<Entry>>, _) = (Vec::new(), Vec::new());
-            // The most work first, of the last one taken where it is the same.
-            let mut largest: BinaryHeap<(u64, usize)> = BinaryHeap::new();
-            left.sort_by(|a, b| {
-                let due = |e: &Entry| e.dues.get(round).copied().unwrap_or(f64::INFINITY);
+            let (mut taken, mut deferred): (Vec<Option<DatedJob>>, _) = (Vec::new(), Vec::new());
+            // Most work first; among equals the job taken last.
+            let mut by_work: BinaryHeap<(u64, usize)> = BinaryHeap::new();
+            remaining.sort_by(|a, b| {
+                let due = |e: &DatedJob| e.due_times_s.get(round).copied().unwrap_or(f64::INFINITY);
                 due(a).total_cmp(&due(b)).then_with(|| a.id.cmp(&b.id))
             });
-            for entry in left {
-                let Some(due) = entry.dues.get(round).copied().filter(|d| entry.least <= *d) else {
-                    late.push(entry);
+            for entry in remaining {
+                let Some(due) = entry
+                    .due_times_s
+                    .get(round)
+                    .copied()
+                    .filter(|d| entry.min_run_s <= *d)
+                else {
+                    deferred.push(entry);
                     continue;
                 };
-                ahead += entry.work;
-                // Work is never below zero, so its bits are in its order.
-                largest.push((entry.work.to_bits(), taken.len()));
+                total_work += entry.work_s;
+                // Work is never negative, so its bit patterns sort like its values.
+                by_work.push((entry.work_s.to_bits(), taken.len()));
                 taken.push(Some(entry));
-                if ahead > due
-                    && let Some((_, largest)) = largest.pop()
-                    && let Some(put_back) = taken[largest].take()
+                if total_work > due
+                    && let Some((_, index)) = by_work.pop()
+                    && let Some(removed) = taken[index].take()
                 {
-                    ahead -= put_back.work;
-                    late.push(put_back);
+                    total_work -= removed.work_s;
+                    deferred.push(removed);
                 }
             }
             order.extend(taken.into_iter().flatten().map(|e| e.id));
-            left = late;
+            remaining = deferred;
         }
-        left.sort_by(|a, b| a.work.total_cmp(&b.work).then_with(|| a.id.cmp(&b.id)));
-        order.extend(left.into_iter().map(|e| e.id));
-        order.extend(last);
+        remaining.sort_by(|a, b| a.work_s.total_cmp(&b.work_s).then_with(|| a.id.cmp(&b.id)));
+        order.extend(remaining.into_iter().map(|e| e.id));
+        order.extend(faulty);
         order
             .into_iter()
             .enumerate()
@@ -87,47 +96,53 @@
             .collect()
     }
 
-    /// None for jobs that go by the time they were accepted.
-    fn entry(&self, id: &JobId, job: &Job, finite: &Resources) -> Option<Entry> {
+    /// Returns none for jobs that are ordered by the time they became ready.
+    fn dated_job(&self, id: &JobId, job: &Job, batch_capacity: &Resources) -> Option<DatedJob> {
         let spec = &job.spec;
         if spec.kind != Kind::Array {
             return None;
         }
-        let (mut dues, since_ms) = match spec.deadline_s {
+        let (mut due_times, since_ms) = match spec.deadline_s {
             Some(deadline) => (vec![deadline], job.accepted_ms),
-            None => (self.objectives_to_finish(spec), job.ready_ms),
+            None => (self.completion_objectives(spec), job.ready_ms),
         };
         let age = self.wall_ms.saturating_sub(since_ms) as f64 / 1000.0;
-        dues.sort_by(f64::total_cmp);
-        if dues.last().is_some_and(|due| age > due * STARVED) {
+        due_times.sort_by(f64::total_cmp);
+        if due_times
+            .last()
+            .is_some_and(|due| age > due * STARVATION_FACTOR)
+        {
             return None;
         }
-        let run = self.estimated_run_time(job);
-        dues.iter_mut().for_each(|due| *due -= age);
+        let run_time_s = self.estimated_run_time(job);
+        due_times.iter_mut().for_each(|due| *due -= age);
         if let Some(latest_ms) = job.latest_finish_ms {
-            dues.push((latest_ms as f64 - self.wall_ms as f64) / 1000.0);
-            dues.sort_by(f64::total_cmp);
-            dues.dedup();
+            due_times.push((latest_ms as f64 - self.wall_ms as f64) / 1000.0);
+            due_times.sort_by(f64::total_cmp);
+            due_times.dedup();
         }
-        dues.retain(|due| *due >= run);
-        Some(Entry {
+        due_times.retain(|due| *due >= run_time_s);
+        Some(DatedJob {
             id: id.clone(),
-            work: spec.need.dominant_share_of(finite).min(SHARE_MOST)
-                * run
+            work_s: spec
+                .need
+                .dominant_share_of(batch_capacity)
+                .min(MAX_CAPACITY_SHARE)
+                * run_time_s
                 * f64::from(spec.tasks - job.done_count),
-            least: run,
-            dues,
+            min_run_s: run_time_s,
+            due_times_s: due_times,
         })
     }
 
-    /// The times within which jobs of the class are expected to finish, in seconds.
-    fn objectives_to_finish(&self, spec: &JobSpec) -> Vec<f64> {
+    /// Completion objectives of the job's class, in seconds.
+    fn completion_objectives(&self, spec: &JobSpec) -> Vec<f64> {
         let objectives = self.config.objectives.iter();
-        let own = objectives.filter(|o| o.kind == "finished" && *o.class == *spec.class);
-        own.map(|o| o.within_s).collect()
+        let matching = objectives.filter(|o| o.kind == "finished" && *o.class == *spec.class);
+        matching.map(|o| o.within_s).collect()
     }
 
-    /// The owner's estimate, corrected by what was seen of the class.
+    /// Returns the owner's run time estimate, corrected by observed run times of the class.
     pub fn estimated_run_time(&self, job: &Job) -> f64 {
         let correction = self
             .runtime_corrections
@@ -137,13 +152,13 @@
         (job.spec.estimate_s * correction.exp()).max(1.0)
     }
 
-    /// A task of the class took `ran`, estimated at `estimate_s`.
-    pub fn record_run_time(&mut self, job: &JobId, ran: Duration) {
+    /// Updates the correction for the job's class with the observed run time of a task.
+    pub fn record_run_time(&mut self, job: &JobId, run_time: Duration) {
         let Some(job) = self.jobs.get(job) else {
             return;
         };
-        if job.spec.estimate_s > 0.0 && ran > Duration::ZERO {
-            let ratio = (ran.as_secs_f64() / job.spec.estimate_s)
+        if job.spec.estimate_s > 0.0 && run_time > Duration::ZERO {
+            let ratio = (run_time.as_secs_f64() / job.spec.estimate_s)
                 .ln()
                 .clamp(-2.0, 2.0);
             let correction = self
@@ -154,7 +169,7 @@
         }
     }
 
-    /// What is up and not taken by replicas and gangs, which arrays don't get.
+    /// Capacity available to arrays: machines that are up, without what services and gangs hold.
     pub(super) fn batch_capacity(&self) -> Resources {
         let mut sum = Resources::default();
         let up = self.machines.values();
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -1,11 +1,11 @@
-//! What jobs need of one another.
+//! Job dependencies.
 //!
-//! Every node keeps the graph of the active jobs, told by what it reads and watches of the
-//! state service. A job that needs others may start once the stored end of each of them says
-//! that it is done; that a job is no longer active proves nothing. A job that needs a
-//! cancelled one, directly or through others, is cancelled by that alone: every node that is
-//! asked derives it from the stored end. The leader stores the ends of such jobs as well, but
-//! only to tidy up.
+//! Every node keeps a graph of the active jobs, built from what it reads and watches in the
+//! state service. A job that needs others may start once the stored terminal state of each of
+//! them is done; that a job is no longer active proves nothing. A job that needs a cancelled
+//! one, directly or through others, counts as cancelled: every node derives that from the
+//! stored terminal state. The leader also stores terminal states for such jobs, but only to
+//! clean up.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,67 +20,68 @@
     user_requests::{JobQuery, TerminalRead},
 };
 
-/// Ends that the leader reads at a time.
-const LOOKUPS_MOST: usize = 16;
-/// An end that was asked for is asked for again after this time.
-const LOOKUP_AGAIN: Duration = Duration::from_secs(2);
-/// How often the leader looks which pipelines will probably be late.
-const RISK_EVERY: Duration = Duration::from_secs(1);
+/// Maximum number of terminal states that the leader reads at a time.
+const MAX_LOOKUPS: usize = 16;
+/// Delay before a terminal state is read, or its write requested, again.
+const LOOKUP_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Interval between the leader's checks for pipelines that will probably be late.
+const RISK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The graph of this node's active jobs, and what it has under way for it.
+/// Dependency graph of the active jobs known to this node, and the pending reads for it.
 #[derive(Debug, Default)]
 pub struct Dependencies {
     graph: JobGraph<JobId>,
-    /// Ends that are being read, and when they may be asked for again.
+    /// Terminal states being read, with the time from which the read may be repeated.
     lookups: BTreeMap<JobId, Duration>,
-    /// Active jobs that need a cancelled one: their ends are to be stored.
-    cancelled: BTreeMap<JobId, Duration>,
-    next_risk: Duration,
+    /// Active jobs that need a cancelled one, with the time from which the write of their
+    /// terminal state may be requested.
+    cancelled_dependents: BTreeMap<JobId, Duration>,
+    next_risk_check: Duration,
 }
 
 impl Dependencies {
-    /// Some active job names this one.
+    /// Whether any active job needs this one.
     pub fn has_dependents(&self, id: &JobId) -> bool {
         self.graph.has_dependents(id)
     }
 
-    /// What an active job waits for, if anything.
+    /// Returns the dependency status of an active job.
     pub fn status(&self, id: &JobId) -> Status<JobId> {
         self.graph.status(id)
     }
 }
 
-/// The last task of a job ends after so many times the run time of one.
-const LAST_TASK: f64 = 1.5;
-/// What a stage takes beside its run time: the fetch of the image, starts, the stored end.
+/// Time until the last task of a job ends, as a multiple of the run time of one task.
+const RUN_TIME_FACTOR: f64 = 1.5;
+/// Overhead of a job beside its run time: image fetch, starts and storing the terminal state.
 const STAGE_OVERHEAD: Duration = Duration::from_secs(5);
-/// Room for one more task mostly falls free within this time.
-const WAITS_FOR_ROOM: Duration = Duration::from_secs(10);
+/// Time within which capacity for one more task usually becomes free.
+const CAPACITY_WAIT: Duration = Duration::from_secs(10);
 
-/// The time from the moment a job may start until its end is stored.
-fn expected_time(run_time: Duration) -> Duration {
-    run_time.mul_f64(LAST_TASK) + STAGE_OVERHEAD
+/// Expected time from when a job may start until its terminal state is stored.
+fn expected_duration(run_time: Duration) -> Duration {
+    run_time.mul_f64(RUN_TIME_FACTOR) + STAGE_OVERHEAD
 }
 
-/// What the graph has to know of a job.
-fn facts(job: &LiveJob) -> JobFacts<JobId> {
+/// Returns the facts about a job that the graph needs.
+fn job_facts(job: &LiveJob) -> JobFacts<JobId> {
     let (spec, accepted_ms) = (&job.record.spec, job.record.accepted_ms);
     JobFacts {
         needs: spec.needs.clone(),
         priority: spec.priority as u8,
         accepted_ms,
         deadline_ms: deadline_ms(spec, accepted_ms),
-        expected: expected_time(crate::settings::seconds(spec.estimate_s)),
+        expected: expected_duration(crate::settings::seconds(spec.estimate_s)),
     }
 }
 
-/// When the job should be complete, in milliseconds of the time of day.
+/// Deadline of the job in Unix milliseconds.
 fn deadline_ms(spec: &JobSpec, accepted_ms: u64) -> Option<u64> {
     let deadline = crate::settings::seconds(spec.deadline_s?);
     Some(accepted_ms.saturating_add(deadline.as_millis() as u64))
 }
 
-fn end(record: TerminalRecord) -> End {
+fn graph_end(record: TerminalRecord) -> End {
     End {
         outcome: match record.state {
             JobState::Cancelled => Outcome::Cancelled,
@@ -91,8 +92,8 @@
 }
 
 impl Node {
-    /// All active jobs were read: the graph is built anew.
-    pub(super) fn build_graph(&mut self) {
+    /// Rebuilds the graph after all active jobs were read.
+    pub(super) fn rebuild_graph(&mut self) {
         self.dependencies = Dependencies::default();
         let mut jobs: Vec<(u64, JobId)> = self
             .cache
@@ -100,41 +101,41 @@
             .iter()
             .map(|(id, job)| (job.version, id.clone()))
             .collect();
-        // A job is accepted after those that it names.
+        // In order of acceptance, so that a job follows those it needs.
         jobs.sort();
         for (_, id) in jobs {
             self.add_to_graph(&id);
         }
     }
 
-    /// An active job is known from now on.
+    /// Adds an active job to the graph.
     pub(super) fn add_to_graph(&mut self, id: &JobId) {
         let Some(job) = self.cache.jobs.get(id) else {
             return;
         };
-        let facts = facts(job);
+        let facts = job_facts(job);
         let needs = facts.needs.clone();
         let id = id.clone();
         self.step_graph(Input::Added { id, facts });
         for need in needs {
             if let Some(record) = self.terminal_cache.get(&need).copied() {
-                let end = end(record);
+                let end = graph_end(record);
                 self.step_graph(Input::Ended { id: need, end });
             }
         }
     }
 
-    /// A job is no longer active; how it ended is not known here.
+    /// Marks a job as no longer active in the graph; its terminal state is not known yet.
     pub(super) fn remove_from_graph(&mut self, id: &JobId) {
-        self.dependencies.cancelled.remove(id);
+        self.dependencies.cancelled_dependents.remove(id);
         self.step_graph(Input::Removed { id: id.clone() });
     }
 
-    /// The stored end of a job was read or written.
-    pub(super) fn end_in_graph(&mut self, id: &JobId, record: TerminalRecord) {
+    /// Records a terminal state that was read or written.
+    pub(super) fn record_end_in_graph(&mut self, id: &JobId, record: TerminalRecord) {
         self.dependencies.lookups.remove(id);
-        self.dependencies.cancelled.remove(id);
-        let (id, end) = (id.clone(), end(record));
+        self.dependencies.cancelled_dependents.remove(id);
+        let (id, end) = (id.clone(), graph_end(record));
         self.step_graph(Input::Ended { id, end });
     }
 
@@ -147,32 +148,35 @@
                     }
                 }
                 Output::Cancelled { id } => {
-                    self.dependencies.cancelled.insert(id, Duration::ZERO);
+                    self.dependencies
+                        .cancelled_dependents
+                        .insert(id, Duration::ZERO);
                 }
                 Output::Urgency { id, urgency } => {
                     if let Some(cluster) = &mut self.cluster {
                         cluster.set_urgency(&id, urgency);
                     }
                 }
-                // The leader reads what is not known, and any node what it is asked about.
+                // Terminal states are read elsewhere: by `drive_dependencies` on the leader, and on
+                // any node when a user asks for one.
                 Output::Lookup { .. } => {}
             }
         }
     }
 
-    /// Tells a leader that has just begun what the graph says of each job.
-    pub(super) fn tell_leader_of_graph(&mut self) {
+    /// Applies the graph's state of every job to the cluster state of a new leader.
+    pub(super) fn apply_graph(&mut self) {
         let Some(cluster) = &mut self.cluster else {
             return;
         };
         let ids: Vec<JobId> = cluster.jobs.keys().cloned().collect();
         for id in ids {
-            self.tell_leader_of_job(&id);
+            self.apply_graph_to_job(&id);
         }
     }
 
-    /// The same of one job.
-    pub(super) fn tell_leader_of_job(&mut self, id: &JobId) {
+    /// Applies the graph's state of one job to the cluster state.
+    pub(super) fn apply_graph_to_job(&mut self, id: &JobId) {
         let graph = &self.dependencies.graph;
         let Some(cluster) = &mut self.cluster else {
             return;
@@ -189,17 +193,17 @@
         if !self.is_leader() || self.cluster.is_none() {
             return;
         }
-        self.look_up_ends();
+        self.look_up_terminal_states();
         self.store_cancelled_dependents();
         self.warn_of_late_pipelines();
     }
 
-    /// Reads the ends that decide whether waiting jobs may start.
-    fn look_up_ends(&mut self) {
+    /// Reads the terminal states that decide whether waiting jobs may start.
+    fn look_up_terminal_states(&mut self) {
         let now = self.now();
         let dependencies = &mut self.dependencies;
-        dependencies.lookups.retain(|_, again| *again > now);
-        let free = LOOKUPS_MOST.saturating_sub(dependencies.lookups.len());
+        dependencies.lookups.retain(|_, retry_at| *retry_at > now);
+        let free = MAX_LOOKUPS.saturating_sub(dependencies.lookups.len());
         if free == 0 {
             return;
         }
@@ -210,50 +214,55 @@
             if self.cache.jobs.contains_key(&id) || self.cache.is_unreadable(&id) {
                 continue;
             }
-            let again = now + LOOKUP_AGAIN;
-            self.dependencies.lookups.insert(id.clone(), again);
-            self.look_for_end(INTERNAL, id, JobQuery::Status);
+            let retry_at = now + LOOKUP_RETRY_DELAY;
+            self.dependencies.lookups.insert(id.clone(), retry_at);
+            self.look_up_terminal_state(INTERNAL, id, JobQuery::Status);
         }
     }
 
-    /// Stores the terminal states of jobs that need a cancelled one, behind all other writes. Until
-    /// then every node that is asked derives the same.
+    /// Stores the terminal states of jobs that need a cancelled one, after all other writes. Until
+    /// then every node derives them.
     fn store_cancelled_dependents(&mut self) {
         let now = self.now();
         if !self.write_queue.has_spare_budget() {
             return;
         }
-        let mut due = self.dependencies.cancelled.iter_mut();
-        let Some((id, again)) = due.find(|(_, again)| **again <= now) else {
+        let mut due = self.dependencies.cancelled_dependents.iter_mut();
+        let Some((id, retry_at)) = due.find(|(_, retry_at)| **retry_at <= now) else {
             return;
         };
-        *again = now + LOOKUP_AGAIN;
+        *retry_at = now + LOOKUP_RETRY_DELAY;
         let id = id.clone();
         self.write_queue.charge(2.0);
         self.cancel(INTERNAL, id);
     }
 
-    /// Says once of each job that its pipeline will probably miss its deadline.
+    /// Warns periodically about pipelines that will probably miss their deadlines.
     fn warn_of_late_pipelines(&mut self) {
         let now = self.now();
-        if now < self.dependencies.next_risk {
+        if now < self.dependencies.next_risk_check {
             return;
         }
-        self.dependencies.next_risk = now + RISK_EVERY;
+        self.dependencies.next_risk_check = now + RISK_CHECK_INTERVAL;
         if let Some(cluster) = &mut self.cluster {
             cluster.warn_of_late_pipelines();
         }
     }
 
-    /// Looks for the stored end of a job that is not active.
-    pub(super) fn look_for_end(&mut self, request: RequestId, id: JobId, question: JobQuery) {
+    /// Reads the terminal state of a job that is not active.
+    pub(super) fn look_up_terminal_state(
+        &mut self,
+        request: RequestId,
+        id: JobId,
+        question: JobQuery,
+    ) {
         let read = TerminalRead::new(request, id, question, &self.cache.generation);
         self.read_terminal_state(read);
     }
 }
 
 impl ClusterState {
-    /// All that the job needs is done: it may start, and its times count from then.
+    /// Unblocks a job whose dependencies are all done. Its waiting time counts from `since_ms`.
     pub fn release_job(&mut self, id: &JobId, since_ms: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -267,13 +276,15 @@
         self.request_pass();
     }
 
-    /// Jobs that need this one make it as urgent as they are.
+    /// Applies the priority and the latest finish time that a job inherits from its dependents.
     pub fn set_urgency(&mut self, id: &JobId, urgency: Urgency) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let own = deadline_ms(&job.spec, job.accepted_ms).unwrap_or(u64::MAX);
-        job.latest_finish_ms = urgency.latest_finish_ms.filter(|latest| *latest < own);
+        let own_deadline_ms = deadline_ms(&job.spec, job.accepted_ms).unwrap_or(u64::MAX);
+        job.latest_finish_ms = urgency
+            .latest_finish_ms
+            .filter(|latest| *latest < own_deadline_ms);
         let priority = Priority::ALL.get(usize::from(urgency.priority)).copied();
         let Some(priority) = priority.filter(|priority| *priority != job.spec.priority) else {
             return;
@@ -293,9 +304,9 @@
         self.requeue();
     }
 
-    /// The job is as urgent as those that need it, and they would be in time if it found room
-    /// a little later by itself: nobody is stopped for it yet. What is stopped loses its work,
-    /// and room falls free all the time.
+    /// Whether a job with an inherited priority would still finish in time if it waited for free
+    /// capacity. It does not preempt then: victims lose work, and capacity becomes free all the
+    /// time.
     pub(super) fn has_time_before_preempting(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -304,8 +315,8 @@
         let Some(latest_ms) = job.latest_finish_ms.filter(|_| inherits) else {
             return false;
         };
-        let expected = expected_time(crate::settings::seconds(self.estimated_run_time(job)));
-        let needed = (expected + WAITS_FOR_ROOM).as_millis() as u64;
+        let expected = expected_duration(crate::settings::seconds(self.estimated_run_time(job)));
+        let needed = (expected + CAPACITY_WAIT).as_millis() as u64;
         self.wall_ms + needed < latest_ms
     }
 
@@ -317,14 +328,14 @@
                 continue;
             };
             let run_time = crate::settings::seconds(self.estimated_run_time(job));
-            let expected_ms = wall_ms + expected_time(run_time).as_millis() as u64;
+            let expected_ms = wall_ms + expected_duration(run_time).as_millis() as u64;
             if expected_ms > latest_ms {
                 late.push((id.clone(), expected_ms - latest_ms));
             }
         }
         for (id, late_ms) in late {
             let late = Duration::from_millis(late_ms);
-            info!(job = %id, ?late, "pipeline at risk: this job will probably end too late for those that need it");
+            info!(job = %id, ?late, "pipeline at risk: job will probably finish too late for its dependents");
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.at_risk = true;
             }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -1,5 +1,5 @@
-//! Emptying machines that operators asked to be emptied, and the ledger that every
-//! voluntary stop asks.
+//! Drains machines on behalf of operators, and provides the replica counts for the ledger of
+//! voluntary disruptions.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -23,16 +23,16 @@
     forms: &["live/drains"],
 };
 
-/// How a machine that is to be emptied stands.
+/// Progress of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Progress {
+pub struct DrainProgress {
     pub tasks: u32,
     pub waits: Waits,
 }
 
 impl ClusterState {
-    /// A service as the ledger counts it.
-    pub(super) fn standing(&self, id: &JobId) -> Replicas {
+    /// Returns the replica counts of one service for the ledger.
+    pub(super) fn replica_counts(&self, id: &JobId) -> Replicas {
         let wanted = self.jobs.get(id).map_or(0, |job| job.spec.tasks);
         let mut replicas = Replicas {
             wanted,
@@ -40,15 +40,15 @@
         };
         let placements = self.machines.values().flat_map(|m| &m.tasks);
         let own = placements.filter(|((task, _), _)| task.job == *id);
-        own.for_each(|(_, placement)| count(&mut replicas, placement));
+        own.for_each(|(_, placement)| count_replica(&mut replicas, placement));
         replicas
     }
 
-    /// All services by team, told to the ledger before it is asked.
+    /// Updates the ledger with the replica counts of all services, and returns them.
     pub(super) fn observe_services(&mut self) -> BTreeMap<JobId, Replicas> {
         let services = self.jobs.iter();
         let services = services.filter(|(_, job)| job.spec.kind == Kind::Service);
-        let mut all: BTreeMap<JobId, Replicas> = services
+        let mut counts_by_service: BTreeMap<JobId, Replicas> = services
             .map(|(id, job)| {
                 let wanted = job.spec.tasks;
                 (
@@ -61,41 +61,43 @@
             })
             .collect();
         for ((task, _), placement) in self.machines.values().flat_map(|m| &m.tasks) {
-            if let Some(replicas) = all.get_mut(&task.job) {
-                count(replicas, placement);
+            if let Some(replicas) = counts_by_service.get_mut(&task.job) {
+                count_replica(replicas, placement);
             }
         }
         let jobs = &self.jobs;
-        let told = all.iter().map(|(id, s)| (&*jobs[id].spec.team, *s));
-        self.disruption_ledger.observe(told);
-        all
+        let counts = counts_by_service
+            .iter()
+            .map(|(id, s)| (&*jobs[id].spec.team, *s));
+        self.disruption_ledger.observe(counts);
+        counts_by_service
     }
 
-    /// Nothing new comes to a machine that is to be emptied.
-    pub(super) fn cordoned(&self, id: &str) -> bool {
+    /// Whether the machine is cordoned: no new tasks are placed on it.
+    pub(super) fn is_cordoned(&self, id: &str) -> bool {
         !self.drains.machines.is_empty() && self.drains.machines.contains_key(id)
     }
 
-    /// The operators' list has changed. What was only decided for a machine goes elsewhere,
-    /// and it is held for nobody any more.
-    pub fn cordon(&mut self, drains: drain::Drains, now: Duration) {
+    /// Applies a changed list of drains. Tasks that were placed on a newly cordoned machine but
+    /// not sent are released, and nominations to it are dropped.
+    pub fn apply_drains(&mut self, drains: drain::Drains, now: Duration) {
         if drains == self.drains {
             return;
         }
-        let new = drains.machines.keys();
-        let new: Vec<MachineId> = new
+        let newly_cordoned = drains.machines.keys();
+        let newly_cordoned: Vec<MachineId> = newly_cordoned
             .filter(|id| !self.drains.machines.contains_key(*id))
             .map(|id| MachineId::from(id.as_str()))
             .collect();
         self.drains = drains;
-        for id in new {
+        for id in newly_cordoned {
             for job in self.jobs.values_mut() {
                 job.nominations.retain(|machine| *machine != id);
             }
             let Some(machine) = self.machines.get(&id) else {
                 continue;
             };
-            info!(machine = %id, tasks = machine.tasks.len(), "cordoned");
+            info!(machine = %id, tasks = machine.tasks.len(), "machine cordoned for a drain");
             let decided = machine.tasks.iter();
             let decided = decided.filter(|(_, p)| p.phase == Phase::Decided);
             let decided: Vec<AttemptKey> = decided.map(|(key, _)| key.clone()).collect();
@@ -106,15 +108,15 @@
         self.requeue();
     }
 
-    /// A machine that was to be emptied has been returned, or never was there.
+    /// Whether a drained machine has been released or never existed.
     pub(super) fn is_gone(&self, id: &str, now: Duration) -> bool {
         let known = self.machines.contains_key(id);
-        // After a failover the cloud's list shows what the assignment index does not.
+        // After a failover the cloud's list may show machines that the assignment index lacks.
         !known && now > self.leading_since + self.config.list_lag * 3
     }
 
-    /// Goes on with the machines that are to be emptied.
-    pub(super) fn plan_drains(&mut self, now: Duration) {
+    /// Advances all drains.
+    pub(super) fn advance_drains(&mut self, now: Duration) {
         if self.drains.machines.is_empty() {
             self.draining.clear();
             return;
@@ -126,43 +128,44 @@
         });
         if pause != self.logged_drains_pause {
             match &pause {
-                Some(why) => info!(?why, "maintenance paused"),
-                None => info!("maintenance goes on"),
+                Some(why) => info!(?why, "drains paused"),
+                None => info!("drains resumed"),
             }
             self.logged_drains_pause = pause;
         }
         let services = self.observe_services();
         let mut draining = BTreeMap::new();
-        for (name, ordered) in self.drains.machines.clone() {
+        for (name, order) in self.drains.machines.clone() {
             let id = MachineId::from(name.as_str());
             let Some(machine) = self.machines.get(&id) else {
                 continue;
             };
-            let mut tasks = self.tasks_to_move(&id, &services, now);
+            let mut tasks = self.remaining_tasks(&id, &services, now);
             let left = tasks.len() as u32;
-            let over = ordered.by_ms.is_some_and(|by| self.wall_ms >= by);
+            let is_overdue = order.by_ms.is_some_and(|by| self.wall_ms >= by);
             let (stop, waits) = match pause {
                 Some(why) if left > 0 => (Vec::new(), why),
-                _ => drain::step(now, over, &mut tasks, &mut self.disruption_ledger),
+                _ => drain::step(now, is_overdue, &mut tasks, &mut self.disruption_ledger),
             };
             let empty = machine.tasks.is_empty() && !machine.unresolved;
-            let leaves = empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
-            if leaves && pause.is_none() {
-                info!(machine = %id, why = "drained", "leaving");
+            let can_release =
+                empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
+            if can_release && pause.is_none() {
+                info!(machine = %id, why = "drained", "releasing machine");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.state = MachineState::Leaving;
             }
             for key in stop {
-                info!(task = %key.0, machine = %id, "moved");
+                info!(task = %key.0, machine = %id, "stopping task on draining machine");
                 self.stop(&id, &key, self.config.options.grace, now);
             }
-            draining.insert(id, Progress { tasks: left, waits });
+            draining.insert(id, DrainProgress { tasks: left, waits });
         }
         self.draining = draining;
     }
 
-    /// What is on a machine that is to be emptied, replicas last.
-    fn tasks_to_move(
+    /// Returns the tasks left on a draining machine, replicas last.
+    fn remaining_tasks(
         &self,
         id: &MachineId,
         services: &BTreeMap<JobId, Replicas>,
@@ -184,8 +187,8 @@
                     kind,
                     stopping: placement.stopping(),
                     service: services.get(&key.0.job).copied(),
-                    room: self.has_room_elsewhere(id, placement, now),
-                    lost: work_lost(placement, now),
+                    room: self.has_capacity_elsewhere(id, placement, now),
+                    lost: unsaved_run_time(placement, now),
                 })
             })
             .collect();
@@ -193,9 +196,9 @@
         tasks
     }
 
-    /// Whether a task could start on some other machine now. Where its image is, is not
-    /// asked: a fetch is shorter than a machine that is never emptied.
-    fn has_room_elsewhere(&self, id: &MachineId, placement: &Placement, now: Duration) -> bool {
+    /// Whether a task could start on another machine now. The image does not matter: a fetch is
+    /// better than a drain that never completes.
+    fn has_capacity_elsewhere(&self, id: &MachineId, placement: &Placement, now: Duration) -> bool {
         let Some(spec) = &placement.spec else {
             return false;
         };
@@ -209,23 +212,23 @@
     }
 }
 
-fn count(replicas: &mut Replicas, placement: &Placement) {
+fn count_replica(replicas: &mut Replicas, placement: &Placement) {
     if !placement.exited() {
-        let runs = placement.phase == Phase::Seen(TaskPhase::Running);
+        let is_running = placement.phase == Phase::Seen(TaskPhase::Running);
         replicas.stopping += u32::from(placement.stopping());
-        replicas.up += u32::from(runs && !placement.stopping());
+        replicas.up += u32::from(is_running && !placement.stopping());
     }
 }
 
-/// Run time that is not saved: since the last checkpoint at most.
-fn work_lost(placement: &Placement, now: Duration) -> Duration {
+/// Run time that a stop would lose, at most one checkpoint interval.
+fn unsaved_run_time(placement: &Placement, now: Duration) -> Duration {
     let Some(spec) = placement.spec.as_ref().filter(|s| s.kind != Kind::Service) else {
         return Duration::ZERO;
     };
     let since = placement.running_since.unwrap_or(now);
-    let ran = now.saturating_sub(since);
+    let run_time = now.saturating_sub(since);
     match spec.checkpoint_s > 0.0 {
-        true => ran.min(crate::settings::seconds(spec.checkpoint_s)),
-        false => ran,
+        true => run_time.min(crate::settings::seconds(spec.checkpoint_s)),
+        false => run_time,
     }
 }
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -1,9 +1,9 @@
-//! Counted licences in the leader's cluster state: one more limit, beside a team's.
+//! Counted licences in the leader's cluster state: a limit in addition to the team limits.
 //!
-//! A seat is in use from the decision to start a task until the same proof that lets it
-//! start elsewhere. So who holds seats is no book of its own: each pass tells the ledger
-//! what the placements hold and what unresponsive machines may hold after a failover, and the
-//! ledger adds what it alone knows, such as seats that come back late.
+//! A seat is in use from the placement of a task until the task is proven gone, so that it may
+//! start elsewhere. Seat holders are therefore not tracked separately: each pass gives the
+//! ledger the seats of all placements, and those that unresponsive machines may hold after a
+//! failover. The ledger adds what only it knows, such as seats that are returned late.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,47 +15,47 @@
     job::{JobSpec, TaskId},
 };
 
-fn times(needs: &BTreeMap<String, u32>, count: u32) -> Needs {
+fn multiply_needs(needs: &BTreeMap<String, u32>, count: u32) -> Needs {
     let times = |seats: &u32| seats.saturating_mul(count);
     needs.iter().map(|(l, n)| (l.clone(), times(n))).collect()
 }
 
-fn named(task: &TaskId, attempt: u64) -> Attempt {
+fn attempt_of(task: &TaskId, attempt: u64) -> Attempt {
     Attempt {
         task: task.to_string(),
         attempt,
     }
 }
 
-/// How one licence stands, for users.
+/// Seat counts of one licence, as shown to users.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LicenceView {
     pub name: String,
     pub seats: u32,
     pub in_use: u32,
-    /// Their tasks are gone, and they come back soon.
+    /// Seats of exited tasks that the licence server has not returned yet.
     pub lingering: u32,
-    /// Unresponsive machines may hold them.
+    /// Seats that unresponsive machines may hold.
     pub maybe: u32,
     pub elsewhere: u32,
-    /// Seats that waiting tasks want.
+    /// Seats that waiting tasks need.
     pub waiting: u64,
     pub teams: BTreeMap<String, u32>,
 }
 
-/// What unresponsive machines may hold goes by one name.
-const SILENT: &str = "silent";
+/// Machine name under which the ledger counts the seats that unresponsive machines may hold.
+const UNRESOLVED_MACHINES: &str = "silent";
 
 impl ClusterState {
     pub fn licence_view(&self) -> Vec<LicenceView> {
         let Some(ledger) = &self.licence_ledger else {
             return Vec::new();
         };
-        let view = ledger.licences().filter_map(|name| {
+        let views = ledger.licences().filter_map(|name| {
             let standing = ledger.standing(name)?;
-            let wants = self.jobs.values().filter_map(|job| {
-                let each = job.spec.licences.get(name)?;
-                Some(u64::from(*each) * u64::from(job.waiting_count()))
+            let wanted = self.jobs.values().filter_map(|job| {
+                let seats_per_task = job.spec.licences.get(name)?;
+                Some(u64::from(*seats_per_task) * u64::from(job.waiting_count()))
             });
             Some(LicenceView {
                 name: name.to_owned(),
@@ -64,35 +64,35 @@
                 lingering: standing.lingering,
                 maybe: standing.maybe.min(standing.seats),
                 elsewhere: standing.elsewhere,
-                waiting: wants.sum(),
+                waiting: wanted.sum(),
                 teams: ledger.by_team(name),
             })
         });
-        view.collect()
+        views.collect()
     }
 
-    pub(super) fn new_ledger(&self, now: Duration) -> Option<Ledger> {
+    pub(super) fn new_licence_ledger(&self, now: Duration) -> Option<Ledger> {
         let config = self.config.options.licences.as_ref()?;
         Some(Ledger::after_take_over((**config).clone(), now))
     }
 
-    /// Tells the ledger who holds seats now.
-    pub(super) fn count_seats(&mut self, now: Duration) {
+    /// Updates the ledger with the current seat holders.
+    pub(super) fn update_seat_holders(&mut self, now: Duration) {
         let Some(ledger) = &mut self.licence_ledger else {
             return;
         };
         let mut held = BTreeMap::new();
         let mut maybe = Needs::new();
-        let mut unknown = false;
+        let mut has_unknown_holders = false;
         for machine in self.machines.values() {
             for ((task, attempt), p) in machine.tasks.iter().filter(|(_, p)| !p.exited()) {
                 match &p.spec {
                     Some(spec) if spec.licences.is_empty() => {}
                     Some(spec) => {
                         let holder = (spec.team.to_string(), spec.licences.clone());
-                        held.insert(named(task, *attempt), holder);
+                        held.insert(attempt_of(task, *attempt), holder);
                     }
-                    None => unknown = true,
+                    None => has_unknown_holders = true,
                 }
             }
             if !machine.unresolved {
@@ -100,32 +100,32 @@
             }
             for id in machine.assignment.possible_jobs() {
                 let Some(job) = self.jobs.get(id) else {
-                    // It may have been anything.
-                    unknown = true;
+                    // The job is no longer known, so it may hold seats of any licence.
+                    has_unknown_holders = true;
                     continue;
                 };
-                let hidden = job
+                let possible_tasks = job
                     .unplaced_count()
                     .min(job.spec.need.count_fitting(&machine.size));
-                for (licence, seats) in times(&job.spec.licences, hidden) {
+                for (licence, seats) in multiply_needs(&job.spec.licences, possible_tasks) {
                     *maybe.entry(licence).or_insert(0) += seats;
                 }
             }
         }
-        if unknown {
+        if has_unknown_holders {
             for licence in ledger.licences() {
                 maybe.insert(licence.to_owned(), u32::MAX / 4);
             }
         }
         ledger.step(now, Input::Holding(held));
-        let machine = SILENT.to_owned();
+        let machine = UNRESOLVED_MACHINES.to_owned();
         let needs = maybe;
         ledger.step(now, Input::MayHold { machine, needs });
     }
 
-    /// How many more tasks of the job have seats, those put aside that are held for jobs
-    /// of at least its priority by their nominations.
-    pub(super) fn seats_for(&self, spec: &JobSpec, now: Duration) -> u32 {
+    /// Number of further tasks of the job that free seats suffice for. Seats for nominations of
+    /// other jobs of equal or higher priority do not count as free.
+    pub(super) fn tasks_within_seats(&self, spec: &JobSpec, now: Duration) -> u32 {
         let (Some(ledger), false) = (&self.licence_ledger, spec.licences.is_empty()) else {
             return u32::MAX;
         };
@@ -137,15 +137,15 @@
                     && !job.nominations.is_empty()
             });
             let held = nominated.map(|job| {
-                let each = job.spec.licences.get(licence).copied().unwrap_or(0);
-                each.saturating_mul(job.nominations.len() as u32)
+                let seats_per_task = job.spec.licences.get(licence).copied().unwrap_or(0);
+                seats_per_task.saturating_mul(job.nominations.len() as u32)
             });
             free.saturating_sub(held.fold(0, u32::saturating_add)) / seats
         });
         fits.min().unwrap_or(u32::MAX)
     }
 
-    /// The task is about to be started there.
+    /// Takes the seats for a task that is about to be placed.
     pub(super) fn take_seats(
         &mut self,
         spec: &JobSpec,
@@ -158,7 +158,7 @@
         };
         let take = Input::Take {
             team: spec.team.to_string(),
-            attempts: vec![named(task, attempt)],
+            attempts: vec![attempt_of(task, attempt)],
             needs: spec.licences.clone(),
         };
         ledger.step(now, take);
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -1,9 +1,9 @@
-//! What the state service takes: sizes of writes and their rate, as the settings say and as
-//! its answers teach.
+//! Limits of the state service on the size and rate of writes, from the settings and from the
+//! replies to writes.
 //!
-//! The limits may fall without notice, and once more than the settings announce. A rejected
-//! write never passes as it is, so what is rejected lowers the limit in use here, and the
-//! next write is split.
+//! The limits may be lowered without notice, even below the announced ones. A rejected write
+//! would be rejected again, so a rejection lowers the limit in use, and the next write is
+//! split.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -15,23 +15,23 @@
 };
 use crate::settings::MIN_TXN_OPS;
 
-/// Values of this size are never split further.
-const VALUE_FLOOR: usize = 512;
-/// Rejected writes of one key are told once within this time.
-const WARN_EVERY: Duration = Duration::from_secs(60);
+/// Lowest limit on the size of a value that rejections lead to; such values are not split.
+const MIN_VALUE_BYTES: usize = 512;
+/// Minimum interval between two warnings about rejected writes of the same key.
+const WARN_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How large a write is.
+/// Size of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WriteSize {
-    /// The key with the largest value, or the first one.
+    /// Key with the largest value.
     pub key: String,
-    /// Bytes of the largest value.
+    /// Size of the largest value in bytes.
     pub value_bytes: usize,
     pub changes: usize,
 }
 
 impl WriteSize {
-    /// The size of a request; none where it changes nothing.
+    /// Returns the size of a request, or none if it changes nothing.
     pub fn of(request: &StateRequest) -> Option<Self> {
         let StateRequest::Txn { changes, .. } = request else {
             return None;
@@ -50,13 +50,13 @@
     }
 }
 
-/// How large writes may be.
+/// Current limits on the size of writes.
 #[derive(Debug)]
 pub struct WriteLimits {
     pub value_bytes: usize,
     pub txn_ops: usize,
-    /// When a rejected write of a key was told last.
-    warned: HashMap<String, Duration>,
+    /// Time of the last warning about a rejected write, by key.
+    warned_at: HashMap<String, Duration>,
 }
 
 impl WriteLimits {
@@ -64,35 +64,35 @@
         Self {
             value_bytes: config.max_value_bytes,
             txn_ops: config.max_txn_ops,
-            warned: HashMap::new(),
+            warned_at: HashMap::new(),
         }
     }
 
-    /// Takes in that a write was rejected; false where nothing is left to be lowered.
-    pub fn rejected(&mut self, size: &WriteSize, now: Duration) -> bool {
-        self.tell(size, now);
-        let before = (self.value_bytes, self.txn_ops);
+    /// Lowers a limit after a rejected write. Returns false if no limit can be lowered further.
+    pub fn lower_after_rejection(&mut self, size: &WriteSize, now: Duration) -> bool {
+        self.warn_of_rejection(size, now);
+        let old_limits = (self.value_bytes, self.txn_ops);
         if size.changes > MIN_TXN_OPS {
             self.txn_ops = self.txn_ops.min(size.changes / 2).max(MIN_TXN_OPS);
-        } else if size.value_bytes > VALUE_FLOOR {
-            let half = (size.value_bytes / 2).max(VALUE_FLOOR);
+        } else if size.value_bytes > MIN_VALUE_BYTES {
+            let half = (size.value_bytes / 2).max(MIN_VALUE_BYTES);
             self.value_bytes = self.value_bytes.min(half);
         }
-        before != (self.value_bytes, self.txn_ops)
+        old_limits != (self.value_bytes, self.txn_ops)
     }
 
-    /// A rejected write of that key was not told lately.
-    pub fn is_news(&mut self, key: &str, now: Duration) -> bool {
-        self.warned.retain(|_, at| now < *at + WARN_EVERY);
-        let news = !self.warned.contains_key(key);
-        if news {
-            self.warned.insert(key.to_owned(), now);
+    /// Whether a rejected write of the key is due for a warning; if so, records the warning.
+    pub fn should_warn(&mut self, key: &str, now: Duration) -> bool {
+        self.warned_at.retain(|_, at| now < *at + WARN_INTERVAL);
+        let is_due = !self.warned_at.contains_key(key);
+        if is_due {
+            self.warned_at.insert(key.to_owned(), now);
         }
-        news
+        is_due
     }
 
-    fn tell(&mut self, size: &WriteSize, now: Duration) {
-        if !self.is_news(&size.key, now) {
+    fn warn_of_rejection(&mut self, size: &WriteSize, now: Duration) {
+        if !self.should_warn(&size.key, now) {
             return;
         }
         warn!(
@@ -101,58 +101,60 @@
             changes = size.changes,
             value_limit = self.value_bytes,
             changes_limit = self.txn_ops,
-            "the state service rejects a write"
+            "state service rejected a write"
         );
     }
 }
 
-/// The first time that the rate is reduced for, and the longest.
-const REDUCED_FIRST: Duration = Duration::from_secs(10);
-const REDUCED_MOST: Duration = Duration::from_secs(300);
-/// Answers to writes that were under way when the rate was reduced are in by then.
-const SETTLES: Duration = Duration::from_secs(2);
+/// Shortest and longest time for which the write rate is reduced.
+const MIN_REDUCTION_TIME: Duration = Duration::from_secs(10);
+const MAX_REDUCTION_TIME: Duration = Duration::from_secs(300);
+/// Time after a reduction in which further refusals are ignored: they answer writes that were
+/// sent before it.
+const REDUCTION_SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Changes a second that the leader plans with: the present limit, or the announced one for
-/// a while after a write was refused for its rate.
+/// Write rate that the leader plans with, in changes per second: the current limit, or the
+/// announced lower one for a while after a write was refused for its rate.
 #[derive(Debug)]
 pub struct WriteRate {
-    present: f64,
+    current: f64,
     announced: Option<f64>,
     reduced_since: Duration,
     reduced_until: Duration,
-    reduced_for: Duration,
+    reduction_time: Duration,
 }
 
 impl WriteRate {
     pub fn new(present: f64, announced: Option<f64>) -> Self {
         Self {
-            present,
+            current: present,
             announced: announced.filter(|rate| *rate < present),
             reduced_since: Duration::ZERO,
             reduced_until: Duration::ZERO,
-            reduced_for: Duration::ZERO,
+            reduction_time: Duration::ZERO,
         }
     }
 
-    pub fn at(&self, now: Duration) -> f64 {
+    pub fn rate_at(&self, now: Duration) -> f64 {
         match self.announced {
             Some(rate) if now < self.reduced_until => rate,
-            _ => self.present,
+            _ => self.current,
         }
     }
 
-    /// A write was refused for the rate.
-    pub fn limited(&mut self, now: Duration) {
-        let reduced = now < self.reduced_until;
-        if reduced && now < self.reduced_since + SETTLES {
+    /// Reduces the rate after a write was refused for its rate, for twice as long if that happens
+    /// soon after the last reduction.
+    pub fn reduce(&mut self, now: Duration) {
+        let is_reduced = now < self.reduced_until;
+        if is_reduced && now < self.reduced_since + REDUCTION_SETTLE_TIME {
             return;
         }
-        let again = now < self.reduced_until + self.reduced_for;
-        self.reduced_for = match again {
-            true => (self.reduced_for * 2).min(REDUCED_MOST),
-            false => REDUCED_FIRST,
+        let is_repeated = now < self.reduced_until + self.reduction_time;
+        self.reduction_time = match is_repeated {
+            true => (self.reduction_time * 2).min(MAX_REDUCTION_TIME),
+            false => MIN_REDUCTION_TIME,
         };
         self.reduced_since = now;
-        self.reduced_until = now + self.reduced_for;
+        self.reduced_until = now + self.reduction_time;
     }
 }
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -1,7 +1,7 @@
-//! What operators ask of a node about machines: emptying them, how far that is, and not to.
+//! Operator requests to drain machines, to show the progress of drains, and to cancel them.
 //!
-//! The list is one stored record, so that a machine stays cordoned through any change of
-//! the leader. The leader carries it out (`drain`) and strikes off what is gone.
+//! The list of drains is one stored record, so that a machine stays cordoned across failovers.
+//! The leader carries it out (see `drain`) and removes machines that are gone.
 
 use std::time::Duration;
 
@@ -20,9 +20,9 @@
 };
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum MaintenanceRequest {
     Status,
-    /// Says what starting would do.
+    /// Shows what a drain of these machines would do.
     Plan(Vec<String>),
     Start {
         machines: Vec<String>,
@@ -31,14 +31,14 @@
     Cancel(Vec<String>),
 }
 
-/// One machine in an answer.
+/// Drain state of one machine, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineView {
     pub machine: String,
     pub zone: String,
-    /// cordoned, draining, empty or unknown; for a plan, kept.
+    /// One of `cordoned`, `draining`, `empty`, `unknown`, or, in a plan, `kept`.
     pub state: String,
-    /// Replicas that move, array tasks and gang tasks that are let end.
+    /// Replicas, which are moved; the tasks of arrays and gangs may run to their end.
     pub replicas: u32,
     pub array_tasks: u32,
     pub gang_tasks: u32,
@@ -48,46 +48,56 @@
 
 #[derive(Debug, Default)]
 pub struct Maintenance {
-    retry: Duration,
+    next_store: Duration,
     storing: bool,
 }
 
-const RETRY: Duration = Duration::from_secs(1);
-/// A change of the state service has 64 KiB at most; its keys and conditions are in it.
-const TRANSACTION_BYTES: usize = 63 * 1024;
+const CLIENT_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum size of the stored list. The state service limits a transaction to 64 KiB, which
+/// includes keys and conditions.
+const MAX_LIST_BYTES: usize = 63 * 1024;
 
 impl Node {
-    pub(super) fn maintenance_asked(&mut self, request: RequestId, ask: Ask) {
+    pub(super) fn handle_maintenance_request(
+        &mut self,
+        request: RequestId,
+        ask: MaintenanceRequest,
+    ) {
         if self.config.options.maintenance.is_none() {
-            let why = "maintenance is off: start the nodes with --maintenance FILE";
+            let why = "maintenance is disabled: start the nodes with --maintenance FILE";
             self.answer(request, Answer::Impossible(why.into()));
             return;
         }
         if !self.has_taken_over() || !self.has_previous_leader_stopped() {
-            // Only the leader knows the machines, and one before it may still start
-            // something there.
-            self.answer(request, Answer::Later { retry: RETRY });
+            // Only the leader knows the machines, and a previous leader may still start
+            // tasks on them.
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         }
         match ask {
-            Ask::Status => self.answer_drains(request, None),
-            Ask::Plan(machines) => match self.objection_to_drain(&machines, None) {
+            MaintenanceRequest::Status => self.answer_drains(request, None),
+            MaintenanceRequest::Plan(machines) => match self.drain_refusal(&machines, None) {
                 Some(why) => self.answer(request, Answer::Impossible(why)),
                 None => self.answer_drains(request, Some(machines)),
             },
-            Ask::Start { machines, by } => {
-                if let Some(why) = self.objection_to_drain(&machines, by) {
+            MaintenanceRequest::Start { machines, by } => {
+                if let Some(why) = self.drain_refusal(&machines, by) {
                     self.answer(request, Answer::Impossible(why));
                     return;
                 }
                 let drains = self.drains_with(&machines, by);
                 self.store_drains(drains, Some(request));
             }
-            Ask::Cancel(machines) => {
+            MaintenanceRequest::Cancel(machines) => {
                 let mut drains = self.cache.drains.0.clone();
                 let unknown = machines.iter().find(|m| !drains.machines.contains_key(*m));
                 if let Some(machine) = unknown {
-                    let why = format!("{machine} is not being emptied");
+                    let why = format!("{machine} is not being drained");
                     self.answer(request, Answer::Impossible(why));
                     return;
                 }
@@ -99,32 +109,32 @@
         }
     }
 
-    /// The stored list with these machines.
+    /// Returns the stored list with these machines added.
     fn drains_with(&self, machines: &[String], by: Option<Duration>) -> Drains {
         let mut drains = self.cache.drains.0.clone();
         let since_ms = self.clock.wall_ms;
         let by_ms = by.map(|by| since_ms + by.as_millis() as u64);
         for machine in machines {
-            // Asked for again, only its time may change.
+            // A repeated request may change only the deadline.
             let drain = drains.machines.entry(machine.clone());
             drain.or_insert(Drain { since_ms, by_ms }).by_ms = by_ms;
         }
         drains
     }
 
-    /// What is in the way of emptying these machines, said when it is asked for.
-    fn objection_to_drain(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
+    /// Returns the reason why these machines can't be drained, if any.
+    fn drain_refusal(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
         let cluster = self.cluster.as_ref()?;
         if self.cache.generation.0.written() < DRAINS.since {
             let needs = DRAINS.since;
             return Some(format!(
-                "generation {needs} is not in use, see rollout status"
+                "generation {needs} is not active yet, see rollout status"
             ));
         }
         if machines.is_empty() {
-            return Some("machines: name one at least".into());
+            return Some("machines: name at least one machine".into());
         }
-        if let Some(why) = self.too_long(&self.drains_with(machines, by)) {
+        if let Some(why) = self.list_too_large(&self.drains_with(machines, by)) {
             return Some(why);
         }
         for name in machines {
@@ -135,14 +145,14 @@
                 let Some(spec) = placement.spec.as_ref() else {
                     continue;
                 };
-                let none = cluster.disruption_ledger.most_down(&spec.team, spec.tasks) == 0;
-                if spec.kind == Kind::Service && none {
+                let allows_none = cluster.disruption_ledger.most_down(&spec.team, spec.tasks) == 0;
+                if spec.kind == Kind::Service && allows_none {
                     let (team, id) = (&spec.team, &spec.id);
                     return Some(format!(
-                        "{name} has a replica of {id}, and team {team} allows none to be down"
+                        "{name} runs a replica of {id}, and team {team} allows none to be down"
                     ));
                 }
-                let elsewhere = cluster.types.iter().any(|t| {
+                let fits_any_type = cluster.types.iter().any(|t| {
                     spec.allows_type(&t.name)
                         && spec.need.fits_in(&t.size)
                         && spec
@@ -150,9 +160,9 @@
                             .as_ref()
                             .is_none_or(|z| t.zones.iter().any(|o| **o == **z))
                 });
-                if !elsewhere {
+                if !fits_any_type {
                     return Some(format!(
-                        "{name} runs {}, which fits no other machine",
+                        "{name} runs {}, which fits no machine type",
                         spec.id
                     ));
                 }
@@ -161,13 +171,13 @@
         None
     }
 
-    /// The whole list is one value of the state service.
-    fn too_long(&self, drains: &Drains) -> Option<String> {
-        let most = self.limits.value_bytes.min(TRANSACTION_BYTES);
+    /// Returns an error if the list, which is stored as one value, would be too large.
+    fn list_too_large(&self, drains: &Drains) -> Option<String> {
+        let max_bytes = self.limits.value_bytes.min(MAX_LIST_BYTES);
         let bytes = serde_json::to_vec(drains).map_or(usize::MAX, |text| text.len());
         let machines = drains.machines.len();
-        (bytes > most).then(|| {
-            format!("{machines} machines take {bytes} bytes, and the state service stores {most}")
+        (bytes > max_bytes).then(|| {
+            format!("a list of {machines} machines takes {bytes} bytes, more than the limit of {max_bytes}")
         })
     }
 
@@ -178,7 +188,7 @@
             Some(names) => names.clone(),
             None => drains.keys().cloned().collect(),
         };
-        let view = |name: String| {
+        let machine_view = |name: String| {
             let machine = cluster.machines.get(&*name);
             let count = |kind: Kind| {
                 let tasks = machine.into_iter().flat_map(|m| m.tasks.values());
@@ -205,7 +215,7 @@
                 machine: name,
             }
         };
-        let views = names.into_iter().map(view).collect();
+        let views = names.into_iter().map(machine_view).collect();
         self.answer(request, Answer::Drains(views));
     }
 
@@ -227,14 +237,14 @@
         );
     }
 
-    pub(super) fn drains_stored(
+    pub(super) fn handle_drains_stored(
         &mut self,
         request: Option<RequestId>,
         drains: Drains,
         reply: &StateReply,
     ) {
         self.maintenance.storing = false;
-        self.maintenance.retry = self.now() + RETRY_DELAY;
+        self.maintenance.next_store = self.now() + RETRY_DELAY;
         let committed = match reply {
             StateReply::Committed { revision } => {
                 if *revision > self.cache.drains.1 {
@@ -244,46 +254,51 @@
             }
             _ => false,
         };
-        // Nothing is started there from this answer on.
-        self.cordon();
+        // Cordons before answering: after the answer nothing more is started on the machines.
+        self.apply_drains();
         let Some(request) = request else { return };
         match committed && self.has_taken_over() {
             true => self.answer_drains(request, None),
-            false => self.answer(request, Answer::Later { retry: RETRY }),
+            false => self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            ),
         }
     }
 
-    fn cordon(&mut self) {
+    fn apply_drains(&mut self) {
         let now = self.now();
         if let Some(cluster) = &mut self.cluster {
-            cluster.cordon(self.cache.drains.0.clone(), now);
+            cluster.apply_drains(self.cache.drains.0.clone(), now);
         }
     }
 
-    /// Follows the stored list, and strikes off machines that are gone.
+    /// Applies the stored list, and removes machines that are gone from it.
     pub(super) fn drive_maintenance(&mut self) {
         let now = self.now();
         if self.cache.drains.1 == 0 || !self.has_taken_over() {
             return;
         }
-        self.cordon();
-        let moves = self.cache.generation.0.stage != Stage::Settled;
-        let off = self.cache.generation.0.written() < DRAINS.since;
+        self.apply_drains();
+        let is_changing = self.cache.generation.0.stage != Stage::Settled;
+        let is_unsupported = self.cache.generation.0.written() < DRAINS.since;
         let Some(cluster) = &mut self.cluster else {
             return;
         };
-        cluster.drains_pause = moves.then_some(Waits::Rollout);
-        if self.maintenance.storing || now < self.maintenance.retry {
+        cluster.drains_pause = is_changing.then_some(Waits::Rollout);
+        if self.maintenance.storing || now < self.maintenance.next_store {
             return;
         }
         let mut drains = self.cache.drains.0.clone();
-        // Going back to a generation that knows no list leaves none behind.
+        // A downgrade to a generation without drains empties the list.
         drains
             .machines
-            .retain(|machine, _| !off && !cluster.is_gone(machine, now));
+            .retain(|machine, _| !is_unsupported && !cluster.is_gone(machine, now));
         if drains != self.cache.drains.0 {
             let left = drains.machines.len();
-            info!(left, "machines drained");
+            info!(left, "removing finished drains from the stored list");
             self.store_drains(drains, None);
         }
     }
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -62,7 +62,7 @@
     },
     Maintenance {
         request: RequestId,
-        action: maintenance::Ask,
+        action: maintenance::MaintenanceRequest,
     },
     /// The process is shutting down.
     Shutdown,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -87,8 +87,8 @@
 
 /// Runs a scheduling pass if one is due.
 fn run_due_pass(cluster: &mut ClusterState, now: Duration) {
-    if cluster.queue.dirty && now >= cluster.next_pass {
-        cluster.pass(now);
+    if cluster.queue.pass_requested && now >= cluster.next_pass {
+        cluster.run_pass(now);
     }
 }
 pub struct Node {
@@ -176,7 +176,9 @@
             Input::Ready { request } => self.answer(request, Answer::Ready(self.is_ready())),
             Input::Licences { request } => self.answer_licences(request),
             Input::Rollout { request, action } => self.handle_rollout_action(request, action),
-            Input::Maintenance { request, action } => self.maintenance_asked(request, action),
+            Input::Maintenance { request, action } => {
+                self.handle_maintenance_request(request, action)
+            }
             Input::Shutdown => self.begin_shutdown(),
             Input::Report { request, report } => self.report_received(request, report),
             Input::State { call, reply } => self.state_service_answered(call, reply),
@@ -424,7 +426,7 @@
             Purpose::Order { request } => self.order_stored(request, &reply),
             Purpose::Migrate(scope, step) => self.migration_answered(scope, step, reply),
             Purpose::StoreDrains { request, drains } => {
-                self.drains_stored(request, drains, &reply);
+                self.handle_drains_stored(request, drains, &reply);
             }
             Purpose::StorePartitions { claim, record } => {
                 self.partitioned_zones_answered(claim, record, &reply)
@@ -455,7 +457,7 @@
     }
 
     fn cache_terminal_state(&mut self, id: JobId, record: TerminalRecord) {
-        self.end_in_graph(&id, record);
+        self.record_end_in_graph(&id, record);
         if self.terminal_cache.insert(id.clone(), record).is_none() {
             self.terminal_cache_order.push_back(id);
             if self.terminal_cache_order.len() > MAX_CACHED_TERMINAL_STATES
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -199,7 +199,7 @@
             // A leader that receives no reports can't tell which machines are needed.
             if !self.reachability.is_uncertain {
                 self.plan_scale_in(now);
-                self.plan_drains(now);
+                self.advance_drains(now);
                 self.plan_consolidation(now);
                 self.plan_scale_out(now);
             }
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -60,7 +60,7 @@
             .filter(|m| m.assignment.may_be_stored)
         {
             let count = counts.entry(machine.zone.clone()).or_insert_with(|| Count {
-                cut: !self.reaches(&machine.zone),
+                cut: !self.is_zone_reachable(&machine.zone),
                 ..Count::default()
             });
             count.stored += 1;
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -221,7 +221,7 @@
                 }
             }
             // A machine for tasks beyond the team's limit or licence seats would stay idle.
-            tasks = tasks.min(self.seats_for(spec, now));
+            tasks = tasks.min(self.tasks_within_seats(spec, now));
             if let Some(left) = remaining.get_mut(&spec.team) {
                 tasks = tasks.min(spec.need.count_fitting(left));
                 *left = left.plus_scaled(&spec.need, -f64::from(tasks));
@@ -296,7 +296,7 @@
                     };
                     if !spec.allows_placement(zone, spot)
                         || self.provisioning.is_refused(&kind)
-                        || !self.reaches(zone)
+                        || !self.is_zone_reachable(zone)
                     {
                         continue;
                     }
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -1,4 +1,4 @@
-//! Placement: fits without victims first, then preemption and nominations.
+//! Scheduling passes: place tasks in free capacity first, then preempt and nominate.
 
 mod gangs;
 mod usage;
@@ -24,98 +24,106 @@
     reconciliation::DeferredAction,
 };
 
-/// The least time between two passes.
-pub const PASS_EVERY: Duration = Duration::from_millis(60);
+/// Minimum interval between two scheduling passes.
+pub const PASS_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How soon a job that waits for a seat is tried again.
-const SEATS_AGAIN: Duration = Duration::from_secs(1);
+/// Delay before a job that waits for licence seats is retried.
+const SEATS_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How soon a job that has time to wait for room is looked at again.
-const SLACK_AGAIN: Duration = Duration::from_secs(1);
+/// Delay before a job that postponed its preemption is retried.
+const SLACK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How soon waiting jobs are tried again after room was held no longer.
-const HELD_AGAIN: Duration = Duration::from_secs(1);
+/// Delay before waiting jobs are retried after a nomination released its capacity.
+const RELEASE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Victims on one machine.
-struct Plan {
-    room: usize,
+/// Preemption plan for one machine: the tasks to stop there so that one task fits.
+struct PreemptionPlan {
+    /// Index of the machine in the snapshot.
+    index: usize,
     victims: Vec<(TaskId, u64)>,
+    /// Number of victims that breach a disruption budget.
     breaches: usize,
-    highest: Option<Priority>,
+    /// Highest priority of the victims.
+    highest_priority: Option<Priority>,
+    /// Resources of the victims.
     freed: Resources,
-    /// About how long the image takes to arrive, in seconds.
-    fetch: f64,
-    /// What it costs to keep the machine.
-    keeping: f64,
+    /// Estimated time to fetch the image, in seconds.
+    fetch_s: f64,
+    /// Relative price of the machine; 0 unless the job is a service.
+    retention_cost: f64,
 }
 
-impl Plan {
-    /// Fewer breaches, then lower victims. Among machines that are disrupted alike, the one
-    /// with the image: what one victim more loses is less than what a fetch keeps waiting.
-    fn better_than(&self, other: &Plan) -> bool {
-        (self.breaches, self.highest)
-            .cmp(&(other.breaches, other.highest))
-            .then(self.fetch.total_cmp(&other.fetch))
-            .then(self.keeping.total_cmp(&other.keeping))
-            .then((self.victims.len(), self.room).cmp(&(other.victims.len(), other.room)))
+impl PreemptionPlan {
+    /// Compares by budget breaches, then by the highest victim priority. Among equal plans a
+    /// machine with the image wins, even at the cost of one more victim: a fetch delays the new
+    /// task by more than one more victim loses.
+    fn is_better_than(&self, other: &PreemptionPlan) -> bool {
+        (self.breaches, self.highest_priority)
+            .cmp(&(other.breaches, other.highest_priority))
+            .then(self.fetch_s.total_cmp(&other.fetch_s))
+            .then(self.retention_cost.total_cmp(&other.retention_cost))
+            .then((self.victims.len(), self.index).cmp(&(other.victims.len(), other.index)))
             .is_lt()
     }
 }
 
 impl ClusterState {
+    /// Whether tasks may be placed on the machine now.
     pub fn usable(&self, machine: &Machine, now: Duration) -> bool {
         machine.state == MachineState::Up
             && machine.fenced
             && machine.notice_at.is_none()
-            && !self.cordoned(&machine.id)
-            && self.reaches(&machine.zone)
+            && !self.is_cordoned(&machine.id)
+            && self.is_zone_reachable(&machine.zone)
             && machine.heard_at.is_some_and(|at| {
                 now < at + self.config.report_interval * 2 + Duration::from_millis(700)
             })
     }
 
-    /// Nothing is started that can't be delivered, and nobody stopped for it.
-    pub(super) fn reaches(&self, zone: &str) -> bool {
+    /// Whether commands can be delivered to the zone. If not, nothing is started there, and
+    /// nothing is preempted there.
+    pub(super) fn is_zone_reachable(&self, zone: &str) -> bool {
         !self.reachability.is_uncertain
             && !self.reachability.partitioned_zones.contains(zone)
             && !self.start_blocked_zones.contains(zone)
     }
 
-    /// Places what fits, makes room for what does not, and parks the rest.
-    pub fn pass(&mut self, now: Duration) {
-        self.queue.dirty = false;
-        self.next_pass = now + PASS_EVERY;
-        let places = self.deadline_order();
-        self.queue.rank(&places, &self.jobs);
-        self.count_seats(now);
-        let mut view = self.view(now);
+    /// Runs a scheduling pass: places jobs that fit, preempts for those that do not, and parks
+    /// the rest.
+    pub fn run_pass(&mut self, now: Duration) {
+        self.queue.pass_requested = false;
+        self.next_pass = now + PASS_INTERVAL;
+        let positions = self.deadline_order();
+        self.queue.reorder(&positions, &self.jobs);
+        self.update_seat_holders(now);
+        let mut snapshot = self.snapshot(now);
         self.closed_priority = self.priority_to_close(now);
-        // Arrays that were given what has their image, in their order.
-        let mut with_image: Vec<JobId> = Vec::new();
+        // Arrays that had their turn on machines with their image, in queue order.
+        let mut locality_round: Vec<JobId> = Vec::new();
         loop {
-            if !self.shares_locality_round(with_image.first()) {
-                for id in std::mem::take(&mut with_image) {
-                    self.place_job(&mut view, id, now);
+            if !self.shares_locality_round(locality_round.first()) {
+                for id in std::mem::take(&mut locality_round) {
+                    self.place_job(&mut snapshot, id, now);
                 }
             }
             let Some(id) = self.queue.pop() else { break };
-            if self.waits(&mut view, &id, now) {
+            if self.should_skip(&mut snapshot, &id, now) {
                 self.queue.park(id);
             } else if self
                 .jobs
                 .get(&id)
                 .is_some_and(|job| self.prefers_image_locality(job, now))
             {
-                self.place_with_image(&mut view, &id, now);
-                with_image.push(id);
+                self.place_with_image(&mut snapshot, &id, now);
+                locality_round.push(id);
             } else {
-                self.place_job(&mut view, id, now);
+                self.place_job(&mut snapshot, id, now);
             }
         }
     }
 
-    /// Whether nothing is to be tried for the job in this pass.
-    fn waits(&mut self, view: &mut CapacitySnapshot, id: &JobId, now: Duration) -> bool {
+    /// Whether the job is skipped in this pass.
+    fn should_skip(&mut self, snapshot: &mut CapacitySnapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -125,130 +133,150 @@
             return true;
         }
         let spec = &job.spec;
-        if (job.version < self.claim && view.on_unresolved.contains(id))
+        if (job.version < self.claim && snapshot.on_unresolved.contains(id))
             || self
                 .closed_priority
                 .is_some_and(|closed_priority| spec.priority <= closed_priority)
-            || view.rules_out(spec, !job.nominations.is_empty())
+            || snapshot.rules_out(spec, !job.nominations.is_empty())
         {
             return true;
         }
-        if !self.at_limit(view, spec, now) {
+        if !self.is_at_limit(snapshot, spec, now) {
             return false;
         }
-        // No room is looked at for what may have none. Its turn is counted all the same.
-        let (with_image, seats) = (
+        // A job at a limit is not matched with machines, but its locality wait starts all the same.
+        let (wants_locality, needs_seats) = (
             self.prefers_image_locality(job, now),
             !spec.licences.is_empty(),
         );
-        if seats {
-            self.retry_by(now + SEATS_AGAIN);
+        if needs_seats {
+            self.retry_by(now + SEATS_RETRY_DELAY);
         }
-        if with_image && let Some(job) = self.jobs.get_mut(id) {
+        if wants_locality && let Some(job) = self.jobs.get_mut(id) {
             job.locality_wait_since.get_or_insert(now);
         }
-        // What was freed for it is not kept from others meanwhile.
-        self.drop_spent(view, id, now);
+        // Capacity that was freed for the job is released to others in the meantime.
+        self.drop_completed_nominations(snapshot, id, now);
         true
     }
 
-    /// Not the least that could start of the job is within what its team may use.
-    fn at_limit(&self, view: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> bool {
-        let least = match spec.kind {
+    /// Whether even the smallest startable part of the job (a whole gang, or one task) exceeds
+    /// the limits of its team or the free licence seats.
+    fn is_at_limit(&self, snapshot: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> bool {
+        let min_tasks = match spec.kind {
             Kind::Gang => spec.tasks,
             _ => 1,
         };
-        self.over_limit(view, spec, least, now)
+        self.exceeds_limit(snapshot, spec, min_tasks, now)
     }
 
-    /// The parked are tried again by then at the latest.
+    /// Schedules a retry of the parked jobs at the given time, unless an earlier one is due.
     pub(super) fn retry_by(&mut self, at: Duration) {
-        let next = self.next_retry.unwrap_or(Duration::MAX);
-        self.next_retry = Some(next.min(at));
+        let scheduled = self.next_retry.unwrap_or(Duration::MAX);
+        self.next_retry = Some(scheduled.min(at));
     }
 
-    /// Places all of a job that has room anywhere, or makes room for it.
-    fn place_job(&mut self, view: &mut CapacitySnapshot, id: JobId, now: Duration) {
+    /// Places as many of the job's tasks as fit, preempts for the others, and parks the job if
+    /// tasks are left.
+    fn place_job(&mut self, snapshot: &mut CapacitySnapshot, id: JobId, now: Duration) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.waiting_count() > 0) else {
             return;
         };
         let spec = job.spec.clone();
-        if view.rules_out(&spec, !job.nominations.is_empty()) || self.at_limit(view, &spec, now) {
+        if snapshot.rules_out(&spec, !job.nominations.is_empty())
+            || self.is_at_limit(snapshot, &spec, now)
+        {
             if !spec.licences.is_empty() {
-                self.retry_by(now + SEATS_AGAIN);
+                self.retry_by(now + SEATS_RETRY_DELAY);
             }
             self.queue.park(id);
             return;
         }
-        view.select_job(&spec, &self.machines);
-        let all = match spec.kind {
-            Kind::Gang => self.place_gang(view, &id, &spec, now),
-            _ => self.place_tasks(view, &id, &spec, now),
+        snapshot.select_job(&spec, &self.machines);
+        let all_placed = match spec.kind {
+            Kind::Gang => self.place_gang(snapshot, &id, &spec, now),
+            _ => self.place_tasks(snapshot, &id, &spec, now),
         };
-        if !all {
-            // Seats may come back without anything else happening.
+        if !all_placed {
+            // Licence seats may be returned without any event that triggers a retry.
             if !spec.licences.is_empty() {
-                self.retry_by(now + SEATS_AGAIN);
+                self.retry_by(now + SEATS_RETRY_DELAY);
             }
             self.queue.park(id);
         }
     }
 
-    fn view(&self, now: Duration) -> CapacitySnapshot {
+    /// Builds the capacity snapshot for one pass.
+
+    fn snapshot(&self, now: Duration) -> CapacitySnapshot {
         let (usage, leaving) = self.usage();
-        let rooms: Vec<MachineCapacity> = self
+        let capacities: Vec<MachineCapacity> = self
             .machines
             .values()
             .filter(|m| self.usable(m, now))
             .map(MachineCapacity::new)
             .collect();
-        let mut view =
-            CapacitySnapshot::new(rooms, usage, leaving, jobs_on_unresolved(&self.machines));
+        let mut snapshot = CapacitySnapshot::new(
+            capacities,
+            usage,
+            leaving,
+            jobs_on_unresolved(&self.machines),
+        );
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
-            view.reserve(&job.spec, &job.nominations);
+            snapshot.reserve(&job.spec, &job.nominations);
         }
-        view
+        snapshot
     }
 
-    /// Fills the best rooms for an array's tasks, the best one first. A task that
-    /// is placed changes the cost of its own room only, and makes that the better
-    /// one for the next: the rooms need to be compared but once.
+    /// Fills machines with an array's tasks in the order of their cost. Placing a task changes
+    /// only the cost of its own machine, and makes that machine cheaper for the next task, so
+    /// the machines are compared only once.
     ///
-    /// With `with_image`, only rooms that have its image, or are about to.
+    /// With `with_image`, uses only machines that have the image or are fetching it.
     pub(super) fn fill_machines(
         &mut self,
-        view: &mut CapacitySnapshot,
+        snapshot: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         with_image: bool,
         now: Duration,
     ) {
         let failed_on = &self.jobs[id].failed_on;
-        let has_image = |room: &MachineCapacity| {
-            let machine = &self.machines[&room.id];
-            // One that failed tasks is the last resort, whatever its cache holds.
-            let sound = machine.failures.is_empty() && !failed_on.contains(&room.id);
-            sound && (machine.has_image(&spec.image) || machine.is_fetching(&spec.image))
+        let has_image = |capacity: &MachineCapacity| {
+            let machine = &self.machines[&capacity.id];
+            // Machines with failed tasks are a last resort, whatever images they have.
+            let is_healthy = machine.failures.is_empty() && !failed_on.contains(&capacity.id);
+            is_healthy && (machine.has_image(&spec.image) || machine.is_fetching(&spec.image))
         };
-        let mut costs: Vec<(f64, usize)> = view
+        let mut costs: Vec<(f64, usize)> = snapshot
             .may_fit(spec)
-            .filter(|room| {
-                let room = &view.machines[*room];
-                !with_image || (spec.need.fits_in(&room.free) && has_image(room))
+            .filter(|candidate| {
+                let capacity = &snapshot.machines[*candidate];
+                !with_image || (spec.need.fits_in(&capacity.free) && has_image(capacity))
+            })
+            .filter_map(|candidate| {
+                Some((
+                    self.placement_cost(snapshot, candidate, spec, now)?,
+                    candidate,
+                ))
             })
-            .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
             .collect();
         costs.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (_, room) in costs {
-            let machine = view.machines[room].id.clone();
-            while self.fits(view, &view.machines[room], spec, &view.machines[room].free) {
+        for (_, candidate) in costs {
+            let machine = snapshot.machines[candidate].id.clone();
+            while self.fits(
+                snapshot,
+                &snapshot.machines[candidate],
+                spec,
+                &snapshot.machines[candidate].free,
+            ) {
                 if self.jobs[id].has_enough_probes() {
                     return;
                 }
                 let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) else {
                     return;
                 };
-                if self.over_limit(view, spec, 1, now) {
+                if self.exceeds_limit(snapshot, spec, 1, now) {
                     return;
                 }
                 let attempt = self.next_attempt();
@@ -256,136 +284,155 @@
                     job: id.clone(),
                     index,
                 };
-                self.put(view, room, &machine, task, attempt, now);
+                self.place_task(snapshot, candidate, &machine, task, attempt, now);
             }
         }
     }
 
-    /// Places an array's or a service's tasks.
+    /// Places the tasks of an array or a service; returns false if tasks are left.
     fn place_tasks(
         &mut self,
-        view: &mut CapacitySnapshot,
+        snapshot: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
         if spec.kind == Kind::Array {
-            self.fill_machines(view, id, spec, false, now);
+            self.fill_machines(snapshot, id, spec, false, now);
         }
         while let Some(index) = self.jobs.get_mut(id).and_then(|j| j.next_waiting()) {
-            if self.over_limit(view, spec, 1, now) || self.jobs[id].has_enough_probes() {
-                self.drop_spent(view, id, now);
+            if self.exceeds_limit(snapshot, spec, 1, now) || self.jobs[id].has_enough_probes() {
+                self.drop_completed_nominations(snapshot, id, now);
                 return false;
             }
             let task = TaskId {
                 job: id.clone(),
                 index,
             };
-            if let Some(room) = self.best_fit(view, spec, now) {
-                let machine = view.machines[room].id.clone();
+            if let Some(candidate) = self.best_fit(snapshot, spec, now) {
+                let machine = snapshot.machines[candidate].id.clone();
                 let attempt = self.next_attempt();
-                self.put(view, room, &machine, task, attempt, now);
+                self.place_task(snapshot, candidate, &machine, task, attempt, now);
                 continue;
             }
-            // Nobody makes room for one that fails everywhere.
-            return !self.jobs[id].faulty() && self.make_room(view, id, spec, now);
+            // A job that fails on every machine does not preempt others.
+            return !self.jobs[id].faulty() && self.preempt_for(snapshot, id, spec, now);
         }
         true
     }
 
-    fn put(
+    /// Places one task on the machine, and updates the seats and the snapshot.
+
+    fn place_task(
         &mut self,
-        view: &mut CapacitySnapshot,
-        room: usize,
+        snapshot: &mut CapacitySnapshot,
+        candidate: usize,
         machine: &MachineId,
         task: TaskId,
         attempt: u64,
         now: Duration,
     ) {
         let id = task.job.clone();
-        let held = self.jobs[&id].nominations.len();
+        let nominations_before = self.jobs[&id].nominations.len();
         let spec = self.jobs[&id].spec.clone();
         self.take_seats(&spec, &task, attempt, now);
         self.place(machine, task, attempt, now);
-        view.record_placement(room, &spec);
-        if self.jobs[&id].nominations.len() != held {
-            self.refresh_held(view, &id);
+        snapshot.record_placement(candidate, &spec);
+        if self.jobs[&id].nominations.len() != nominations_before {
+            self.refresh_held(snapshot, &id);
         }
     }
 
-    fn refresh_held(&self, view: &mut CapacitySnapshot, id: &JobId) {
+    fn refresh_held(&self, snapshot: &mut CapacitySnapshot, id: &JobId) {
         let job = &self.jobs[id];
-        view.refresh_reservations(&job.spec, &job.nominations);
+        snapshot.refresh_reservations(&job.spec, &job.nominations);
     }
 
-    fn over_limit(
+    fn exceeds_limit(
         &self,
-        view: &CapacitySnapshot,
+        snapshot: &CapacitySnapshot,
         spec: &JobSpec,
         tasks: u32,
         now: Duration,
     ) -> bool {
-        if self.seats_for(spec, now) < tasks {
+        if self.tasks_within_seats(spec, now) < tasks {
             return true;
         }
         let Some(team) = self.config.teams.get(&spec.team) else {
             return true;
         };
-        let used = view.usage.of(&spec.team);
+        let used = snapshot.usage.of(&spec.team);
         let sum = used.plus_scaled(&spec.need, f64::from(tasks));
-        let over = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
-        over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus)
+        let exceeds = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
+        exceeds(team.cpus_max, sum.cpus) || exceeds(team.gpus_max, sum.gpus)
     }
 
-    /// Whether the job may have a task there, room aside.
-    fn allowed(&self, view: &CapacitySnapshot, room: &MachineCapacity, spec: &JobSpec) -> bool {
-        spec.allows_type(&room.machine_type)
-            && spec.allows_placement(&room.zone, room.spot)
-            && zone_allowed(&view.job_zones, &room.zone, spec)
+    /// Whether the job's constraints allow a task on the machine, free resources aside.
+    fn is_allowed(
+        &self,
+        snapshot: &CapacitySnapshot,
+        capacity: &MachineCapacity,
+        spec: &JobSpec,
+    ) -> bool {
+        spec.allows_type(&capacity.machine_type)
+            && spec.allows_placement(&capacity.zone, capacity.spot)
+            && is_zone_allowed(&snapshot.job_zones, &capacity.zone, spec)
     }
 
-    /// Both checks: with the nominated tasks of equal or higher priority taken
-    /// as running, and again without them.
+    /// Checks that a task fits twice: without the nominated tasks, and again with those of equal
+    /// or higher priority taken as running.
     fn fits(
         &self,
-        view: &CapacitySnapshot,
-        room: &MachineCapacity,
+        snapshot: &CapacitySnapshot,
+        capacity: &MachineCapacity,
         spec: &JobSpec,
         free: &Resources,
     ) -> bool {
         if !spec.need.fits_in(free) {
             return false;
         }
-        let mut left = *free;
-        for (priority, job, need) in &room.reservations {
+        let mut remaining = *free;
+        for (priority, job, need) in &capacity.reservations {
             if *priority >= spec.priority && *job != spec.id {
-                left = left.minus(need);
+                remaining = remaining.minus(need);
             }
         }
-        spec.need.fits_in(&left) && self.allowed(view, room, spec)
+        spec.need.fits_in(&remaining) && self.is_allowed(snapshot, capacity, spec)
     }
 
-    fn best_fit(&self, view: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> Option<usize> {
-        view.may_fit(spec)
-            .filter_map(|room| Some((self.cost(view, room, spec, now)?, room)))
+    fn best_fit(
+        &self,
+        snapshot: &CapacitySnapshot,
+        spec: &JobSpec,
+        now: Duration,
+    ) -> Option<usize> {
+        snapshot
+            .may_fit(spec)
+            .filter_map(|candidate| {
+                Some((
+                    self.placement_cost(snapshot, candidate, spec, now)?,
+                    candidate,
+                ))
+            })
             .min_by(|a, b| a.0.total_cmp(&b.0))
-            .map(|(_, room)| room)
+            .map(|(_, candidate)| candidate)
     }
 
-    /// How good a room is for a task that fits there; the lowest is the best.
-    fn cost(
+    /// Cost of placing a task of the job on the machine, or none if it does not fit there. The
+    /// machine with the lowest cost is preferred.
+    fn placement_cost(
         &self,
-        view: &CapacitySnapshot,
-        index: usize,
+        snapshot: &CapacitySnapshot,
+        candidate: usize,
         spec: &JobSpec,
         now: Duration,
     ) -> Option<f64> {
-        let room = &view.machines[index];
-        if !self.fits(view, room, spec, &room.free) {
+        let capacity = &snapshot.machines[candidate];
+        if !self.fits(snapshot, capacity, spec, &capacity.free) {
             return None;
         }
         let job = self.jobs.get(&spec.id)?;
-        let machine = &self.machines[&room.id];
+        let machine = &self.machines[&capacity.id];
         let mut cost = self.estimated_fetch_secs(machine, spec);
         let failures = machine
             .failures
@@ -396,124 +443,135 @@
         if job.failed_on.contains(&machine.id) {
             cost += 200.0;
         }
-        // Replicas of a service are better off apart.
+        // Spreads the replicas of a service over machines and zones.
         if spec.kind == Kind::Service {
-            let beside = machine
+            let on_machine = machine
                 .tasks
                 .iter()
                 .filter(|((task, _), p)| task.job == spec.id && !p.exited())
                 .count();
-            let in_zone = view.job_zones.get(&machine.zone).copied().unwrap_or(0);
-            cost += 4.0 * beside as f64 + f64::from(in_zone);
+            let in_zone = snapshot.job_zones.get(&machine.zone).copied().unwrap_or(0);
+            cost += 4.0 * on_machine as f64 + f64::from(in_zone);
         }
-        // An empty machine with images of services is left to them.
+        // Keeps idle machines that have images of services free for those services.
         if !machine.has_image(&spec.image) && !machine.busy() {
             cost += machine.image_value;
         }
-        // What may be taken back is left to those who may use it.
+        // Prefers spot machines for jobs that accept them.
         if spec.spot && !machine.spot {
-            cost += self.dearer(machine) * spec.estimate_s;
+            cost += self.on_demand_premium(machine) * spec.estimate_s;
         }
-        // Work without an end keeps its machine: on a dear one it would keep much
-        // that is not needed. Finite work leaves the cheap ones to it.
-        let keep = self.keeping(machine);
+        // A service holds its machine for an unlimited time, so an expensive machine would stay
+        // rented for it alone. Arrays and gangs leave the cheap machines to services.
+        let relative_price = self.relative_price(machine);
         cost += match spec.kind {
-            Kind::Service => 1.5 * keep,
+            Kind::Service => 1.5 * relative_price,
             _ if machine.spot => 0.0,
-            _ => 0.5 * (1.0 - keep),
+            _ => 0.5 * (1.0 - relative_price),
         };
-        // Full machines first, so that empty ones can be returned, and stay whole.
+        // Prefers the fullest machine, so that idle ones can be released or taken as a whole.
         Some(
             cost + 1.0
                 - machine
                     .size
-                    .minus(&room.free)
+                    .minus(&capacity.free)
                     .dominant_share_of(&machine.size),
         )
     }
 
-    /// What a machine costs more than one of its kind that may be taken back, as a share.
-    fn dearer(&self, machine: &Machine) -> f64 {
+    /// Extra price of the machine over a spot machine of its type, as a fraction of the on-demand
+    /// price.
+    fn on_demand_premium(&self, machine: &Machine) -> f64 {
         let price = |spot| self.price(&machine.machine_type, spot);
         (1.0 - price(true) / price(false).max(1e-9)).max(0.0)
     }
 
-    /// What it costs to keep a machine, as a share of the dearest.
-    fn keeping(&self, machine: &Machine) -> f64 {
-        let dearest = self.types.iter().map(|t| t.price).fold(0.0, f64::max);
-        self.price(&machine.machine_type, machine.spot) / dearest.max(1e-9)
+    /// Price of the machine as a fraction of the price of the most expensive type.
+    fn relative_price(&self, machine: &Machine) -> f64 {
+        let max_price = self.types.iter().map(|t| t.price).fold(0.0, f64::max);
+        self.price(&machine.machine_type, machine.spot) / max_price.max(1e-9)
     }
 
-    /// Preemption for the waiting tasks of a job that hold no nomination yet.
-    fn make_room(
+    /// Preempts for the waiting tasks of a job that have no nomination yet.
+    fn preempt_for(
         &mut self,
-        view: &mut CapacitySnapshot,
+        snapshot: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
-        self.drop_spent(view, id, now);
+        self.drop_completed_nominations(snapshot, id, now);
         if self.awaits_capacity(spec, DeferredAction::Preempt) {
             return false;
         }
         if self.has_time_before_preempting(id) {
-            self.retry_by(now + SLACK_AGAIN);
+            self.retry_by(now + SLACK_RETRY_DELAY);
             return false;
         }
         let waiting = self.jobs[id].waiting_count() as usize;
         while self.jobs[id].nominations.len() < waiting {
             let nominated = self.jobs[id].nominations.len() as u32;
-            if self.over_limit(view, spec, nominated + 1, now) {
+            if self.exceeds_limit(snapshot, spec, nominated + 1, now) {
                 break;
             }
-            let Some(plan) = self.best_plan(view, spec) else {
-                // Zones may rule out rooms for this job that others could take.
+            let Some(plan) = self.best_preemption_plan(snapshot, spec) else {
+                // With zone constraints, machines may be ruled out for this job alone.
                 if nominated == 0 && !spec.one_zone && !spec.spread {
                     let spec = spec.clone();
-                    view.unplaceable.push(Unplaceable { spec });
+                    snapshot.unplaceable.push(Unplaceable { spec });
                 }
                 break;
             };
-            self.nominate(view, id, spec, plan, now);
+            self.nominate(snapshot, id, spec, plan, now);
         }
         false
     }
 
-    /// A task whose nominated machine still has victims stopping does not
-    /// preempt again; one whose victims are gone, and which still did not fit, may.
-    fn drop_spent(&mut self, view: &mut CapacitySnapshot, id: &JobId, now: Duration) {
+    /// Drops the nominations of a job to machines where no task is stopping any more. A task
+    /// whose victims are gone and that still did not fit may preempt again; one whose victims
+    /// are still stopping may not.
+    fn drop_completed_nominations(
+        &mut self,
+        snapshot: &mut CapacitySnapshot,
+        id: &JobId,
+        now: Duration,
+    ) {
         let machines = &self.machines;
-        let job = self.jobs.get_mut(id).expect("job at hand");
-        let before = job.nominations.len();
+        let job = self.jobs.get_mut(id).expect("active job");
+        let count_before = job.nominations.len();
         job.nominations.retain(|m| {
             machines
                 .get(m)
                 .is_some_and(|m| m.tasks.values().any(|p| p.stopping() && !p.exited()))
         });
-        if job.nominations.len() != before {
-            self.refresh_held(view, id);
-            // Its equals may have had their turn before it.
-            self.retry_by(now + HELD_AGAIN);
+        if job.nominations.len() != count_before {
+            self.refresh_held(snapshot, id);
+            // Jobs of the same priority may have had their turn in this pass already.
+            self.retry_by(now + RELEASE_RETRY_DELAY);
         }
     }
 
-    fn best_plan(&self, view: &CapacitySnapshot, spec: &JobSpec) -> Option<Plan> {
-        let reclaims = self.within_guarantee(view, spec);
-        let mut best: Option<Plan> = None;
-        for (index, room) in view.machines.iter().enumerate() {
-            let most = room.max_free(spec.priority, reclaims);
-            if !spec.need.fits_in(&most) || !self.allowed(view, room, spec) {
+    fn best_preemption_plan(
+        &self,
+        snapshot: &CapacitySnapshot,
+        spec: &JobSpec,
+    ) -> Option<PreemptionPlan> {
+        let reclaims = self.is_within_guarantee(snapshot, spec);
+        let mut best: Option<PreemptionPlan> = None;
+        for (index, capacity) in snapshot.machines.iter().enumerate() {
+            let max_free = capacity.max_free(spec.priority, reclaims);
+            if !spec.need.fits_in(&max_free) || !self.is_allowed(snapshot, capacity, spec) {
                 continue;
             }
             if best
                 .as_ref()
-                .is_some_and(|b| self.loses(room, spec, reclaims, b))
+                .is_some_and(|b| self.is_worse_than(capacity, spec, reclaims, b))
             {
                 continue;
             }
-            let plan = self.plan(view, index, spec, reclaims);
+            let plan = self.preemption_plan(snapshot, index, spec, reclaims);
             best = match (best, plan) {
-                (Some(best), Some(plan)) if plan.better_than(&best) => Some(plan),
+                (Some(best), Some(plan)) if plan.is_better_than(&best) => Some(plan),
                 (None, plan) => plan,
                 (best, _) => best,
             };
@@ -521,49 +579,60 @@
         best
     }
 
-    /// Whatever the plan for this room is, it is worse than this one. Going through the
-    /// tasks of each machine for each waiting service was most of a pass in a rush.
-    fn loses(&self, room: &MachineCapacity, spec: &JobSpec, reclaims: bool, best: &Plan) -> bool {
-        let least = room.min_highest_victim(spec, reclaims);
-        if best.breaches > 0 || least != best.highest {
-            return best.breaches == 0 && least > best.highest;
+    /// Whether any plan for the machine would be worse than `best`. This check avoids visiting
+    /// all tasks of each machine for each waiting service, which took most of the time of a pass
+    /// under high load.
+    fn is_worse_than(
+        &self,
+        capacity: &MachineCapacity,
+        spec: &JobSpec,
+        reclaims: bool,
+        best: &PreemptionPlan,
+    ) -> bool {
+        let min_highest = capacity.min_highest_victim(spec, reclaims);
+        if best.breaches > 0 || min_highest != best.highest_priority {
+            return best.breaches == 0 && min_highest > best.highest_priority;
         }
-        let machine = &self.machines[&room.id];
-        let by_fetch = self
+        let machine = &self.machines[&capacity.id];
+        let by_fetch_time = self
             .estimated_fetch_secs(machine, spec)
-            .total_cmp(&best.fetch);
-        by_fetch
-            .then_with(|| self.keeping_for(machine, spec).total_cmp(&best.keeping))
+            .total_cmp(&best.fetch_s);
+        by_fetch_time
+            .then_with(|| {
+                self.retention_cost(machine, spec)
+                    .total_cmp(&best.retention_cost)
+            })
             .is_gt()
     }
 
-    fn keeping_for(&self, machine: &Machine, spec: &JobSpec) -> f64 {
+    fn retention_cost(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         match spec.kind {
-            Kind::Service => self.keeping(machine),
+            Kind::Service => self.relative_price(machine),
             _ => 0.0,
         }
     }
 
-    /// Sets aside every task that may make room, then restores those that can stay.
-    fn plan(
+    /// Builds the plan for one machine: removes every task that may be preempted, then restores
+    /// those that can stay.
+    fn preemption_plan(
         &self,
-        view: &CapacitySnapshot,
+        snapshot: &CapacitySnapshot,
         index: usize,
         spec: &JobSpec,
         reclaims: bool,
-    ) -> Option<Plan> {
-        let room = &view.machines[index];
-        let machine = &self.machines[&room.id];
-        let mut free = room.free;
-        // Own nominations here are other tasks of the same job.
-        for (_, job, need) in &room.reservations {
+    ) -> Option<PreemptionPlan> {
+        let capacity = &snapshot.machines[index];
+        let machine = &self.machines[&capacity.id];
+        let mut free = capacity.free;
+        // The job's own nominations here stand for other tasks of it.
+        for (_, job, need) in &capacity.reservations {
             if *job == spec.id {
                 free = free.minus(need);
             }
         }
         let mut candidates = Vec::new();
         for (key, p) in &machine.tasks {
-            if p.exited() || room.victims.contains(key) {
+            if p.exited() || capacity.victims.contains(key) {
                 continue;
             }
             if p.stopping() {
@@ -575,66 +644,67 @@
                 candidates.push((key, victim, p.since));
             }
         }
-        // The newest first, so that a team loses those beyond its guarantee.
+        // Newest first, so that a team loses the tasks that exceed its guarantee.
         candidates.sort_by(|a, b| (b.2, b.0).cmp(&(a.2, a.0)));
         let mut leaving = match reclaims {
-            true => view.stopping_usage.clone(),
+            true => snapshot.stopping_usage.clone(),
             false => Usage::default(),
         };
         candidates.retain(|(_, victim, _)| {
-            let may = victim.priority < spec.priority
-                || (reclaims && self.may_reclaim(view, &leaving, spec, victim));
-            if may {
+            let is_eligible = victim.priority < spec.priority
+                || (reclaims && self.may_reclaim(snapshot, &leaving, spec, victim));
+            if is_eligible {
                 if reclaims {
                     leaving.add(&victim.team, &victim.need);
                 }
                 free = free.plus(&victim.need);
             }
-            may
+            is_eligible
         });
-        if !self.fits(view, room, spec, &free) {
+        if !self.fits(snapshot, capacity, spec, &free) {
             return None;
         }
-        // Budget-breaking ones are restored first, then by priority, then the oldest.
+        // Restores first the tasks whose stop would breach a disruption budget, then by priority,
+        // then the oldest.
         let mut stopping: HashMap<JobId, (Replicas, u32)> = HashMap::new();
-        let mut budgeted: Vec<_> = candidates
+        let mut ordered: Vec<_> = candidates
             .into_iter()
             .map(|(key, victim, since)| {
-                let breaks = self.breaks_budget(victim, &mut stopping);
-                (breaks, victim.priority, Reverse(since), key, victim)
+                let is_breach = self.breaches_budget(victim, &mut stopping);
+                (is_breach, victim.priority, Reverse(since), key, victim)
             })
             .collect();
-        budgeted.sort_by(|a, b| (b.0, b.1, b.2, a.3).cmp(&(a.0, a.1, a.2, b.3)));
-        let mut plan = Plan {
-            room: index,
+        ordered.sort_by(|a, b| (b.0, b.1, b.2, a.3).cmp(&(a.0, a.1, a.2, b.3)));
+        let mut plan = PreemptionPlan {
+            index,
             victims: Vec::new(),
             breaches: 0,
-            highest: None,
+            highest_priority: None,
             freed: Resources::default(),
-            fetch: self.estimated_fetch_secs(machine, spec),
-            keeping: self.keeping_for(machine, spec),
+            fetch_s: self.estimated_fetch_secs(machine, spec),
+            retention_cost: self.retention_cost(machine, spec),
         };
-        for (breaks, priority, _, key, victim) in budgeted {
-            let without = free.minus(&victim.need);
-            if self.fits(view, room, spec, &without) {
-                free = without;
+        for (is_breach, priority, _, key, victim) in ordered {
+            let remaining = free.minus(&victim.need);
+            if self.fits(snapshot, capacity, spec, &remaining) {
+                free = remaining;
                 continue;
             }
-            plan.breaches += usize::from(breaks);
-            plan.highest = plan.highest.max(Some(priority));
+            plan.breaches += usize::from(is_breach);
+            plan.highest_priority = plan.highest_priority.max(Some(priority));
             plan.freed = plan.freed.plus(&victim.need);
             plan.victims.push(key.clone());
         }
         Some(plan)
     }
 
-    /// One more task of the job, beside all that its team runs or has room held
-    /// for, is within the team's guarantee.
-    fn within_guarantee(&self, view: &CapacitySnapshot, spec: &JobSpec) -> bool {
+    /// Whether one more task of the job, added to the team's running and nominated tasks, is
+    /// within the team's guarantee.
+    fn is_within_guarantee(&self, snapshot: &CapacitySnapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
         };
-        let mut sum = view.usage.of(&spec.team);
+        let mut sum = snapshot.usage.of(&spec.team);
         for job in self.jobs.values().filter(|j| j.spec.team == spec.team) {
             sum = sum.plus_scaled(&job.spec.need, job.nominations.len() as f64);
         }
@@ -642,11 +712,12 @@
         sum.cpus <= team.cpus + 1e-6 && sum.gpus <= team.gpus + 1e-6
     }
 
-    /// Work that another team runs beyond its guarantee, what leaves it put
-    /// aside. A higher priority is left alone: it would only preempt back.
+    /// Whether the victim may be stopped because its team, another one, exceeds its guarantee
+    /// without the tasks that are stopping. A victim of a higher priority is not reclaimed, since
+    /// it would only preempt in turn.
     fn may_reclaim(
         &self,
-        view: &CapacitySnapshot,
+        snapshot: &CapacitySnapshot,
         leaving: &Usage,
         spec: &JobSpec,
         victim: &JobSpec,
@@ -657,56 +728,71 @@
         let Some(team) = self.config.teams.get(&victim.team) else {
             return false;
         };
-        let stays = view.usage.of(&victim.team).minus(&leaving.of(&victim.team));
-        stays.cpus > team.cpus + 1e-6 || stays.gpus > team.gpus + 1e-6
+        let remaining = snapshot
+            .usage
+            .of(&victim.team)
+            .minus(&leaving.of(&victim.team));
+        remaining.cpus > team.cpus + 1e-6 || remaining.gpus > team.gpus + 1e-6
     }
 
-    /// More of a service's tasks would be stopping than its disruption budget allows.
-    fn breaks_budget(&self, victim: &JobSpec, more: &mut HashMap<JobId, (Replicas, u32)>) -> bool {
+    /// Whether stopping one more replica of the service would breach its disruption budget.
+    /// Counts the replica in `more`.
+    fn breaches_budget(
+        &self,
+        victim: &JobSpec,
+        stopping: &mut HashMap<JobId, (Replicas, u32)>,
+    ) -> bool {
         if victim.kind != Kind::Service {
             return false;
         }
-        let (standing, count) = more
+        let (replicas, count) = stopping
             .entry(victim.id.clone())
-            .or_insert_with(|| (self.standing(&victim.id), 0));
+            .or_insert_with(|| (self.replica_counts(&victim.id), 0));
         *count += 1;
         self.disruption_ledger
-            .breach(&victim.team, *standing, *count)
+            .breach(&victim.team, *replicas, *count)
     }
 
+    /// Executes a plan: stops its victims and nominates the machine for the job.
+
     fn nominate(
         &mut self,
-        view: &mut CapacitySnapshot,
+        snapshot: &mut CapacitySnapshot,
         id: &JobId,
         spec: &JobSpec,
-        plan: Plan,
+        plan: PreemptionPlan,
         now: Duration,
     ) {
-        let machine = view.machines[plan.room].id.clone();
-        info!(job = %id, machine = %machine, victims = plan.victims.len(), breaches = plan.breaches, "nominate");
+        let machine = snapshot.machines[plan.index].id.clone();
+        info!(job = %id, machine = %machine, victims = plan.victims.len(), breaches = plan.breaches, "nominated machine for waiting task");
         self.counts.nominations += 1;
         let grace = self.config.options.grace;
         for key in &plan.victims {
-            info!(task = %key.0, machine = %machine, by = %id, "preempt");
+            info!(task = %key.0, machine = %machine, by = %id, "preempting task");
             self.counts.victims += 1;
             if let Some(victim) = self.jobs.get(&key.0.job).map(|j| j.spec.clone()) {
-                view.stopping_usage.add(&victim.team, &victim.need);
+                snapshot.stopping_usage.add(&victim.team, &victim.need);
             }
             self.stop(&machine, key, grace, now);
         }
-        view.recount(plan.room, &self.machines[&machine]);
+        snapshot.recount(plan.index, &self.machines[&machine]);
         self.jobs
             .get_mut(id)
-            .expect("job at hand")
+            .expect("active job")
             .nominations
             .push(machine.clone());
-        self.refresh_held(view, id);
-        self.clear_lower(view, plan.room, spec);
+        self.refresh_held(snapshot, id);
+        self.clear_lower_nominations(snapshot, plan.index, spec);
     }
 
-    /// A higher nomination that leaves no room clears the lower ones.
-    fn clear_lower(&mut self, view: &mut CapacitySnapshot, index: usize, spec: &JobSpec) {
-        let machine = self.machines[&view.machines[index].id].clone();
+    /// Clears nominations of a lower priority that no longer fit beside the new one.
+    fn clear_lower_nominations(
+        &mut self,
+        snapshot: &mut CapacitySnapshot,
+        index: usize,
+        spec: &JobSpec,
+    ) {
+        let machine = self.machines[&snapshot.machines[index].id].clone();
         let mut lower: Vec<(Priority, JobId, Resources)> = Vec::new();
         let mut free = machine.free();
         for p in machine
@@ -716,7 +802,7 @@
         {
             free = free.plus(&p.need);
         }
-        for held in &view.machines[index].reservations {
+        for held in &snapshot.machines[index].reservations {
             if held.0 >= spec.priority {
                 free = free.minus(&held.2);
             } else {
@@ -730,20 +816,20 @@
                 continue;
             }
             if let Some(entry) = self.jobs.get_mut(&job)
-                // What is only being gathered in this pass is no nomination.
-                && let Some(at) = entry.nominations.iter().position(|m| *m == machine.id)
+                // Capacity that is only reserved for a gang in this pass is no nomination.
+                && let Some(position) = entry.nominations.iter().position(|m| *m == machine.id)
             {
-                entry.nominations.remove(at);
-                info!(job = %job, machine = %machine.id, "nomination cleared");
+                entry.nominations.remove(position);
+                info!(job = %job, machine = %machine.id, "nomination cleared for a higher priority; requeueing job");
                 self.counts.cleared += 1;
                 self.queue.push(&job, entry);
-                self.refresh_held(view, &job);
+                self.refresh_held(snapshot, &job);
             }
         }
     }
 }
 
-fn zone_allowed(zones: &BTreeMap<Arc<str>, u32>, zone: &Arc<str>, spec: &JobSpec) -> bool {
+fn is_zone_allowed(zones: &BTreeMap<Arc<str>, u32>, zone: &Arc<str>, spec: &JobSpec) -> bool {
     if spec.one_zone && zones.iter().any(|(z, n)| z != zone && *n > 0) {
         return false;
     }
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs: placed, nominated and stopped whole, and room that is gathered for them.
+//! Gang scheduling: gangs are placed, nominated and stopped as a whole, and free capacity is
+//! reserved for them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,169 +12,180 @@
 };
 
 impl ClusterState {
-    /// A gang starts whole, once nothing of its last attempt is left anywhere.
+    /// Places all tasks of a gang at once, after every task of its last attempt has exited.
+    /// Returns whether it did.
     pub(super) fn place_gang(
         &mut self,
-        view: &mut CapacitySnapshot,
+        snapshot: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         now: Duration,
     ) -> bool {
-        if self.jobs[id].placed > 0 || self.over_limit(view, spec, spec.tasks, now) {
+        if self.jobs[id].placed > 0 || self.exceeds_limit(snapshot, spec, spec.tasks, now) {
             return false;
         }
-        let lingering = match depends_on_zones(spec) {
-            // They were counted for where the others may be.
-            true => !view.job_zones.is_empty(),
+        let has_remaining_tasks = match depends_on_zones(spec) {
+            // For such a job, `zones` counts the tasks that are still on machines.
+            true => !snapshot.job_zones.is_empty(),
             false => self.machines.values().any(|m| {
                 let mut tasks = m.tasks.iter();
                 tasks.any(|((task, _), p)| task.job == *id && !p.exited())
             }),
         };
-        if lingering {
+        if has_remaining_tasks {
             return false;
         }
         let tasks: Vec<u32> = (0..spec.tasks)
             .filter(|i| self.jobs[id].slots[*i as usize] == Slot::Waiting)
             .collect();
-        for zones in view.gang_zones(spec) {
-            if let Some(rooms) = self.fit_gang(view, spec, &tasks, &zones, now) {
-                let job = self.jobs.get_mut(id).expect("job at hand");
+        for zones in snapshot.gang_zones(spec) {
+            if let Some(candidates) = self.fit_gang(snapshot, spec, &tasks, &zones, now) {
+                let job = self.jobs.get_mut(id).expect("active job");
                 job.fetches_between_attempts = false;
                 job.nominations.clear();
-                self.refresh_held(view, id);
+                self.refresh_held(snapshot, id);
                 let attempt = self.next_attempt();
-                for (index, room) in tasks.iter().zip(rooms) {
-                    let machine = view.machines[room].id.clone();
+                for (index, candidate) in tasks.iter().zip(candidates) {
+                    let machine = snapshot.machines[candidate].id.clone();
                     let task = TaskId {
                         job: id.clone(),
                         index: *index,
                     };
-                    self.put(view, room, &machine, task, attempt, now);
+                    self.place_task(snapshot, candidate, &machine, task, attempt, now);
                 }
                 return true;
             }
         }
-        self.drop_spent(view, id, now);
+        self.drop_completed_nominations(snapshot, id, now);
         if self.jobs[id].nominations.is_empty()
             && !self.awaits_capacity(spec, DeferredAction::Preempt)
         {
-            self.make_room_for_gang(view, id, spec, &tasks, now);
+            self.preempt_for_gang(snapshot, id, spec, &tasks, now);
         }
         if self.jobs[id].nominations.is_empty() {
-            self.gather(view, id, spec, tasks.len());
+            self.reserve_for_gang(snapshot, id, spec, tasks.len());
         }
         false
     }
 
-    /// Holds what room there is for a part of a gang, in the one zone where most is, until
-    /// the end of the pass: the next one looks again. Whatever is lower would be stopped
-    /// again as soon as the rest is there, and until then it would keep the gang waiting;
-    /// its equals may go first, but not for ever.
-    fn gather(&self, view: &mut CapacitySnapshot, id: &JobId, spec: &JobSpec, tasks: usize) {
+    /// Reserves the free capacity that suits tasks of a gang, in the zones that fit the most of
+    /// them, until the end of the pass. Tasks of a lower priority would be preempted as soon as
+    /// the rest of the gang fits, and would delay it until then. Jobs of the same priority may go
+    /// first until the gang has waited for `gather_after`.
+    fn reserve_for_gang(
+        &self,
+        snapshot: &mut CapacitySnapshot,
+        id: &JobId,
+        spec: &JobSpec,
+        task_count: usize,
+    ) {
         let mut best: Vec<usize> = Vec::new();
-        for zones in view.gang_zones(spec) {
-            let there = view.may_fit(spec).filter(|index| {
-                let room = &view.machines[*index];
-                zones.contains(&room.zone) && self.fits(view, room, spec, &room.free)
+        for zones in snapshot.gang_zones(spec) {
+            let candidates = snapshot.may_fit(spec).filter(|index| {
+                let capacity = &snapshot.machines[*index];
+                zones.contains(&capacity.zone)
+                    && self.fits(snapshot, capacity, spec, &capacity.free)
             });
-            let there: Vec<usize> = there.take(tasks).collect();
-            if there.len() > best.len() {
-                best = there;
+            let candidates: Vec<usize> = candidates.take(task_count).collect();
+            if candidates.len() > best.len() {
+                best = candidates;
             }
         }
         let waited = Duration::from_millis(self.wall_ms.saturating_sub(self.jobs[id].ready_ms));
-        let against = match waited > self.config.options.gather_after {
+        let held_priority = match waited > self.config.options.gather_after {
             true => Some(spec.priority),
             false => spec.priority.next_lower(),
         };
-        if let Some(against) = against {
+        if let Some(held_priority) = held_priority {
             for index in best {
-                view.machines[index]
+                snapshot.machines[index]
                     .reservations
-                    .push((against, id.clone(), spec.need));
+                    .push((held_priority, id.clone(), spec.need));
             }
         }
     }
 
-    /// Rooms for every task of a gang, tried on the view and put back.
+    /// Finds machines for every task of a gang by trial placement in the snapshot, which is
+    /// restored afterwards.
     fn fit_gang(
         &self,
-        view: &mut CapacitySnapshot,
+        snapshot: &mut CapacitySnapshot,
         spec: &JobSpec,
         tasks: &[u32],
         zones: &[Arc<str>],
         now: Duration,
     ) -> Option<Vec<usize>> {
-        if !view.may_hold(spec, tasks.len(), zones, |room| room.free) {
+        if !snapshot.may_hold(spec, tasks.len(), zones, |capacity| capacity.free) {
             return None;
         }
-        let before: Vec<Resources> = view.machines.iter().map(|r| r.free).collect();
-        let zones_before = view.job_zones.clone();
+        let free_before: Vec<Resources> = snapshot.machines.iter().map(|r| r.free).collect();
+        let zones_before = snapshot.job_zones.clone();
         let mut chosen = Vec::new();
-        for room in &mut view.machines {
-            if !zones.contains(&room.zone) {
-                room.free = Resources::default().minus(&spec.need);
+        for capacity in &mut snapshot.machines {
+            if !zones.contains(&capacity.zone) {
+                capacity.free = Resources::default().minus(&spec.need);
             }
         }
         for _ in tasks {
-            let Some(i) = self.best_fit(view, spec, now) else {
+            let Some(candidate) = self.best_fit(snapshot, spec, now) else {
                 break;
             };
-            view.machines[i].free = view.machines[i].free.minus(&spec.need);
-            let zone = view.machines[i].zone.clone();
-            *view.job_zones.entry(zone).or_insert(0) += 1;
-            chosen.push(i);
+            snapshot.machines[candidate].free = snapshot.machines[candidate].free.minus(&spec.need);
+            let zone = snapshot.machines[candidate].zone.clone();
+            *snapshot.job_zones.entry(zone).or_insert(0) += 1;
+            chosen.push(candidate);
         }
-        for (room, free) in view.machines.iter_mut().zip(before) {
-            room.free = free;
+        for (capacity, free) in snapshot.machines.iter_mut().zip(free_before) {
+            capacity.free = free;
         }
-        view.job_zones = zones_before;
+        snapshot.job_zones = zones_before;
         (chosen.len() == tasks.len()).then_some(chosen)
     }
 
-    /// Victims for a whole gang, or none at all.
-    fn make_room_for_gang(
+    /// Preempts for all tasks of a gang, or for none.
+    fn preempt_for_gang(
         &mut self,
-        view: &mut CapacitySnapshot,
+        snapshot: &mut CapacitySnapshot,
         id: &JobId,
         spec: &Arc<JobSpec>,
         tasks: &[u32],
         now: Duration,
     ) {
-        let reclaims = self.within_guarantee(view, spec);
-        let most = |room: &MachineCapacity| room.max_free(spec.priority, reclaims);
-        for zones in view.gang_zones(spec) {
-            if !view.may_hold(spec, tasks.len(), &zones, most) {
+        let reclaims = self.is_within_guarantee(snapshot, spec);
+        let max_free = |capacity: &MachineCapacity| capacity.max_free(spec.priority, reclaims);
+        for zones in snapshot.gang_zones(spec) {
+            if !snapshot.may_hold(spec, tasks.len(), &zones, max_free) {
                 continue;
             }
-            let before: Vec<Resources> = view.machines.iter().map(|r| r.free).collect();
-            let zones_before = view.job_zones.clone();
+            let free_before: Vec<Resources> = snapshot.machines.iter().map(|r| r.free).collect();
+            let zones_before = snapshot.job_zones.clone();
             let mut plans = Vec::new();
-            for room in &mut view.machines {
-                if !zones.contains(&self.machines[&room.id].zone) {
-                    room.free = room.free.plus_scaled(&self.machines[&room.id].size, -2.0);
+            for capacity in &mut snapshot.machines {
+                if !zones.contains(&self.machines[&capacity.id].zone) {
+                    capacity.free = capacity
+                        .free
+                        .plus_scaled(&self.machines[&capacity.id].size, -2.0);
                 }
             }
             for _ in tasks {
-                let Some(plan) = self.best_plan(view, spec) else {
+                let Some(plan) = self.best_preemption_plan(snapshot, spec) else {
                     break;
                 };
-                let room = &mut view.machines[plan.room];
-                room.free = room.free.plus(&plan.freed).minus(&spec.need);
-                room.victims.extend(plan.victims.iter().cloned());
-                let zone = room.zone.clone();
-                *view.job_zones.entry(zone).or_insert(0) += 1;
+                let capacity = &mut snapshot.machines[plan.index];
+                capacity.free = capacity.free.plus(&plan.freed).minus(&spec.need);
+                capacity.victims.extend(plan.victims.iter().cloned());
+                let zone = capacity.zone.clone();
+                *snapshot.job_zones.entry(zone).or_insert(0) += 1;
                 plans.push(plan);
             }
-            for (room, free) in view.machines.iter_mut().zip(before) {
-                room.free = free;
-                room.victims.clear();
+            for (capacity, free) in snapshot.machines.iter_mut().zip(free_before) {
+                capacity.free = free;
+                capacity.victims.clear();
             }
-            view.job_zones = zones_before;
+            snapshot.job_zones = zones_before;
             if plans.len() == tasks.len() {
                 for plan in plans {
-                    self.nominate(view, id, spec, plan, now);
+                    self.nominate(snapshot, id, spec, plan, now);
                 }
                 return;
             }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -188,7 +188,7 @@
             // Not active: if it was ever accepted, its terminal state is stored by now.
             StateReply::Missing => {
                 let request = check.request;
-                self.look_for_end(
+                self.look_up_terminal_state(
                     request,
                     dependency,
                     JobQuery::ForSubmission(Box::new(check)),
@@ -427,7 +427,7 @@
             }
             // Neither active nor in a known terminal state: a terminal state is stored in
             // the same transaction that deletes the active job.
-            self.look_for_end(request, id, query);
+            self.look_up_terminal_state(request, id, query);
             return;
         };
         let waits_on = match self.dependencies.status(&id) {
@@ -439,7 +439,11 @@
             Status::Unknown { mut ends } if !matches!(query, JobQuery::Withdraw) => {
                 if let Some(end) = ends.pop() {
                     let pending = PendingQuery { request, id, query };
-                    self.look_for_end(request, end, JobQuery::ForDependent(Box::new(pending)));
+                    self.look_up_terminal_state(
+                        request,
+                        end,
+                        JobQuery::ForDependent(Box::new(pending)),
+                    );
                 }
                 return;
             }
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -73,7 +73,7 @@
         } else {
             self.loading = false;
             self.cache.loaded = true;
-            self.build_graph();
+            self.rebuild_graph();
             self.observe_leader();
         }
     }
@@ -136,6 +136,6 @@
             cluster.add_job(id, job, Results::default());
         }
         self.add_to_graph(id);
-        self.tell_leader_of_job(id);
+        self.apply_graph_to_job(id);
     }
 }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -192,13 +192,13 @@
     fn refill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
-        self.present_rate = self.write_rate.at(now);
+        self.present_rate = self.write_rate.rate_at(now);
         self.allowance = (self.allowance + passed * self.present_rate).min(self.present_rate);
     }
 
     /// Handles a write that was refused because of the rate limit.
     pub fn rate_limited(&mut self, now: Duration) {
-        self.write_rate.limited(now);
+        self.write_rate.reduce(now);
     }
 
     /// Handles a rejected write; `smaller` tells whether the next one will be smaller.
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -159,7 +159,10 @@
             Handler::Ready => self.api.ask(|request| Input::Ready { request }).await,
             Handler::Licences => self.api.ask(|request| Input::Licences { request }).await,
             Handler::Rollout => self.rollout(RolloutAction::Status).await,
-            Handler::Drains => self.maintenance(maintenance::Ask::Status).await,
+            Handler::Drains => {
+                self.maintenance(maintenance::MaintenanceRequest::Status)
+                    .await
+            }
             Handler::Drain => {
                 let order = request.path_params::<String>().unwrap_or_default();
                 match read_body(request)
@@ -205,7 +208,7 @@
         }
     }
 
-    async fn maintenance(&self, ask: maintenance::Ask) -> Response {
+    async fn maintenance(&self, ask: maintenance::MaintenanceRequest) -> Response {
         self.api
             .ask(move |request| Input::Maintenance {
                 request,
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -1,5 +1,5 @@
-//! The scheduling rules: a slow plain model compared with the real core over
-//! random clusters, and the examples of the paper.
+//! Scheduling rules: a simple reference model compared with the scheduler on random clusters,
+//! and the examples of the paper on nominations.
 
 mod cluster;
 mod dependencies;
@@ -26,7 +26,7 @@
 
 use cluster::{Cluster, cpu_resources, spec};
 
-// The plain model: lists, no shortcuts.
+// Reference model, without any optimisation.
 
 #[derive(Clone, Debug)]
 struct Task {
@@ -55,35 +55,34 @@
     if used(&kept) + need > cpus + 1e-6 {
         return None;
     }
-    // Of each service one task may be stopped, the newest; any further one
-    // breaks its budget.
-    let mut aside: Vec<&Task> = tasks.iter().filter(|t| t.priority < priority).collect();
-    aside.sort_by_key(|task| std::cmp::Reverse(task.age));
+    // One task of each service may be stopped, the newest; any further one breaches its budget.
+    let mut candidates: Vec<&Task> = tasks.iter().filter(|t| t.priority < priority).collect();
+    candidates.sort_by_key(|task| std::cmp::Reverse(task.age));
     let mut seen = BTreeSet::new();
-    let mut marked: Vec<(&Task, bool)> = Vec::new();
-    for task in aside {
-        let breaks = task.service && !seen.insert(task.id.job.clone());
-        marked.push((task, breaks));
+    let mut ordered: Vec<(&Task, bool)> = Vec::new();
+    for task in candidates {
+        let is_breach = task.service && !seen.insert(task.id.job.clone());
+        ordered.push((task, is_breach));
     }
     let mut victims = Vec::new();
-    while !marked.is_empty() {
-        // Budget-breaking first, then the highest priority, then the oldest.
+    while !ordered.is_empty() {
+        // Budget breaches first, then the highest priority, then the oldest.
         let mut first = 0;
-        for i in 1..marked.len() {
-            let key = |(t, breaks): &(&Task, bool)| (*breaks, t.priority, usize::MAX - t.age);
-            if key(&marked[i]) > key(&marked[first]) {
+        for i in 1..ordered.len() {
+            let key = |(t, is_breach): &(&Task, bool)| (*is_breach, t.priority, usize::MAX - t.age);
+            if key(&ordered[i]) > key(&ordered[first]) {
                 first = i;
             }
         }
-        let (task, breaks) = marked.remove(first);
+        let (task, is_breach) = ordered.remove(first);
         if used(&kept) + task.cpus + need <= cpus + 1e-6 {
             kept.push(task);
         } else {
-            victims.push((task, breaks));
+            victims.push((task, is_breach));
         }
     }
     let score = Score {
-        breaches: victims.iter().filter(|(_, breaks)| *breaks).count(),
+        breaches: victims.iter().filter(|(_, is_breach)| *is_breach).count(),
         highest: victims.iter().map(|(t, _)| t.priority).max(),
         victims: victims.len(),
     };
@@ -91,7 +90,7 @@
 }
 
 #[test]
-fn the_core_agrees_with_the_plain_model() {
+fn scheduler_agrees_with_reference_model() {
     let (mut placed, mut preempted, mut parked) = (0, 0, 0);
     for seed in 0..400 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -191,9 +190,9 @@
     );
 }
 
-/// Example 1 of the paper: the lower pod must not take what the higher one waits for.
+/// Example 1 of the paper: a job must not take capacity that a higher-priority job waits for.
 #[test]
-fn a_nomination_holds_room_against_lower_priorities() {
+fn a_nomination_holds_capacity_against_lower_priorities() {
     let mut c = Cluster::new(10.0);
     c.add_machine("vm-1");
     let a = c.add_job(spec(1, Kind::Array, Priority::Normal, 1, 5.0));
@@ -205,7 +204,7 @@
     c.pass();
     assert_eq!(c.nominated(&high), ["vm-1"]);
     assert_eq!(c.victims("vm-1").len(), 2);
-    // One victim is gone: there is room for the low one, but it is held.
+    // One victim has exited: the low job would fit, but the capacity is held.
     c.end_task("vm-1", &b, ExitReason::Stopped { saved: false });
     c.pass();
     assert_eq!(
@@ -219,7 +218,7 @@
     assert!(c.machines_of(&low).is_empty());
 }
 
-/// Example 2: a nominated job goes wherever it fits first.
+/// Example 2: a nominated job is placed wherever it fits first.
 #[test]
 fn a_nominated_job_may_go_elsewhere() {
     let mut c = Cluster::new(10.0);
@@ -269,7 +268,7 @@
     c.pass();
     assert!(
         c.machines_of(&gang).is_empty(),
-        "two machines hold no gang of three"
+        "a gang of three does not fit on two machines"
     );
     c.add_machine("vm-3");
     c.pass();
@@ -303,7 +302,7 @@
 fn a_team_reclaims_its_guarantee_from_an_equal_priority() {
     let mut c = Cluster::new(16.0);
     c.add_machine("vm-1");
-    // Red uses 16 of its guaranteed 8; blue has 4 and uses none.
+    // Team red is guaranteed 8 CPUs and uses 16; team blue is guaranteed 4 and uses none.
     let red = c.add_job(spec(1, Kind::Array, Priority::Normal, 4, 4.0));
     (0..4).for_each(|i| c.run_task("vm-1", &red, i));
     let blue = JobSpec {
@@ -312,13 +311,13 @@
     };
     let blue = c.add_job(blue);
     c.pass();
-    // One task of it is within the guarantee, the second is not.
+    // The first task is within the guarantee, the second is not.
     assert_eq!(c.nominated(&blue), ["vm-1"]);
     assert_eq!(c.victims("vm-1").len(), 1);
 }
 
-/// A placement that exited but was not forgotten yet must not be counted again
-/// when the worker's session ends: its task may run elsewhere by then.
+/// A placement that has exited but was not forgotten yet must not free its task again when the
+/// worker's session ends: the task may run elsewhere by then.
 #[test]
 fn an_exited_placement_does_not_free_its_task_twice() {
     let mut c = Cluster::new(4.0);
@@ -338,7 +337,7 @@
     assert_eq!(starts, 1);
 }
 
-/// A garbled report may list a task twice; it ends but once.
+/// A malformed report may list a task twice; its end counts once.
 #[test]
 fn a_task_listed_twice_in_a_report_ends_once() {
     let mut c = Cluster::new(4.0);
@@ -353,7 +352,7 @@
     assert_eq!((job.placed, job.running, job.failures), (0, 0, 1));
 }
 
-/// A result is forgotten by its worker only once it is stored.
+/// A worker is told to forget a result only after it is stored.
 #[test]
 fn a_result_is_kept_at_the_worker_until_it_is_stored() {
     let mut c = Cluster::new(4.0);
@@ -377,8 +376,8 @@
     );
 }
 
-/// A start that was sent straight and not answered may be executed late: only a
-/// report under a higher token shows that it never will be.
+/// A start that was sent directly and not answered may be executed late. Only a report under a
+/// higher token proves that it never will be.
 #[test]
 fn an_unclear_direct_start_is_void_only_under_a_higher_token() {
     use kiteyard::core::machine::DirectReply;
@@ -403,7 +402,7 @@
     c.report("vm-1");
     c.report("vm-1");
     assert_eq!(c.machines_of(&job), ["vm-1"], "it may still be executed");
-    // The worker has seen the raised token, and has no such task.
+    // The worker has seen the higher token, and does not have the task.
     let raised = c.cluster.machines["vm-1"].token;
     assert!(raised > direct.token);
     c.seq += 1;
@@ -423,10 +422,10 @@
     assert!(c.machines_of(&job).is_empty());
 }
 
-/// Tasks of a job that was cancelled during a failover still use up their team's
-/// limit while their machine is silent, though nobody knows any more whose they are.
+/// Tasks of a job that was cancelled during a failover still count against team limits while
+/// their machine is unresponsive, although their team is no longer known.
 #[test]
-fn a_cancelled_job_on_a_silent_machine_counts_against_the_limit() {
+fn a_cancelled_job_on_an_unresponsive_machine_counts_against_the_limit() {
     let shard = serde_json::json!({
         "kinds": [["m", "a", false]], "jobs": ["run-000001"], "machines": [["vm-1", 0, [0]]]
     });
@@ -454,14 +453,14 @@
     assert_eq!(c.machines_of(&job), ["vm-2"]);
 }
 
-/// A shard of the assignment index names many machines in one value, and never more than a
-/// value may hold: what finds no room is not started until there is some.
+/// A shard of the assignment index lists many machines in one value and never exceeds the limit
+/// of a value. Starts that do not fit into it are delayed.
 #[test]
-fn a_full_shard_delays_starts_and_drops_nothing_that_is_listed() {
+fn a_full_shard_delays_starts_and_drops_no_listing() {
     use kiteyard::core::store::{Change, StateReply};
-    let most = 2048;
+    let max_bytes = 2048;
     let mut c = Cluster::new(400.0);
-    c.cluster.assignment_index = AssignmentIndex::new(most);
+    c.cluster.assignment_index = AssignmentIndex::new(max_bytes);
     for i in 0..4 {
         c.add_machine(&format!("vm-{i}"));
     }
@@ -474,9 +473,9 @@
         };
         for change in &changes {
             let Change::Put { value, .. } = change else {
-                panic!("nothing is struck");
+                panic!("a shard was deleted");
             };
-            assert!(value.get().len() <= most, "a value is too large");
+            assert!(value.get().len() <= max_bytes, "a value is too large");
             let record: ShardRecord = serde_json::from_str(value.get()).expect("a shard");
             let now: BTreeSet<JobId> = record.machines().flat_map(|m| m.jobs).collect();
             listed.extend(now);
@@ -492,11 +491,11 @@
     assert!((60..300).contains(&listed.len()), "{}", listed.len());
 }
 
-/// A leader that was superseded may answer workers until its term is over. One that
-/// has not seen this leader's token is not lost before that, even if a report of its
-/// own came late and was answered: the answer may never have got there.
+/// A superseded leader may answer workers until its term ends. A worker that has not seen the
+/// new leader's token is not declared lost before that, even if a late report of it was
+/// answered: the answer may not have arrived.
 #[test]
-fn a_worker_that_a_former_leader_may_answer_is_not_lost() {
+fn a_worker_that_a_previous_leader_may_answer_is_not_lost() {
     let shard = serde_json::json!({
         "kinds": [["m", "a", false]], "jobs": ["run-000001"], "machines": [["vm-1", 0, [0]]]
     });
@@ -527,10 +526,10 @@
     assert_eq!(starts_by(&mut c, 141), 1);
 }
 
-/// Among machines that are disrupted alike, the one that has the image is taken,
-/// even where one more of the lowest tasks has to go.
+/// Among preemption plans with the same disruption, a machine with the image is chosen, even at
+/// the cost of one more victim of the lowest priority.
 #[test]
-fn the_image_decides_among_machines_that_are_disrupted_alike() {
+fn image_locality_breaks_ties_between_preemption_plans() {
     let mut c = Cluster::new(4.0);
     c.add_machine("vm-1");
     c.add_machine("vm-2");
@@ -553,16 +552,16 @@
     assert_eq!(c.nominated(&high), ["vm-2"]);
 }
 
-/// A machine that is only partitioned goes on working, and then many stop reporting at once.
-/// Those that hang are silent beside others of their zone that are heard.
+/// Partitioned machines keep working, and many of them stop reporting at once. Machines that
+/// hang stop reporting while others in their zone still report. Only those are given up.
 #[test]
-fn silent_machines_are_given_up_only_while_their_zone_is_heard() {
+fn unresponsive_machines_are_released_only_while_their_zone_reports() {
     use kiteyard::core::{
         machine::DirectReply,
         membership::reachability::{FailureDetector, HeartbeatPath},
         provisioning::CloudRequest,
     };
-    let given_up = |silent: usize| {
+    let released_count = |unresponsive: usize| {
         let mut c = Cluster::new(4.0);
         let mut detector = FailureDetector::new(Duration::from_secs(1), Duration::from_secs(10));
         let names: Vec<String> = (0..20).map(|i| format!("vm-{i:02}")).collect();
@@ -574,14 +573,14 @@
         let start = c.now;
         let zone: Arc<str> = Arc::from("a");
         let mut released = Vec::new();
-        // Less than a worker's lease.
+        // 8 s in all, less than a worker's lease.
         for tick in 1..80 {
             c.now = start + Duration::from_millis(100 * tick);
             detector.tick(c.now);
             let at = c.now;
             for (number, name) in names.iter().enumerate() {
-                let speaks = tick < 20 || number >= silent;
-                if speaks && tick as usize % 10 == number % 10 {
+                let is_reporting = tick < 20 || number >= unresponsive;
+                if is_reporting && tick as usize % 10 == number % 10 {
                     detector.record_heartbeat(
                         &Arc::from(name.as_str()),
                         &zone,
@@ -605,17 +604,17 @@
         }
         released.len()
     };
-    assert_eq!(given_up(0), 0);
-    assert_eq!(given_up(2), 2);
-    assert_eq!(given_up(8), 8);
-    assert_eq!(given_up(14), 0);
-    assert_eq!(given_up(20), 0);
+    assert_eq!(released_count(0), 0);
+    assert_eq!(released_count(2), 2);
+    assert_eq!(released_count(8), 8);
+    assert_eq!(released_count(14), 0);
+    assert_eq!(released_count(20), 0);
 }
 
-/// A task that a new leader finds running has run for nobody knows how long. Counted
-/// from the failover, its run time would make every estimate look too long.
+/// For a task that a new leader finds running, the start time is unknown. Measured from the
+/// failover, its run time would make estimates look too long.
 #[test]
-fn a_task_found_running_says_nothing_of_run_times() {
+fn a_task_found_running_does_not_update_run_time_estimates() {
     let seen = |found_running: bool| {
         let mut c = Cluster::new(4.0);
         c.add_machine("vm-1");
@@ -635,10 +634,10 @@
     assert!(seen(false).is_some_and(|factor| factor < 0.0));
 }
 
-/// A machine that only a few replicas keep is emptied, as many of one service at a
-/// time as its budget allows, and only if others have room and the image.
+/// A machine kept only for a few replicas is emptied, within the disruption budget of the
+/// service, and only if other machines have capacity and the image.
 #[test]
-fn a_hardly_used_machine_is_emptied_within_the_budget() {
+fn an_underused_machine_is_emptied_within_the_disruption_budget() {
     let stopping = |room_elsewhere: bool| {
         let mut c = Cluster::new(40.0);
         c.add_machine("vm-1");
@@ -649,7 +648,7 @@
         let need = if room_elsewhere { 20.0 } else { 39.0 };
         let array = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, need));
         c.run_task("vm-2", &array, 0);
-        let mut most = 0;
+        let mut max_stopping = 0;
         for second in 1..120 {
             c.now += Duration::from_secs(1);
             let at = c.now;
@@ -657,19 +656,19 @@
             c.report("vm-2");
             c.now = at;
             c.cluster.due_cloud_request(c.now);
-            most = most.max(c.victims("vm-1").len());
+            max_stopping = max_stopping.max(c.victims("vm-1").len());
             assert!(c.victims("vm-2").is_empty(), "second {second}");
         }
-        most
+        max_stopping
     };
     assert_eq!(stopping(true), 1);
     assert_eq!(stopping(false), 0);
 }
 
-/// With a long queue, whoever still waits after a pass fits nowhere: not a job that
-/// is smaller, more important or less choosy than one that found nothing.
+/// In a long queue, a job that still waits after a pass fits on no machine, even if it is
+/// smaller, of a higher priority or less constrained than a job that was not placed.
 #[test]
-fn no_job_is_passed_over_for_one_that_found_no_room() {
+fn a_job_that_fits_is_not_left_waiting_behind_one_that_does_not() {
     let mut waited = 0;
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -713,7 +712,7 @@
 }
 
 #[test]
-fn ids_are_ordered_as_their_texts_whatever_their_length() {
+fn job_ids_sort_like_their_texts() {
     let mut rng = StdRng::seed_from_u64(5);
     let ids: Vec<JobId> = (0..200)
         .map(|_| {
@@ -731,14 +730,14 @@
     }
 }
 
-/// A new leader has seen no task of what idle machines have cached: it goes by what
-/// the former one told, and leaves such a machine to the service whose image it has.
+/// A new leader can't observe the image caches of idle machines. It uses the handover snapshot of
+/// the previous leader, and leaves such a machine to the service whose image it has.
 #[test]
-fn images_that_the_former_leader_told_of_decide_between_rooms() {
+fn handed_over_image_caches_decide_between_machines() {
     let mut c = Cluster::new(4.0);
-    let told = r#"{"images": ["one", "two"], "machines": {"vm-1": [1], "vm-3": [0]}}"#;
+    let handover = r#"{"images": ["one", "two"], "machines": {"vm-1": [1], "vm-3": [0]}}"#;
     c.cluster
-        .apply_handover(serde_json::from_str(told).expect("caches"), c.now);
+        .apply_handover(serde_json::from_str(handover).expect("caches"), c.now);
     for name in ["vm-1", "vm-2", "vm-3"] {
         c.add_machine(name);
     }
@@ -758,10 +757,10 @@
     assert_eq!(c.machines_of(&array), ["vm-2"]);
 }
 
-/// A job that was submitted with a mistake fails on every machine. Its first failures
-/// made good machines look faulty, and all its tasks were tried again each time.
+/// A faulty job fails on every machine. Its first failures made healthy machines look faulty,
+/// and all of its tasks were retried each time.
 #[test]
-fn a_job_that_fails_everywhere_is_tried_one_task_at_a_time() {
+fn a_faulty_job_is_retried_one_task_at_a_time() {
     let mut c = Cluster::new(4.0);
     let names = ["vm-1", "vm-2", "vm-3"];
     names.iter().for_each(|name| c.add_machine(name));
@@ -772,22 +771,22 @@
     }
     assert!(c.cluster.jobs[&broken].faulty());
     let marked = c.cluster.machines.values().any(|m| !m.failures.is_empty());
-    assert!(!marked, "machines are blamed");
+    assert!(!marked, "failures are counted against machines");
     c.pass();
     assert!(c.machines_of(&broken).is_empty());
     c.now += Duration::from_secs(3);
     names.iter().for_each(|name| drop(c.report(name)));
-    // Nothing else brings it back to the heap.
+    // Only the retry time returns it to the queue.
     c.cluster.tick(c.now);
-    assert!(c.cluster.queue.dirty);
+    assert!(c.cluster.queue.pass_requested);
     c.pass();
     assert_eq!(c.machines_of(&broken).len(), 1);
-    // It makes nobody leave: what runs elsewhere fills the machines.
+    // It preempts no task of the healthy job, which fills the machines.
     let healthy = c.add_job(spec(2, Kind::Array, Priority::Normal, 6, 2.0));
     c.pass();
     assert_eq!(c.machines_of(&healthy).len(), 5);
     assert!(names.iter().all(|name| c.victims(name).is_empty()));
-    // Once a task of it is done, it was the machines.
+    // Once one of its tasks is done, the job is no longer considered faulty.
     let name = c.machines_of(&broken)[0].clone();
     c.running.insert(name.clone(), Vec::new());
     c.start_placed_tasks();
@@ -795,9 +794,9 @@
     assert!(!c.cluster.jobs[&broken].faulty());
 }
 
-/// What waits for its team's limit needs no machine: it would stand idle and be paid.
+/// No machine is rented for tasks beyond their team's limit: it would be paid for and idle.
 #[test]
-fn nothing_is_rented_for_what_a_team_may_not_run() {
+fn no_machine_is_rented_beyond_a_team_limit() {
     let mut c = Cluster::new(4.0);
     c.add_machine("vm-0");
     c.add_job(spec(1, Kind::Service, Priority::Normal, 900, 4.0));
@@ -819,14 +818,14 @@
             break;
         }
     }
-    // The team "red" may use 1000 CPUs.
+    // Team red may use 1,000 CPUs.
     assert_eq!(rented, 250);
 }
 
-/// Replicas that fail now and then, on faulty machines, are started again at once:
-/// their service is none that fails everywhere.
+/// A service with a running replica is not considered faulty, so replicas that fail on faulty
+/// machines are restarted at once.
 #[test]
-fn a_service_with_a_running_replica_is_not_at_fault() {
+fn a_service_with_a_running_replica_is_not_faulty() {
     let mut c = Cluster::new(4.0);
     let names = ["vm-1", "vm-2", "vm-3", "vm-4"];
     names.iter().for_each(|name| c.add_machine(name));
@@ -841,10 +840,10 @@
     assert_eq!(c.machines_of(&service).len(), 4);
 }
 
-/// Listings of the first shards were always due again before the last ones had their
-/// turn: tasks on machines of the last ones held their room and never started.
+/// Listings of the first shards always became due again before the last shards had their turn,
+/// so tasks on machines of the last shards held capacity and never started.
 #[test]
-fn every_shard_of_the_roster_has_its_turn() {
+fn every_assignment_index_shard_is_written_in_turn() {
     use kiteyard::core::store::StateReply;
     let mut c = Cluster::new(8.0);
     c.cluster.assignment_index = AssignmentIndex::new(1024);
@@ -852,7 +851,7 @@
     names.iter().for_each(|name| c.add_machine(name));
     c.add_job(spec(0, Kind::Array, Priority::Normal, 80, 4.0));
     c.pass();
-    // Work that comes to whatever is listed, faster than two shards a write can list it.
+    // Listed machines get new jobs faster than writes of two shards each can list them.
     for number in 1..4 {
         let (listings, _, _) = c
             .cluster
@@ -880,10 +879,10 @@
     assert!(machines.all(|m| m.assignment.jobs.contains(&first)));
 }
 
-/// More is let in only as fast as work starts: while the state service lists nothing,
-/// what waits for its listing does not grow, and all goes on once it answers.
+/// Tasks are placed only as fast as they start: while no listing is stored, the number of
+/// unlisted tasks does not grow, and placement resumes once the state service answers.
 #[test]
-fn work_goes_in_only_as_fast_as_it_starts() {
+fn placements_are_limited_to_the_start_rate() {
     use kiteyard::core::store::StateReply;
     let mut c = Cluster::new(8.0);
     let names: Vec<String> = (0..10).map(|i| format!("vm-{i:02}")).collect();
@@ -900,9 +899,9 @@
     assert_eq!(
         c.cluster.pending_placements().unlisted,
         8,
-        "no more is let in"
+        "the priority is closed"
     );
-    // A higher priority does not wait for what is below it.
+    // A higher priority does not wait for lower ones.
     c.add_job(spec(2, Kind::Service, Priority::High, 1, 1.0));
     c.pass();
     assert_eq!(c.cluster.pending_placements().unlisted, 9);
@@ -920,14 +919,14 @@
     assert_eq!(
         c.cluster.pending_placements().unlisted,
         8,
-        "the rest follows"
+        "the rest is placed"
     );
 }
 
-/// In a rush the next array in the order took every room that fell free, and fetched its
-/// image there, though another one that waited had its image in the cache.
+/// Under high load the next array in the queue took all freed capacity and fetched its image
+/// there, although another waiting array had its image on that machine.
 #[test]
-fn arrays_of_one_priority_take_rooms_with_their_image_first() {
+fn arrays_of_one_priority_take_machines_with_their_image_first() {
     let mut c = Cluster::new(4.0);
     let image = |number: usize, image: &str| JobSpec {
         image: Arc::from(image),
@@ -946,7 +945,7 @@
     c.pass();
     assert_eq!(c.machines_of(&first), ["vm-2"]);
     assert_eq!(c.machines_of(&second), ["vm-1"]);
-    // Nothing stays empty for it: one whose image is nowhere takes what is left.
+    // No capacity is left idle: an array whose image is on no machine takes what is left.
     c.add_machine("vm-3");
     let third = c.add_job(image(3, "c"));
     c.pass();
@@ -955,7 +954,7 @@
     for name in ["vm-1", "vm-2", "vm-3"] {
         c.report(name);
     }
-    // One that was passed over for as long as its fetch takes comes in its turn.
+    // An array that was passed over for as long as its fetch takes is placed in its turn.
     let fourth = c.add_job(image(4, "d"));
     let fifth = c.add_job(image(5, "b"));
     c.pass();
@@ -967,21 +966,21 @@
     assert_eq!(c.machines_of(&fifth), Vec::<String>::new());
 }
 
-/// A worker that is called may have begun a new session since the previous leader was gone:
-/// its lease lasts from then, not from the previous leader's end. Found in the simulated
-/// world as `ran_twice`: a start sent straight into such a session was taken for lost with
-/// the former one.
+/// A worker may have begun a new session after the previous leader ended; its lease then lasts
+/// from the answer to a direct call, not from the previous leader's end. A start that was sent
+/// directly into such a session was taken for lost, and its task ran twice (`ran_twice` in the
+/// simulated world).
 #[test]
-fn a_called_worker_is_not_lost_before_a_lease_after_its_answer() {
+fn a_called_worker_is_not_lost_within_a_lease_of_its_answer() {
     use kiteyard::core::machine::DirectReply;
 
     let shard = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],"machines":[["vm-1",0,[0]]]}"#;
     let shard = ShardRecord::parse(shard).expect("a shard");
     let resolve_by = Duration::from_secs(105);
     let mut c = Cluster::after_failover(4.0, vec![(0, shard, 1)], resolve_by);
-    let told = r#"{"images":[],"machines":{},"workers":{"vm-1":["127.0.0.1:9",2]}}"#;
+    let handover = r#"{"images":[],"machines":{},"workers":{"vm-1":["127.0.0.1:9",2]}}"#;
     c.cluster.apply_handover(
-        serde_json::from_str(told).expect("a handover snapshot"),
+        serde_json::from_str(handover).expect("a handover snapshot"),
         c.now,
     );
     let direct = c
@@ -1005,11 +1004,11 @@
     assert_eq!(standing(&mut c, 115), MachineState::Lost);
 }
 
-/// A start that went out with a report's answer may still be on its way when the task was
-/// seen to end by a direct question: told to forget the attempt, the worker would run it
-/// again. Found in the simulated world, where an answer was late by 0.9 s.
+/// A start in the answer to a report may still be in flight when a direct call shows that the
+/// task has ended. A worker told to forget the attempt at that point would run it again. This
+/// happened in the simulated world with an answer delayed by 0.9 s.
 #[test]
-fn an_attempt_is_not_forgotten_while_its_start_may_be_on_its_way() {
+fn an_attempt_is_not_forgotten_while_its_start_may_be_in_flight() {
     use kiteyard::core::machine::DirectReply;
 
     let mut c = Cluster::new(8.0);
@@ -1020,8 +1019,8 @@
     machine.assignment.jobs.insert(job.clone());
     let starts = c.report("vm-1");
     assert!(matches!(starts[..], [Command::Start { .. }]));
-    // Before that answer arrives, the same start is sent straight to the worker, and the
-    // task ends.
+    // Before that answer arrives, the same start is sent directly to the worker, and the task
+    // ends.
     c.start_placed_tasks();
     c.cluster.remove_job(&job, c.now);
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
@@ -1042,16 +1041,20 @@
         let mut commands = commands.iter();
         commands.any(|command| matches!(command, Command::Forget { .. }))
     };
-    // Something else has to be sent at once.
+    // Another start has to be sent at once.
     let other = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 4.0));
     c.now += Duration::from_secs(1);
     c.pass();
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.assignment.jobs.insert(other);
-    let straight = c.cluster.direct_commands(c.now);
-    assert_eq!(straight.len(), 1);
-    assert!(!straight.iter().any(|direct| forgets(&direct.commands)));
-    // The next report shows that the worker has that answer, or never will.
+    let direct_commands = c.cluster.direct_commands(c.now);
+    assert_eq!(direct_commands.len(), 1);
+    assert!(
+        !direct_commands
+            .iter()
+            .any(|direct| forgets(&direct.commands))
+    );
+    // The next report proves that the worker has received that answer or never will.
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.direct_in_flight = false;
     assert!(forgets(&c.report("vm-1")));
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -1,5 +1,6 @@
-//! Shards of the assignment index that are larger than the state service takes now: their machines
-//! move to new shards, and at every moment each version reads all that may run on a machine.
+//! Splitting of assignment index shards that exceed the current value limit. Their machines move
+//! to new shards, and at every moment each program version reads all jobs that may run on a
+//! machine.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,7 +25,7 @@
     format!("vm-{machine:04}")
 }
 
-/// One shard with all machines, two jobs on each, as a leader with 16 KiB wrote it.
+/// One shard with all machines and two jobs on each, written under a limit of 16 KiB.
 fn large_shard() -> ShardRecord {
     let jobs: Vec<String> = (0..MACHINES)
         .map(|i| format!("run-{:06}", FIRST_JOB + i))
@@ -36,7 +37,7 @@
     ShardRecord::parse(&text.to_string()).expect("a good shard")
 }
 
-/// The stored shards, and writes that may be applied late.
+/// Stored shards, and writes that may be applied late.
 #[derive(Default)]
 struct Stored {
     revision: u64,
@@ -64,8 +65,8 @@
         true
     }
 
-    /// What a version that knows of no oversized shards takes a machine to list: what the
-    /// shard says that it reads last.
+    /// Listing of each machine as read by a version without support for oversized shards: that of
+    /// the shard it reads last.
     fn read_last(&self) -> BTreeMap<String, BTreeSet<JobId>> {
         let mut listed = BTreeMap::new();
         for (record, _) in self.shards.values() {
@@ -85,14 +86,14 @@
     }
 }
 
-struct Split {
+struct SplitTest {
     cluster: Cluster,
     stored: Stored,
     rng: StdRng,
     next_job: usize,
 }
 
-impl Split {
+impl SplitTest {
     fn new(seed: u64, number: u32) -> Self {
         let mut stored = Stored {
             revision: 10,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Nobody is proven empty by time alone.
+    /// Leader whose unresponsive machines never count as empty after a mere timeout.
     fn leader(stored: &Stored) -> Cluster {
         let mut cluster = Cluster::with_value_limit(
             VALUE_KB,
@@ -130,7 +131,7 @@
         cluster
     }
 
-    /// Another leader takes over from what is stored.
+    /// Replaces the leader by one that starts from the stored shards.
     fn take_over(&mut self) {
         let running = std::mem::take(&mut self.cluster.running);
         self.cluster = Self::leader(&self.stored);
@@ -184,7 +185,7 @@
         }
     }
 
-    fn late_write(&mut self) {
+    fn apply_late_write(&mut self) {
         if !self.stored.late.is_empty() {
             let at = self.rng.random_range(0..self.stored.late.len());
             let (conditions, changes) = self.stored.late.swap_remove(at);
@@ -193,7 +194,7 @@
         }
     }
 
-    /// A start may go out, or has, only for what both versions would read.
+    /// Checks that a start is allowed, or was sent, only for jobs that both versions would read.
     fn check(&self) {
         let read = self.stored.read_last();
         let nothing = BTreeSet::new();
@@ -212,7 +213,7 @@
         }
     }
 
-    fn resolve(&mut self, machine: usize) {
+    fn report(&mut self, machine: usize) {
         let name = name(machine);
         if !self.cluster.running.contains_key(&name) {
             self.cluster.add_machine(&name);
@@ -220,7 +221,7 @@
         self.cluster.report(&name);
     }
 
-    /// Tasks that may be started are.
+    /// Starts all tasks that may be started.
     fn start(&mut self) {
         let machines = self.cluster.cluster.machines.values();
         let mut starts = Vec::new();
@@ -235,7 +236,7 @@
             let Some(running) = self.cluster.running.get_mut(&machine) else {
                 continue;
             };
-            if running.iter().all(|there| there.task != task) {
+            if running.iter().all(|reported| reported.task != task) {
                 running.push(kiteyard::core::machine::ReportedTask {
                     task,
                     attempt,
@@ -245,10 +246,10 @@
         }
     }
 
-    fn live(&mut self, steps: usize) {
+    fn run(&mut self, steps: usize) {
         for step in 0..steps {
             let machine = self.rng.random_range(0..MACHINES);
-            self.resolve(machine);
+            self.report(machine);
             if step % 5 == 0 {
                 self.next_job += 1;
                 let job = spec(self.next_job, Kind::Array, Priority::Normal, 3, 1.0);
@@ -258,23 +259,23 @@
             self.write();
             self.start();
             if self.rng.random_bool(0.1) {
-                self.late_write();
+                self.apply_late_write();
             }
         }
     }
 }
 
 #[test]
-fn a_large_shard_is_split_and_nothing_is_lost_on_the_way() {
+fn a_large_shard_is_split_without_losing_listings() {
     for (seed, number) in [(1, 0), (2, 9), (3, 99), (4, 10)] {
-        let mut split = Split::new(seed, number);
-        split.live(60);
+        let mut split = SplitTest::new(seed, number);
+        split.run(60);
         split.take_over();
         split.check();
-        split.live(60);
+        split.run(60);
         split.take_over();
-        (0..MACHINES).for_each(|machine| split.resolve(machine));
-        split.live(400);
+        (0..MACHINES).for_each(|machine| split.report(machine));
+        split.run(400);
         let large = format!("roster/{number}");
         let left = split.stored.shards.get(&large);
         let text = left.map_or(0, |(record, _)| {
@@ -286,9 +287,10 @@
     }
 }
 
-/// A leader ended in the middle: both shards count for a machine that is not heard yet.
+/// If a leader ends in the middle of a split, a machine that has not reported yet is listed in
+/// two shards, and both count.
 #[test]
-fn a_machine_in_two_shards_may_hold_what_either_lists() {
+fn a_machine_in_two_shards_counts_the_jobs_of_both() {
     let shard = |jobs: &[&str]| {
         let numbers: Vec<usize> = (0..jobs.len()).collect();
         let text = json!({"kinds": [["m", "a", false]], "jobs": jobs,
@@ -306,6 +308,6 @@
     assert_eq!(
         entry.jobs.len(),
         2,
-        "what is read last is listed for certain"
+        "only the shard read last is listed for certain"
     );
 }
