--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -207,7 +207,6 @@
     }
 
     /// Builds the capacity snapshot for one pass.
-
     fn snapshot(&self, now: Duration) -> CapacitySnapshot {
         let (usage, leaving) = self.usage();
         let capacities: Vec<MachineCapacity> = self
@@ -322,7 +321,6 @@
     }
 
     /// Places one task on the machine, and updates the seats and the snapshot.
-
     fn place_task(
         &mut self,
         snapshot: &mut CapacitySnapshot,
@@ -754,7 +752,6 @@
     }
 
     /// Executes a plan: stops its victims and nominates the machine for the job.
-
     fn nominate(
         &mut self,
         snapshot: &mut CapacitySnapshot,
