--- a/crates/job-graph/src/cancellation.rs
+++ b/crates/job-graph/src/cancellation.rs
@@ -1,10 +1,10 @@
-//! How the cancellation of a job reaches those that need it.
+//! Propagation of a cancellation from a job to the jobs that need it.
 
 use crate::graph::JobGraph;
 use crate::message::{Outcome, Output};
 
 impl<Id: Clone + Ord> JobGraph<Id> {
-    /// Whether a job that this active one names is cancelled.
+    /// Returns whether a direct need of this active job is cancelled.
     pub(crate) fn has_cancelled_need(&self, id: &Id) -> bool {
         let Some(job) = self.active.get(id) else {
             return false;
@@ -19,7 +19,8 @@
         })
     }
 
-    /// Marks these active jobs and all that need them as cancelled; returns the newly marked.
+    /// Marks these active jobs and their transitive dependents as cancelled; returns the newly
+    /// marked ones.
     pub(crate) fn cancel(&mut self, ids: Vec<Id>, outputs: &mut Vec<Output<Id>>) -> Vec<Id> {
         let mut pending = ids;
         let mut newly_cancelled = Vec::new();
--- a/crates/job-graph/src/graph.rs
+++ b/crates/job-graph/src/graph.rs
@@ -1,4 +1,4 @@
-//! The graph: its state, its inputs and its queries.
+//! State, inputs and queries of the graph.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 /// The dependency graph of the active jobs.
 ///
-/// What it holds grows with the active jobs and the needs that they name, not with the jobs that
-/// have ended.
+/// Memory grows with the active jobs and the needs that they name, not with the jobs that have
+/// ended.
 #[derive(Debug, Clone)]
 pub struct JobGraph<Id> {
     pub(crate) active: BTreeMap<Id, ActiveJob<Id>>,
-    /// The jobs that active jobs name.
+    /// Jobs that active jobs name as needs.
     pub(crate) needed: BTreeMap<Id, NeededJob<Id>>,
-    /// Those of `needed` that are not active and have no known end.
+    /// Entries of `needed` that are neither active nor have a known end.
     unknown_ends: BTreeSet<Id>,
 }
 
@@ -31,13 +31,13 @@
 }
 
 impl<Id: Clone + Ord> JobGraph<Id> {
-    /// A graph without jobs.
+    /// Creates an empty graph.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes an input and returns what follows from it. The outputs of one step are of different
-    /// jobs or of different kinds; their order has no meaning.
+    /// Applies an input and returns the resulting outputs. No two outputs of one step have both the
+    /// same job and the same kind; their order has no meaning.
     pub fn step(&mut self, input: Input<Id>) -> Vec<Output<Id>> {
         let mut outputs = Vec::new();
         match input {
@@ -49,7 +49,7 @@
         outputs
     }
 
-    /// Where a job stands.
+    /// Returns the status of a job.
     pub fn status(&self, id: &Id) -> Status<Id> {
         let Some(job) = self.active.get(id) else {
             return Status::NotActive;
@@ -70,27 +70,27 @@
         Status::Waiting { on }
     }
 
-    /// The inactive jobs that active ones need and whose ends are not known.
+    /// Returns the inactive jobs that active ones need and whose ends are not known.
     pub fn unknown_ends(&self) -> impl Iterator<Item = &Id> {
         self.unknown_ends.iter()
     }
 
-    /// Whether an active job names this one.
+    /// Returns whether an active job names this one as a need.
     pub fn has_dependents(&self, id: &Id) -> bool {
         self.needed.contains_key(id)
     }
 
-    /// The urgency of an active job.
+    /// Returns the urgency of an active job.
     pub fn urgency(&self, id: &Id) -> Option<Urgency> {
         self.active.get(id)?.urgency
     }
 
-    /// Forgets everything, as when all is read again.
+    /// Clears the graph, for use before all jobs are read again.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// The active jobs that name this one.
+    /// Returns the active jobs that name this one as a need.
     pub(crate) fn dependents(&self, id: &Id) -> impl Iterator<Item = &Id> {
         self.needed
             .get(id)
@@ -113,7 +113,7 @@
         self.update_urgencies(&changed, outputs);
     }
 
-    /// Enters an active job with its needs.
+    /// Inserts an active job and registers it with each of its needs.
     fn insert(&mut self, id: &Id, mut job: ActiveJob<Id>, outputs: &mut Vec<Output<Id>>) {
         self.unknown_ends.remove(id);
         for need in &job.needs {
@@ -141,7 +141,7 @@
         self.update_urgencies(&changed, outputs);
     }
 
-    /// Takes a job out of the active ones, with its needs; returns these.
+    /// Removes a job from the active ones and from its needs; returns those needs.
     fn take_out(&mut self, id: &Id) -> Option<Vec<Id>> {
         let job = self.active.remove(id)?;
         for need in &job.needs {
@@ -172,7 +172,7 @@
         self.update_urgencies(&changed, outputs);
     }
 
-    /// Keeps the end of a job that is needed; whether it is a new one.
+    /// Stores the end of a needed job; returns whether it was unknown before.
     fn store_end(&mut self, id: &Id, end: End) -> bool {
         let Some(needed) = self.needed.get_mut(id) else {
             return false;
@@ -185,7 +185,7 @@
         true
     }
 
-    /// One more of the jobs that these need is done.
+    /// Records for each dependent that one more of its needs is done.
     fn count_done(&mut self, dependents: &[Id], outputs: &mut Vec<Output<Id>>) {
         for dependent in dependents {
             if let Some(job) = self.active.get_mut(dependent) {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// What to tell of a job that needs others, if it may start.
+    /// Returns a [`Output::Ready`] for a job that has needs and may start.
     fn ready_output(&self, id: &Id) -> Option<Output<Id>> {
         let job = self.active.get(id)?;
         let ready = !job.needs.is_empty() && job.not_done == 0 && !job.cancelled;
@@ -227,7 +227,7 @@
             .fold(job.accepted_ms, u64::max)
     }
 
-    /// The unknown ends that a job needs directly or through active jobs.
+    /// Returns the unknown ends that a job needs directly or through active jobs.
     fn unknown_ends_before(&self, id: &Id) -> Vec<Id> {
         if self.unknown_ends.is_empty() {
             return Vec::new();
--- a/crates/job-graph/src/job.rs
+++ b/crates/job-graph/src/job.rs
@@ -1,4 +1,4 @@
-//! The two records of the graph: of an active job, and of a job that active ones need.
+//! Records of the graph: one for an active job, one for a job that active ones need.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,20 +12,21 @@
     pub(crate) needs: BTreeSet<Id>,
     pub(crate) accepted_ms: u64,
     pub(crate) expected: Duration,
-    /// Its urgency if no job waited for it.
+    /// Urgency without any dependents.
     pub(crate) own_urgency: Urgency,
-    /// Its urgency as last told; `None` only within the step that adds it.
+    /// Urgency as last reported; `None` only within the step that adds the job.
     pub(crate) urgency: Option<Urgency>,
-    /// What it adds to the urgency of each job that it needs.
+    /// Contribution to the urgency of each job that it needs.
     pub(crate) offer: Option<Offer>,
-    /// How many of the jobs it needs are not known to be done.
+    /// Number of needs that are not known to be done.
     pub(crate) not_done: usize,
-    /// A job that it needs, directly or through others, is cancelled. Ends never change, so
-    /// neither does this.
+    /// Set once a direct or transitive need is cancelled. Ends never change, so this is never
+    /// reset.
     pub(crate) cancelled: bool,
-    /// Its position in the topological order: above every active job that it needs.
+    /// Position in the topological order: above every active job that it needs.
     pub(crate) level: i64,
-    /// It came last of a cycle of needs. The order and the urgencies leave its needs out.
+    /// Set for the job whose addition closed a cycle of needs. The topological order and the
+    /// urgencies ignore its needs.
     pub(crate) closes_cycle: bool,
 }
 
@@ -53,11 +54,11 @@
 /// A job, active or not, that active jobs need.
 #[derive(Debug, Clone)]
 pub(crate) struct NeededJob<Id> {
-    /// The active jobs that name it; never empty between steps.
+    /// Active jobs that name it; never empty between steps.
     pub(crate) dependents: BTreeSet<Id>,
-    /// What these jobs add to its urgency.
+    /// Contributions of these jobs to its urgency.
     pub(crate) offers: Offers,
-    /// Its end, if known; always `None` while it is active.
+    /// End of the job, if known; always `None` while it is active.
     pub(crate) end: Option<End>,
 }
 
@@ -72,7 +73,7 @@
 }
 
 impl<Id> NeededJob<Id> {
-    /// Whether it is known to have ended this way.
+    /// Returns whether the job is known to have ended with this outcome.
     pub(crate) fn ended_as(&self, outcome: Outcome) -> bool {
         self.end.is_some_and(|end| end.outcome == outcome)
     }
--- a/crates/job-graph/src/message.rs
+++ b/crates/job-graph/src/message.rs
@@ -1,51 +1,51 @@
-//! What goes into the graph and what comes out of it.
+//! Inputs and outputs of the graph.
 
 use std::time::Duration;
 
-/// How a job ended.
+/// The outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ran to its end.
+    /// The job completed.
     Done,
-    /// It was given up before that.
+    /// The job was cancelled before it completed.
     Cancelled,
 }
 
 /// The stored end of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct End {
-    /// How it ended.
+    /// Outcome of the job.
     pub outcome: Outcome,
-    /// When, in milliseconds of the time of day, if that was stored.
+    /// Time of the end in Unix milliseconds, if that was stored.
     pub at_ms: Option<u64>,
 }
 
-/// What the graph has to know of an active job.
+/// Properties of an active job that the graph uses.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobFacts<Id> {
-    /// The jobs that have to be done before this one may start. Duplicates count once.
+    /// Jobs that must be done before this one may start. Duplicates count once.
     pub needs: Vec<Id>,
-    /// Its own priority; a higher one goes first.
+    /// Own priority; higher values go first.
     pub priority: u8,
-    /// When it was accepted, in milliseconds of the time of day.
+    /// Time of acceptance in Unix milliseconds.
     pub accepted_ms: u64,
-    /// When it should be done at the latest, in milliseconds of the time of day.
+    /// Deadline in Unix milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The time from the moment it may start until it is done.
+    /// Expected time from readiness to completion.
     pub expected: Duration,
 }
 
-/// What the graph is told.
+/// Inputs of the graph.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input<Id> {
-    /// A job is active. Changes nothing if it is active already or its end is known.
+    /// A job became active. Ignored if it is active already or its end is known.
     Added {
         /// The job.
         id: Id,
-        /// What is known of it.
+        /// Properties of the job.
         facts: JobFacts<Id>,
     },
-    /// A job is no longer active; how it ended is not known here yet.
+    /// A job is no longer active; its end is not known yet.
     Removed {
         /// The job.
         id: Id,
@@ -58,52 +58,52 @@
         /// Its end.
         end: End,
     },
-    /// A better estimate for an active job.
+    /// An updated estimate for an active job.
     Expected {
         /// The job.
         id: Id,
-        /// The time from the moment it may start until it is done.
+        /// Expected time from readiness to completion.
         expected: Duration,
     },
 }
 
-/// How urgent an active job is, on its own account and for the jobs that wait for it.
+/// The urgency of an active job, derived from its own properties and those of its dependents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
-    /// The highest of its own priority and those of the jobs that wait for it.
+    /// Highest of its own priority and the priorities of the jobs that wait for it.
     pub priority: u8,
-    /// When it has to be done for its own deadline and those of the jobs that wait for it, in
-    /// milliseconds of the time of day; `None` if no such job has a deadline.
+    /// Latest finish in Unix milliseconds that meets its own deadline and those of the jobs that
+    /// wait for it; `None` if no such job has a deadline.
     pub latest_finish_ms: Option<u64>,
 }
 
-/// What the graph tells.
+/// Outputs of the graph.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output<Id> {
-    /// Every job that this one needs is known to be done. Not told for a job that needs none.
+    /// Every need of this job is known to be done. Not reported for a job without needs.
     Ready {
         /// The job.
         id: Id,
-        /// When the last of the jobs it needs was done, or when it was accepted if that is later;
-        /// in milliseconds of the time of day.
+        /// Time at which the last need was done, or the time of acceptance if that is later; in
+        /// Unix milliseconds.
         since_ms: u64,
     },
-    /// A job that this active one needs, directly or through others, is cancelled. Told once.
+    /// A direct or transitive need of this active job is cancelled. Reported once.
     Cancelled {
         /// The job.
         id: Id,
     },
-    /// An active job needs this inactive one, whose end is not known: it has to be read.
+    /// The end of this inactive job is needed but not known: the caller must read it.
     Lookup {
         /// The inactive job.
         id: Id,
     },
-    /// The urgency of an active job has changed. For a new job it is told only if the job needs
-    /// others or is needed.
+    /// The urgency of an active job has changed. For a new job it is reported only if the job
+    /// has needs or dependents.
     Urgency {
         /// The job.
         id: Id,
-        /// Its urgency from now on.
+        /// The new urgency.
         urgency: Urgency,
     },
 }
--- a/crates/job-graph/src/offer.rs
+++ b/crates/job-graph/src/offer.rs
@@ -1,18 +1,18 @@
-//! What dependents add to the urgency of a job that they need.
+//! Contributions of dependents to the urgency of a job that they need.
 
 use std::collections::BTreeMap;
 
 use crate::message::Urgency;
 
-/// What one dependent adds to the urgency of each job that it needs.
+/// Contribution of one dependent to the urgency of each job that it needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Offer {
     pub(crate) priority: u8,
     pub(crate) latest_finish_ms: Option<u64>,
 }
 
-/// The offers of all dependents of a job, counted, so that one of thousands can change without
-/// looking at the others.
+/// Multiset of the contributions of all dependents of a job, so that one of thousands can change
+/// without a scan of the others.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Offers {
     priorities: Counts<u8>,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The urgency of a job that has this one of its own.
+    /// Returns the urgency of a job with this urgency of its own.
     pub(crate) fn raise(&self, own: Urgency) -> Urgency {
         let offered_finish_ms = self.latest_finishes_ms.first();
         Urgency {
--- a/crates/job-graph/src/order.rs
+++ b/crates/job-graph/src/order.rs
@@ -1,16 +1,16 @@
 //! The topological order of the active jobs.
 //!
-//! Each active job has a level above those of the active jobs that it needs. Jobs are mostly added
-//! after the jobs that they need and then go on top; only when they come in another order do the
-//! levels of others change.
+//! Each active job has a level above those of the active jobs that it needs. A job is usually added
+//! after its needs and is then placed on top; the levels of other jobs change only when jobs are
+//! added in another order.
 
 use std::collections::BTreeSet;
 
 use crate::graph::JobGraph;
 
 impl<Id: Clone + Ord> JobGraph<Id> {
-    /// Gives a new job its level, and raises the jobs that need it where they are not above it.
-    /// Finds out whether it closes a cycle.
+    /// Assigns a level to a new job, raises the dependents that are not above it, and detects
+    /// whether the job closes a cycle.
     pub(crate) fn place(&mut self, id: &Id) {
         let level = self.first_level(id);
         if let Some(job) = self.active.get_mut(id) {
@@ -19,7 +19,7 @@
         self.raise_dependents(id, level);
     }
 
-    /// Just above the jobs that it needs, or else just below those that need it.
+    /// Returns the level just above the needs of a job, or else just below its dependents.
     fn first_level(&self, id: &Id) -> i64 {
         let needs = self.active.get(id).into_iter().flat_map(|job| &job.needs);
         let highest_need = needs
@@ -40,8 +40,9 @@
         lowest_dependent.map_or(0, |level| level - 1)
     }
 
-    /// Without the new job the needs have no cycle, so this ends: a way back to the new job isn't
-    /// followed, and excludes the needs of the new job from the order.
+    /// Raises dependents until each is above its needs. Terminates because the needs have no cycle
+    /// without the new job: a path back to the new job is not followed, and excludes the needs of
+    /// the new job from the order.
     fn raise_dependents(&mut self, new: &Id, new_level: i64) {
         let mut raised = BTreeSet::from([(new_level, new.clone())]);
         let mut closes_cycle = false;
--- a/crates/job-graph/src/status.rs
+++ b/crates/job-graph/src/status.rs
@@ -1,26 +1,25 @@
-//! What a job waits for.
+//! Status of a job in the graph.
 
-/// Where a job stands in the graph.
+/// The status of a job in the graph.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Status<Id> {
-    /// It may start.
+    /// The job may start.
     Ready {
-        /// Since when, in milliseconds of the time of day.
+        /// Time since which it may start, in Unix milliseconds.
         since_ms: u64,
     },
-    /// Jobs that it needs are not done yet.
+    /// Some needs are not done yet.
     Waiting {
-        /// These jobs.
+        /// The needs that are not done.
         on: Vec<Id>,
     },
-    /// A job that it needs, directly or through others, is cancelled.
+    /// A direct or transitive need is cancelled.
     Cancelled,
-    /// To tell waiting, ready and cancelled apart, more has to be known.
+    /// The status depends on ends that are not known yet.
     Unknown {
-        /// The inactive jobs, needed by it directly or through active jobs, whose ends have to be
-        /// read first.
+        /// Inactive jobs, needed directly or through active jobs, whose ends must be read first.
         ends: Vec<Id>,
     },
-    /// It is not an active job.
+    /// The job is not active.
     NotActive,
 }
--- a/crates/job-graph/src/urgency.rs
+++ b/crates/job-graph/src/urgency.rs
@@ -1,7 +1,7 @@
-//! How the urgency of a job follows from its own and from those of the jobs that wait for it.
+//! Derivation of the urgency of a job from its own and those of the jobs that wait for it.
 //!
-//! A change goes from a job to the jobs that it needs, as far as it makes a difference. Jobs
-//! are taken from the highest level downwards, so that each is worked out once in a step.
+//! A change propagates from a job to its needs until it makes no difference. Jobs are processed
+//! from the highest level downwards, so that each is computed once in a step.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -12,8 +12,8 @@
 use crate::offer::Offer;
 
 impl<Id: Clone + Ord> JobGraph<Id> {
-    /// Works out the urgency and the offer of these active jobs again, and of the jobs that they
-    /// need as far as something changes.
+    /// Recomputes the urgency and the contribution of these active jobs, and of their transitive
+    /// needs as far as something changes.
     pub(crate) fn update_urgencies(&mut self, changed: &[Id], outputs: &mut Vec<Output<Id>>) {
         let mut queue = BTreeSet::new();
         self.enqueue(&mut queue, changed);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Works out the urgency of a job, and what there is to tell about it.
+    /// Recomputes the urgency of a job; returns an output if it has changed.
     fn update_urgency(&mut self, id: &Id) -> Option<Output<Id>> {
         let job = self.active.get_mut(id)?;
         let needed = self.needed.get(id);
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Replaces the offer of a job to the jobs that it needs; returns these if it has changed.
+    /// Updates the contribution of a job to its needs; returns the needs if it has changed.
     fn update_offer(&mut self, id: &Id) -> Vec<Id> {
         let Some(job) = self.active.get_mut(id) else {
             return Vec::new();
@@ -75,7 +75,8 @@
     }
 }
 
-/// A job that will not run makes no other one urgent.
+/// Returns the contribution of a job to its needs. A cancelled job, which will not run, and one
+/// that closes a cycle contribute nothing.
 fn offer_of<Id>(job: &ActiveJob<Id>) -> Option<Offer> {
     if job.cancelled || job.closes_cycle {
         return None;
--- a/crates/job-graph/tests/examples.rs
+++ b/crates/job-graph/tests/examples.rs
@@ -1,4 +1,4 @@
-//! What the graph says of small graphs, and that large ones are handled.
+//! Outputs and statuses for small graphs, and output counts for large ones.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 struct Graph(JobGraph<u32>);
 
 impl Graph {
-    /// Jobs of priority 1 that take a second and were accepted at 100.
+    /// Builds a graph of jobs of priority 1 that take a second and were accepted at 100 ms.
     fn of(jobs: &[(u32, &[u32])]) -> Graph {
         let mut graph = Graph(JobGraph::new());
         for (id, needs) in jobs {
@@ -147,7 +147,11 @@
     graph.cancelled(2);
     assert_eq!(graph.0.status(&4), Status::Cancelled);
     graph.0.step(Input::Removed { id: 3 });
-    assert_eq!(graph.0.status(&4), Status::Cancelled, "once known it stays");
+    assert_eq!(
+        graph.0.status(&4),
+        Status::Cancelled,
+        "a known cancellation is kept"
+    );
 }
 
 #[test]
@@ -262,13 +266,13 @@
     assert_eq!(told.len(), LARGE as usize / 2 + 1);
 }
 
-/// A row of diamonds has two to the power of its length paths.
+/// Guards against exponential work: a chain of n diamonds has 2^n paths.
 #[test]
 fn a_row_of_diamonds_is_told_of_once_for_each_job() {
     let mut graph = Graph::of(&[(0, &[])]);
     for diamond in 0..LARGE / 10 {
         let start = diamond * 3;
-        // The ids and the order of input are no help: the end of the diamond comes first.
+        // The end of each diamond is added first, so neither ids nor input order give the levels.
         graph.add(start + 3, &[start + 1, start + 2], 1, None);
         graph.add(start + 1, &[start], 1, None);
         graph.add(start + 2, &[start], 1, None);
--- a/crates/job-graph/tests/model.rs
+++ b/crates/job-graph/tests/model.rs
@@ -1,4 +1,4 @@
-//! The graph against a plain model, over random inputs.
+//! Compares the graph with a reference model over random inputs.
 
 mod plain;
 
@@ -27,7 +27,7 @@
     )
 }
 
-/// A job that needs some of those below `limit(id)`.
+/// Generates the addition of a job that needs some of the ids below `limit(id)`.
 fn added(limit: fn(Id) -> Id) -> impl Strategy<Value = Input<Id>> {
     let with_needs = move |id: Id| {
         let need = any::<prop::sample::Index>();
@@ -79,7 +79,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Jobs need lower ids, and themselves at times; they come in any order.
+    /// Jobs need lower ids, and sometimes themselves; they are added in any order.
     #[test]
     fn the_graph_agrees_with_the_plain_model(
         inputs in prop::collection::vec(input(|id| id + u8::from(id % 4 == 3)), 1..60)
@@ -94,7 +94,7 @@
         }
     }
 
-    /// With cycles the model has no urgencies; all else still agrees, and no step is endless.
+    /// The model has no urgencies for cycles; everything else agrees, and every step terminates.
     #[test]
     fn cycles_are_harmless(inputs in prop::collection::vec(input(|_| JOBS), 1..60)) {
         let mut graph = JobGraph::new();
--- a/crates/job-graph/tests/plain/mod.rs
+++ b/crates/job-graph/tests/plain/mod.rs
@@ -1,4 +1,4 @@
-//! A plain model: after each input it works everything out again by definition.
+//! Reference model of the graph: recomputes everything from the definitions after each input.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,14 +14,14 @@
 }
 
 impl Plain {
-    /// Takes an input, and returns what has changed; in the order of [`sorted`].
+    /// Applies an input and returns the changes in the order of [`sorted`].
     pub fn step(&mut self, input: &Input<Id>) -> Vec<Output<Id>> {
         let before = self.clone();
         self.step_without_urgencies(input);
         self.changes_since(&before)
     }
 
-    /// Takes an input, which may close a cycle.
+    /// Applies an input, which may close a cycle.
     pub fn step_without_urgencies(&mut self, input: &Input<Id>) {
         match input.clone() {
             Input::Added { id, facts } => {
@@ -71,7 +71,10 @@
             Status::Cancelled
         } else if facts.needs.iter().all(|need| done(&need)) {
             let ends = facts.needs.iter().filter_map(|need| self.ends[need].at_ms);
-            let since_ms = ends.chain([facts.accepted_ms]).max().expect("one at least");
+            let since_ms = ends
+                .chain([facts.accepted_ms])
+                .max()
+                .expect("at least one time");
             Status::Ready { since_ms }
         } else if !unknown.is_empty() {
             Status::Unknown { ends: unknown }
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Only for a graph without cycles, but for jobs that name themselves.
+    /// Returns the urgency; only for graphs whose cycles are all jobs that name themselves.
     pub fn urgency(&self, id: Id) -> Option<Urgency> {
         let own = self.active.get(&id)?;
         let mut urgency = Urgency {
@@ -108,7 +111,7 @@
         Some(urgency)
     }
 
-    /// Every job needed by this one, directly or through active jobs.
+    /// Returns this job and every job that it needs directly or through active jobs.
     fn before(&self, id: Id) -> BTreeSet<Id> {
         let mut found = BTreeSet::from([id]);
         loop {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Once cancelled a job stays so while it is active.
+    /// Propagates cancellations. A cancelled job stays cancelled while it is active.
     fn derive_cancelled(&mut self) {
         self.cancelled.retain(|id| self.active.contains_key(id));
         loop {
@@ -172,7 +175,7 @@
     }
 }
 
-/// The order of the outputs of a step has no meaning.
+/// Sorts the outputs of a step, whose order has no meaning.
 pub fn sorted(mut outputs: Vec<Output<Id>>) -> Vec<Output<Id>> {
     outputs.sort_by_key(|output| format!("{output:?}"));
     outputs
--- a/crates/quota/src/cell.rs
+++ b/crates/quota/src/cell.rs
@@ -1,9 +1,9 @@
 //! The state machine of one cell's leader, for one team and resource.
 //!
-//! The caller stores the record, on condition of its revision *and* of the leader's claim, carries
-//! messages, and asks [`Cell::limit`] before each start; tasks over it are to be stopped, and are
-//! gone within the lapse lead. One write is under way at a time. Nothing is said, and no unit is
-//! used that a write brings, before the write is known to be stored.
+//! The caller stores the record, conditional on its revision *and* on the leader's claim, carries
+//! messages, and checks [`Cell::limit`] before each start; tasks over it must be stopped, and are
+//! gone within the lapse lead. One write is in flight at a time. No message about a write is sent,
+//! and no unit that it adds is used, before the write is known to be stored.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(pub u64);
 
-/// What a write depends on, beside the leader's claim.
+/// The condition of a write, in addition to the leader's claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Condition {
     /// The key must not exist.
@@ -29,42 +29,43 @@
     Unchanged(Revision),
 }
 
-/// What the team's tasks take in this cell, and would take.
+/// Current use and demand of the team's tasks in this cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Load {
-    /// An upper bound on what its tasks really take, at this instant.
+    /// Upper bound on the units that its tasks use at this instant.
     pub in_use: Units,
-    /// What they would take if all were placed that could be.
+    /// Units that its tasks would use if all that could be placed were placed.
     pub wanted: Units,
-    /// How much of the team's guarantee is unmet here.
+    /// Part of the team's guarantee that is unmet in this cell.
     pub unmet_guarantee: Units,
 }
 
-/// What the cell is told.
+/// Inputs of the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// The answer to [`Output::Read`].
     Found {
         /// The record as stored.
         record: Record,
-        /// The revision of its last change.
+        /// Revision of its last change.
         revision: Revision,
     },
-    /// The answer to [`Output::Read`]: no record. The id must be greater than any earlier one,
-    /// as the state service's revision at the read is.
+    /// The answer to [`Output::Read`]: no record. The id must be greater than any earlier one; the
+    /// state service's revision at the read is.
     Absent {
         /// The id of the new record.
         fresh: RecordId,
     },
-    /// The term of every former leader is over, and what it started is in [`Load::in_use`].
+    /// The term of every former leader is over, and the tasks that it started are included in
+    /// [`Load::in_use`].
     Settled,
-    /// Once a round of the leader.
+    /// Sent once per round of the leader.
     Poll(Load),
-    /// A message of a peer has come.
+    /// A message from a peer was received.
     Received {
         /// The peer.
         from: CellId,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// The write is stored.
@@ -74,34 +75,35 @@
     },
     /// The write's condition failed.
     Conflict,
-    /// The write's or the read's answer is lost: a write may be stored, now or later.
+    /// The answer to the write or the read is lost: a write may be stored, now or later.
     Unclear,
 }
 
-/// What the caller is to do.
+/// Actions for the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Read the record, and answer with [`Input::Found`] or [`Input::Absent`].
     Read,
-    /// Write the record, and answer with [`Input::Stored`], [`Input::Conflict`] or [`Input::Unclear`].
+    /// Write the record, and answer with [`Input::Stored`], [`Input::Conflict`] or
+    /// [`Input::Unclear`].
     Store {
-        /// What to write.
+        /// The record to write.
         record: Record,
-        /// What the write depends on.
+        /// The condition of the write.
         condition: Condition,
     },
     /// Send a message. It may be lost.
     Send {
         /// The receiver.
         to: CellId,
-        /// What to say.
+        /// The message.
         message: Message,
     },
-    /// A message changed nothing; for logs and metrics.
+    /// A message was dropped; for logs and metrics.
     Refused {
         /// The sender of the message.
         from: CellId,
-        /// Why it changed nothing.
+        /// The reason.
         refusal: Refusal,
     },
 }
@@ -112,11 +114,11 @@
     revision: Revision,
 }
 
-/// How far a write has come.
+/// The progress of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Progress {
     InFlight,
-    /// The answer was lost: it may still be stored, so it is repeated if the record is unchanged.
+    /// The answer was lost: it may still be stored, so it is retried if the record is unchanged.
     Unclear,
     /// The condition failed: it will never be stored.
     Failed,
@@ -128,20 +130,20 @@
     progress: Progress,
 }
 
-/// What a cell is by configuration.
+/// The configuration of a cell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// The cell itself.
     pub id: CellId,
-    /// Its part of the limit.
+    /// Its share of the limit.
     pub share: Share,
-    /// The times that all cells agree on.
+    /// Times that all cells agree on.
     pub terms: Terms,
-    /// The cells that it lends to and borrows from.
+    /// Cells that it lends to and borrows from.
     pub peers: BTreeSet<CellId>,
 }
 
-/// One leader's view of its cell's record. A new leader starts a new one.
+/// One leader's view of its cell's record. Each new leader creates a new one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Cell {
     config: Config,
@@ -149,15 +151,15 @@
     write: Option<Write>,
     settled: bool,
     asks: BTreeMap<CellId, Ask>,
-    /// Borrowed loans that their lenders want back.
+    /// Borrowed loans that their lenders have recalled.
     recalled: BTreeSet<LoanId>,
-    /// Lent loans that this cell wants back.
+    /// Lent loans that this cell is recalling.
     recalling: BTreeSet<LoanId>,
     next_exchange: Option<SystemTime>,
 }
 
 impl Cell {
-    /// A leader that has just claimed. It reads the record first.
+    /// Creates the state machine of a leader that has just claimed; it reads the record first.
     pub fn new(config: Config) -> Result<(Cell, Output), ConfigError> {
         let Config {
             id: cell,
@@ -191,8 +193,9 @@
         Ok((cell, Output::Read))
     }
 
-    /// What the team's tasks may take now: the least that any record allows that may be the
-    /// stored one. Nothing before the record was read: then no task is started, nor stopped.
+    /// Returns the units that the team's tasks may use now: the minimum over all records that may
+    /// be the stored one. `None` before the record was read: no task may be started or stopped
+    /// then.
     pub fn limit(&self, now: SystemTime) -> Option<Units> {
         let known = self.known.iter().map(|known| &known.record);
         let next = self.write.iter().map(|write| &write.next);
@@ -202,13 +205,13 @@
             .min()
     }
 
-    /// The record, where no write is under way.
+    /// Returns the record, unless a write is in flight.
     pub fn record(&self) -> Option<&Record> {
         let known = self.known.as_ref().filter(|_| self.write.is_none());
         known.map(|known| &known.record)
     }
 
-    /// Takes an input in, and tells what the caller is to do.
+    /// Applies an input and returns the actions for the caller.
     pub fn step(&mut self, now: SystemTime, input: Input) -> Vec<Output> {
         match input {
             Input::Found { record, revision } => self.found(record, revision),
@@ -287,7 +290,8 @@
         }
     }
 
-    /// A write has failed, or nobody knows: the record is read again before anything is said.
+    /// Handles a failed write or one of unknown result: the record is read again before any message
+    /// is sent.
     fn undecided(&mut self, progress: Progress) -> Vec<Output> {
         match &mut self.write {
             Some(write) if write.progress == Progress::InFlight => write.progress = progress,
@@ -377,7 +381,7 @@
         }
     }
 
-    // The leader's round.
+    // Rounds of the leader.
 
     fn poll(&mut self, now: SystemTime, load: Load) -> Vec<Output> {
         let Some(mut next) = self.record().cloned() else {
@@ -398,7 +402,7 @@
         outputs
     }
 
-    /// Tells each peer what is held of it, and asks for what is missing.
+    /// Sends each peer the holdings of its loans, and requests missing units.
     fn exchange(&mut self, record: &Record, now: SystemTime, load: Load) -> Vec<Output> {
         let missing = load.wanted.saturating_sub(self.limit_of(record, now));
         self.recalling = self.wanted_back(record, now, missing);
@@ -431,7 +435,7 @@
         outputs
     }
 
-    /// The newest loans, none before its time, that together bring what is missing.
+    /// Returns the newest loans, past their hold time, that together cover the missing units.
     fn wanted_back(&self, record: &Record, now: SystemTime, missing: Units) -> BTreeSet<LoanId> {
         let hold = self.config.terms.hold;
         let mut left = missing;
@@ -445,9 +449,9 @@
         wanted
     }
 
-    /// Gives back what is not needed, and of what is recalled or lapsing whatever is not in use.
-    /// What is in use counts against the loans that end last: a task that rests on a recalled loan
-    /// may outlast another loan's end.
+    /// Returns units that are not needed, and all unused units of recalled or lapsing loans.
+    /// Units in use count against the loans that end last: a task that uses a recalled loan may
+    /// outlast another loan's end.
     fn return_loans(&self, next: &mut Record, now: SystemTime, load: Load) {
         let limit = self.limit_of(next, now);
         let mut still_used = load.in_use.saturating_sub(limit);
@@ -470,8 +474,8 @@
         }
     }
 
-    /// Lends what the cell needs neither for its tasks nor for its guarantee. Tasks count against
-    /// the base alone, so that nothing lent rests on what was borrowed.
+    /// Lends units that the cell needs neither for its tasks nor for its guarantee. Tasks count
+    /// against the base alone, so that borrowed units are never lent on.
     fn lend(&self, next: &mut Record, now: SystemTime, load: Load) {
         let Config {
             id, share, terms, ..
@@ -485,7 +489,7 @@
     }
 }
 
-/// What a stored record lets the cell say: new grants and renewals, and changed holdings.
+/// Returns the messages enabled by a stored record: new grants, renewals and changed holdings.
 fn announcements(before: Option<&Record>, after: &Record, peers: &BTreeSet<CellId>) -> Vec<Output> {
     let mut outputs = Vec::new();
     for (id, lent) in &after.lent {
@@ -511,7 +515,7 @@
     outputs
 }
 
-/// Grants that a borrower has not taken yet, as its holdings say.
+/// Returns the grants that, according to its holdings, a borrower has not accepted yet.
 fn repeated_grants(record: &Record, from: CellId, holdings: &Holdings) -> Vec<Output> {
     let waiting = record.lent.iter().filter(|(id, loan)| {
         let same = (loan.borrower, loan.borrower_record) == (from, holdings.record);
--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -1,4 +1,4 @@
-//! Who is lent how much of what is free.
+//! Division of free units between the cells that ask for them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,8 +7,8 @@
 use crate::loan::CellId;
 use crate::message::Ask;
 
-/// Divides half of what is free, rounded up, between those who ask: first by the guarantee that is
-/// unmet, then by demand. The other half stays for who asks next.
+/// Divides half of the free units, rounded up, between the asking cells, ordered by unmet guarantee
+/// and then by demand. The other half remains for later requests.
 pub fn divide(free: Units, asks: &BTreeMap<CellId, Ask>) -> Vec<(CellId, Units)> {
     let mut askers: Vec<_> = asks.iter().collect();
     askers.sort_by_key(|(cell, ask)| (Reverse(ask.unmet_guarantee), Reverse(ask.units), **cell));
--- a/crates/quota/src/error.rs
+++ b/crates/quota/src/error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with a configuration, and why a message changes nothing.
+//! Configuration errors, and reasons why a message is dropped.
 
 use crate::Units;
 use crate::loan::CellId;
 
-/// A configuration under which the limit or a guarantee could not hold.
+/// A configuration that could violate the limit or a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// A cell would guarantee more than it owns.
-    #[error("cell {cell:?} guarantees {guarantee} of a base of {base}")]
+    /// A cell guarantees more than it owns.
+    #[error("cell {cell:?} guarantees {guarantee} units, over its base of {base}")]
     GuaranteeOverBase {
         /// The cell.
         cell: CellId,
@@ -16,38 +16,38 @@
         /// Its base.
         base: Units,
     },
-    /// The cells would own more than the team may use.
-    #[error("the cells' bases sum to {sum}, over the limit of {limit}")]
+    /// The cells own more than the team may use.
+    #[error("the bases of all cells sum to {sum}, over the limit of {limit}")]
     BasesOverLimit {
         /// The sum of all bases.
         sum: Units,
         /// The team's limit.
         limit: Units,
     },
-    /// Nothing could rest on a loan: it would lapse, or be over by some clock, once it is made.
-    #[error("a loan's term must be over the lapse lead and twice the clock bound")]
+    /// A loan would be unusable: lapsing, or expired by some clock, as soon as it is made.
+    #[error("the loan term must exceed the lapse lead plus twice the clock bound")]
     TermTooShort,
-    /// A cell would lend to itself.
-    #[error("cell {0:?} is named as its own peer")]
+    /// A cell is configured as its own peer.
+    #[error("cell {0:?} is configured as its own peer")]
     OwnPeer(CellId),
 }
 
-/// Why a message was dropped. Its sender repeats what still matters.
+/// The reason why a message was dropped. Its sender repeats what is still relevant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Refusal {
-    /// The message can't be worked on now.
-    #[error("no record is known, or a write is under way")]
+    /// The message can't be processed now.
+    #[error("no record is known, or a write is in flight")]
     Busy,
-    /// Nobody of that name is in the configuration.
+    /// The sender is not in the configuration.
     #[error("the sender is not a configured peer")]
     UnknownPeer,
-    /// It answers a record that was lost meanwhile.
-    #[error("the message is for a record that is no more")]
+    /// The message refers to a record that was lost in the meantime.
+    #[error("the message is for a record that no longer exists")]
     OtherRecord,
-    /// Taking it would use units that went back already.
-    #[error("the loan was returned, or is older than one already taken")]
+    /// Accepting the loan would use units that were already returned.
+    #[error("the loan was returned, or is older than one already accepted")]
     OldLoan,
-    /// Nothing may rest on it any more.
-    #[error("the loan is about to end")]
+    /// The loan is within its lapse lead and may not be used any more.
+    #[error("the loan is about to expire")]
     TooLate,
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,4 +1,4 @@
-//! A cell's stored record and the transitions of its loans, each as the record that follows.
+//! A cell's stored record and the transitions of its loans; each transition yields a new record.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::SystemTime;
@@ -8,16 +8,16 @@
 use crate::loan::{Borrowed, CellId, Lent, LoanId, RecordId, Terms};
 use crate::message::{Grant, Holdings};
 
-/// A cell's part of a team's limit and guarantee, by configuration.
+/// A cell's configured share of a team's limit and guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Share {
-    /// Units of the limit that the cell owns, and may lend beyond its guarantee.
+    /// Units of the limit that the cell owns; the part beyond its guarantee may be lent.
     pub base: Units,
-    /// Never lent.
+    /// Units that are never lent.
     pub guarantee: Units,
 }
 
-/// Checks that the shares of all cells can't add up to more than the limit.
+/// Checks that the shares of all cells don't add up to more than the limit.
 pub fn check_shares(limit: Units, shares: &BTreeMap<CellId, Share>) -> Result<(), ConfigError> {
     for (&cell, &Share { base, guarantee }) in shares {
         if guarantee > base {
@@ -37,25 +37,25 @@
     Ok(())
 }
 
-/// What a cell stores of one team and resource.
+/// The stored record of a cell for one team and resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// Which life of the cell's record this is.
+    /// Incarnation of the cell's record.
     pub id: RecordId,
-    /// Set where an earlier record was lost: until then the base may still be lent.
+    /// Set after the loss of an earlier record: the base may still be lent until then.
     pub quarantined_until: Option<SystemTime>,
-    /// The number of the last loan made.
+    /// Number of the last loan made.
     pub last_number: u64,
     /// Loans to other cells that may still be in use.
     pub lent: BTreeMap<LoanId, Lent>,
-    /// Loans from other cells that were not given back.
+    /// Loans from other cells that were not returned.
     pub borrowed: BTreeMap<LoanId, Borrowed>,
-    /// The newest loan ever taken from each lender.
+    /// The newest loan ever accepted from each lender.
     pub newest_taken: BTreeMap<CellId, LoanId>,
 }
 
 impl Record {
-    /// The first record of a cell, written when the cell is set up and never again.
+    /// Creates the first record of a cell, written only when the cell is set up.
     pub fn first(id: RecordId) -> Record {
         Record {
             id,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The record of a cell whose earlier one is lost.
+    /// Creates the record of a cell whose earlier one is lost.
     pub(crate) fn after_loss(id: RecordId, now: SystemTime, terms: &Terms) -> Record {
         let until = now + terms.quarantine();
         Record {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Units of the base that are the cell's own now.
+    /// Returns the units of the base that are not lent; only the guarantee during quarantine.
     pub(crate) fn own(&self, share: &Share, now: SystemTime) -> Units {
         if self.quarantined_until.is_some_and(|until| now < until) {
             return share.guarantee;
@@ -85,8 +85,8 @@
         share.base.saturating_sub(lent)
     }
 
-    /// What tasks may take: the cell's own units and those borrowed that are neither recalled
-    /// nor within their lapse lead.
+    /// Returns the units that tasks may use: the cell's own units and the borrowed ones that are
+    /// neither recalled nor within their lapse lead.
     pub fn limit(
         &self,
         share: &Share,
@@ -102,7 +102,7 @@
         self.own(share, now) + usable.sum::<Units>()
     }
 
-    /// Makes a loan; the caller has checked that the units are free.
+    /// Makes a loan. The caller must have checked that the units are free.
     pub(crate) fn lend(
         &mut self,
         lender: CellId,
@@ -131,7 +131,7 @@
         );
     }
 
-    /// The borrower takes a new loan, or the later end of one that it has.
+    /// Accepts a new loan as the borrower, or the later end of a loan that it already has.
     pub(crate) fn take(
         &mut self,
         grant: &Grant,
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// Lowers a borrowed loan; at nothing it is returned.
+    /// Returns units of a borrowed loan; the loan is removed when no units remain.
     pub(crate) fn give_back(&mut self, loan: &LoanId, units: Units) {
         let Some(held) = self.borrowed.get_mut(loan) else {
             return;
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The lender takes in what a borrower still holds.
+    /// Applies a borrower's holdings to the loans that it was lent.
     pub(crate) fn reconcile(&mut self, from: CellId, holdings: &Holdings) {
         self.lent.retain(|id, loan| {
             if loan.borrower != from || loan.borrower_record != holdings.record {
@@ -190,7 +190,7 @@
         });
     }
 
-    /// The lender renews what a borrower still holds, if it is time, except what it recalls.
+    /// Renews the loans that a borrower still holds and whose renewal is due, except recalled ones.
     pub(crate) fn renew(
         &mut self,
         from: CellId,
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Removes, on both sides, loans that nobody can use any more by any clock.
+    /// Removes loans, lent and borrowed, that are expired by any clock.
     pub(crate) fn expire(&mut self, now: SystemTime, terms: &Terms) {
         self.lent
             .retain(|_, loan| now < terms.surely_over(loan.end));
@@ -220,7 +220,7 @@
         }
     }
 
-    /// What the record says of one lender.
+    /// Returns the holdings of one lender's loans.
     pub fn holdings(&self, lender: CellId) -> Holdings {
         let open = self.borrowed.iter().filter(|(id, _)| id.lender == lender);
         Holdings {
@@ -230,7 +230,7 @@
         }
     }
 
-    /// The grant of a loan that this record has lent.
+    /// Returns the grant of a loan that this record has lent.
     pub fn grant(&self, loan: &LoanId) -> Option<Grant> {
         let Lent {
             borrower_record,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,13 +1,13 @@
-//! A team's limit on a resource, shared between cells that may be cut off from each other.
+//! Sharing of a team's resource limit between cells, tolerant of network partitions.
 //!
-//! Each cell owns a part of the limit, its *base*, and may lend what it doesn't need of it for a
-//! time. [`cell::Cell`] is the state machine of one cell for one team and resource: no I/O, no
-//! randomness, no clock of its own. Whatever messages are lost, late or repeated, and whichever
-//! leader ends when, the cells together never use more than the limit. Why:
+//! Each cell owns a part of the limit, its *base*, and may lend the part that it doesn't need for a
+//! limited time. [`cell::Cell`] is the state machine of one cell for one team and resource: no I/O,
+//! no randomness, no clock of its own. Regardless of lost, delayed or duplicated messages and of
+//! leader failovers, the cells together never use more than the limit. Design:
 //! `docs/design/quota.md` and `docs/design/scale.md`.
 //!
-//! Nothing uses this crate yet: a deployment has one cell, whose limit is the configured one, and
-//! behaves exactly as it did without the crate.
+//! No other crate depends on this one yet: a deployment has one cell, whose limit is the configured
+//! one.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/quota/src/loan.rs
+++ b/crates/quota/src/loan.rs
@@ -1,25 +1,25 @@
-//! A loan of base units: who it is from, how much, until when.
+//! Loans of base units: parties, amount and expiry.
 
 use std::time::{Duration, SystemTime};
 
 use crate::Units;
 
-/// A cell, by its place in the configuration.
+/// The id of a cell: its index in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u16);
 
-/// One life of a cell's record; a record that is made again after a loss has a greater one.
+/// The incarnation of a cell's record; a record created after a loss has a greater one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RecordId(pub u64);
 
-/// Names a loan for ever: numbers are not used again. Loans of one lender are ordered by age.
+/// The unique id of a loan: numbers are never reused. Loans of one lender are ordered by age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoanId {
     /// The cell that owns the units.
     pub lender: CellId,
-    /// The lender's record that counted the number.
+    /// The lender's record that assigned the number.
     pub record: RecordId,
-    /// Counted up by the lender for each loan.
+    /// Sequence number, incremented by the lender for each loan.
     pub number: u64,
 }
 
@@ -30,57 +30,58 @@
     pub borrower: CellId,
     /// The borrower's record that the loan was made to.
     pub borrower_record: RecordId,
-    /// Only falls.
+    /// Units of the loan; only decrease.
     pub units: Units,
-    /// Time of day; only rises.
+    /// Expiry by the wall clock; only moves forward.
     pub end: SystemTime,
-    /// When the loan was made.
+    /// Time at which the loan was made.
     pub since: SystemTime,
 }
 
 /// A loan as its borrower stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Borrowed {
-    /// Only falls.
+    /// Units of the loan; only decrease.
     pub units: Units,
-    /// Time of day; only rises.
+    /// Expiry by the wall clock; only moves forward.
     pub end: SystemTime,
 }
 
-/// The times that all cells agree on.
+/// Times that all cells agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
-    /// How long a loan lasts from each renewal.
+    /// Duration of a loan from each renewal.
     pub term: Duration,
-    /// How long it takes at most, whatever fails, until a task that is to stop is gone.
+    /// Upper bound on the time to stop a task under any failure.
     pub lapse_lead: Duration,
-    /// The furthest that any clock is from true time.
+    /// Maximum deviation of any clock from true time.
     pub clock_bound: Duration,
-    /// The time between two rounds of messages.
+    /// Interval between two rounds of messages.
     pub interval: Duration,
-    /// For how long a loan is not asked back.
+    /// Minimum time before a loan is recalled.
     pub hold: Duration,
 }
 
 impl Terms {
-    /// When nobody uses a loan any more, by any clock: the end is absolute, so the reader's
-    /// clock and the borrower's may each be off by the bound.
+    /// Returns the time from which a loan is unused by any clock: the end is absolute, so the
+    /// reader's clock and the borrower's may each be off by the bound.
     pub(crate) fn surely_over(&self, end: SystemTime) -> SystemTime {
         end + 2 * self.clock_bound
     }
 
-    /// When loans that a lost record may have named are over. Four clocks take part: the one that
-    /// set the last end, its borrower's, the one that found the loss, and the one that asks.
+    /// Returns the time after which all loans that a lost record may have named are over. Four
+    /// clocks take part: the one that set the last end, its borrower's, the one that detected the
+    /// loss, and the one that checks.
     pub(crate) fn quarantine(&self) -> Duration {
         self.term + 4 * self.clock_bound
     }
 
-    /// Whether a loan is within its lapse lead, so that nothing may rest on it.
+    /// Returns whether a loan is within its lapse lead, so that it may not be used.
     pub(crate) fn lapsing(&self, now: SystemTime, end: SystemTime) -> bool {
         now + self.lapse_lead >= end
     }
 
-    /// Whether a third of the term has passed since a loan was made or renewed.
+    /// Returns whether a third of the term has passed since a loan was made or renewed.
     pub(crate) fn renewal_due(&self, now: SystemTime, end: SystemTime) -> bool {
         now + self.term * 2 / 3 >= end
     }
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,4 +1,4 @@
-//! What cells say to each other. Any message may be lost, late, repeated or overtaken.
+//! Messages between cells. Any message may be lost, delayed, duplicated or reordered.
 
 use std::collections::BTreeMap;
 use std::time::SystemTime;
@@ -13,42 +13,42 @@
     Ask(Ask),
     /// A loan, or its renewal.
     Grant(Grant),
-    /// The lender needs the loan's units itself.
+    /// A lender's request to return the units of a loan.
     Recall(LoanId),
-    /// What the sender has borrowed of the receiver.
+    /// The loans that the sender has borrowed from the receiver.
     Holdings(Holdings),
 }
 
-/// Units are wanted.
+/// A request for units.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ask {
-    /// The asker's record; a grant is for this one alone.
+    /// The requester's record; a grant is valid for this record only.
     pub record: RecordId,
-    /// How many units are missing.
+    /// Number of missing units.
     pub units: Units,
-    /// How much of it is the team's guarantee, unmet in the asker's cell.
+    /// Part of `units` that belongs to the team's unmet guarantee in the requester's cell.
     pub unmet_guarantee: Units,
 }
 
-/// A loan is made, or renewed until a later end. Stored by the lender before it is sent.
+/// A new loan, or the renewal of one until a later end. Stored by the lender before it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Grant {
     /// The loan.
     pub loan: LoanId,
-    /// The borrower's record that it is made to.
+    /// The borrower's record that the loan is made to.
     pub borrower_record: RecordId,
-    /// How many units it has.
+    /// Units of the loan.
     pub units: Units,
-    /// When it ends, by the time of day.
+    /// Expiry by the wall clock.
     pub end: SystemTime,
 }
 
-/// All that a borrower's record says of one lender. Stored before it is sent.
+/// The state of one lender's loans in a borrower's record. Stored before it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Holdings {
     /// The borrower's record.
     pub record: RecordId,
-    /// The newest loan ever taken; older ones are never taken after it.
+    /// The newest loan ever accepted; older ones are never accepted after it.
     pub newest: Option<LoanId>,
     /// Units of each loan that the borrower still holds.
     pub open: BTreeMap<LoanId, Units>,
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -1,4 +1,4 @@
-//! Every state of small worlds, breadth first.
+//! Breadth-first search of every reachable state of small simulated deployments.
 
 mod world;
 
@@ -8,7 +8,7 @@
 use kiteyard_quota::ledger::Share;
 use world::{Fault, Size, World};
 
-/// Goes through all states of a world; a state that breaks a rule ends it.
+/// Visits all reachable states; fails at the first one that violates an invariant.
 fn search(size: &Size) -> Result<usize, String> {
     let hashers = [RandomState::new(), RandomState::new()];
     let fingerprint = |world: &World| hashers.each_ref().map(|hasher| hasher.hash_one(world));
@@ -148,13 +148,13 @@
     );
 }
 
-/// Searches a faulty world; the fault must be found.
+/// Searches with an injected fault, which must be detected.
 fn found(fault: Fault, size: Size) {
     let why = search(&Size {
         fault: Some(fault),
         ..size
     })
-    .expect_err(&format!("{fault:?} is not found"));
+    .expect_err(&format!("{fault:?} was not detected"));
     println!("{fault:?}: {}", why.split(':').next().unwrap_or_default());
 }
 
@@ -244,8 +244,9 @@
     found(Fault::LimitLoweredAfterTheAnswer, size(2, 2, 1, &[0]));
 }
 
-/// Not a fault that can show here: the lender counts a loan before its grant is sent, and a leader that
-/// ends leaves its tasks to the successor's limit. The machine waits for the answer all the same.
+/// This fault can't violate an invariant here: the lender counts a loan before its grant is sent,
+/// and the tasks of a former leader count against its successor's limit. The state machine waits
+/// for the answer nevertheless.
 #[test]
 fn limit_raised_before_the_answer_breaks_nothing() {
     let fault = Some(Fault::LimitRaisedBeforeTheAnswer);
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Cells against a plain ledger that knows everything, with polls, losses of messages and a heal.
+//! Invariants of several cells under message loss, and recovery of all bases after it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, SystemTime};
@@ -15,8 +15,8 @@
 const BASE: Units = 10;
 const GUARANTEE: Units = 3;
 const INTERVAL: u64 = 5;
-/// Rounds of messages after a heal until every base is back: a grant that was lost is sent again, taken,
-/// returned, and the return is heard.
+/// Rounds of messages after the loss ends until every base is back: a lost grant is resent,
+/// accepted and returned, and the lender receives the return.
 const ROUNDS_TO_RETURN: u64 = 3;
 
 struct Cells {
@@ -55,7 +55,7 @@
                 peers,
             };
             all.cells
-                .push(Cell::new(config).expect("a sound configuration").0);
+                .push(Cell::new(config).expect("a valid configuration").0);
             let record = Record::first(RecordId(1));
             all.step(
                 id,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A second: each cell's round at its wish, then the mail, of which some is lost.
+    /// Runs one second: a round of each cell with its demand, then delivery of messages, some lost.
     fn second(&mut self, wanted: &[Units], lost: u8) {
         self.seconds += 1;
         for cell in 0..CELLS {
@@ -110,7 +110,7 @@
             );
         }
         for letter in 0..self.mail.len() {
-            let (to, from, message) = self.mail.pop_front().expect("a letter");
+            let (to, from, message) = self.mail.pop_front().expect("a message");
             if (letter * 7 + self.seconds as usize) % 10 >= usize::from(lost) {
                 self.step(to.0, Input::Received { from, message });
             }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -1,9 +1,9 @@
-//! A small world of cells whose every trouble is a step: lost, late, repeated and overtaken messages,
-//! writes whose answer is lost, leaders that end, clocks that are off, records that are lost.
+//! Simulated deployment of a few cells. Every failure is a transition: lost, delayed, duplicated
+//! and reordered messages, lost answers to writes, leader failovers, clock skew and lost records.
 //!
-//! Messages are never taken off the network, so any may come never, late or twice. What is in use is the
-//! most that it may be: each leader whose term may last starts up to its limit at once, and a round may
-//! find any smaller amount.
+//! Messages are never removed from the network, so any of them may be delivered never, late or
+//! twice. Units in use are always at their maximum: each leader whose term may last starts tasks up
+//! to its limit at once, and a round may find any smaller amount.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
@@ -17,7 +17,7 @@
 pub const TICK: Duration = Duration::from_secs(1);
 const START: Duration = Duration::from_secs(1000);
 
-/// What is built wrongly, to see whether the search finds it.
+/// An injected fault, to verify that the search detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     LenderLowersFirst,
@@ -37,7 +37,7 @@
     GrantForLostRecordTaken,
 }
 
-/// A world's size: what may happen in it, and how often.
+/// Bounds of the search: events that may occur, and how often.
 #[derive(Clone, Debug)]
 pub struct Size {
     pub shares: Vec<Share>,
@@ -45,7 +45,7 @@
     pub loans: u64,
     pub restarts: u8,
     pub losses: u8,
-    /// Answers of writes that are lost.
+    /// Number of writes whose answer may be lost.
     pub unclear: u8,
     pub clocks: Vec<i64>,
     pub fault: Option<Fault>,
@@ -85,10 +85,10 @@
     network: BTreeSet<(CellId, CellId, Message)>,
 }
 
-/// Takes a change to a world as one that may come next.
+/// Adds the result of a change to the possible next worlds.
 type Push<'a> = dyn FnMut(&dyn Fn(&mut World)) + 'a;
 
-/// What a write's sender hears.
+/// The answer that the sender of a write receives.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Answer {
     Given,
@@ -99,7 +99,7 @@
 fn clock(time: u64, off: i64) -> SystemTime {
     SystemTime::UNIX_EPOCH
         + START
-        + TICK * u32::try_from(time as i64 + 10 + off).expect("a short world")
+        + TICK * u32::try_from(time as i64 + 10 + off).expect("a short simulation")
 }
 
 fn config(size: &Size, id: CellId) -> Config {
@@ -128,7 +128,7 @@
 }
 
 impl World {
-    /// One world for each way the clocks may be off.
+    /// Returns one initial world for each combination of clock skews.
     pub fn starts(size: &Size) -> Vec<World> {
         let cells = size.shares.len();
         let ways = size.clocks.len().pow(cells as u32);
@@ -148,7 +148,7 @@
             let clock = size.clocks[way % size.clocks.len()];
             way /= size.clocks.len();
             let (machine, _) =
-                Cell::new(config(size, CellId(cell as u16))).expect("a sound configuration");
+                Cell::new(config(size, CellId(cell as u16))).expect("a valid configuration");
             world.sites.push(Site {
                 id: CellId(cell as u16),
                 leader: Leader {
@@ -170,7 +170,7 @@
         world
     }
 
-    /// All worlds that may follow.
+    /// Returns all possible next worlds.
     pub fn next(&self, size: &Size) -> Vec<World> {
         let mut next = Vec::new();
         let mut push = |change: &dyn Fn(&mut World)| {
@@ -207,7 +207,7 @@
         next
     }
 
-    /// The leader's rounds, with and without a request; and recalls, which may come at any time.
+    /// Adds the leader's rounds with and without a request, and recalls, which may arrive anytime.
     fn rounds(&self, size: &Size, cell: usize, push: &mut Push) {
         let site = &self.sites[cell];
         let Some(record) = site.leader.cell.record() else {
@@ -272,7 +272,7 @@
         }
     }
 
-    /// True time goes on by a tick, in which tasks over the limit go and former leaders' terms end.
+    /// Advances true time by a tick, in which tasks over the limit stop and former terms end.
     fn tick(&mut self, size: &Size) {
         for cell in 0..self.sites.len() {
             let most = self.sites[cell].limit(size, self.time);
@@ -388,11 +388,11 @@
         self.step(size, cell, if forgotten { Input::Conflict } else { input });
     }
 
-    /// Another leader claims and reads. Writes of the old one depend on its claim.
+    /// Starts a new leader, which claims and reads. Writes of the old one depend on its claim.
     fn restart(&mut self, size: &Size, cell: usize, clock: i64, lost: bool) {
         self.restarts -= 1;
         let (machine, _) =
-            Cell::new(config(size, CellId(cell as u16))).expect("a sound configuration");
+            Cell::new(config(size, CellId(cell as u16))).expect("a valid configuration");
         let site = &mut self.sites[cell];
         let old = std::mem::replace(
             &mut site.leader,
@@ -419,15 +419,15 @@
         }
     }
 
-    /// Every leader whose term may last starts all that its limit allows.
+    /// Raises the units in use to the limit of every leader whose term may last.
     fn use_all(&mut self, size: &Size) {
         for site in &mut self.sites {
             site.in_use = site.in_use.max(site.limit(size, self.time));
         }
     }
 
-    /// Drops what can have no effect any more: writes whose condition can't hold again, and messages
-    /// about loans that are over. Loan numbers only grow, so this hides nothing.
+    /// Drops writes whose condition can't hold again and messages about loans that are over. Loan
+    /// numbers only grow, so no reachable violation is lost.
     fn forget(&mut self, size: &Size) {
         for site in &mut self.sites {
             let stored = site
@@ -465,19 +465,19 @@
         });
     }
 
-    /// What must hold in every state.
+    /// Checks the invariants of every state.
     pub fn check(&self, size: &Size) -> Result<(), String> {
         let limit: Units = size.shares.iter().map(|share| share.base).sum();
         let in_use: Units = self.sites.iter().map(|site| site.in_use).sum();
         if in_use > limit {
-            return Err(format!("{in_use} in use of {limit}"));
+            return Err(format!("{in_use} units in use, over the limit of {limit}"));
         }
         for (site, share) in self.sites.iter().zip(&size.shares) {
             let lent = |record: &Record| record.lent.values().map(|loan| loan.units).sum::<Units>();
             if let Some((record, _)) = &site.stored
                 && lent(record) + share.guarantee > share.base
             {
-                return Err("a guarantee, or what was borrowed, is lent".into());
+                return Err("guaranteed or borrowed units are lent".into());
             }
             let now = clock(self.time, site.leader.clock);
             if site
@@ -486,7 +486,7 @@
                 .limit(now)
                 .is_some_and(|limit| limit < share.guarantee)
             {
-                return Err("a guarantee can't be used".into());
+                return Err("the limit is below the guarantee".into());
             }
         }
         Ok(())
@@ -494,7 +494,7 @@
 }
 
 impl Site {
-    /// The most that a leader of this cell lets tasks take.
+    /// Returns the maximum units that any leader of this cell lets tasks use.
     fn limit(&self, size: &Size, time: u64) -> Units {
         let leaders = std::iter::once(&self.leader).chain(&self.former);
         let limits = leaders.filter_map(|leader| {
@@ -509,7 +509,7 @@
         most.max(self.wrong_limit(size, time).unwrap_or(0))
     }
 
-    /// The limit by the record before, or after, the write that is under way.
+    /// Returns the limit by the record before or after the write in flight, if a fault says so.
     fn wrong_limit(&self, size: &Size, time: u64) -> Option<Units> {
         let write = self.in_flight.as_ref()?;
         let record = match size.fault? {
