--- a/crates/rollout/src/config.rs
+++ b/crates/rollout/src/config.rs
@@ -1,5 +1,4 @@
-//! The operators' file: how long is soaked, how fast old records are rewritten, and what
-//! is held back.
+//! The rollout file: soak time, rate of rewriting old records, and features held back.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -7,35 +6,35 @@
 
 use crate::generation::{Feature, Generation, OLDEST};
 
-/// Why a rollout file is rejected.
+/// The reason why a rollout file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
-    /// Not a file of this form; the message names the line.
+    /// The file does not parse; the message names the line.
     #[error("rollout: {0}")]
     Form(String),
-    /// A value is out of its range, or names something unknown.
+    /// A value is out of range, or names something unknown.
     #[error("rollout: `{field}`: {message}")]
     Field {
         /// The field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// How a rollout is carried out.
+/// Settings of a rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// How long all nodes must have been seen able to a generation before it is written.
+    /// Time for which all nodes must support a generation before it is written.
     pub soak: Duration,
-    /// The part of the state service's changes that rewriting old records may take.
+    /// Fraction of the state service's change rate that rewriting old records may use.
     pub share: f64,
-    /// Features that are not switched on.
+    /// Features that are not activated.
     pub hold: BTreeSet<String>,
-    /// The process acts as an older build that is able to generations up to this: a way of
-    /// trying a rollout with one build.
+    /// Newest generation that the process supports, to emulate an older build in tests of a
+    /// rollout.
     pub reads_most: Option<Generation>,
-    /// Whether the newest generation is moved to without being asked for.
+    /// Whether the cluster moves to the newest generation without an order.
     pub automatic: bool,
 }
 
@@ -63,7 +62,7 @@
 const SOAK_MOST: f64 = 30.0 * 86_400.0;
 
 impl Config {
-    /// Reads the file; `features` are those that this build knows.
+    /// Parses and checks the file; `features` are those that this build knows.
     pub fn parse(text: &str, features: &[Feature]) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
             .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
@@ -77,7 +76,10 @@
         let known = |name: &String| features.iter().any(|f| f.name == name);
         if let Some(name) = file.hold.iter().find(|name| !known(name)) {
             let names: Vec<&str> = features.iter().map(|f| f.name).collect();
-            let message = format!("no feature {name}, there is: {}", names.join(", "));
+            let message = format!(
+                "unknown feature {name}; known features: {}",
+                names.join(", ")
+            );
             return fail("hold", message);
         }
         let newest = features.iter().map(|f| f.since).max().unwrap_or(OLDEST);
@@ -96,7 +98,7 @@
         })
     }
 
-    /// The newest generation that may be moved to: below the first feature held back.
+    /// Returns the newest generation that may be moved to: below the first feature held back.
     pub fn held_to(&self, features: &[Feature]) -> Option<Generation> {
         let held = features.iter().filter(|f| self.hold.contains(f.name));
         held.map(|f| f.since - 1).min()
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -1,67 +1,67 @@
-//! What a node is able to, and what the cluster has agreed on: the two stored records.
+//! Stored records of the supported generations of a node and the generation of the cluster.
 
 use std::{collections::BTreeSet, fmt};
 
 use serde::{Deserialize, Serialize};
 
-/// A form of the whole stored state.
+/// The number of a format of the whole stored state.
 pub type Generation = u32;
 
-/// The forms that were there before generations were. A node that says nothing is able to
-/// these alone, and a cluster without a record uses them.
+/// The formats in use before generations were introduced. A node without a record supports only
+/// these, and a cluster without a record uses them.
 pub const OLDEST: Generation = 1;
 
-/// A change of the stored state with a name.
+/// A named change of the stored state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Feature {
-    /// The name, as operators write it.
+    /// Name as used by operators.
     pub name: &'static str,
-    /// The first generation that has it.
+    /// First generation that includes the feature.
     pub since: Generation,
-    /// What it writes can be written back in the form before.
+    /// Whether its records can be rewritten in the previous format.
     pub way_back: bool,
-    /// The stored forms and messages that it needs.
+    /// Stored formats and messages that it requires.
     pub forms: &'static [&'static str],
 }
 
-/// What a node's process is able to, as it says itself.
+/// The generations that a node's process supports, as the process declares them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ability {
-    /// The build's name, for people.
+    /// Name of the build, for display.
     pub build: String,
-    /// Generations that it reads and writes, the first and the last.
+    /// The oldest generation that it reads and writes.
     pub least: Generation,
     /// The newest generation that it reads and writes.
     pub most: Generation,
-    /// The names of the features, for people.
+    /// Names of the features, for display.
     #[serde(default)]
     pub features: Vec<String>,
-    /// The newest generation that its operators let the cluster move to; none: any. The
-    /// process reads what it is able to all the same.
+    /// The newest generation that its operators let the cluster move to; `None`: any. Does not
+    /// restrict the generations that the process reads.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub held_to: Option<Generation>,
 }
 
 impl Ability {
-    /// Whether the process reads and writes this generation.
+    /// Returns whether the process reads and writes this generation.
     pub fn can(&self, generation: Generation) -> bool {
         (self.least..=self.most).contains(&generation)
     }
 }
 
-/// How far a move from one generation to the next is.
+/// The stage of a move from one generation to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// Nothing moves.
+    /// No move is in progress.
     Settled,
-    /// Every node is able to read the new form; nobody writes it.
+    /// Every node can read the new format; none writes it.
     Prepared,
-    /// The same, and they are watched for a while.
+    /// As `Prepared`, while the nodes are observed for the soak time.
     Soaking,
-    /// The new form is written, and the old one still read.
+    /// The new format is written, and the old one is still read.
     Active,
-    /// Old records are rewritten as well.
+    /// As `Active`, while old records are rewritten.
     Migrating,
 }
 
@@ -77,17 +77,17 @@
     }
 }
 
-/// The cluster's generation, as stored. Only the leader changes it.
+/// The stored generation of the cluster. Only the leader changes it.
 ///
-/// Unknown fields are refused: a later build that adds one means something by it.
+/// Unknown fields are rejected: a field added by a later build must not be ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
-    /// The generation that is left, or at rest the one in use.
+    /// The generation that is moved from, or the current one when settled.
     pub from: Generation,
-    /// The generation that is moved to; at rest the same.
+    /// The generation that is moved to; equal to `from` when settled.
     pub to: Generation,
-    /// How far the move is.
+    /// Stage of the move.
     pub stage: Stage,
 }
 
@@ -98,7 +98,7 @@
 }
 
 impl Cluster {
-    /// A cluster at rest in a generation.
+    /// Returns the record of a cluster that is settled in a generation.
     pub fn settled(generation: Generation) -> Self {
         Self {
             from: generation,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The record says something that can be meant.
+    /// Returns whether the record is valid.
     pub fn holds(&self) -> bool {
         self.from >= OLDEST && self.to >= OLDEST && (self.stage == Stage::Settled) == self.still()
     }
@@ -116,7 +116,7 @@
         self.from == self.to
     }
 
-    /// The generation whose forms are written.
+    /// Returns the generation whose formats are written.
     pub fn written(&self) -> Generation {
         match self.stage {
             Stage::Settled | Stage::Prepared | Stage::Soaking => self.from,
@@ -124,24 +124,24 @@
         }
     }
 
-    /// Both forms may be found.
+    /// Returns whether records of both formats may exist.
     pub fn mixed(&self) -> bool {
         self.stage >= Stage::Active
     }
 
-    /// The generations whose forms are read, in this order: what is rewritten meanwhile
-    /// moves from the first to the second.
+    /// Returns the generations whose formats are read, in this order: a record that is rewritten
+    /// between the reads moves from the first to the second.
     pub fn read(&self) -> impl Iterator<Item = Generation> + use<> {
         let second = self.mixed().then_some(self.to);
         [self.from].into_iter().chain(second)
     }
 
-    /// A process of that ability may act on the stored state.
+    /// Returns whether a process with this ability may act on the stored state.
     pub fn suits(&self, ability: &Ability) -> bool {
         ability.can(self.written()) && (!self.mixed() || ability.can(self.from))
     }
 
-    /// The generation that a process has to be able to.
+    /// Returns the generation that a process must support.
     pub fn needs(&self) -> Generation {
         match self.mixed() {
             true => self.from.max(self.to),
@@ -150,37 +150,37 @@
     }
 }
 
-/// What operators want, as stored. Any node changes it.
+/// The stored orders of operators. Any node may change them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Orders {
-    /// Nothing moves while this is set.
+    /// Whether moves are suspended.
     pub paused: bool,
-    /// The generation to move to instead of the newest.
+    /// Generation to move to instead of the newest.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target: Option<Generation>,
-    /// Nodes that are gone for good: nobody waits for them.
+    /// Nodes that are permanently removed and no longer waited for.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub gone: BTreeSet<String>,
 }
 
-/// One order.
+/// An order of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
-    /// Stop moving, and rewriting records.
+    /// Suspend moves and the rewriting of records.
     Pause,
-    /// Go on after a pause.
+    /// Resume after a pause.
     Resume,
-    /// Count this node no longer: it is gone for good.
+    /// Ignore this node: it is permanently removed.
     Forget(String),
-    /// Go to that generation and stay there.
+    /// Move to that generation and stay there.
     Target(Generation),
-    /// Go to the newest that all are able to.
+    /// Move to the newest generation that all nodes support.
     Newest,
 }
 
 impl Orders {
-    /// Changes the record as the order says.
+    /// Applies an order to the record.
     pub fn apply(&mut self, order: &Order) {
         match order {
             Order::Pause => self.paused = true,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,9 +1,9 @@
-//! Rolling out a change of the stored state while old and new processes run side by side.
+//! Rollout of changes to the stored state while old and new processes run side by side.
 //!
-//! The stored state has *generations*. One stored record says which generation is written
-//! and which are read; it moves one step at a time, and only when every configured node is
-//! able to follow. [`machine::Machine`] decides that, from what it is told and nothing else:
-//! no clocks, no requests. Why no mix of processes breaks a rule: `docs/design/rollout.md`.
+//! The stored state has *generations*. One stored record names the generation that is written
+//! and those that are read; it advances one step at a time, and only when every configured node
+//! supports the next step. [`machine::Machine`] makes that decision from its inputs alone,
+//! without clocks or I/O. Safety with mixed processes: `docs/design/rollout.md`.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -1,9 +1,9 @@
-//! The leader's part: when the cluster's generation moves.
+//! State machine of the leader that advances the cluster's generation one step at a time.
 //!
-//! One step at a time. Each step is a stored record, written on condition of the record
-//! before it and of the leader's claim (both the caller's), and the step that switches to
-//! the new form also on condition of every node's own record as it was seen: a node that
-//! was started again since wrote another one, and the step fails.
+//! Each step is a stored record, written conditional on the previous record and on the leader's
+//! claim (both added by the caller). The step that activates the new format is also conditional
+//! on every node's own record as it was seen: a node that has restarted since wrote another
+//! one, and the step fails.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,96 +14,96 @@
     generation::{Ability, Cluster, Feature, Generation, Orders, Stage},
 };
 
-/// What is known of one configured node.
+/// The known state of one configured node.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Seen {
-    /// Its own stored record, and the revision of it: a process writes one when it starts.
+    /// The node's own stored record; a process writes one when it starts.
     pub ability: Option<Ability>,
-    /// The revision of that record; 0: there is none.
+    /// Revision of that record; 0: there is none.
     pub started: u64,
-    /// What its process told lately; none where it was not heard.
+    /// Latest announcement of its process; `None` if it was not heard recently.
     pub told: Option<Told>,
 }
 
-/// What a process tells the others again and again.
+/// The periodic announcement of a process to the other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// The revision of its own record.
+    /// Revision of its own record.
     pub started: u64,
-    /// The revision of the cluster's record that it knows.
+    /// Revision of the cluster's record that it knows.
     pub knows: u64,
 }
 
-/// All that a step looks at.
+/// The input of a step.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct View {
     /// The cluster's record.
     pub cluster: Cluster,
     /// Revision of the cluster's record; 0: there is none.
     pub revision: u64,
-    /// What operators want.
+    /// The orders of operators.
     pub orders: Orders,
     /// All configured nodes by name.
     pub nodes: BTreeMap<String, Seen>,
-    /// A listing of old records that began at the stage now found none.
+    /// Whether a listing of old records, begun in the current stage, found none.
     pub clean: bool,
 }
 
-/// What the machine wants done, or logged.
+/// Actions and log events for the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Store this on condition of the record it follows, the claim, and these nodes'
+    /// Store this record, conditional on the previous record, the claim, and these nodes'
     /// records at these revisions.
     Store {
         /// The record to store.
         cluster: Cluster,
         /// The reason, for the log.
         why: &'static str,
-        /// Nodes, each with the revision of its own record, that the write depends on.
+        /// Nodes that the write depends on, each with the revision of its own record.
         nodes: Vec<(String, u64)>,
     },
-    /// All were seen able to, and it begins to be counted for how long.
+    /// All nodes are ready, and the soak has started.
     SoakBegins,
-    /// The soak was broken for this reason, and is counted from the start.
+    /// The soak was interrupted for this reason and starts over.
     SoakBeginsAgain(String),
 }
 
-/// What keeps the next step from being taken.
+/// The reason why the next step is not taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Held {
-    /// There is nothing to move to.
+    /// The cluster is at its target generation.
     Nothing,
     /// An operator has paused the rollout.
     Paused,
-    /// No record of its own: a build from before generations, or not started since.
+    /// The node has no record: its build predates generations, or it has not started since.
     Silent(String),
-    /// Its build is not able to that generation.
+    /// The node's build does not support that generation.
     Unable(String, Generation),
-    /// It was not heard, or has not seen the record as it stands.
+    /// The node was not heard, or does not know the current record.
     Away(String),
-    /// All is well; until then.
+    /// The soak lasts until this time.
     Soaking(Duration),
-    /// A feature on the way has no way back.
+    /// A feature on the way can't be rolled back.
     NoWayBack(&'static str),
-    /// Old records are left.
+    /// Old records remain to be rewritten.
     Migrating,
-    /// The step goes out now.
+    /// Nothing: the step is being stored.
     Free,
 }
 
-/// Decides when the cluster's record moves, and to what.
+/// Decides when the cluster's record advances, and to which state.
 #[derive(Debug)]
 pub struct Machine {
     config: Config,
     features: &'static [Feature],
-    /// Since when the soak lasts, and the processes that it is about.
+    /// Start of the soak, and the processes that take part in it.
     soak: Option<(Duration, BTreeMap<String, u64>)>,
-    /// What keeps the next step from being taken, as of the last one.
+    /// Reason why the next step is not taken, as of the last call of `step`.
     pub held: Held,
 }
 
 impl Machine {
-    /// A machine that has seen nothing; `features` are those that this build knows.
+    /// Creates a machine without history; `features` are those that this build knows.
     pub fn new(config: Config, features: &'static [Feature]) -> Self {
         Self {
             config,
@@ -113,17 +113,17 @@
         }
     }
 
-    /// How long the soak under way has lasted.
+    /// Returns the elapsed time of the current soak.
     pub fn soaked(&self, now: Duration) -> Duration {
         let since = self.soak.as_ref().map(|(since, _)| *since);
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Where the cluster should go from a generation at rest.
+    /// Returns the generation to move to from a settled one.
     fn target(&self, view: &View) -> Generation {
         let at = view.cluster.from;
         let newest = self.features.iter().map(|f| f.since).max();
-        // Whoever holds a feature back, at any node, holds it back.
+        // A feature held back at any node is held back for the cluster.
         let abilities = self
             .nodes(view)
             .filter_map(|(_, seen)| seen.ability.as_ref());
@@ -131,7 +131,7 @@
         let held = held.into_iter().chain(self.config.held_to(self.features));
         let newest = held.chain(newest).min().unwrap_or(at);
         match view.orders.target {
-            // One step at a time, both ways.
+            // One step at a time in either direction.
             Some(target) if target < at => at - 1,
             Some(target) => target.min(newest).min(at + 1).max(at),
             None if self.config.automatic => newest.min(at + 1).max(at),
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Looks at the cluster, and tells what is to be stored and logged.
+    /// Evaluates the view and returns the records to store and events to log.
     pub fn step(&mut self, now: Duration, view: &View) -> Vec<Output> {
         let mut out = Vec::new();
         self.held = self.decide(now, view, &mut out);
@@ -169,18 +169,18 @@
             Stage::Settled => self.target(view),
             _ => cluster.to,
         };
-        // Until the new form is written, a change of mind costs nothing.
+        // Until the new format is written, the move can be cancelled at no cost.
         let early = matches!(cluster.stage, Stage::Prepared | Stage::Soaking);
         if early && self.target(view) != cluster.to {
             let back = Cluster::settled(cluster.from);
-            return store(out, back, "not wanted any more", Vec::new());
+            return store(out, back, "the target has changed", Vec::new());
         }
         let able = self.able(view, needed);
         if early && let Err(held @ Held::Unable(..)) = able {
             store(
                 out,
                 Cluster::settled(cluster.from),
-                "a node is not able to",
+                "a node does not support the generation",
                 Vec::new(),
             );
             return held;
@@ -199,15 +199,25 @@
                     stage: Stage::Prepared,
                     ..cluster
                 };
-                store(out, prepared, "all nodes are able to", Vec::new())
+                store(
+                    out,
+                    prepared,
+                    "all nodes support the generation",
+                    Vec::new(),
+                )
             }
             Stage::Prepared => match able.and_then(|()| self.present(view)) {
                 Err(held) => held,
-                // The form before was in use on all of them.
+                // No soak: the previous format was in use on all of them.
                 Ok(nodes) if cluster.to < cluster.from => {
-                    store(out, staged(Stage::Active), "going back", nodes)
+                    store(out, staged(Stage::Active), "rolling back", nodes)
                 }
-                Ok(_) => store(out, staged(Stage::Soaking), "all nodes are here", vec![]),
+                Ok(_) => store(
+                    out,
+                    staged(Stage::Soaking),
+                    "all nodes are up to date",
+                    vec![],
+                ),
             },
             Stage::Soaking => match able.and_then(|()| self.present(view)) {
                 Err(held) => {
@@ -218,12 +228,17 @@
                 }
                 Ok(nodes) => self.soaks(now, nodes, out, staged(Stage::Active)),
             },
-            // Nobody has to be here for these: writes of whoever has not seen the switch
-            // fail.
-            Stage::Active => store(out, staged(Stage::Migrating), "rewriting begins", vec![]),
+            // These steps don't require all nodes: writes of a process that has not seen the
+            // switch fail.
+            Stage::Active => store(
+                out,
+                staged(Stage::Migrating),
+                "rewriting of old records begins",
+                vec![],
+            ),
             Stage::Migrating if view.clean => {
                 let settled = Cluster::settled(cluster.to);
-                store(out, settled, "nothing old is left", vec![])
+                store(out, settled, "no old records remain", vec![])
             }
             Stage::Migrating => Held::Migrating,
         }
@@ -244,7 +259,7 @@
                     let other =
                         |(node, started): &(&String, &u64)| before.get(*node) != Some(started);
                     let node = processes.iter().find(other).map(|(node, _)| node.as_str());
-                    format!("{} was started again", node.unwrap_or("a node"))
+                    format!("{} was restarted", node.unwrap_or("a node"))
                 });
                 out.push(again.map_or(Output::SoakBegins, Output::SoakBeginsAgain));
                 self.soak = Some((now, processes));
@@ -257,13 +272,13 @@
         }
         out.push(Output::Store {
             cluster: next,
-            why: "soaked",
+            why: "soak completed",
             nodes,
         });
         Held::Free
     }
 
-    /// Going down: the first feature that can't be undone.
+    /// Returns the first feature that can't be rolled back, for a move to an older generation.
     fn no_way_back(&self, from: Generation, to: Generation) -> Option<&'static str> {
         let left = self
             .features
@@ -272,13 +287,13 @@
         left.filter(|f| !f.way_back).map(|f| f.name).next()
     }
 
-    /// Nodes that count.
+    /// Returns the configured nodes, without those declared gone.
     fn nodes<'a>(&self, view: &'a View) -> impl Iterator<Item = (&'a String, &'a Seen)> {
         let gone = &view.orders.gone;
         view.nodes.iter().filter(|(node, _)| !gone.contains(*node))
     }
 
-    /// All nodes say of themselves that they are able to a generation, here or not.
+    /// Checks that the records of all nodes, reachable or not, declare support of a generation.
     fn able(&self, view: &View, generation: Generation) -> Result<(), Held> {
         for (node, seen) in self.nodes(view) {
             match &seen.ability {
@@ -292,7 +307,7 @@
         Ok(())
     }
 
-    /// All are here, are the processes that their records are of, and know how it stands.
+    /// Checks that all nodes are heard, match their records and know the current cluster record.
     fn present(&self, view: &View) -> Result<Vec<(String, u64)>, Held> {
         let mut nodes = Vec::new();
         for (node, seen) in self.nodes(view) {
--- a/crates/rollout/src/next.rs
+++ b/crates/rollout/src/next.rs
@@ -1,8 +1,8 @@
-//! Which node may be restarted now without harm.
+//! Selection of the next node that is safe to restart.
 
 use crate::{generation::Stage, view::Status};
 
-/// The way from here to all nodes of a build and the newest generation, in words.
+/// Returns the remaining steps to run a build on all nodes and the newest generation, as text.
 pub fn plan(status: &Status, build: Option<&str>) -> Vec<String> {
     let mut steps = Vec::new();
     let counted = || status.nodes.iter().filter(|node| !node.gone);
@@ -33,10 +33,10 @@
             _ if !status.enabled => steps.push("start the nodes with --rollout FILE".into()),
             Stage::Settled | Stage::Prepared | Stage::Soaking if to > status.from => {
                 steps.push(format!(
-                    "generation {to} soaks for {soak} s with all nodes here"
+                    "generation {to} soaks for {soak} s with all nodes up"
                 ));
                 steps.push(format!(
-                    "generation {to} is written, old records are rewritten"
+                    "generation {to} is written, and old records are rewritten"
                 ));
             }
             _ => steps.push(format!("old records are rewritten for generation {to}")),
@@ -49,34 +49,34 @@
     steps
 }
 
-/// Why none may.
+/// The reason why no node may be restarted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NotNow {
-    /// A node that counts is not here.
-    #[error("{0} is away")]
+    /// A node was not heard recently.
+    #[error("{0} was not heard recently")]
     Away(String),
-    /// No node that counts leads.
+    /// No node is known to lead.
     #[error("no leader is known")]
     NoLeader,
-    /// Only the leader knows enough to tell.
-    #[error("the answer did not come from the leader")]
+    /// The status is not from the leader, which alone has the necessary information.
+    #[error("the status is not from the leader")]
     NotTheLeader,
-    /// Some of the machines are out of reach.
-    #[error("the leader does not hear all of its machines")]
+    /// Some machines are unreachable.
+    #[error("the leader does not receive reports from all machines")]
     Outlook,
-    /// A restart would delay the rewriting.
+    /// A restart would delay the rewriting of old records.
     #[error("old records are being rewritten")]
     Migrating,
-    /// Nothing is left to restart.
-    #[error("every node is of build {0} already")]
+    /// All nodes run the requested build.
+    #[error("every node already runs build {0}")]
     Done(String),
 }
 
-/// The node to restart next, given the build that all are to be of; by the leader's status.
+/// Returns the node to restart next to run `build` on all nodes, given the leader's status.
 ///
-/// One node at a time, and so one zone: while any is away none may. The leader comes last,
-/// so that the leadership changes hands once. With no build named, those of an older build
-/// than the leader's come first, and then whichever; the caller stops where it began.
+/// One node, and so one zone, is restarted at a time: none while any node is absent. The leader
+/// comes last, so that the leadership changes once. Without a build, nodes of an older build
+/// than the leader's come first, then the others; the caller stops at the node it began with.
 pub fn next(status: &Status, build: Option<&str>) -> Result<String, NotNow> {
     let counted = || status.nodes.iter().filter(|node| !node.gone);
     let leader = counted().find(|node| node.leads).ok_or(NotNow::NoLeader)?;
--- a/crates/rollout/src/view.rs
+++ b/crates/rollout/src/view.rs
@@ -1,4 +1,4 @@
-//! How a rollout stands, for people.
+//! Status of a rollout, for display.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -14,77 +14,83 @@
         match self {
             Held::Nothing => f.write_str("nothing to do"),
             Held::Paused => f.write_str("paused by an operator"),
-            Held::Silent(node) => write!(f, "{node} has not said what it is able to"),
+            Held::Silent(node) => write!(
+                f,
+                "{node} has not declared the generations that it supports"
+            ),
             Held::Unable(node, generation) => {
-                write!(f, "{node} is not able to generation {generation}")
+                write!(f, "{node} does not support generation {generation}")
             }
-            Held::Away(node) => write!(f, "{node} is away, or has not seen how it stands"),
+            Held::Away(node) => write!(
+                f,
+                "{node} was not heard, or does not know the current generation record"
+            ),
             Held::Soaking(_) => f.write_str("soaking"),
-            Held::NoWayBack(feature) => write!(f, "{feature} has no way back"),
-            Held::Migrating => f.write_str("old records are left"),
+            Held::NoWayBack(feature) => write!(f, "{feature} can't be rolled back"),
+            Held::Migrating => f.write_str("old records remain to be rewritten"),
             Held::Free => f.write_str("the next step is being taken"),
         }
     }
 }
 
-/// One node, as the one that answers sees it.
+/// The status of one node, as the answering node sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// The node's name.
     pub node: String,
-    /// The zone where it is.
+    /// Zone of the node.
     pub zone: String,
-    /// It leads.
+    /// Whether it is the leader.
     pub leads: bool,
-    /// It was heard lately.
+    /// Whether it was heard recently.
     pub here: bool,
-    /// Operators declared it gone.
+    /// Whether operators declared it gone.
     pub gone: bool,
-    /// None where it said nothing.
+    /// Its build; `None` if it has not declared one.
     pub build: Option<String>,
     /// The oldest generation that it reads and writes.
     pub least: Generation,
     /// The newest generation that it reads and writes.
     pub most: Generation,
-    /// The features that it knows, by name.
+    /// Names of the features that it knows.
     pub features: Vec<String>,
 }
 
-/// How it stands at the node that answers. What only the leader knows is none elsewhere.
+/// The status as the answering node knows it. Fields known only to the leader are `None` elsewhere.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The node that answers.
     pub node: String,
-    /// It has the file that turns rollouts on.
+    /// Whether the node has a rollout file, which enables rollouts.
     pub enabled: bool,
-    /// The generation that is left, or at rest the one in use.
+    /// The generation that is moved from, or the current one when settled.
     pub from: Generation,
-    /// The generation that is moved to; at rest the same.
+    /// The generation that is moved to; equal to `from` when settled.
     pub to: Generation,
-    /// How far the move is.
+    /// Stage of the move.
     pub stage: Stage,
-    /// An operator has paused it.
+    /// Whether an operator has paused it.
     pub paused: bool,
-    /// The generation that operators want instead of the newest.
+    /// Generation that operators ordered instead of the newest.
     pub target: Option<Generation>,
     /// Nodes that operators declared gone.
     pub gone: BTreeSet<String>,
     /// All configured nodes, by name.
     pub nodes: Vec<NodeStatus>,
-    /// How long the soak has lasted, in milliseconds.
+    /// Elapsed time of the soak, in milliseconds.
     pub soaked_ms: Option<u64>,
-    /// How long it has to last, in milliseconds.
+    /// Required time of the soak, in milliseconds.
     pub soak_ms: Option<u64>,
-    /// What keeps the next step from being taken, in words.
+    /// Reason why the next step is not taken, as text.
     pub held: Option<String>,
-    /// Records rewritten by this leader, and those found that are left.
+    /// Number of records rewritten by this leader.
     pub migrated: Option<u64>,
-    /// Records that were found in the old form and not rewritten yet.
+    /// Number of records found in the old format and not rewritten yet.
     pub left: Option<u64>,
-    /// How long the rest of the move is expected to take, where that can be told.
+    /// Estimated time until the move completes, if known.
     pub estimate_s: Option<f64>,
-    /// Why this node does not act, if it does not.
+    /// Reason why this node does not act on the stored state, if so.
     pub refuses: Option<String>,
-    /// The leader hears all of its zones.
+    /// Whether the leader receives reports from all of its zones.
     pub clear: Option<bool>,
 }
--- a/crates/rollout/tests/exhaustive.rs
+++ b/crates/rollout/tests/exhaustive.rs
@@ -1,5 +1,5 @@
-//! Every state that three nodes, two generations, late writes and restarts can get into,
-//! with one job's end as the record that changes its form.
+//! Search of every state reachable with three nodes, two generations, delayed writes and restarts,
+//! where the end of one job is the record whose format changes.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -23,13 +23,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Process {
     most: Generation,
-    /// The revision of its own record; 0: it has not stored it yet.
+    /// Revision of its own record; 0: not stored yet.
     started: u8,
-    /// The revision of the cluster's record that it knows, and what that says.
+    /// The cluster's record that it knows, with its revision.
     knows: (u8, Cell),
 }
 
-/// A cluster record that can be hashed.
+/// A hashable form of the cluster record.
 type Cell = (Generation, Generation, u8);
 
 fn cell(cluster: Cluster) -> Cell {
@@ -43,14 +43,14 @@
         if_cluster: u8,
         if_nodes: Vec<(usize, u8)>,
     },
-    /// The job ends: its end is stored in a form, on condition that it is live.
+    /// The job ends: its end is stored in a format, conditional on the job being live.
     End { form: Generation, if_cluster: u8 },
-    /// The job is submitted again: taken where no end is found in these forms.
+    /// The job is submitted again: accepted if no end is found in these formats.
     Accept {
         absent: Vec<Generation>,
         if_cluster: u8,
     },
-    /// Its end is rewritten.
+    /// The end of the job is rewritten.
     Move {
         from: Generation,
         to: Generation,
@@ -61,26 +61,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     cluster: (u8, Cell),
-    /// Each node's record: its ability and revision.
+    /// Record of each node: its ability and revision.
     records: [(Generation, u8); NODES],
     processes: [Process; NODES],
-    /// The form that the end is stored in.
+    /// Format in which the end is stored.
     end: Option<Generation>,
-    /// Writes on their way.
+    /// Delayed writes.
     late: Vec<Write>,
     restarts: u8,
     orders: bool,
 }
 
-/// Ways to make it unsafe.
+/// An injected fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     None,
     /// Writes do not depend on the cluster's record.
     Unconditional,
-    /// While records move, only the new form is looked for.
+    /// While records are rewritten, only the new format is read.
     NewOnly,
-    /// Settled before anything was looked for.
+    /// The cluster settles without a listing of old records.
     NeverClean,
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// Writes that wait on their way at a time, restarts in all, and steps of the cluster.
+/// Bounds on writes delayed at a time, on restarts in all, and on steps of the cluster.
 const LATE: usize = 1;
 const RESTARTS: u8 = 1;
 const STEPS: u8 = 10;
@@ -139,7 +139,7 @@
         cluster(of).suits(&ability(self.processes[node].most))
     }
 
-    /// What the machine decides where `node` leads, with what it sees.
+    /// Returns the steps of the machine if `node` leads, given what it knows.
     fn steps(&self, node: usize, fault: Fault) -> Vec<Write> {
         let leader = &self.processes[node];
         let clean = fault == Fault::NeverClean || self.end != Some(cluster(leader.knows.1).from);
@@ -184,7 +184,7 @@
         outputs.into_iter().filter_map(step).collect()
     }
 
-    /// What a process may send off by what it knows.
+    /// Returns the writes that a process may send, given what it knows.
     fn writes(&self, node: usize, fault: Fault) -> Vec<Write> {
         let knows = self.processes[node].knows;
         if !self.suits(node, knows.1) {
@@ -210,7 +210,7 @@
         writes
     }
 
-    /// Applies a write, if its conditions hold; says what it broke.
+    /// Applies a write if its conditions hold; returns the invariant that it violates.
     fn apply(&mut self, write: &Write, fault: Fault) -> Option<&'static str> {
         let stands = |at: u8| fault == Fault::Unconditional || at == self.cluster.0;
         match write {
@@ -232,7 +232,7 @@
             Write::Accept { absent, if_cluster } => {
                 let elsewhere = |form| !absent.contains(&form);
                 if stands(*if_cluster) && self.end.is_some_and(elsewhere) {
-                    return Some("a job that is over was accepted again");
+                    return Some("a job that has ended was accepted again");
                 }
             }
             Write::Move {
@@ -250,13 +250,13 @@
     fn broken(&self, fault: Fault) -> Option<&'static str> {
         let end = self.end?;
         for (node, process) in self.processes.iter().enumerate() {
-            // An answer is given only from what is known to stand now.
+            // A process answers only from a cluster record that is known to be current.
             let answers = process.knows.0 == self.cluster.0 && self.suits(node, process.knows.1);
             if answers && !reads(process.knows.1, fault).contains(&end) {
-                return Some("the end of a job is looked for where it is not");
+                return Some("the end of a job is not found in the formats that are read");
             }
             if answers && end > process.most {
-                return Some("a process answers that can't read the end");
+                return Some("a process that can't read the end answers");
             }
         }
         None
@@ -268,7 +268,7 @@
             let mut state = self.clone();
             state.processes[node].knows = self.cluster;
             all.push(Ok(state));
-            // Stored late as well: only where nothing else was stored since it was read.
+            // May be stored late, conditional on no other record being stored since the read.
             if self.processes[node].started == 0 {
                 let mut state = self.clone();
                 let at = self.records.iter().map(|(_, at)| at).max().unwrap_or(&0) + 1;
@@ -280,7 +280,7 @@
                 if self.restarts < RESTARTS {
                     let mut state = self.clone();
                     state.restarts += 1;
-                    // It reads everything before it does anything.
+                    // A process reads all records before it acts.
                     state.processes[node] = Process {
                         most,
                         started: 0,
@@ -323,8 +323,8 @@
     }
 }
 
-/// Walks through the states; how many there were, whether both ends of the way were
-/// reached, and what was broken.
+/// Visits the reachable states; returns their number, whether both the upgrade and the rollback
+/// were completed, and the first violation.
 fn walk(fault: Fault, most: usize) -> (usize, bool, Option<&'static str>) {
     let mut seen = HashSet::from([State::first()]);
     let mut queue = std::collections::VecDeque::from([State::first()]);
@@ -353,7 +353,7 @@
 fn no_order_of_late_writes_and_restarts_loses_the_end_of_a_job() {
     let (states, both, broken) = walk(Fault::None, 4_000_000);
     assert_eq!(broken, None);
-    println!("{states} states, settled forth and back: {both}");
+    println!("{states} states, settled after upgrade and rollback: {both}");
     assert!(states >= 100, "{states} states");
 }
 
@@ -363,7 +363,7 @@
         let (states, _, broken) = walk(fault, 2_000_000);
         assert!(
             broken.is_some(),
-            "{fault:?} was not found in {states} states"
+            "{fault:?} was not detected in {states} states"
         );
         println!(
             "{fault:?}: {} after {states} states",
--- a/crates/rollout/tests/orders.rs
+++ b/crates/rollout/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The file, which node may be restarted, and what holds a step.
+//! Parsing of the rollout file, the order of restarts, and reasons to hold a step.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -45,7 +45,7 @@
             "{error}"
         );
     }
-    let config = Config::parse("soak_s = 900\nhold = [\"third\"]", FEATURES).expect("good");
+    let config = Config::parse("soak_s = 900\nhold = [\"third\"]", FEATURES).expect("valid");
     assert_eq!(config.soak, Duration::from_secs(900));
     assert_eq!(config.held_to(FEATURES), Some(2));
     let shipped = include_str!("../../../deploy/rollout.toml");
@@ -117,7 +117,7 @@
     assert_eq!(but(&|s| s.stage = Stage::Migrating), Err(NotNow::Migrating));
     assert_eq!(but(&|s| s.node = "a".into()), Err(NotNow::NotTheLeader));
     assert_eq!(but(&|s| s.nodes[0].leads = false), Err(NotNow::NoLeader));
-    // One that is gone for good is not waited for.
+    // A node declared gone is not waited for.
     let gone = but(&|s| (s.nodes[1].here, s.nodes[1].gone) = (false, true));
     assert_eq!(gone, Ok("c".into()));
 }
@@ -148,7 +148,7 @@
 }
 
 fn machine() -> Machine {
-    let config = Config::parse("soak_s = 10", FEATURES).expect("a good file");
+    let config = Config::parse("soak_s = 10", FEATURES).expect("a valid file");
     Machine::new(config, FEATURES)
 }
 
@@ -166,7 +166,7 @@
     let mut machine = machine();
     assert_eq!(machine.step(s(100), &soaking), [Output::SoakBegins]);
     assert!(machine.step(s(109), &soaking).is_empty());
-    // A node restarts within the soak: its record and what it tells are new.
+    // A node restarts within the soak: its record and its announcement are new.
     let mut restarted = soaking.clone();
     restarted.nodes.get_mut("b").expect("b").started = 12;
     let away = machine.step(s(109), &restarted);
@@ -180,7 +180,7 @@
     assert_eq!(machine.held, Held::Soaking(s(120)));
     assert!(machine.step(s(119), &restarted).is_empty());
     let switch = machine.step(s(120), &restarted);
-    // The switch depends on both processes.
+    // The activation is conditional on the records of both processes.
     assert_eq!(stored(&switch), Some((moving(1, 2, Stage::Active), 2)));
 }
 
@@ -203,7 +203,7 @@
     assert_eq!(step(&down), (None, Held::NoWayBack("third")));
     down.cluster = Cluster::settled(2);
     assert_eq!(step(&down).0, prepared(2, 1));
-    // A node that holds a feature back holds it back for all.
+    // A feature held back by one node is held back for all.
     let mut held = settled(2);
     let ability = held.nodes.get_mut("b").expect("b").ability.as_mut();
     ability.expect("an ability").held_to = Some(2);
@@ -272,7 +272,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// The rules of a step, said plainly, against the machine.
+    /// Checks each step of the machine against the rules, stated independently.
     #[test]
     fn no_step_is_taken_that_the_rules_forbid(view in any_view(), soaked in any::<bool>()) {
         let mut machine = machine();
