--- a/crates/licences/src/config.rs
+++ b/crates/licences/src/config.rs
@@ -1,54 +1,54 @@
-//! The operators' file: which licences there are, and what part is for whom.
+//! The licences file: licences, their seats and the shares of teams.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use serde::Deserialize;
 
-/// Why a licences file is rejected.
+/// The reason why a licences file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
-    /// Not a file of this form; the message names the line.
+    /// The file does not parse; the message names the line.
     #[error("licences: {0}")]
     Form(String),
-    /// A value is out of its range.
+    /// A value is out of range.
     #[error("licences: `{licence}.{field}`: {message}")]
     Field {
-        /// The licence as the file names it.
+        /// Name of the licence.
         licence: String,
-        /// The field within the licence.
+        /// Field of the licence.
         field: String,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// One licence.
+/// A licence.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Licence {
-    /// How many seats there are.
+    /// Total number of seats.
     pub seats: u32,
-    /// How long a seat stays taken after its task is proven gone: counters give seats
-    /// back late.
+    /// Time for which a seat stays in use after its task is proven gone: licence counters release
+    /// seats late.
     pub linger: Duration,
-    /// Seats that are kept for a team, and that it may have at most.
+    /// Reserved and maximum seats by team.
     pub teams: BTreeMap<String, Share>,
-    /// Where its counter is, if it has one.
+    /// Address of its licence counter, if it has one.
     pub counter: Option<SocketAddr>,
 }
 
-/// A team's part of a licence.
+/// A team's share of a licence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
-    /// Seats that are reserved for the team.
+    /// Seats reserved for the team.
     #[serde(default)]
     pub least: u32,
-    /// Seats that the team may hold at most; none: no limit of its own.
+    /// Maximum number of seats of the team; `None`: no limit of its own.
     pub most: Option<u32>,
 }
 
 impl Licence {
-    /// Seats that a team could have if nobody else had any.
+    /// Returns the number of seats that a team could hold if no other team held any.
     pub fn most_for(&self, team: &str) -> u32 {
         let others = self.teams.iter().filter(|(other, _)| *other != team);
         let kept: u32 = others.map(|(_, share)| share.least).sum();
@@ -88,7 +88,7 @@
 const LINGER_MOST: f64 = 86_400.0;
 
 impl Config {
-    /// Reads and checks a licences file.
+    /// Parses and checks a licences file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
             .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
@@ -112,11 +112,11 @@
         };
         let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         if name.is_empty() || name.len() > NAME_MOST || !name.chars().all(plain) {
-            let message = "a name has 1 to 64 letters, digits, dots, dashes or underscores";
+            let message = "must be 1 to 64 letters, digits, dots, dashes or underscores";
             return fail("name", message.into());
         }
         if self.seats > SEATS_MOST {
-            return fail("seats", format!("must be {SEATS_MOST} or less"));
+            return fail("seats", format!("must be at most {SEATS_MOST}"));
         }
         if !(0.0..=LINGER_MOST).contains(&self.linger_s) {
             return fail("linger_s", format!("must be 0 to {LINGER_MOST} seconds"));
@@ -125,11 +125,17 @@
         for (team, share) in &self.team {
             kept += u64::from(share.least);
             if share.most.is_some_and(|most| most < share.least) {
-                return fail(&format!("team.{team}.most"), "is less than `least`".into());
+                return fail(
+                    &format!("team.{team}.most"),
+                    "must be at least `least`".into(),
+                );
             }
         }
         if kept > u64::from(self.seats) {
-            let message = format!("teams are kept {kept} seats of {}", self.seats);
+            let message = format!(
+                "{kept} seats are reserved for teams, of {} in all",
+                self.seats
+            );
             return fail("team", message);
         }
         Ok(Licence {
--- a/crates/licences/src/grant.rs
+++ b/crates/licences/src/grant.rs
@@ -1,5 +1,5 @@
-//! The word that goes with a start: this attempt holds these seats, under this claim,
-//! until then. Whoever has the key can check it without asking anyone.
+//! Signed grants sent with a start: an attempt holds these seats, under this claim, until an
+//! expiry. A holder of the key can verify a grant offline.
 
 use std::collections::BTreeMap;
 
@@ -11,55 +11,55 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
-    /// The licence.
+    /// Name of the licence.
     pub licence: String,
-    /// How many seats of it.
+    /// Number of seats.
     pub seats: u32,
-    /// The task that holds them.
+    /// Task that holds the seats.
     pub task: String,
-    /// The attempt of that task.
+    /// Attempt of that task.
     pub attempt: u64,
-    /// The leader's claim: a later one outdates what an earlier one gave.
+    /// Claim of the leader; grants of earlier claims are outdated by a later one.
     pub claim: u64,
-    /// In milliseconds of the time of day.
+    /// Expiry in Unix milliseconds.
     pub expires_ms: u64,
 }
 
-/// Why a grant does not count.
+/// The reason why a grant is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Refusal {
-    /// The text is not of the form that [`Keys::seal`] makes.
-    #[error("not a grant")]
+    /// The text does not have the format of [`Keys::seal`].
+    #[error("malformed grant")]
     Malformed,
-    /// Neither the current key nor the former one made it.
-    #[error("its MAC does not match")]
+    /// Neither the current nor the former key made its MAC.
+    #[error("the MAC of the grant does not match")]
     Forged,
-    /// It was valid until an earlier time.
-    #[error("it has expired")]
+    /// The expiry of the grant has passed.
+    #[error("the grant has expired")]
     Expired,
-    /// The same attempt entered with the same licence before.
-    #[error("it was used before")]
+    /// A grant of the same licence for the same attempt was accepted before.
+    #[error("the grant was used before")]
     Replayed,
     /// A grant of a later claim has been accepted since.
-    #[error("a later leader gives the seats now")]
+    #[error("a grant of a later leader was accepted")]
     Outdated,
 }
 
-/// The key that grants are made with, and the one before it, which still counts.
+/// The key that signs grants, and the previous one, which is still accepted.
 #[derive(Clone)]
 pub struct Keys {
     current: [u8; 32],
     former: Option<[u8; 32]>,
 }
 
-/// Keys for other uses of the same secret differ.
+/// Key derivation context, which separates these keys from other uses of the secret.
 const CONTEXT: &str = "kiteyard 2026 licence grants";
 const SEPARATOR: char = '.';
-/// No grant is longer.
+/// Maximum length of a sealed grant in bytes.
 const TEXT_MOST: usize = 2048;
 
 impl Keys {
-    /// Derives the keys from a secret, and from the one before it while that still counts.
+    /// Derives the keys from a secret, and from the previous one while it is still accepted.
     pub fn new(secret: &[u8], former: Option<&[u8]>) -> Self {
         let key = |secret: &[u8]| blake3::derive_key(CONTEXT, secret);
         Self {
@@ -68,25 +68,25 @@
         }
     }
 
-    /// The grant as text: its JSON and, after a dot, the MAC of exactly that text.
+    /// Returns the grant as text: its JSON and, after a dot, the MAC of exactly that JSON.
     pub fn seal(&self, grant: &Grant) -> String {
         let text = serde_json::to_string(grant).unwrap_or_default();
         let mac = blake3::keyed_hash(&self.current, text.as_bytes()).to_hex();
         format!("{text}{SEPARATOR}{mac}")
     }
 
-    /// What it says, if one of the keys made it.
+    /// Returns the grant if one of the keys made its MAC.
     pub fn open(&self, sealed: &str) -> Result<Grant, Refusal> {
         if sealed.len() > TEXT_MOST {
             return Err(Refusal::Malformed);
         }
         let (text, mac) = sealed.rsplit_once(SEPARATOR).ok_or(Refusal::Malformed)?;
-        // Capitals would be another text for the same grant.
+        // Uppercase hex would be a second encoding of the same grant.
         if mac.bytes().any(|b| b.is_ascii_uppercase()) {
             return Err(Refusal::Malformed);
         }
         let mac = blake3::Hash::from_hex(mac).map_err(|_| Refusal::Malformed)?;
-        // Hashes are compared in constant time.
+        // `blake3::Hash` compares in constant time.
         let made = |key: &[u8; 32]| blake3::keyed_hash(key, text.as_bytes()) == mac;
         if !made(&self.current) && !self.former.as_ref().is_some_and(made) {
             return Err(Refusal::Forged);
@@ -95,18 +95,18 @@
     }
 }
 
-/// A counter's side: lets each grant in once, and none of a leader that was followed.
+/// Verifier at a licence counter: accepts each grant once, and none of a superseded leader.
 #[derive(Debug, Default)]
 pub struct Gate {
     claim: u64,
-    /// Attempts let in, and until when they have to be remembered.
+    /// Accepted attempts, with the time until which they must be remembered.
     seen: BTreeMap<(Attempt, String), u64>,
-    /// Grants that were refused so far, by reason.
+    /// Number of refused grants by reason.
     pub refused: BTreeMap<Refusal, u64>,
 }
 
 impl Gate {
-    /// Accepts a grant, or counts and tells why it is refused.
+    /// Accepts a grant, or counts and returns the reason why it is refused.
     pub fn enter(&mut self, keys: &Keys, sealed: &str, now_ms: u64) -> Result<Grant, Refusal> {
         let result = self.check(keys, sealed, now_ms);
         if let Err(refusal) = &result {
--- a/crates/licences/src/history.rs
+++ b/crates/licences/src/history.rs
@@ -1,30 +1,30 @@
-//! Who held which seat, and when: bounded, and a snapshot for readers costs nothing.
+//! Bounded history of held seats, with cheap snapshots for readers.
 
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
 
 use crate::ledger::Attempt;
 
-/// One attempt's time with its seats, in milliseconds of the time of day.
+/// The period for which an attempt held seats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stay {
-    /// The licence.
+    /// Name of the licence.
     pub licence: String,
-    /// The team that was charged.
+    /// Team that was charged.
     pub team: String,
-    /// The task that held the seats.
+    /// Task that held the seats.
     pub task: String,
-    /// The attempt of that task.
+    /// Attempt of that task.
     pub attempt: u64,
-    /// How many seats it held.
+    /// Number of seats.
     pub seats: u32,
-    /// When it took them.
+    /// Start of the period in Unix milliseconds.
     pub from_ms: u64,
-    /// None while it holds them.
+    /// End of the period in Unix milliseconds; `None` while the seats are held.
     pub to_ms: Option<u64>,
 }
 
-/// Stays in the order in which they began. A clone shares all of it.
+/// Periods in order of their start. A clone shares the data.
 #[derive(Debug, Clone)]
 pub struct History {
     most: usize,
@@ -34,7 +34,7 @@
 }
 
 impl History {
-    /// An empty history of at most `most` stays, one at least.
+    /// Creates an empty history that keeps `most` periods, at least one.
     pub fn new(most: usize) -> Self {
         Self {
             most: most.max(1),
@@ -44,10 +44,10 @@
         }
     }
 
-    /// Records that an attempt took seats. Repeated, it changes nothing.
+    /// Records that an attempt took seats; idempotent.
     pub fn begins(&mut self, stay: Stay) {
         let key = (stay.task.clone(), stay.attempt, stay.licence.clone());
-        // Told twice, as after a take-over, it is one stay.
+        // A period recorded twice, as after a failover, is kept once.
         if self.open.contains_key(&key) {
             return;
         }
@@ -57,7 +57,7 @@
         self.trim();
     }
 
-    /// Records that an attempt gave back all of its seats.
+    /// Records that an attempt released all of its seats.
     pub fn ends(&mut self, attempt: &Attempt, to_ms: u64) {
         let first = (attempt.task.clone(), attempt.attempt, String::new());
         let of = |key: &(String, u64, String)| key.0 == attempt.task && key.1 == attempt.attempt;
@@ -70,13 +70,13 @@
         for (key, number) in over {
             self.open.remove(&key);
             if let Some(stay) = self.stays.get_mut(&number) {
-                // Clocks of two leaders differ; no stay ends before it began.
+                // Clocks of two leaders may differ; no period ends before its start.
                 stay.to_ms = Some(to_ms.max(stay.from_ms));
             }
         }
     }
 
-    /// The oldest that are over go first; one that lasts is never forgotten.
+    /// Removes the oldest ended periods over the bound; an open one is never removed.
     fn trim(&mut self) {
         while self.stays.len() > self.most {
             let over = self.stays.iter().find(|(_, stay)| stay.to_ms.is_some());
@@ -87,23 +87,23 @@
         }
     }
 
-    /// All stays, in the order in which they began.
+    /// Returns all periods in order of their start.
     pub fn stays(&self) -> impl Iterator<Item = &Stay> {
         self.stays.values()
     }
 
-    /// How many stays there are.
+    /// Returns the number of periods.
     pub fn len(&self) -> usize {
         self.stays.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no periods.
     pub fn is_empty(&self) -> bool {
         self.stays.is_empty()
     }
 
-    /// Pages of JSON, none larger than `most` bytes, for stored values of that size. A
-    /// stay that is larger than a page by itself is left out.
+    /// Returns the history as JSON pages of at most `most` bytes, to be stored as values. A period
+    /// that is larger than a page by itself is omitted.
     pub fn pages(&self, most: usize) -> Vec<String> {
         let mut pages: Vec<String> = Vec::new();
         let mut page = String::new();
@@ -123,7 +123,7 @@
         pages
     }
 
-    /// The history that pages tell, as far as they can be read.
+    /// Restores a history from pages; skips pages that don't parse.
     pub fn restore<'a>(most: usize, pages: impl IntoIterator<Item = &'a str>) -> Self {
         let mut history = Self::new(most);
         for page in pages {
--- a/crates/licences/src/ledger.rs
+++ b/crates/licences/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Who holds which seat. A seat is in use from before its task's start is sent until the
-//! task is proven gone, and for as long after that as its licence lingers.
+//! Accounting of licence seats. A seat is in use from before the start of its task is sent until
+//! the task is proven gone, and for the linger time of its licence after that.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,93 +8,93 @@
 
 use crate::config::{Config, Licence};
 
-/// One try of one task.
+/// An attempt of a task.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
-    /// The task's name.
+    /// Name of the task.
     pub task: String,
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: u64,
 }
 
-/// Seats by licence.
+/// Number of seats by licence.
 pub type Needs = BTreeMap<String, u32>;
 
-/// What the ledger is told.
+/// Inputs of the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// A start of these is about to be sent: all of them get their seats, or none does.
+    /// Starts of these attempts are about to be sent: all of them get their seats, or none does.
     Take {
         /// The team that is charged.
         team: String,
-        /// The attempts to be started.
+        /// Attempts to start.
         attempts: Vec<Attempt>,
-        /// Of each.
+        /// Seats that each attempt needs.
         needs: Needs,
     },
-    /// The task is proven gone: by a newer report, the machine's release or its lease.
+    /// The task is proven gone by a newer report, or the machine's release or expired lease.
     Gone(Attempt),
-    /// A task was found that holds seats, after a take-over.
+    /// A task that holds seats was found after a failover.
     Found {
         /// The team that is charged.
         team: String,
-        /// The attempt that was found.
+        /// Attempt that was found.
         attempt: Attempt,
-        /// The seats that it holds.
+        /// Seats that it holds.
         needs: Needs,
     },
-    /// All that holds seats now, as it is known otherwise: who is not named is gone.
+    /// The complete set of current holders; any other holder is gone.
     Holding(BTreeMap<Attempt, (String, Needs)>),
-    /// A silent machine may hold as much; what was told of it before is replaced.
+    /// A silent machine may hold these seats; replaces earlier values of the machine.
     MayHold {
         /// The machine.
         machine: String,
-        /// The seats that it may hold.
+        /// Seats that it may hold.
         needs: Needs,
     },
-    /// Nothing of a former leader is left there.
+    /// No tasks of a former leader remain on the machine.
     Empty {
         /// The machine.
         machine: String,
     },
-    /// The counter says how many seats are in use by others.
+    /// The licence counter reported the seats in use outside the cluster.
     Counted {
         /// The licence.
         licence: String,
         /// Seats in use outside the cluster.
         elsewhere: u32,
     },
-    /// The counter gave no seat though there should be one.
+    /// The licence counter refused a seat that should be free.
     Refused {
         /// The licence.
         licence: String,
     },
-    /// Another file.
+    /// A new configuration.
     Configured(Config),
-    /// Time goes on.
+    /// Time has passed.
     Tick,
 }
 
-/// What follows from an input.
+/// Outputs of the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// The attempt holds its seats from now on.
+    /// The attempt now holds its seats.
     Taken(Attempt),
-    /// None of them: this licence lacks so many seats.
+    /// No attempt got seats: too few are free for the team.
     Lacking {
-        /// The licence that lacks seats.
+        /// Licence without enough seats.
         licence: String,
-        /// How many seats are missing.
+        /// Number of missing seats.
         seats: u32,
     },
-    /// The licence is not known at all.
+    /// The licence is not configured.
     Unknown {
-        /// The name that is not in the configuration.
+        /// Name of the licence.
         licence: String,
     },
-    /// Seats have come back: whoever waits for this licence may try again.
+    /// Seats were released: requests that wait for this licence may be retried.
     Freed {
-        /// The licence whose seats came back.
+        /// Licence whose seats were released.
         licence: String,
     },
 }
@@ -103,11 +103,11 @@
 struct Holder {
     team: String,
     needs: Needs,
-    /// It is gone, and its seats come back then.
+    /// Time at which the seats of a gone attempt are released; `None` while it is not gone.
     until: Option<Duration>,
 }
 
-/// A licence whose counter refuses is tried again after twice as long each time.
+/// Exponential backoff of a licence whose counter refuses seats.
 #[derive(Debug, Clone, Copy, Default)]
 struct Refusals {
     count: u32,
@@ -117,30 +117,30 @@
 const BACK_OFF: Duration = Duration::from_secs(1);
 const BACK_OFF_DOUBLED_MOST: u32 = 6;
 
-/// The seats of all licences, and who holds them.
+/// Seats of all licences and their holders.
 #[derive(Debug, Default)]
 pub struct Ledger {
     config: Config,
     holders: BTreeMap<Attempt, Holder>,
-    /// What silent machines may hold.
+    /// Seats that silent machines may hold.
     maybe: BTreeMap<String, Needs>,
-    /// Seats that people use outside kiteyard.
+    /// Seats in use outside the cluster.
     elsewhere: BTreeMap<String, u32>,
     refusals: BTreeMap<String, Refusals>,
-    /// When the ledger began: what went before may linger still.
+    /// Start of the ledger after a failover; seats released before it may still linger.
     began: Option<Duration>,
-    /// Licences that somebody asked for in vain.
+    /// Licences for which a request was denied.
     wanted: BTreeSet<String>,
 }
 
-/// How a licence stands.
+/// The seat counts of a licence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Standing {
-    /// Seats in all.
+    /// Total number of seats.
     pub seats: u32,
     /// Seats of tasks that are not proven gone.
     pub held: u32,
-    /// Gone, and not given back by the counter yet.
+    /// Seats of gone tasks that the counter may not have released yet.
     pub lingering: u32,
     /// Seats that silent machines may hold.
     pub maybe: u32,
@@ -149,7 +149,7 @@
 }
 
 impl Standing {
-    /// Never counts on what may be in use.
+    /// Returns the free seats; seats that may be in use are not free.
     pub fn free(&self) -> u32 {
         let used = [self.held, self.lingering, self.maybe, self.elsewhere];
         let used: u64 = used.into_iter().map(u64::from).sum();
@@ -158,7 +158,7 @@
 }
 
 impl Ledger {
-    /// A ledger in which nobody holds a seat.
+    /// Creates a ledger without holders.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -166,8 +166,7 @@
         }
     }
 
-    /// A ledger that takes the place of another one, of which it knows only what still
-    /// holds seats.
+    /// Creates the ledger of a new leader, which knows only the current holders of seats.
     pub fn after_take_over(config: Config, now: Duration) -> Self {
         Self {
             began: Some(now),
@@ -175,12 +174,12 @@
         }
     }
 
-    /// The names of all configured licences.
+    /// Returns the names of all configured licences.
     pub fn licences(&self) -> impl Iterator<Item = &str> {
         self.config.licences.keys().map(String::as_str)
     }
 
-    /// Takes an input in, after expiring what lingers no more, and tells what follows.
+    /// Releases seats whose linger time is over, then applies an input.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let mut out = self.expire(now);
         match input {
@@ -257,7 +256,7 @@
         needs: Needs,
         out: &mut Vec<Output>,
     ) {
-        // One that holds its seats already takes no others.
+        // An attempt that already holds its seats takes no others.
         let holds = |a: &Attempt| self.holders.get(a).is_some_and(|h| h.until.is_none());
         let new = attempts.iter().filter(|a| !holds(a)).count() as u64;
         for (licence, seats) in &needs {
@@ -294,7 +293,7 @@
         let licences = &self.config.licences;
         let linger = |name: &String| licences.get(name).map_or(Duration::ZERO, |l| l.linger);
         let longest = holder.needs.keys().map(linger).max();
-        // Proven twice, it still went but once.
+        // A repeated proof does not extend the linger time.
         holder
             .until
             .get_or_insert(now + longest.unwrap_or_default());
@@ -329,7 +328,7 @@
         }
     }
 
-    /// How a licence stands; none where it is not known.
+    /// Returns the seat counts of a licence, if it is configured.
     pub fn standing(&self, licence: &str) -> Option<Standing> {
         let known = self.config.licences.get(licence)?;
         let mut standing = Standing {
@@ -349,7 +348,7 @@
         Some(standing)
     }
 
-    /// What each team holds of a licence, what lingers included.
+    /// Returns the seats of a licence held by each team, lingering ones included.
     pub fn by_team(&self, licence: &str) -> BTreeMap<String, u32> {
         let mut teams = BTreeMap::new();
         for holder in self.holders.values() {
@@ -361,7 +360,7 @@
         teams
     }
 
-    /// Seats that a team may take now. Those kept for other teams are left to them.
+    /// Returns the seats that a team may take now, without those reserved for other teams.
     pub fn free_for(&self, licence: &str, team: &str, now: Duration) -> Option<u32> {
         let known: &Licence = self.config.licences.get(licence)?;
         let waits = self.refusals.get(licence).is_some_and(|r| now < r.until);
--- a/crates/licences/src/lib.rs
+++ b/crates/licences/src/lib.rs
@@ -1,11 +1,11 @@
-//! Counted licences: how many seats there are, who holds them, and the proof of it that
-//! a licence counter can check without asking anyone.
+//! Floating licences: seats, their holders, and signed grants that a licence counter can verify
+//! offline.
 //!
-//! [`ledger::Ledger`] is a state machine without clocks or sockets. A seat is taken
-//! before its task's start is sent and comes back only when the task is proven gone, so
-//! that no failure of a machine, a counter or a leader ever puts one more in use than
-//! there are. [`grant`] makes and checks the word that goes with a start, [`history`]
-//! remembers who held what, and [`config`] reads the operators' file.
+//! [`ledger::Ledger`] is a state machine without clocks or I/O. A seat is taken before the start
+//! of its task is sent and released only when the task is proven gone, so that no failure of a
+//! machine, a counter or a leader oversubscribes a licence. [`grant`] makes and verifies the
+//! grants sent with starts, [`history`] records the holders of seats, and [`config`] parses the
+//! licences file.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/licences/tests/ledger.rs
+++ b/crates/licences/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger against a slow plain model, and grants against everybody else.
+//! Compares the ledger with a reference model, and checks grants against tampering and replay.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -21,7 +21,7 @@
 "#;
 
 fn config() -> Config {
-    Config::parse(FILE).expect("a good file")
+    Config::parse(FILE).expect("a valid file")
 }
 
 fn attempt(task: usize, attempt: u64) -> Attempt {
@@ -115,7 +115,7 @@
         },
     );
     assert_eq!(free(&ledger), Some(2));
-    // A counter that refuses is left alone for a while, longer each time.
+    // A refusal by the counter delays the next request, longer each time.
     for wait in [1, 2, 4] {
         let licence = "calib".to_owned();
         ledger.step(now, Input::Refused { licence });
@@ -123,14 +123,14 @@
         assert_eq!(at(f64::from(wait) - 0.1), Some(0));
         assert_eq!(at(f64::from(wait)), Some(2));
     }
-    // Fewer seats than are in use end nothing, and nothing more is given.
+    // Fewer seats than are in use stop no task, and no more seats are granted.
     let take = Input::Take {
         team: "archive".into(),
         attempts: vec![attempt(7, 1)],
         needs: needs(4, 0),
     };
     ledger.step(now, take);
-    let fewer = Config::parse("[licence.flow-solver]\nseats = 2\n").expect("a good file");
+    let fewer = Config::parse("[licence.flow-solver]\nseats = 2\n").expect("a valid file");
     ledger.step(now, Input::Configured(fewer));
     assert_eq!(
         ledger.standing("flow-solver").map(|s| (s.held, s.free())),
@@ -138,7 +138,7 @@
     );
 }
 
-/// Every seat as a list of who has it until when.
+/// Reference model: a list of holders with their end.
 #[derive(Default)]
 struct Plain {
     held: Vec<(Attempt, String, Needs, Option<u64>)>,
--- a/crates/maintenance/src/config.rs
+++ b/crates/maintenance/src/config.rs
@@ -1,57 +1,56 @@
-//! The operators' file: budgets of disruption by team.
+//! The maintenance file: disruption budgets by team.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::Deserialize;
 
-/// Why a maintenance file is rejected.
+/// The reason why a maintenance file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
-    /// Not a file of this form; the message names the line.
+    /// The file does not parse; the message names the line.
     #[error("maintenance: {0}")]
     Form(String),
-    /// A value is out of its range.
+    /// A value is out of range.
     #[error("maintenance: `{field}`: {message}")]
     Field {
-        /// The field, with the table that it is in.
+        /// The field, with its table.
         field: String,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// What a team can bear.
+/// The disruption budget of a team.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
-    /// Replicas of one service that may be down at a time: so many, and no more than this
-    /// share of them where it is above zero.
+    /// Maximum number of replicas of one service that may be down at a time.
     pub tasks: u32,
-    /// The largest share of a service's replicas that may be down; 0: no limit by share.
+    /// Maximum share of a service's replicas that may be down; 0: no limit by share.
     pub share: f64,
-    /// While replicas are down by themselves and fewer than this share of the team's are
-    /// up, none is stopped.
+    /// Share of the team's replicas below which none is stopped while any is down by failure.
     pub floor: f64,
-    /// Tasks that may be stopped within the window, and seconds of work lost.
+    /// Maximum number of tasks stopped within the window; `None`: no limit.
     pub in_window: Option<u32>,
-    /// Tasks that may be stopped within the window; none: any number.
+    /// Maximum work lost within the window; `None`: no limit.
     pub lost: Option<Duration>,
-    /// Work that may be lost within the window; none: any amount.
+    /// Length of the window.
     pub window: Duration,
 }
 
 /// The disruption budgets of all teams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The budget of a team that has none of its own.
+    /// Budget of teams without one of their own.
     pub default: Budget,
     /// Budgets by team.
     pub teams: BTreeMap<String, Budget>,
-    /// What is down by itself counts in a breach as well.
+    /// Whether replicas that are down by failure count in a breach.
     pub counts_failures: bool,
 }
 
 impl Config {
-    /// Without a file: so many replicas of a service at a time, and nothing else.
+    /// Returns the configuration without a file, which limits only the replicas of a service that
+    /// are down at a time.
     pub fn plain(tasks: u32) -> Self {
         Self {
             default: Budget {
@@ -67,7 +66,7 @@
         }
     }
 
-    /// The longest window of any budget: what was stopped earlier counts nowhere.
+    /// Returns the longest window of any budget; earlier stops don't count.
     pub(crate) fn longest_window(&self) -> Duration {
         let teams = self.teams.values().map(|budget| budget.window);
         teams.fold(self.default.window, Duration::max)
@@ -96,7 +95,7 @@
     max_lost_s: Option<f64>,
 }
 
-/// So many, or a share such as "5%".
+/// A number of tasks, or a share such as "5%".
 #[derive(Deserialize, Clone)]
 #[serde(untagged)]
 enum MaxDown {
@@ -105,7 +104,7 @@
 }
 
 impl Config {
-    /// Reads the file; `tasks` is what a service may have down where it does not say.
+    /// Parses and checks the file; `tasks` is the default number of replicas that may be down.
     pub fn parse(text: &str, tasks: u32) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
             .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
@@ -125,7 +124,7 @@
 }
 
 impl Entry {
-    /// What is not said is as in `base`.
+    /// Checks an entry; fields that are not set are taken from `base`.
     fn check(self, name: &str, base: &Budget) -> Result<Budget, ConfigError> {
         let fail = |field: &str, message: &str| {
             Err(ConfigError::Field {
@@ -161,7 +160,10 @@
         }
         if let Some(window) = self.max_in_s {
             if !(window > 0.0 && window <= WINDOW_MOST) {
-                return fail("max_in_s", "must be above 0, and a week at most");
+                return fail(
+                    "max_in_s",
+                    "must be above 0 and at most 604800 seconds (a week)",
+                );
             }
             budget.window = Duration::from_secs_f64(window);
         }
--- a/crates/maintenance/src/drain.rs
+++ b/crates/maintenance/src/drain.rs
@@ -1,10 +1,10 @@
-//! Emptying machines that operators asked to be emptied.
+//! Drains of machines that operators ordered.
 //!
-//! kept → cordoned (no new starts) → draining → empty → returned.
+//! active → cordoned (no new starts) → draining → empty → returned.
 //!
-//! A task of the protocol can't run on two machines at once, so a replica is stopped before
-//! it starts elsewhere; what can be done first is to make sure of the room. Array tasks are
-//! let end, until their time is over; gangs are stopped whole.
+//! The protocol doesn't let a task run on two machines at once, so a replica is stopped before it
+//! starts elsewhere, but only when another machine has room for it. Array tasks may end by
+//! themselves until the deadline of the drain; gangs are stopped as a whole.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,79 +12,79 @@
 
 use crate::ledger::{Ask, Ledger, Refusal, Replicas};
 
-/// One machine that is to be emptied, as stored.
+/// The stored drain order of one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// When it was asked for, in milliseconds of the time of day.
+    /// Time of the order in Unix milliseconds.
     pub since_ms: u64,
-    /// When tasks that have not ended are stopped; none: they are waited for.
+    /// Deadline in Unix milliseconds, when remaining tasks are stopped; `None`: they may end.
     #[serde(deserialize_with = "Option::deserialize")]
     pub by_ms: Option<u64>,
 }
 
-/// All that are to be emptied, as stored.
+/// The stored drain orders of all machines.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drains {
-    /// When each machine was ordered to be drained, and its deadline, by the machine's name.
+    /// Drain order of each machine by name.
     pub machines: BTreeMap<String, Drain>,
 }
 
-/// What kind of job a task belongs to.
+/// The kind of job that a task belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A task that runs to completion by itself.
+    /// A task of an array, which runs to completion by itself.
     Array,
-    /// A task of a gang, stopped only with the rest of it.
+    /// A task of a gang, stopped only together with the rest of it.
     Gang,
     /// A replica of a service.
     Replica,
 }
 
-/// A task on a machine that is to be emptied.
+/// A task on a machine that is being drained.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Task<K> {
     /// Identifies the task to the caller.
     pub key: K,
-    /// The team whose budget is charged.
+    /// Team whose budget is charged.
     pub team: String,
-    /// The kind of its job.
+    /// Kind of its job.
     pub kind: Kind,
-    /// Told to stop already, or only decided on and not sent.
+    /// Whether a stop was sent, or decided on and not sent yet.
     pub stopping: bool,
-    /// How its service stands, for a replica.
+    /// Replica counts of its service, for a replica.
     pub service: Option<Replicas>,
-    /// Another machine has room for it now.
+    /// Whether another machine has room for it now.
     pub room: bool,
-    /// What it would lose if it were stopped now.
+    /// Work that would be lost if it were stopped now.
     pub lost: Duration,
 }
 
-/// What a machine waits for.
+/// The reason why a machine is not drained yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Waits {
-    /// Nothing is left on it.
+    /// No tasks are left on it.
     Nothing,
-    /// Tasks that were told to stop.
+    /// Tasks are stopping.
     Stopping,
-    /// Array tasks and gangs that are let end.
+    /// Array tasks and gangs may still end by themselves.
     Ending,
     /// No other machine has room for a replica.
     Room,
-    /// The service has as many replicas down as its team allows.
+    /// The service has the maximum number of replicas down.
     Service,
     /// The team's replicas are below the floor of its budget.
     Floor,
-    /// The team's stops within the window are used up.
+    /// The team's limit on stops within the window is reached.
     Window,
-    /// The team's lost work within the window is used up.
+    /// The team's limit on lost work within the window is reached.
     Work,
-    /// The leader does not hear all of its machines.
+    /// The leader does not receive reports from all machines.
     Outlook,
-    /// A change of the stored state is under way: one thing at a time.
+    /// A rollout is in progress; drains wait for it.
     Rollout,
 }
 
@@ -99,9 +99,9 @@
     }
 }
 
-/// Which tasks of one machine are to be stopped now, and what the rest waits for. `over`
-/// says that its time is over. What is stopped is taken from the ledger at once, and from
-/// the standing of the tasks that come after it.
+/// Returns the tasks of one machine to stop now, and the reason why the rest waits. `over` means
+/// that the deadline of the drain has passed. Stops are recorded in the ledger at once, so that
+/// they count for the tasks after them.
 pub fn step<K: Clone>(
     now: Duration,
     over: bool,
@@ -138,7 +138,7 @@
                 ledger.take(now, &ask);
                 stop.push(task.key.clone());
                 worse(Waits::Stopping);
-                // One replica a step: how its service stands is seen again before the next.
+                // One replica a step: the counts of its service are updated before the next one.
                 if task.kind == Kind::Replica {
                     break;
                 }
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The ledger of disruption: by team, and by service within it, what should run, what is
-//! down now, and how much more may be taken down.
+//! Accounting of disruption by team and service: wanted replicas, replicas that are down, and how
+//! many more may be stopped.
 //!
-//! What is down by itself uses up a budget as what was stopped does: a fleet that is losing
-//! machines is not drained further. After a take-over nothing is known to run until it is
-//! seen, so everything counts as down at first, which is the careful side.
+//! Failed replicas use up a budget as stopped ones do: a fleet that is losing machines is not
+//! drained further. After a failover no replica is known to run until it is reported, so all count
+//! as down at first, which is the safe side.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,54 +12,54 @@
 
 use crate::config::{Budget, Config};
 
-/// How a service stands, as far as is known.
+/// Known replica counts of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Replicas {
-    /// Replicas that the service should have.
+    /// Number of replicas that the service should have.
     pub wanted: u32,
-    /// Running, and not told to stop.
+    /// Number of replicas running and not stopping.
     pub up: u32,
-    /// Told to stop, and not gone yet.
+    /// Number of replicas told to stop and not gone yet.
     pub stopping: u32,
 }
 
 impl Replicas {
-    /// Replicas that are not up, for whatever reason.
+    /// Returns the number of replicas that are not up for any reason.
     pub fn down(&self) -> u32 {
         self.wanted.saturating_sub(self.up)
     }
 
-    /// Down without having been told to.
+    /// Returns the number of replicas that are down without having been told to stop.
     pub fn failed(&self) -> u32 {
         self.down().saturating_sub(self.stopping)
     }
 }
 
-/// One task that somebody would stop.
+/// A request to stop one task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ask<'a> {
-    /// The team whose budget is asked.
+    /// Team whose budget is charged.
     pub team: &'a str,
-    /// The service that it belongs to, if it is a replica.
+    /// Replica counts of its service, if it is a replica.
     pub service: Option<Replicas>,
-    /// Work that would have to be done again, in seconds of one task. A replica loses none.
+    /// Work that would have to be repeated, as time of one task. A replica loses none.
     pub lost: Duration,
 }
 
-/// Why it may not be stopped now.
+/// The reason why a task may not be stopped now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// See [`Ledger::most_down`].
-    #[error("as many replicas of the service are down as its team allows")]
+    #[error("the service already has the maximum number of replicas down")]
     Service,
     /// See [`Budget::floor`].
-    #[error("replicas of the team are down by themselves")]
+    #[error("too few replicas of the team are up, and some have failed")]
     Floor,
     /// See [`Budget::in_window`].
-    #[error("the team's tasks that may be stopped in a while are used up")]
+    #[error("the team's limit on stops within the window is reached")]
     Window,
     /// See [`Budget::lost`].
-    #[error("the team's work that may be lost in a while is used up")]
+    #[error("the team's limit on lost work within the window is reached")]
     Work,
 }
 
@@ -70,18 +70,18 @@
     lost: Duration,
 }
 
-/// Counts what was stopped on purpose, and says what still may be.
+/// Records voluntary stops, and decides whether more are allowed.
 #[derive(Debug)]
 pub struct Ledger {
     config: Config,
-    /// Replicas wanted and up by team, as they were told last.
+    /// Sums of replica counts by team, as last observed.
     teams: BTreeMap<String, Replicas>,
-    /// What was stopped lately, the oldest first.
+    /// Recent stops, oldest first.
     stopped: VecDeque<Stopped>,
 }
 
 impl Ledger {
-    /// A ledger in which nothing was stopped yet.
+    /// Creates a ledger without stops.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -94,8 +94,8 @@
         self.config.teams.get(team).unwrap_or(&self.config.default)
     }
 
-    /// Replicas of one service that may be down at a time: one at least where any may be,
-    /// or a small service could never be moved.
+    /// Returns the number of replicas of one service that may be down at a time: at least one if
+    /// the share is above zero, or a small service could never be moved.
     pub fn most_down(&self, team: &str, wanted: u32) -> u32 {
         let budget = self.budget(team);
         let share = (f64::from(wanted) * budget.share).floor() as u32;
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Stopping so many more of a service is a breach of its team's budget. Preemption
-    /// takes those last, and is not forbidden them.
+    /// Returns whether stopping this many more replicas breaches the team's budget. Preemption
+    /// chooses such victims last, but may choose them.
     pub fn breach(&self, team: &str, service: Replicas, more: u32) -> bool {
         let down = match self.config.counts_failures {
             true => service.down(),
@@ -115,7 +115,7 @@
         down + more > self.most_down(team, service.wanted)
     }
 
-    /// How all services stand, told before anything is asked.
+    /// Updates the replica counts of all services; called before any stop is requested.
     pub fn observe<'a>(&mut self, services: impl Iterator<Item = (&'a str, Replicas)>) {
         self.teams.clear();
         for (team, service) in services {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Whether a task may be stopped now. Nothing is taken yet.
+    /// Checks whether a task may be stopped now, without recording a stop.
     pub fn ask(&self, now: Duration, ask: &Ask) -> Result<(), Refusal> {
         let budget = self.budget(ask.team);
         if let Some(service) = ask.service {
@@ -159,7 +159,7 @@
         }
         if let Some(most) = budget.lost {
             let lost: Duration = lately().map(|s| s.lost).sum();
-            // A task that alone would lose more may still go, where nothing else did.
+            // A task that exceeds the limit by itself may be stopped if no other work was lost.
             if lost + ask.lost > most && !lost.is_zero() || ask.lost > most && most.is_zero() {
                 return Err(Refusal::Work);
             }
@@ -167,7 +167,7 @@
         Ok(())
     }
 
-    /// It is stopped.
+    /// Records that the task is stopped.
     pub fn take(&mut self, now: Duration, ask: &Ask) {
         self.prune(now);
         if let (Some(service), Some(team)) = (ask.service, self.teams.get_mut(ask.team))
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,9 +1,8 @@
-//! What may be taken down on purpose.
+//! Voluntary disruption.
 //!
-//! [`ledger`] is the one place where that is added up, whoever asks: preemption, emptying
-//! machines for their price, and drains. [`drain`] says which task of a machine that is to
-//! be emptied may be stopped now, and what the rest waits for. Neither reads a clock nor
-//! sends anything.
+//! [`ledger`] accounts for it across all causes: preemption, consolidation and drains. [`drain`]
+//! decides which tasks of a draining machine may be stopped now, and why the rest must wait.
+//! Neither reads a clock nor performs I/O.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/maintenance/tests/ledger.rs
+++ b/crates/maintenance/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger against a plain one, the file, and a drain's steps.
+//! Compares the ledger with a reference model, and checks the file and the steps of a drain.
 
 use std::time::Duration;
 
@@ -36,21 +36,21 @@
         );
     }
     let shipped = include_str!("../../../deploy/maintenance.toml");
-    let config = Config::parse(shipped, 1).expect("a good file");
+    let config = Config::parse(shipped, 1).expect("a valid file");
     assert_eq!(config.default.tasks, 1);
-    let ledger = Ledger::new(Config::parse("[budget]\nmax_down = \"5%\"", 1).expect("good"));
+    let ledger = Ledger::new(Config::parse("[budget]\nmax_down = \"5%\"", 1).expect("valid"));
     assert_eq!(
         [1, 20, 39, 40, 1000].map(|wanted| ledger.most_down("any", wanted)),
         [1, 1, 1, 2, 50]
     );
-    let none = Ledger::new(Config::parse("[budget]\nmax_down = \"0%\"", 1).expect("good"));
+    let none = Ledger::new(Config::parse("[budget]\nmax_down = \"0%\"", 1).expect("valid"));
     assert_eq!(none.most_down("any", 1000), 0);
 }
 
 #[test]
 fn what_is_down_by_itself_uses_up_the_budget() {
     let text = "[budget]\nmax_down = 2\nfloor = 0.9\n[team.desk]\nmax_in_s = 60\nmax_tasks = 1\n";
-    let mut ledger = Ledger::new(Config::parse(text, 1).expect("good"));
+    let mut ledger = Ledger::new(Config::parse(text, 1).expect("valid"));
     let ask = |team: &'static str, service| Ask {
         team,
         service: Some(service),
@@ -63,14 +63,14 @@
     assert_eq!(ledger.ask(S(0), &one_failed), Ok(()));
     let two_failed = ask("care", standing(10, 8, 0));
     assert_eq!(ledger.ask(S(0), &two_failed), Err(Refusal::Service));
-    // Three of twenty are down, one by itself: below the floor nothing is stopped.
+    // Three of twenty are down, one of them failed: no replica is stopped below the floor.
     let low = [("care", standing(10, 9, 0)), ("care", standing(10, 8, 2))];
     ledger.observe(low.into_iter());
     assert_eq!(ledger.ask(S(0), &one_failed), Err(Refusal::Floor));
-    // Preemption is told of a breach, and not kept from it.
+    // A breach is reported for preemption, which may choose it.
     assert!(ledger.breach("care", standing(10, 8, 0), 1));
     assert!(!Ledger::new(Config::plain(2)).breach("care", standing(10, 8, 0), 1));
-    // One task of this team a minute.
+    // One stop a minute is allowed for this team.
     let desk = ask("desk", standing(5, 5, 0));
     assert_eq!(ledger.ask(S(100), &desk), Ok(()));
     ledger.take(S(100), &desk);
@@ -90,7 +90,7 @@
         lost: if kind == Kind::Replica { S(0) } else { S(50) },
     };
     let text = "[budget]\nmax_down = 1\nmax_in_s = 100\nmax_lost_s = 60\n";
-    let mut ledger = Ledger::new(Config::parse(text, 1).expect("good"));
+    let mut ledger = Ledger::new(Config::parse(text, 1).expect("valid"));
     let mut tasks = vec![
         task(1, Kind::Array, true),
         task(2, Kind::Replica, false),
@@ -101,7 +101,7 @@
     assert_eq!(first, (vec![3], Waits::Ending));
     let none = step(S(0), false, &mut [] as &mut [Task<u32>], &mut ledger);
     assert_eq!(none, (vec![], Waits::Nothing));
-    // Its time is over: work is stopped, as much as may be lost in a while.
+    // Past the deadline array tasks are stopped, within the limit on lost work.
     let mut arrays = vec![task(5, Kind::Array, true), task(6, Kind::Array, true)];
     assert_eq!(step(S(1), true, &mut arrays, &mut ledger).0, [5]);
     let rest = step(S(2), true, &mut arrays[1..], &mut ledger);
@@ -109,7 +109,7 @@
     assert_eq!(step(S(102), true, &mut arrays[1..], &mut ledger).0, [6]);
 }
 
-/// What the ledger would be if it were kept as a list of everything.
+/// Reference model: a list of all stops.
 #[derive(Default)]
 struct Plain {
     stopped: Vec<(u64, u64)>,
@@ -133,7 +133,7 @@
         let text = format!(
             "[budget]\nmax_in_s = {window}\nmax_tasks = {tasks}\nmax_lost_s = {lost}\n"
         );
-        let mut ledger = Ledger::new(Config::parse(&text, 1).expect("good"));
+        let mut ledger = Ledger::new(Config::parse(&text, 1).expect("valid"));
         let (mut plain, mut now) = (Plain::default(), 0);
         for (later, seconds) in asks {
             now += later;
--- a/crates/recovery/src/adoption.rs
+++ b/crates/recovery/src/adoption.rs
@@ -1,44 +1,45 @@
-//! What becomes of a task that a worker reports and that this leader did not start.
+//! Decision on a task that a worker reports and that this leader did not start.
 
-/// What the cluster state says of the task.
+/// The state of the task in the cluster state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KnownState {
-    /// No active job lists it: it is over, or never was.
+    /// No active job contains it: it has ended, or never existed.
     Unknown,
-    /// It waits to be started.
+    /// It is waiting to be started.
     Waiting,
-    /// Another attempt of it has a machine.
+    /// Another attempt of it is placed on a machine.
     Elsewhere,
     /// Its result is known.
     Done,
 }
 
-/// What the worker says of it.
+/// The state of the task as reported by the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reported {
-    /// It is on the machine, or will be.
+    /// It is on the machine, or about to be started there.
     Alive,
     /// It completed.
     Completed,
-    /// It ended otherwise.
+    /// It ended without completing.
     Ended,
 }
 
-/// What the leader does with a reported task.
+/// The action of the leader for a reported task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdoptionDecision {
-    /// It is the task's attempt from now on.
+    /// Adopt it as the current attempt of the task.
     Adopt,
-    /// It has no business there.
+    /// Stop it: it must not run there.
     Stop,
-    /// Its result counts, wherever it was reached, and is forgotten by the worker once stored.
+    /// Store its result, whichever attempt reached it; the worker forgets it once stored.
     Finish,
-    /// It is of no more use.
+    /// Let the worker forget it.
     Forget,
 }
 
-/// One attempt is adopted where the task waits, so no task has two. What is alive beside
-/// that is stopped: an orphan, or one of two reporters of one task. A result always counts.
+/// Decides on a reported task. An attempt is adopted only for a waiting task, so that no task has
+/// two attempts. Other live attempts are stopped: orphans, and duplicates of a placed task. The
+/// result of an active task always counts.
 pub fn decide_adoption(known_state: KnownState, reported: Reported) -> AdoptionDecision {
     match (reported, known_state) {
         (Reported::Alive, KnownState::Waiting) => AdoptionDecision::Adopt,
@@ -53,7 +54,7 @@
 mod tests {
     use super::*;
 
-    /// The rules, each said by itself.
+    /// Checks each rule independently of the implementation.
     #[test]
     fn every_case_keeps_the_rules() {
         use {KnownState::*, Reported::*};
@@ -61,12 +62,12 @@
             for reported in [Alive, Completed, Ended] {
                 let decision = decide_adoption(known_state, reported);
                 let what = format!("{known_state:?} {reported:?} {decision:?}");
-                // Never two attempts of one task, none of a job that is over.
+                // No task has two attempts, and no attempt of an ended job is adopted.
                 assert_eq!(
                     decision == AdoptionDecision::Adopt,
                     (known_state, reported) == (Waiting, Alive)
                 );
-                // What is alive is either ours or stopped.
+                // A live attempt is either adopted or stopped.
                 let settled = matches!(decision, AdoptionDecision::Adopt | AdoptionDecision::Stop);
                 assert_eq!(settled, reported == Alive, "{what}");
                 // No result of an active task is lost.
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,9 +1,10 @@
-//! The start of a leader: what is stored is reconciled with what the workers report.
+//! Recovery of a new leader: reconciles the stored state with the workers' reports.
 //!
-//! [`reconciliation`] says by zone how far that is and what may be ordered meanwhile; [`pace`]
-//! lets orders to others begin slowly and grow while they are answered; [`decision`] says
-//! what becomes of a task that a worker reports. Nothing here reads a clock, sends anything
-//! or decides where a task may be: that rests on claims, tokens and leases alone.
+//! [`reconciliation`] tracks its progress by zone and which actions must wait for it; [`pace`]
+//! limits the outstanding requests, which start at one and grow while they are answered;
+//! [`adoption`] decides what to do with a task that a worker reports. Nothing here reads a clock,
+//! sends messages or decides where a task may run: that depends on claims, tokens and leases
+//! alone.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -1,40 +1,40 @@
-//! How many orders of one kind may be without an answer: few at first, more while answers
-//! come, fewer again when they don't.
+//! Adaptive limit on outstanding requests of one kind: grows while requests are answered and
+//! shrinks when they are not.
 //!
-//! A leader that has just begun does not know what the one before it ordered. If many
-//! leaders follow one another, each sends at most what is answered.
+//! A new leader does not know what the previous one requested. With many failovers in a row,
+//! each leader sends at most as many requests as are answered.
 
-/// Orders under way at a time.
+/// Adaptive limit on the requests that are outstanding at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pace {
     now: usize,
     most: usize,
 }
 
-/// How an order ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Carried out.
+    /// The request was carried out.
     Done,
-    /// Refused for good: nothing is learned about how many may be asked for.
+    /// Permanently refused: no information about the capacity for requests.
     Refused,
-    /// No answer, or not now.
+    /// No answer, or a temporary refusal.
     Unclear,
 }
 
 impl Pace {
-    /// Begins with one order; never more than `most` at a time, and never none.
+    /// Starts with one request; the limit stays between one and `most`.
     pub fn new(most: usize) -> Self {
         let most = most.max(1);
         Self { now: 1, most }
     }
 
-    /// How many may be under way.
+    /// Returns the number of requests that may be outstanding.
     pub fn window(&self) -> usize {
         self.now
     }
 
-    /// Adapts the window to how an order ended.
+    /// Adapts the window to the outcome of a request.
     pub fn step(&mut self, outcome: Outcome) {
         self.now = match outcome {
             Outcome::Done => (self.now * 2).min(self.most),
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -1,57 +1,57 @@
-//! How far a new leader is with hearing the machines that are stored as holding tasks.
+//! Progress of a new leader in hearing the machines that are stored as holding tasks.
 //!
-//! Room on a machine that was not heard yet is not known. Whoever stops a task, rents a
-//! machine or returns one before that does so for what may be there already. So some orders
-//! wait, by zone, for the machines that are still likely to be heard soon. Starts on
-//! machines that were heard wait for nothing.
+//! The free capacity of a machine is unknown until it was heard. Stopping a task, renting a
+//! machine or returning one before that may be needless, as capacity may already be there. So
+//! these actions wait, by zone, for the machines that are still likely to be heard soon. Starts
+//! on machines that were heard don't wait.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// How long to wait at most, by what workers do.
+/// Limits on the time to wait for reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
-    /// A worker that reports at all has come by then.
+    /// Time within which every working worker has reported.
     pub most: Duration,
-    /// Where some were heard and then no more for so long, the rest is not about to come.
+    /// Time without a newly heard machine, after some were heard, that ends the wait for the rest.
     pub quiet: Duration,
 }
 
-/// The machines of one zone that are stored as holding tasks.
+/// Counts of the machines of one zone that are stored as holding tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Machines that the stored state lists.
+    /// Number of machines in the stored state.
     pub stored: usize,
-    /// Of these, not heard and not proven empty, nor asked in vain.
+    /// Of these, machines neither heard, nor proven empty, nor asked without an answer.
     pub silent: usize,
-    /// The way to the zone is cut: nobody there is waited for.
+    /// Whether the zone is unreachable, so that its machines are not waited for.
     pub cut: bool,
 }
 
-/// Where all but one in so many were heard and none has room, the rest hardly has: nobody
-/// waits for the last ones.
+/// A zone is not waited for once at most one machine in this many is silent: if the others have
+/// no capacity, the last ones are unlikely to have any.
 const FEW_ONE_IN: usize = 10;
 
-/// How far a zone's reconciliation is.
+/// The stage of a zone's reconciliation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// Machines are still likely to be heard.
     Hearing,
-    /// All that is stored was heard or proven empty.
+    /// All stored machines were heard or proven empty.
     Reconciled,
-    /// Some are silent still, and nobody waits for them any more.
+    /// Some machines are still silent, and are no longer waited for.
     Overdue,
 }
 
-/// What the state machine is told.
+/// Inputs of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// How the zones stand now.
+    /// Current counts by zone.
     Heard(BTreeMap<Arc<str>, Count>),
-    /// The cloud's list of machines was read whole.
+    /// The cloud's list of machines was read completely.
     Listed,
 }
 
-/// What has changed, for the log and for whoever held something back.
+/// Changes, for the log and for callers that deferred actions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// A zone has entered a stage.
@@ -60,17 +60,17 @@
         zone: Arc<str>,
         /// The stage that it has entered.
         stage: Stage,
-        /// Machines that were heard or proven empty.
+        /// Number of machines that were heard or proven empty.
         heard: usize,
-        /// Machines that the stored state lists.
+        /// Number of machines in the stored state.
         stored: usize,
     },
-    /// No zone is waited for any more.
+    /// No zone is waited for any longer.
     Reconciled {
-        /// Time since the leader began.
+        /// Time since the leader started.
         after: Duration,
     },
-    /// What waited for the cloud's list may go on.
+    /// Actions that waited for the cloud's list may proceed.
     Listed,
 }
 
@@ -78,7 +78,7 @@
 struct Zone {
     count: Count,
     stage: Stage,
-    /// When the number of unresponsive machines fell last.
+    /// Time of the last decrease of the number of silent machines.
     fell: Option<Duration>,
 }
 
@@ -88,14 +88,14 @@
     patience: Patience,
     began: Duration,
     zones: BTreeMap<Arc<str>, Zone>,
-    /// Every zone was looked at once.
+    /// Set once counts of all zones were received.
     looked: bool,
     listed: bool,
     reconciled: bool,
 }
 
 impl Reconciliation {
-    /// Begins at `now`, with no zone seen yet.
+    /// Starts at `now`, without any zones.
     pub fn new(patience: Patience, now: Duration) -> Self {
         Self {
             patience,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Takes an input in, and tells what has changed.
+    /// Applies an input and returns the changes.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         match input {
@@ -145,7 +145,7 @@
         let quiet = zone.fell.is_some_and(|at| now >= at + self.patience.quiet);
         let few = count.silent * FEW_ONE_IN <= count.stored;
         let stage = match (zone.stage, count.silent) {
-            // What was given up on is not waited for again.
+            // A zone that was given up on is not waited for again.
             (Stage::Hearing | Stage::Overdue, 0) | (Stage::Reconciled, _) => Stage::Reconciled,
             (Stage::Overdue, _) => Stage::Overdue,
             _ if waited || quiet || count.cut || few => Stage::Overdue,
@@ -161,24 +161,24 @@
         })
     }
 
-    /// Machines there are still likely to be heard: what they have room for is not known.
+    /// Returns whether machines of a zone, of unknown capacity, are still likely to be heard.
     pub fn is_awaited(&self, zone: &str) -> bool {
         let stage = self.zones.get(zone).map(|zone| zone.stage);
         stage.map_or(!self.looked, |stage| stage == Stage::Hearing)
     }
 
-    /// Any zone is still heard.
+    /// Returns whether any zone is still waited for.
     pub fn is_in_progress(&self) -> bool {
         !self.reconciled
     }
 
-    /// Machines that were ordered before may not be known yet. A cloud that gives no list is
-    /// waited for no longer than a worker.
+    /// Returns whether the cloud's list, which may contain unknown machines requested earlier, is
+    /// still waited for. The wait is no longer than that for a worker.
     pub fn unlisted(&self, now: Duration) -> bool {
         !self.listed && now < self.began + self.patience.most
     }
 
-    /// How each zone stands: its stage, machines heard, machines stored.
+    /// Returns each zone with its stage, machines heard and machines stored.
     pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, Stage, usize, usize)> {
         self.zones.iter().map(|(name, zone)| {
             let Count { stored, silent, .. } = zone.count;
--- a/crates/recovery/tests/reconciliation.rs
+++ b/crates/recovery/tests/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Every sequence of a few looks at one zone, against the rules said one by one.
+//! Compares every short sequence of observations of one zone with a reference model.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
 };
 const STORED: usize = 2;
 
-/// One look: how many are silent, and whether the way is cut.
+/// One observation: number of silent machines, and whether the zone is unreachable.
 type Look = (usize, bool);
 
 fn looks() -> Vec<Look> {
@@ -20,7 +20,7 @@
         .collect()
 }
 
-/// The plain model: goes through the whole history again for each question.
+/// Reference model: evaluates the whole history for each query.
 fn waits_for(history: &[Look]) -> bool {
     let over = |upto: usize| {
         let (silent, cut) = history[upto];
@@ -78,7 +78,7 @@
 #[test]
 fn one_zone_that_is_silent_holds_up_no_other() {
     let mut reconciliation = Reconciliation::new(PATIENCE, S);
-    assert!(reconciliation.is_awaited("a"), "nothing was looked at yet");
+    assert!(reconciliation.is_awaited("a"), "no counts received yet");
     let heard = |silent| Count {
         stored: 3,
         silent,
@@ -87,7 +87,10 @@
     let counts = BTreeMap::from([("a".into(), heard(3)), ("b".into(), heard(0))]);
     reconciliation.step(S, Input::Heard(counts));
     assert!(reconciliation.is_awaited("a") && !reconciliation.is_awaited("b"));
-    assert!(!reconciliation.is_awaited("c"), "nothing is stored there");
+    assert!(
+        !reconciliation.is_awaited("c"),
+        "no stored machines in the zone"
+    );
     let zones: Vec<_> = reconciliation
         .zones()
         .map(|(_, stage, heard, of)| (stage, heard, of))
@@ -116,7 +119,7 @@
     assert!(reconciliation.unlisted(S * 2));
     assert!(
         !reconciliation.unlisted(S * 6),
-        "a cloud that is away holds nothing up for ever"
+        "an unavailable cloud is not waited for indefinitely"
     );
     assert_eq!(reconciliation.step(S * 3, Input::Listed).len(), 1);
     assert!(!reconciliation.unlisted(S * 3));
--- a/crates/toml-file/src/lib.rs
+++ b/crates/toml-file/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operators' TOML files: read, and what is wrong with them in one line.
+//! Parser of TOML configuration files with one-line errors.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -6,12 +6,12 @@
 
 use serde::de::DeserializeOwned;
 
-/// Not a file of the form that was expected.
+/// The file does not parse as the expected type.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wrong {
-    /// The line of the file, from 1.
+    /// Line in the file, starting at 1.
     pub line: usize,
-    /// Without line breaks.
+    /// Error message without line breaks.
     pub message: String,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Reads a file's text into `T`, or tells the line that does not fit.
+/// Parses the text of a file as `T`; an error names the line.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Wrong> {
     toml::from_str(text).map_err(|error| {
         let start = error.span().map_or(0, |span| span.start.min(text.len()));
