--- a/crates/job-graph/src/offer.rs
+++ b/crates/job-graph/src/contribution.rs
@@ -6,7 +6,7 @@
 
 /// Contribution of one dependent to the urgency of each job that it needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Offer {
+pub(crate) struct Contribution {
     pub(crate) priority: u8,
     pub(crate) latest_finish_ms: Option<u64>,
 }
@@ -14,35 +14,35 @@
 /// Multiset of the contributions of all dependents of a job, so that one of thousands can change
 /// without a scan of the others.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Offers {
+pub(crate) struct Contributions {
     priorities: Counts<u8>,
     latest_finishes_ms: Counts<u64>,
 }
 
-impl Offers {
-    pub(crate) fn add(&mut self, offer: Offer) {
-        self.priorities.add(offer.priority);
-        if let Some(latest_finish_ms) = offer.latest_finish_ms {
+impl Contributions {
+    pub(crate) fn add(&mut self, contribution: Contribution) {
+        self.priorities.add(contribution.priority);
+        if let Some(latest_finish_ms) = contribution.latest_finish_ms {
             self.latest_finishes_ms.add(latest_finish_ms);
         }
     }
 
-    pub(crate) fn withdraw(&mut self, offer: Offer) {
-        self.priorities.remove(offer.priority);
-        if let Some(latest_finish_ms) = offer.latest_finish_ms {
+    pub(crate) fn remove(&mut self, contribution: Contribution) {
+        self.priorities.remove(contribution.priority);
+        if let Some(latest_finish_ms) = contribution.latest_finish_ms {
             self.latest_finishes_ms.remove(latest_finish_ms);
         }
     }
 
     /// Returns the urgency of a job with this urgency of its own.
-    pub(crate) fn raise(&self, own: Urgency) -> Urgency {
-        let offered_finish_ms = self.latest_finishes_ms.first();
+    pub(crate) fn combine_with(&self, own: Urgency) -> Urgency {
+        let dependents_finish_ms = self.latest_finishes_ms.first();
         Urgency {
             priority: self.priorities.last().unwrap_or(0).max(own.priority),
             latest_finish_ms: own
                 .latest_finish_ms
                 .into_iter()
-                .chain(offered_finish_ms)
+                .chain(dependents_finish_ms)
                 .min(),
         }
     }
--- a/crates/job-graph/src/graph.rs
+++ b/crates/job-graph/src/graph.rs
@@ -44,7 +44,7 @@
             Input::Added { id, facts } => self.add(id, facts, &mut outputs),
             Input::Removed { id } => self.remove(&id, &mut outputs),
             Input::Ended { id, end } => self.end(&id, end, &mut outputs),
-            Input::Expected { id, expected } => self.expect(id, expected, &mut outputs),
+            Input::Expected { id, expected } => self.update_expected(id, expected, &mut outputs),
         }
         outputs
     }
@@ -103,7 +103,7 @@
             return;
         }
         self.insert(&id, ActiveJob::new(facts), outputs);
-        self.place(&id);
+        self.assign_level(&id);
         let mut changed = Vec::new();
         if self.has_cancelled_need(&id) {
             changed = self.cancel(vec![id.clone()], outputs);
@@ -131,7 +131,7 @@
     }
 
     fn remove(&mut self, id: &Id, outputs: &mut Vec<Output<Id>>) {
-        let Some(changed) = self.take_out(id) else {
+        let Some(changed) = self.remove_active(id) else {
             return;
         };
         if self.needed.contains_key(id) {
@@ -142,15 +142,15 @@
     }
 
     /// Removes a job from the active ones and from its needs; returns those needs.
-    fn take_out(&mut self, id: &Id) -> Option<Vec<Id>> {
+    fn remove_active(&mut self, id: &Id) -> Option<Vec<Id>> {
         let job = self.active.remove(id)?;
         for need in &job.needs {
             let Some(needed) = self.needed.get_mut(need) else {
                 continue;
             };
             needed.dependents.remove(id);
-            if let Some(offer) = job.offer {
-                needed.offers.withdraw(offer);
+            if let Some(contribution) = job.contribution {
+                needed.contributions.remove(contribution);
             }
             if needed.dependents.is_empty() {
                 self.needed.remove(need);
@@ -161,11 +161,11 @@
     }
 
     fn end(&mut self, id: &Id, end: End, outputs: &mut Vec<Output<Id>>) {
-        let mut changed = self.take_out(id).unwrap_or_default();
+        let mut changed = self.remove_active(id).unwrap_or_default();
         if self.store_end(id, end) {
             let dependents = self.dependents(id).cloned().collect::<Vec<_>>();
             match end.outcome {
-                Outcome::Done => self.count_done(&dependents, outputs),
+                Outcome::Done => self.record_done_need(&dependents, outputs),
                 Outcome::Cancelled => changed.extend(self.cancel(dependents, outputs)),
             }
         }
@@ -186,7 +186,7 @@
     }
 
     /// Records for each dependent that one more of its needs is done.
-    fn count_done(&mut self, dependents: &[Id], outputs: &mut Vec<Output<Id>>) {
+    fn record_done_need(&mut self, dependents: &[Id], outputs: &mut Vec<Output<Id>>) {
         for dependent in dependents {
             if let Some(job) = self.active.get_mut(dependent) {
                 job.not_done -= 1;
@@ -205,7 +205,7 @@
         })
     }
 
-    fn expect(&mut self, id: Id, expected: Duration, outputs: &mut Vec<Output<Id>>) {
+    fn update_expected(&mut self, id: Id, expected: Duration, outputs: &mut Vec<Output<Id>>) {
         if let Some(job) = self.active.get_mut(&id) {
             job.expected = expected;
             self.update_urgencies(&[id], outputs);
--- a/crates/job-graph/src/job.rs
+++ b/crates/job-graph/src/job.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use crate::contribution::{Contribution, Contributions};
 use crate::message::{End, JobFacts, Outcome, Urgency};
-use crate::offer::{Offer, Offers};
 
 /// An active job.
 #[derive(Debug, Clone)]
@@ -17,7 +17,7 @@
     /// Urgency as last reported; `None` only within the step that adds the job.
     pub(crate) urgency: Option<Urgency>,
     /// Contribution to the urgency of each job that it needs.
-    pub(crate) offer: Option<Offer>,
+    pub(crate) contribution: Option<Contribution>,
     /// Number of needs that are not known to be done.
     pub(crate) not_done: usize,
     /// Set once a direct or transitive need is cancelled. Ends never change, so this is never
@@ -42,7 +42,7 @@
             expected: facts.expected,
             own_urgency,
             urgency: None,
-            offer: None,
+            contribution: None,
             not_done: 0,
             cancelled: false,
             level: 0,
@@ -57,7 +57,7 @@
     /// Active jobs that name it; never empty between steps.
     pub(crate) dependents: BTreeSet<Id>,
     /// Contributions of these jobs to its urgency.
-    pub(crate) offers: Offers,
+    pub(crate) contributions: Contributions,
     /// End of the job, if known; always `None` while it is active.
     pub(crate) end: Option<End>,
 }
@@ -66,7 +66,7 @@
     fn default() -> Self {
         NeededJob {
             dependents: BTreeSet::new(),
-            offers: Offers::default(),
+            contributions: Contributions::default(),
             end: None,
         }
     }
--- a/crates/job-graph/src/lib.rs
+++ b/crates/job-graph/src/lib.rs
@@ -8,10 +8,10 @@
 #![warn(missing_docs, unreachable_pub)]
 
 mod cancellation;
+mod contribution;
 mod graph;
 mod job;
 mod message;
-mod offer;
 mod order;
 mod status;
 mod urgency;
--- a/crates/job-graph/src/order.rs
+++ b/crates/job-graph/src/order.rs
@@ -11,7 +11,7 @@
 impl<Id: Clone + Ord> JobGraph<Id> {
     /// Assigns a level to a new job, raises the dependents that are not above it, and detects
     /// whether the job closes a cycle.
-    pub(crate) fn place(&mut self, id: &Id) {
+    pub(crate) fn assign_level(&mut self, id: &Id) {
         let level = self.first_level(id);
         if let Some(job) = self.active.get_mut(id) {
             job.level = level;
--- a/crates/job-graph/src/urgency.rs
+++ b/crates/job-graph/src/urgency.rs
@@ -6,10 +6,10 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
+use crate::contribution::Contribution;
 use crate::graph::JobGraph;
 use crate::job::ActiveJob;
 use crate::message::{Output, Urgency};
-use crate::offer::Offer;
 
 impl<Id: Clone + Ord> JobGraph<Id> {
     /// Recomputes the urgency and the contribution of these active jobs, and of their transitive
@@ -19,7 +19,7 @@
         self.enqueue(&mut queue, changed);
         while let Some((_, id)) = queue.pop_first() {
             outputs.extend(self.update_urgency(&id));
-            let needs = self.update_offer(&id);
+            let needs = self.update_contribution(&id);
             self.enqueue(&mut queue, &needs);
         }
     }
@@ -37,27 +37,27 @@
         let job = self.active.get_mut(id)?;
         let needed = self.needed.get(id);
         let urgency = needed.map_or(job.own_urgency, |needed| {
-            needed.offers.raise(job.own_urgency)
+            needed.contributions.combine_with(job.own_urgency)
         });
         let before = job.urgency.replace(urgency);
-        let tell = match before {
+        let is_reported = match before {
             Some(before) => before != urgency,
             None => needed.is_some() || !job.needs.is_empty(),
         };
-        tell.then(|| Output::Urgency {
+        is_reported.then(|| Output::Urgency {
             id: id.clone(),
             urgency,
         })
     }
 
     /// Updates the contribution of a job to its needs; returns the needs if it has changed.
-    fn update_offer(&mut self, id: &Id) -> Vec<Id> {
+    fn update_contribution(&mut self, id: &Id) -> Vec<Id> {
         let Some(job) = self.active.get_mut(id) else {
             return Vec::new();
         };
-        let offer = offer_of(job);
-        let before = std::mem::replace(&mut job.offer, offer);
-        if before == offer {
+        let contribution = contribution_of(job);
+        let before = std::mem::replace(&mut job.contribution, contribution);
+        if before == contribution {
             return Vec::new();
         }
         for need in &job.needs {
@@ -65,10 +65,10 @@
                 continue;
             };
             if let Some(before) = before {
-                needed.offers.withdraw(before);
+                needed.contributions.remove(before);
             }
-            if let Some(offer) = offer {
-                needed.offers.add(offer);
+            if let Some(contribution) = contribution {
+                needed.contributions.add(contribution);
             }
         }
         job.needs.iter().cloned().collect()
@@ -77,7 +77,7 @@
 
 /// Returns the contribution of a job to its needs. A cancelled job, which will not run, and one
 /// that closes a cycle contribute nothing.
-fn offer_of<Id>(job: &ActiveJob<Id>) -> Option<Offer> {
+fn contribution_of<Id>(job: &ActiveJob<Id>) -> Option<Contribution> {
     if job.cancelled || job.closes_cycle {
         return None;
     }
@@ -86,7 +86,7 @@
         latest_finish_ms,
     } = job.urgency?;
     let expected_ms = u64::try_from(job.expected.as_millis()).unwrap_or(u64::MAX);
-    Some(Offer {
+    Some(Contribution {
         priority,
         latest_finish_ms: latest_finish_ms.map(|finish_ms| finish_ms.saturating_sub(expected_ms)),
     })
--- a/crates/job-graph/tests/examples.rs
+++ b/crates/job-graph/tests/examples.rs
@@ -48,11 +48,11 @@
         self.end(id, Outcome::Cancelled, None)
     }
 
-    fn waits_on(&self, id: u32, on: &[u32]) {
+    fn assert_waiting_on(&self, id: u32, on: &[u32]) {
         assert_eq!(self.0.status(&id), Status::Waiting { on: on.to_vec() });
     }
 
-    fn unknown_before(&self, id: u32, ends: &[u32]) {
+    fn assert_unknown_ends(&self, id: u32, ends: &[u32]) {
         assert_eq!(
             self.0.status(&id),
             Status::Unknown {
@@ -74,11 +74,11 @@
 }
 
 #[test]
-fn the_jobs_of_a_chain_are_ready_one_after_the_other() {
+fn chain_jobs_become_ready_in_order() {
     let mut graph = Graph::of(&[(1, &[]), (2, &[1]), (3, &[2])]);
     assert_eq!(graph.0.status(&1), Status::Ready { since_ms: 100 });
-    graph.waits_on(2, &[1]);
-    graph.waits_on(3, &[2]);
+    graph.assert_waiting_on(2, &[1]);
+    graph.assert_waiting_on(3, &[2]);
     assert_eq!(graph.done(1, 500), [ready(2, 500)]);
     assert_eq!(graph.done(2, 900), [ready(3, 900)]);
     assert_eq!(graph.0.status(&3), Status::Ready { since_ms: 900 });
@@ -86,38 +86,38 @@
 }
 
 #[test]
-fn all_jobs_of_a_fan_are_ready_at_once_and_their_successor_after_the_last() {
+fn fan_out_jobs_become_ready_together_and_the_join_after_the_last() {
     let mut graph = Graph::of(&[(1, &[]), (2, &[1]), (3, &[1]), (4, &[2, 3, 2])]);
     assert_eq!(graph.done(1, 500), [ready(2, 500), ready(3, 500)]);
     assert_eq!(graph.done(3, 800), []);
-    graph.waits_on(4, &[2]);
+    graph.assert_waiting_on(4, &[2]);
     assert_eq!(graph.done(2, 700), [ready(4, 800)]);
 }
 
 #[test]
-fn a_job_accepted_after_the_jobs_it_needs_were_done_is_ready_when_their_ends_are_read() {
+fn job_with_ended_needs_is_ready_once_their_ends_are_read() {
     let mut graph = Graph::of(&[]);
     assert!(
         graph
             .add(3, &[1, 2], 1, None)
             .starts_with(&[Output::Lookup { id: 1 }, Output::Lookup { id: 2 }])
     );
-    graph.unknown_before(3, &[1, 2]);
+    graph.assert_unknown_ends(3, &[1, 2]);
     assert_eq!(graph.done(1, 50), []);
-    graph.unknown_before(3, &[2]);
+    graph.assert_unknown_ends(3, &[2]);
     assert_eq!(graph.end(2, Outcome::Done, None), [ready(3, 100)]);
     assert!(graph.add(4, &[1], 1, None).contains(&ready(4, 100)));
 }
 
 #[test]
-fn a_job_that_is_merely_gone_is_not_taken_for_done() {
+fn removed_job_is_not_treated_as_done() {
     let mut graph = Graph::of(&[(1, &[]), (2, &[1]), (3, &[2])]);
     assert_eq!(
         graph.0.step(Input::Removed { id: 1 }),
         [Output::Lookup { id: 1 }]
     );
-    graph.unknown_before(2, &[1]);
-    graph.unknown_before(3, &[1]);
+    graph.assert_unknown_ends(2, &[1]);
+    graph.assert_unknown_ends(3, &[1]);
     assert_eq!(graph.0.unknown_ends().collect::<Vec<_>>(), [&1]);
     assert_eq!(graph.done(1, 400), [ready(2, 400)]);
     assert_eq!(graph.cancelled(1), [], "an end never changes");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_cancelled_job_cancels_those_after_it_whichever_stage_it_is() {
+fn cancellation_propagates_to_dependents_from_any_stage() {
     for stage in 1..=3 {
         let mut graph = Graph::of(&[(1, &[]), (2, &[1]), (3, &[2])]);
         for before in 1..stage {
@@ -141,9 +141,9 @@
 }
 
 #[test]
-fn a_known_cancellation_counts_more_than_an_unknown_end() {
+fn known_cancellation_takes_precedence_over_unknown_end() {
     let mut graph = Graph::of(&[(3, &[1, 2]), (4, &[3])]);
-    graph.unknown_before(4, &[1, 2]);
+    graph.assert_unknown_ends(4, &[1, 2]);
     graph.cancelled(2);
     assert_eq!(graph.0.status(&4), Status::Cancelled);
     graph.0.step(Input::Removed { id: 3 });
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn an_end_is_forgotten_with_the_last_job_that_needs_it() {
+fn end_is_dropped_with_its_last_dependent() {
     let mut graph = Graph::of(&[(1, &[]), (2, &[1]), (3, &[1])]);
     graph.done(1, 500);
     graph.done(2, 600);
@@ -163,19 +163,22 @@
     graph.done(3, 600);
     assert!(!graph.0.has_dependents(&1));
     graph.add(4, &[1], 1, None);
-    graph.unknown_before(4, &[1]);
+    graph.assert_unknown_ends(4, &[1]);
     graph.0.reset();
     assert_eq!(graph.0.status(&4), Status::NotActive);
     assert_eq!(graph.0.unknown_ends().count(), 0);
 }
 
 #[test]
-fn an_urgent_job_raises_jobs_accepted_earlier_while_it_needs_them() {
+fn urgent_job_raises_earlier_jobs_while_it_needs_them() {
     let mut graph = Graph::of(&[(1, &[]), (2, &[1]), (3, &[1])]);
-    let told = graph.add(4, &[2], 9, None);
+    let outputs = graph.add(4, &[2], 9, None);
     for id in [1, 2, 4] {
         let urgency = urgency(9, None);
-        assert!(told.contains(&Output::Urgency { id, urgency }), "{told:?}");
+        assert!(
+            outputs.contains(&Output::Urgency { id, urgency }),
+            "{outputs:?}"
+        );
     }
     assert_eq!(graph.0.urgency(&3), Some(urgency(1, None)));
     graph.cancelled(4);
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn a_cancelled_job_raises_none() {
+fn cancelled_job_does_not_raise_its_needs() {
     let mut graph = Graph::of(&[(1, &[]), (2, &[])]);
     graph.add(3, &[1, 2], 9, Some(5_000));
     assert_eq!(graph.0.urgency(&1), Some(urgency(9, Some(4_000))));
@@ -193,7 +196,7 @@
 }
 
 #[test]
-fn a_deadline_is_worked_back_over_the_expected_times() {
+fn deadline_propagates_back_over_expected_times() {
     let mut graph = Graph::of(&[(1, &[]), (2, &[1]), (3, &[1])]);
     graph.add(4, &[2, 3], 1, Some(10_000));
     assert_eq!(graph.0.urgency(&2), Some(urgency(1, Some(9_000))));
@@ -204,18 +207,18 @@
 }
 
 #[test]
-fn a_job_without_needs_and_dependents_is_told_nothing_of() {
+fn isolated_job_has_no_outputs() {
     assert_eq!(Graph::of(&[]).add(1, &[], 7, Some(900)), []);
 }
 
 #[test]
-fn a_cycle_waits_for_ever_and_passes_no_deadline_round() {
+fn cycle_waits_indefinitely_and_propagates_no_deadline() {
     let mut graph = Graph::of(&[(1, &[1])]);
-    graph.waits_on(1, &[1]);
+    graph.assert_waiting_on(1, &[1]);
     graph.add(2, &[4], 1, Some(9_000));
     graph.add(3, &[2], 1, None);
     graph.add(4, &[3], 1, None);
-    graph.waits_on(2, &[4]);
+    graph.assert_waiting_on(2, &[4]);
     assert_eq!(graph.0.urgency(&4), Some(urgency(1, Some(8_000))));
     assert_eq!(graph.0.urgency(&3), Some(urgency(1, None)));
     graph.cancelled(3);
@@ -223,7 +226,7 @@
 }
 
 #[test]
-fn a_long_chain_in_either_order() {
+fn long_chain_added_in_either_order() {
     let needs = |id: u32| if id == 0 { vec![] } else { vec![id - 1] };
     for reversed in [false, true] {
         let mut graph = Graph::of(&[]);
@@ -235,12 +238,12 @@
             };
             graph.add(id, &needs(id), 1, None);
         }
-        let told = graph.add(LARGE, &[LARGE - 1], 9, Some(u64::from(LARGE) * 1_000));
-        assert_eq!(told.len(), LARGE as usize + 1);
+        let outputs = graph.add(LARGE, &[LARGE - 1], 9, Some(u64::from(LARGE) * 1_000));
+        assert_eq!(outputs.len(), LARGE as usize + 1);
         assert_eq!(graph.0.urgency(&0), Some(urgency(9, Some(0))));
-        graph.waits_on(LARGE, &[LARGE - 1]);
+        graph.assert_waiting_on(LARGE, &[LARGE - 1]);
         assert_eq!(graph.0.step(Input::Removed { id: 0 }).len(), 1);
-        graph.unknown_before(LARGE, &[0]);
+        graph.assert_unknown_ends(LARGE, &[0]);
         let cancelled = graph.cancelled(0).into_iter();
         let cancelled = cancelled.filter(|output| matches!(output, Output::Cancelled { .. }));
         assert_eq!(cancelled.count(), LARGE as usize);
@@ -248,7 +251,7 @@
 }
 
 #[test]
-fn a_large_star_that_shrinks_again() {
+fn large_star_after_dependents_are_cancelled() {
     let mut graph = Graph::of(&[(0, &[])]);
     for id in 1..=LARGE {
         graph.add(id, &[0], 9, Some(u64::from(id) * 10_000));
@@ -262,13 +265,13 @@
         graph.0.urgency(&0),
         Some(urgency(9, Some(latest_finish_ms)))
     );
-    let told = graph.done(0, 700);
-    assert_eq!(told.len(), LARGE as usize / 2 + 1);
+    let outputs = graph.done(0, 700);
+    assert_eq!(outputs.len(), LARGE as usize / 2 + 1);
 }
 
 /// Guards against exponential work: a chain of n diamonds has 2^n paths.
 #[test]
-fn a_row_of_diamonds_is_told_of_once_for_each_job() {
+fn chain_of_diamonds_has_one_output_per_job() {
     let mut graph = Graph::of(&[(0, &[])]);
     for diamond in 0..LARGE / 10 {
         let start = diamond * 3;
@@ -278,7 +281,7 @@
         graph.add(start + 2, &[start], 1, None);
     }
     let last = LARGE / 10 * 3;
-    let told = graph.add(last + 1, &[last], 9, Some(1_000_000_000));
-    assert_eq!(told.len(), last as usize + 2);
+    let outputs = graph.add(last + 1, &[last], 9, Some(1_000_000_000));
+    assert_eq!(outputs.len(), last as usize + 2);
     assert_eq!(graph.cancelled(0).len(), 2 * last as usize + 1);
 }
--- a/crates/job-graph/tests/model.rs
+++ b/crates/job-graph/tests/model.rs
@@ -1,12 +1,12 @@
 //! Compares the graph with a reference model over random inputs.
 
-mod plain;
+mod reference;
 
 use std::time::Duration;
 
 use kiteyard_job_graph::{End, Input, JobFacts, JobGraph, Outcome, Output};
-use plain::{Id, Plain, sorted};
 use proptest::prelude::*;
+use reference::{Id, ReferenceModel, sorted};
 
 const JOBS: Id = 9;
 
@@ -55,19 +55,19 @@
     ]
 }
 
-fn assert_same_state(graph: &JobGraph<Id>, plain: &Plain) {
+fn assert_same_state(graph: &JobGraph<Id>, model: &ReferenceModel) {
     let unknown_ends = graph.unknown_ends().copied();
-    assert!(unknown_ends.eq(plain.unknown_ends()));
-    let named = plain.named();
+    assert!(unknown_ends.eq(model.unknown_ends()));
+    let needed_jobs = model.needed_jobs();
     for id in 0..JOBS {
-        assert_eq!(graph.status(&id), plain.status(id), "status of {id}");
-        assert_eq!(graph.has_dependents(&id), named.contains(&id));
+        assert_eq!(graph.status(&id), model.status(id), "status of {id}");
+        assert_eq!(graph.has_dependents(&id), needed_jobs.contains(&id));
     }
 }
 
-fn assert_same_urgencies(graph: &JobGraph<Id>, plain: &Plain) {
+fn assert_same_urgencies(graph: &JobGraph<Id>, model: &ReferenceModel) {
     for id in 0..JOBS {
-        assert_eq!(graph.urgency(&id), plain.urgency(id), "urgency of {id}");
+        assert_eq!(graph.urgency(&id), model.urgency(id), "urgency of {id}");
     }
 }
 
@@ -81,30 +81,30 @@
 
     /// Jobs need lower ids, and sometimes themselves; they are added in any order.
     #[test]
-    fn the_graph_agrees_with_the_plain_model(
+    fn graph_agrees_with_reference_model(
         inputs in prop::collection::vec(input(|id| id + u8::from(id % 4 == 3)), 1..60)
     ) {
         let mut graph = JobGraph::new();
-        let mut plain = Plain::default();
+        let mut model = ReferenceModel::default();
         for input in inputs {
-            let expected = plain.step(&input);
+            let expected = model.step(&input);
             prop_assert_eq!(sorted(graph.step(input.clone())), expected, "after {:?}", input);
-            assert_same_state(&graph, &plain);
-            assert_same_urgencies(&graph, &plain);
+            assert_same_state(&graph, &model);
+            assert_same_urgencies(&graph, &model);
         }
     }
 
     /// The model has no urgencies for cycles; everything else agrees, and every step terminates.
     #[test]
-    fn cycles_are_harmless(inputs in prop::collection::vec(input(|_| JOBS), 1..60)) {
+    fn cycles_terminate(inputs in prop::collection::vec(input(|_| JOBS), 1..60)) {
         let mut graph = JobGraph::new();
-        let mut plain = Plain::default();
+        let mut model = ReferenceModel::default();
         for input in inputs {
-            let told = graph.step(input.clone());
-            plain.step_without_urgencies(&input);
-            assert_same_state(&graph, &plain);
-            let urgencies = told.iter().filter(|told| matches!(told, Output::Urgency { .. }));
-            prop_assert!(urgencies.count() <= plain.active.len());
+            let outputs = graph.step(input.clone());
+            model.step_without_urgencies(&input);
+            assert_same_state(&graph, &model);
+            let urgencies = outputs.iter().filter(|output| matches!(output, Output::Urgency { .. }));
+            prop_assert!(urgencies.count() <= model.active.len());
         }
         for id in 0..JOBS {
             graph.step(Input::Removed { id });
--- a/crates/job-graph/tests/plain/mod.rs
+++ b/crates/job-graph/tests/reference/mod.rs
@@ -7,13 +7,13 @@
 pub type Id = u8;
 
 #[derive(Debug, Clone, Default)]
-pub struct Plain {
+pub struct ReferenceModel {
     pub active: BTreeMap<Id, JobFacts<Id>>,
     ends: BTreeMap<Id, End>,
     cancelled: BTreeSet<Id>,
 }
 
-impl Plain {
+impl ReferenceModel {
     /// Applies an input and returns the changes in the order of [`sorted`].
     pub fn step(&mut self, input: &Input<Id>) -> Vec<Output<Id>> {
         let before = self.clone();
@@ -42,18 +42,18 @@
                 }
             }
         }
-        let named = self.named();
-        self.ends.retain(|id, _| named.contains(id));
+        let needed_jobs = self.needed_jobs();
+        self.ends.retain(|id, _| needed_jobs.contains(id));
         self.derive_cancelled();
     }
 
-    pub fn named(&self) -> BTreeSet<Id> {
+    pub fn needed_jobs(&self) -> BTreeSet<Id> {
         let needs = self.active.values().flat_map(|facts| &facts.needs);
         needs.copied().collect()
     }
 
     pub fn unknown_ends(&self) -> BTreeSet<Id> {
-        let mut unknown = self.named();
+        let mut unknown = self.needed_jobs();
         unknown.retain(|id| !self.active.contains_key(id) && !self.ends.contains_key(id));
         unknown
     }
@@ -65,7 +65,7 @@
         let ended = |need: &Id| self.ends.get(need).map(|end| end.outcome);
         let done = |need: &&Id| ended(need) == Some(Outcome::Done);
         let unknown_ends = self.unknown_ends();
-        let unknown = &self.before(id) & &unknown_ends;
+        let unknown = &self.transitive_needs(id) & &unknown_ends;
         let unknown = unknown.into_iter().collect::<Vec<_>>();
         if self.cancelled.contains(&id) {
             Status::Cancelled
@@ -101,18 +101,21 @@
             }
             let theirs = self.urgency(*dependent)?;
             let expected_ms = u64::try_from(facts.expected.as_millis()).unwrap_or(u64::MAX);
-            let worked_back = theirs
+            let required_finish_ms = theirs
                 .latest_finish_ms
                 .map(|finish_ms| finish_ms.saturating_sub(expected_ms));
             urgency.priority = urgency.priority.max(theirs.priority);
-            let finishes_ms = urgency.latest_finish_ms.into_iter().chain(worked_back);
+            let finishes_ms = urgency
+                .latest_finish_ms
+                .into_iter()
+                .chain(required_finish_ms);
             urgency.latest_finish_ms = finishes_ms.min();
         }
         Some(urgency)
     }
 
     /// Returns this job and every job that it needs directly or through active jobs.
-    fn before(&self, id: Id) -> BTreeSet<Id> {
+    fn transitive_needs(&self, id: Id) -> BTreeSet<Id> {
         let mut found = BTreeSet::from([id]);
         loop {
             let known = found.iter().filter_map(|id| self.active.get(id));
@@ -144,11 +147,11 @@
         }
     }
 
-    fn changes_since(&self, before: &Plain) -> Vec<Output<Id>> {
+    fn changes_since(&self, before: &ReferenceModel) -> Vec<Output<Id>> {
         let mut changes = Vec::new();
         let lookups = &self.unknown_ends() - &before.unknown_ends();
         changes.extend(lookups.into_iter().map(|id| Output::Lookup { id }));
-        let named = self.named();
+        let needed_jobs = self.needed_jobs();
         for (&id, facts) in &self.active {
             let was_ready = matches!(before.status(id), Status::Ready { .. });
             match self.status(id) {
@@ -163,11 +166,11 @@
         }
         for (&id, facts) in &self.active {
             let urgency = self.urgency(id).expect("an active job");
-            let tell = match before.urgency(id) {
+            let is_reported = match before.urgency(id) {
                 Some(before) => before != urgency,
-                None => !facts.needs.is_empty() || named.contains(&id),
+                None => !facts.needs.is_empty() || needed_jobs.contains(&id),
             };
-            if tell {
+            if is_reported {
                 changes.push(Output::Urgency { id, urgency });
             }
         }
