--- a/crates/quota/src/cell.rs
+++ b/crates/quota/src/cell.rs
@@ -54,7 +54,7 @@
     /// state service's revision at the read is.
     Absent {
         /// The id of the new record.
-        fresh: RecordId,
+        new_id: RecordId,
     },
     /// The term of every former leader is over, and the tasks that it started are included in
     /// [`Load::in_use`].
@@ -214,20 +214,20 @@
     /// Applies an input and returns the actions for the caller.
     pub fn step(&mut self, now: SystemTime, input: Input) -> Vec<Output> {
         match input {
-            Input::Found { record, revision } => self.found(record, revision),
-            Input::Absent { fresh } => self.absent(now, fresh),
+            Input::Found { record, revision } => self.on_found(record, revision),
+            Input::Absent { new_id } => self.on_absent(now, new_id),
             Input::Settled => {
                 self.settled = true;
                 Vec::new()
             }
-            Input::Poll(load) => self.poll(now, load),
-            Input::Received { from, message } => match self.received(now, from, message) {
+            Input::Poll(load) => self.on_poll(now, load),
+            Input::Received { from, message } => match self.on_received(now, from, message) {
                 Ok(outputs) => outputs,
                 Err(refusal) => vec![Output::Refused { from, refusal }],
             },
-            Input::Stored { revision } => self.stored(revision),
-            Input::Conflict => self.undecided(Progress::Failed),
-            Input::Unclear => self.undecided(Progress::Unclear),
+            Input::Stored { revision } => self.on_stored(revision),
+            Input::Conflict => self.reread_record(Progress::Failed),
+            Input::Unclear => self.reread_record(Progress::Unclear),
         }
     }
 
@@ -237,7 +237,7 @@
 
     // The stored record.
 
-    fn found(&mut self, record: Record, revision: Revision) -> Vec<Output> {
+    fn on_found(&mut self, record: Record, revision: Revision) -> Vec<Output> {
         let Some(write) = &mut self.write else {
             return match self.known {
                 None => self.adopt(record, revision),
@@ -268,11 +268,11 @@
         }
     }
 
-    fn absent(&mut self, now: SystemTime, fresh: RecordId) -> Vec<Output> {
+    fn on_absent(&mut self, now: SystemTime, new_id: RecordId) -> Vec<Output> {
         if self.record().is_some() {
             return Vec::new();
         }
-        let record = Record::after_loss(fresh, now, &self.config.terms);
+        let record = Record::after_loss(new_id, now, &self.config.terms);
         self.write = Some(Write {
             next: record.clone(),
             progress: Progress::InFlight,
@@ -283,7 +283,7 @@
         }]
     }
 
-    fn stored(&mut self, revision: Revision) -> Vec<Output> {
+    fn on_stored(&mut self, revision: Revision) -> Vec<Output> {
         match self.write.take() {
             Some(write) => self.adopt(write.next, revision),
             None => Vec::new(),
@@ -292,7 +292,7 @@
 
     /// Handles a failed write or one of unknown result: the record is read again before any message
     /// is sent.
-    fn undecided(&mut self, progress: Progress) -> Vec<Output> {
+    fn reread_record(&mut self, progress: Progress) -> Vec<Output> {
         match &mut self.write {
             Some(write) if write.progress == Progress::InFlight => write.progress = progress,
             Some(_) => {}
@@ -310,7 +310,7 @@
         });
         self.recalled.retain(|id| record.borrowed.contains_key(id));
         self.recalling.retain(|id| record.lent.contains_key(id));
-        announcements(
+        messages_after_store(
             before.as_ref().map(|known| &known.record),
             &record,
             &self.config.peers,
@@ -338,7 +338,7 @@
 
     // Messages.
 
-    fn received(
+    fn on_received(
         &mut self,
         now: SystemTime,
         from: CellId,
@@ -358,13 +358,13 @@
             }
             Message::Recall(loan) => {
                 if !next.borrowed.contains_key(&loan) {
-                    return Err(Refusal::OldLoan);
+                    return Err(Refusal::StaleLoan);
                 }
                 self.recalled.insert(loan);
                 Ok(Vec::new())
             }
             Message::Grant(grant) => {
-                next.take(&grant, now, terms)?;
+                next.accept_grant(&grant, now, terms)?;
                 let renewed = next != *self.record().ok_or(Refusal::Busy)?;
                 if renewed {
                     self.recalled.remove(&grant.loan);
@@ -372,7 +372,7 @@
                 Ok(self.store(next))
             }
             Message::Holdings(holdings) => {
-                let mut outputs = repeated_grants(&next, from, &holdings);
+                let mut outputs = unaccepted_grants(&next, from, &holdings);
                 next.reconcile(from, &holdings);
                 next.renew(from, &holdings, &self.recalling, now, terms);
                 outputs.extend(self.store(next));
@@ -383,7 +383,7 @@
 
     // Rounds of the leader.
 
-    fn poll(&mut self, now: SystemTime, load: Load) -> Vec<Output> {
+    fn on_poll(&mut self, now: SystemTime, load: Load) -> Vec<Output> {
         let Some(mut next) = self.record().cloned() else {
             return Vec::new();
         };
@@ -405,7 +405,7 @@
     /// Sends each peer the holdings of its loans, and requests missing units.
     fn exchange(&mut self, record: &Record, now: SystemTime, load: Load) -> Vec<Output> {
         let missing = load.wanted.saturating_sub(self.limit_of(record, now));
-        self.recalling = self.wanted_back(record, now, missing);
+        self.recalling = self.loans_to_recall(record, now, missing);
         let mut outputs = Vec::new();
         for &to in &self.config.peers {
             let message = Message::Holdings(record.holdings(to));
@@ -436,12 +436,17 @@
     }
 
     /// Returns the newest loans, past their hold time, that together cover the missing units.
-    fn wanted_back(&self, record: &Record, now: SystemTime, missing: Units) -> BTreeSet<LoanId> {
+    fn loans_to_recall(
+        &self,
+        record: &Record,
+        now: SystemTime,
+        missing: Units,
+    ) -> BTreeSet<LoanId> {
         let hold = self.config.terms.hold;
         let mut left = missing;
         let mut wanted = BTreeSet::new();
         for (id, loan) in record.lent.iter().rev() {
-            if left > 0 && now >= loan.since + hold {
+            if left > 0 && now >= loan.made_at + hold {
                 left = left.saturating_sub(loan.units);
                 wanted.insert(*id);
             }
@@ -454,23 +459,24 @@
     /// outlast another loan's end.
     fn return_loans(&self, next: &mut Record, now: SystemTime, load: Load) {
         let limit = self.limit_of(next, now);
-        let mut still_used = load.in_use.saturating_sub(limit);
+        let mut remaining_in_use = load.in_use.saturating_sub(limit);
         let mut surplus = limit.saturating_sub(load.in_use.max(load.wanted));
         let mut loans: Vec<_> = next.borrowed.clone().into_iter().collect();
         loans.sort_by_key(|(id, loan)| (Reverse(loan.end), *id));
         for (id, loan) in loans {
-            let ending = self.config.terms.lapsing(now, loan.end) || self.recalled.contains(&id);
-            let returned = if ending {
-                let kept = loan.units.min(still_used);
-                still_used -= kept;
+            let is_ending =
+                self.config.terms.is_lapsing(now, loan.end) || self.recalled.contains(&id);
+            let returned = if is_ending {
+                let kept = loan.units.min(remaining_in_use);
+                remaining_in_use -= kept;
                 loan.units - kept
             } else {
                 loan.units.min(surplus)
             };
-            if !ending {
+            if !is_ending {
                 surplus -= returned;
             }
-            next.give_back(&id, returned);
+            next.return_units(&id, returned);
         }
     }
 
@@ -481,7 +487,7 @@
             id, share, terms, ..
         } = &self.config;
         let kept = load.in_use.max(load.wanted).max(share.guarantee);
-        let free = next.own(share, now).saturating_sub(kept);
+        let free = next.own_units(share, now).saturating_sub(kept);
         for (borrower, units) in divide(free, &self.asks) {
             let record = self.asks[&borrower].record;
             next.lend(*id, (borrower, record), units, now, terms);
@@ -490,12 +496,18 @@
 }
 
 /// Returns the messages enabled by a stored record: new grants, renewals and changed holdings.
-fn announcements(before: Option<&Record>, after: &Record, peers: &BTreeSet<CellId>) -> Vec<Output> {
+fn messages_after_store(
+    before: Option<&Record>,
+    after: &Record,
+    peers: &BTreeSet<CellId>,
+) -> Vec<Output> {
     let mut outputs = Vec::new();
     for (id, lent) in &after.lent {
         let grant = after.grant(id);
-        let said = before.and_then(|before| before.grant(id));
-        if let Some(grant) = grant.filter(|grant| Some(grant.end) != said.map(|said| said.end)) {
+        let previous = before.and_then(|before| before.grant(id));
+        if let Some(grant) =
+            grant.filter(|grant| Some(grant.end) != previous.map(|previous| previous.end))
+        {
             let message = Message::Grant(grant);
             outputs.push(Output::Send {
                 to: lent.borrower,
@@ -516,7 +528,7 @@
 }
 
 /// Returns the grants that, according to its holdings, a borrower has not accepted yet.
-fn repeated_grants(record: &Record, from: CellId, holdings: &Holdings) -> Vec<Output> {
+fn unaccepted_grants(record: &Record, from: CellId, holdings: &Holdings) -> Vec<Output> {
     let waiting = record.lent.iter().filter(|(id, loan)| {
         let same = (loan.borrower, loan.borrower_record) == (from, holdings.record);
         same && holdings.newest.is_none_or(|newest| newest < **id)
--- a/crates/quota/src/error.rs
+++ b/crates/quota/src/error.rs
@@ -43,11 +43,11 @@
     UnknownPeer,
     /// The message refers to a record that was lost in the meantime.
     #[error("the message is for a record that no longer exists")]
-    OtherRecord,
+    StaleRecord,
     /// Accepting the loan would use units that were already returned.
     #[error("the loan was returned, or is older than one already accepted")]
-    OldLoan,
+    StaleLoan,
     /// The loan is within its lapse lead and may not be used any more.
     #[error("the loan is about to expire")]
-    TooLate,
+    LoanLapsing,
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -45,13 +45,13 @@
     /// Set after the loss of an earlier record: the base may still be lent until then.
     pub quarantined_until: Option<SystemTime>,
     /// Number of the last loan made.
-    pub last_number: u64,
+    pub last_loan_number: u64,
     /// Loans to other cells that may still be in use.
     pub lent: BTreeMap<LoanId, Lent>,
     /// Loans from other cells that were not returned.
     pub borrowed: BTreeMap<LoanId, Borrowed>,
     /// The newest loan ever accepted from each lender.
-    pub newest_taken: BTreeMap<CellId, LoanId>,
+    pub newest_accepted: BTreeMap<CellId, LoanId>,
 }
 
 impl Record {
@@ -60,10 +60,10 @@
         Record {
             id,
             quarantined_until: None,
-            last_number: 0,
+            last_loan_number: 0,
             lent: BTreeMap::new(),
             borrowed: BTreeMap::new(),
-            newest_taken: BTreeMap::new(),
+            newest_accepted: BTreeMap::new(),
         }
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Returns the units of the base that are not lent; only the guarantee during quarantine.
-    pub(crate) fn own(&self, share: &Share, now: SystemTime) -> Units {
+    pub(crate) fn own_units(&self, share: &Share, now: SystemTime) -> Units {
         if self.quarantined_until.is_some_and(|until| now < until) {
             return share.guarantee;
         }
@@ -97,9 +97,9 @@
         let usable = self
             .borrowed
             .iter()
-            .filter(|(id, loan)| !terms.lapsing(now, loan.end) && !recalled.contains(id))
+            .filter(|(id, loan)| !terms.is_lapsing(now, loan.end) && !recalled.contains(id))
             .map(|(_, loan)| loan.units);
-        self.own(share, now) + usable.sum::<Units>()
+        self.own_units(share, now) + usable.sum::<Units>()
     }
 
     /// Makes a loan. The caller must have checked that the units are free.
@@ -111,11 +111,11 @@
         now: SystemTime,
         terms: &Terms,
     ) {
-        self.last_number += 1;
+        self.last_loan_number += 1;
         let id = LoanId {
             lender,
             record: self.id,
-            number: self.last_number,
+            number: self.last_loan_number,
         };
         let (borrower, borrower_record) = to;
         let end = now + terms.term;
@@ -126,20 +126,20 @@
                 borrower_record,
                 units,
                 end,
-                since: now,
+                made_at: now,
             },
         );
     }
 
     /// Accepts a new loan as the borrower, or the later end of a loan that it already has.
-    pub(crate) fn take(
+    pub(crate) fn accept_grant(
         &mut self,
         grant: &Grant,
         now: SystemTime,
         terms: &Terms,
     ) -> Result<(), Refusal> {
         if grant.borrower_record != self.id {
-            return Err(Refusal::OtherRecord);
+            return Err(Refusal::StaleRecord);
         }
         if let Some(loan) = self.borrowed.get_mut(&grant.loan) {
             loan.end = loan.end.max(grant.end);
@@ -147,25 +147,25 @@
         }
         let lender = grant.loan.lender;
         if self
-            .newest_taken
+            .newest_accepted
             .get(&lender)
             .is_some_and(|newest| *newest >= grant.loan)
         {
-            return Err(Refusal::OldLoan);
+            return Err(Refusal::StaleLoan);
         }
-        if terms.lapsing(now, grant.end) {
-            return Err(Refusal::TooLate);
+        if terms.is_lapsing(now, grant.end) {
+            return Err(Refusal::LoanLapsing);
         }
         let Grant {
             loan, units, end, ..
         } = *grant;
-        self.newest_taken.insert(lender, loan);
+        self.newest_accepted.insert(lender, loan);
         self.borrowed.insert(loan, Borrowed { units, end });
         Ok(())
     }
 
     /// Returns units of a borrowed loan; the loan is removed when no units remain.
-    pub(crate) fn give_back(&mut self, loan: &LoanId, units: Units) {
+    pub(crate) fn return_units(&mut self, loan: &LoanId, units: Units) {
         let Some(held) = self.borrowed.get_mut(loan) else {
             return;
         };
@@ -202,7 +202,7 @@
         for id in holdings.open.keys().filter(|id| !recalling.contains(id)) {
             if let Some(loan) = self.lent.get_mut(id)
                 && (loan.borrower, loan.borrower_record) == (from, holdings.record)
-                && terms.renewal_due(now, loan.end)
+                && terms.is_renewal_due(now, loan.end)
             {
                 loan.end = loan.end.max(now + terms.term);
             }
@@ -212,9 +212,9 @@
     /// Removes loans, lent and borrowed, that are expired by any clock.
     pub(crate) fn expire(&mut self, now: SystemTime, terms: &Terms) {
         self.lent
-            .retain(|_, loan| now < terms.surely_over(loan.end));
+            .retain(|_, loan| now < terms.expired_for_all(loan.end));
         self.borrowed
-            .retain(|_, loan| now < terms.surely_over(loan.end));
+            .retain(|_, loan| now < terms.expired_for_all(loan.end));
         if self.quarantined_until.is_some_and(|until| now >= until) {
             self.quarantined_until = None;
         }
@@ -225,7 +225,7 @@
         let open = self.borrowed.iter().filter(|(id, _)| id.lender == lender);
         Holdings {
             record: self.id,
-            newest: self.newest_taken.get(&lender).copied(),
+            newest: self.newest_accepted.get(&lender).copied(),
             open: open.map(|(id, loan)| (*id, loan.units)).collect(),
         }
     }
--- a/crates/quota/src/loan.rs
+++ b/crates/quota/src/loan.rs
@@ -35,7 +35,7 @@
     /// Expiry by the wall clock; only moves forward.
     pub end: SystemTime,
     /// Time at which the loan was made.
-    pub since: SystemTime,
+    pub made_at: SystemTime,
 }
 
 /// A loan as its borrower stores it.
@@ -65,7 +65,7 @@
 impl Terms {
     /// Returns the time from which a loan is unused by any clock: the end is absolute, so the
     /// reader's clock and the borrower's may each be off by the bound.
-    pub(crate) fn surely_over(&self, end: SystemTime) -> SystemTime {
+    pub(crate) fn expired_for_all(&self, end: SystemTime) -> SystemTime {
         end + 2 * self.clock_bound
     }
 
@@ -77,12 +77,12 @@
     }
 
     /// Returns whether a loan is within its lapse lead, so that it may not be used.
-    pub(crate) fn lapsing(&self, now: SystemTime, end: SystemTime) -> bool {
+    pub(crate) fn is_lapsing(&self, now: SystemTime, end: SystemTime) -> bool {
         now + self.lapse_lead >= end
     }
 
     /// Returns whether a third of the term has passed since a loan was made or renewed.
-    pub(crate) fn renewal_due(&self, now: SystemTime, end: SystemTime) -> bool {
+    pub(crate) fn is_renewal_due(&self, now: SystemTime, end: SystemTime) -> bool {
         now + self.term * 2 / 3 >= end
     }
 }
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -6,32 +6,32 @@
 use std::hash::{BuildHasher, RandomState};
 
 use kiteyard_quota::ledger::Share;
-use world::{Fault, Size, World};
+use world::{Bounds, Fault, World};
 
 /// Visits all reachable states; fails at the first one that violates an invariant.
-fn search(size: &Size) -> Result<usize, String> {
+fn search(bounds: &Bounds) -> Result<usize, String> {
     let hashers = [RandomState::new(), RandomState::new()];
     let fingerprint = |world: &World| hashers.each_ref().map(|hasher| hasher.hash_one(world));
     let mut seen = HashSet::new();
-    let mut open = VecDeque::new();
-    for start in World::starts(size) {
-        seen.insert(fingerprint(&start));
-        open.push_back(start);
+    let mut queue = VecDeque::new();
+    for initial in World::initial_worlds(bounds) {
+        seen.insert(fingerprint(&initial));
+        queue.push_back(initial);
     }
-    while let Some(world) = open.pop_front() {
+    while let Some(world) = queue.pop_front() {
         world
-            .check(size)
-            .map_err(|why| format!("{why}, after {} states: {world:#?}", seen.len()))?;
-        for next in world.next(size) {
+            .check(bounds)
+            .map_err(|violation| format!("{violation}, after {} states: {world:#?}", seen.len()))?;
+        for next in world.next(bounds) {
             if seen.insert(fingerprint(&next)) {
-                open.push_back(next);
+                queue.push_back(next);
             }
         }
     }
     Ok(seen.len())
 }
 
-fn size(cells: usize, horizon: u64, loans: u64, clocks: &[i64]) -> Size {
+fn bounds(cells: usize, horizon: u64, loans: u64, clocks: &[i64]) -> Bounds {
     let mut shares = vec![
         Share {
             base: 0,
@@ -41,88 +41,88 @@
     ];
     shares[0].base = 1;
     let clocks = clocks.to_vec();
-    Size {
+    Bounds {
         shares,
         horizon,
         loans,
         restarts: 0,
-        losses: 0,
-        unclear: 0,
+        lost_records: 0,
+        lost_answers: 0,
         clocks,
         fault: None,
     }
 }
 
-fn whole(name: &str, size: &Size) {
-    match search(size) {
+fn assert_no_violation(name: &str, bounds: &Bounds) {
+    match search(bounds) {
         Ok(states) => println!("{name}: {states} states"),
-        Err(why) => panic!("{name}: {why}"),
+        Err(violation) => panic!("{name}: {violation}"),
     }
 }
 
 #[test]
-fn two_cells_with_clocks_off_either_way() {
-    whole("two cells, clocks off", &size(2, 8, 2, &[-1, 1]));
+fn two_cells_with_clock_skew() {
+    assert_no_violation("two cells, clocks off", &bounds(2, 8, 2, &[-1, 1]));
 }
 
 #[test]
 fn three_cells() {
-    whole("three cells", &size(3, 6, 2, &[0]));
+    assert_no_violation("three cells", &bounds(3, 6, 2, &[0]));
 }
 
 #[test]
-fn leaders_that_end() {
-    whole(
+fn leader_failover() {
+    assert_no_violation(
         "a leader ends",
-        &Size {
+        &Bounds {
             restarts: 1,
-            ..size(2, 5, 1, &[0])
+            ..bounds(2, 5, 1, &[0])
         },
     );
 }
 
 #[test]
-fn leaders_that_end_with_clocks_off() {
-    whole(
+fn leader_failover_with_clock_skew() {
+    assert_no_violation(
         "a leader ends, clocks off",
-        &Size {
+        &Bounds {
             restarts: 1,
-            ..size(2, 3, 1, &[-1, 1])
+            ..bounds(2, 3, 1, &[-1, 1])
         },
     );
 }
 
 #[test]
-fn writes_whose_answers_are_lost() {
-    whole(
+fn lost_write_answer() {
+    assert_no_violation(
         "an answer is lost",
-        &Size {
-            unclear: 1,
-            ..size(2, 8, 1, &[0])
+        &Bounds {
+            lost_answers: 1,
+            ..bounds(2, 8, 1, &[0])
         },
     );
 }
 
 #[test]
-fn an_answer_is_lost_and_a_leader_ends() {
-    whole(
+fn lost_write_answer_and_leader_failover() {
+    assert_no_violation(
         "an answer lost, a leader ends",
-        &Size {
-            unclear: 1,
+        &Bounds {
+            lost_answers: 1,
             restarts: 1,
-            ..size(2, 2, 1, &[0])
+            ..bounds(2, 2, 1, &[0])
         },
     );
 }
 
 #[test]
-fn records_that_are_lost() {
-    whole(
+fn lost_record() {
+    assert_no_violation(
         "a record is lost",
-        &Size {
+        &Bounds {
             restarts: 1,
-            losses: 1,
-            ..size(2, 4, 1, &[0])
+            lost_records: 1,
+            ..bounds(2, 4, 1, &[0])
         },
     );
 }
@@ -139,53 +139,56 @@
             guarantee: 0,
         },
     ];
-    whole(
+    assert_no_violation(
         "a guarantee",
-        &Size {
+        &Bounds {
             shares,
-            ..size(2, 2, 1, &[0])
+            ..bounds(2, 2, 1, &[0])
         },
     );
 }
 
 /// Searches with an injected fault, which must be detected.
-fn found(fault: Fault, size: Size) {
-    let why = search(&Size {
+fn assert_fault_detected(fault: Fault, bounds: Bounds) {
+    let violation = search(&Bounds {
         fault: Some(fault),
-        ..size
+        ..bounds
     })
     .expect_err(&format!("{fault:?} was not detected"));
-    println!("{fault:?}: {}", why.split(':').next().unwrap_or_default());
+    println!(
+        "{fault:?}: {}",
+        violation.split(':').next().unwrap_or_default()
+    );
 }
 
 #[test]
-fn lender_lowers_before_the_borrower_did() {
-    found(Fault::LenderLowersFirst, size(2, 2, 1, &[0]));
+fn lender_lowers_before_the_borrower() {
+    assert_fault_detected(Fault::LenderLowersBeforeBorrower, bounds(2, 2, 1, &[0]));
 }
 
 #[test]
 fn borrower_uses_past_the_end() {
-    found(Fault::BorrowerUsesPastTheEnd, size(2, 7, 1, &[0]));
+    assert_fault_detected(Fault::BorrowerUsesPastTheEnd, bounds(2, 7, 1, &[0]));
 }
 
 #[test]
 fn grant_is_sent_before_it_is_stored() {
-    found(
+    assert_fault_detected(
         Fault::GrantSentBeforeStored,
-        Size {
+        Bounds {
             restarts: 1,
-            ..size(2, 2, 2, &[0])
+            ..bounds(2, 2, 2, &[0])
         },
     );
 }
 
 #[test]
 fn holdings_are_sent_before_they_are_stored() {
-    found(
+    assert_fault_detected(
         Fault::HoldingsSentBeforeStored,
-        Size {
+        Bounds {
             restarts: 1,
-            ..size(2, 2, 2, &[0])
+            ..bounds(2, 2, 2, &[0])
         },
     );
 }
@@ -202,46 +205,46 @@
             guarantee: 0,
         },
     ];
-    found(
+    assert_fault_detected(
         Fault::LoanNumberReused,
-        Size {
+        Bounds {
             shares,
             restarts: 1,
-            ..size(2, 1, 2, &[0])
+            ..bounds(2, 1, 2, &[0])
         },
     );
 }
 
 #[test]
-fn returned_loan_is_taken_again() {
-    found(
-        Fault::ReturnedLoanTakenAgain,
-        Size {
+fn returned_loan_is_accepted_again() {
+    assert_fault_detected(
+        Fault::ReturnedLoanAcceptedAgain,
+        Bounds {
             restarts: 1,
-            ..size(2, 2, 2, &[0])
+            ..bounds(2, 2, 2, &[0])
         },
     );
 }
 
 #[test]
 fn lender_reuses_at_the_end_without_the_clock_bound() {
-    found(Fault::LenderIgnoresClockBound, size(2, 8, 2, &[-1, 1]));
+    assert_fault_detected(Fault::LenderIgnoresClockBound, bounds(2, 8, 2, &[-1, 1]));
 }
 
 #[test]
 fn borrower_returns_at_its_own_end() {
-    found(
-        Fault::BorrowerReturnsAtItsOwnEnd,
-        Size {
+    assert_fault_detected(
+        Fault::BorrowerIgnoresClockBound,
+        Bounds {
             restarts: 1,
-            ..size(2, 3, 1, &[-1, 1])
+            ..bounds(2, 3, 1, &[-1, 1])
         },
     );
 }
 
 #[test]
 fn limit_is_lowered_after_the_answer() {
-    found(Fault::LimitLoweredAfterTheAnswer, size(2, 2, 1, &[0]));
+    assert_fault_detected(Fault::LimitLoweredAfterTheAnswer, bounds(2, 2, 1, &[0]));
 }
 
 /// This fault can't violate an invariant here: the lender counts a loan before its grant is sent,
@@ -250,63 +253,63 @@
 #[test]
 fn limit_raised_before_the_answer_breaks_nothing() {
     let fault = Some(Fault::LimitRaisedBeforeTheAnswer);
-    whole(
+    assert_no_violation(
         "limit raised early",
-        &Size {
+        &Bounds {
             fault,
             restarts: 1,
-            unclear: 1,
-            ..size(2, 2, 1, &[0])
+            lost_answers: 1,
+            ..bounds(2, 2, 1, &[0])
         },
     );
 }
 
 #[test]
 fn unsettled_leader_lowers() {
-    found(
+    assert_fault_detected(
         Fault::UnsettledLeaderLowers,
-        Size {
+        Bounds {
             restarts: 1,
-            ..size(2, 2, 2, &[0])
+            ..bounds(2, 2, 2, &[0])
         },
     );
 }
 
 #[test]
 fn write_does_not_depend_on_the_claim() {
-    found(
+    assert_fault_detected(
         Fault::WriteWithoutClaim,
-        Size {
+        Bounds {
             restarts: 1,
-            ..size(2, 2, 2, &[0])
+            ..bounds(2, 2, 2, &[0])
         },
     );
 }
 
 #[test]
 fn unclear_write_is_taken_as_failed() {
-    found(
+    assert_fault_detected(
         Fault::UnclearTakenAsFailed,
-        Size {
-            unclear: 1,
-            ..size(2, 2, 2, &[0])
+        Bounds {
+            lost_answers: 1,
+            ..bounds(2, 2, 2, &[0])
         },
     );
 }
 
 #[test]
-fn tasks_are_stopped_at_the_end_only() {
-    found(Fault::NoLapseLead, size(2, 8, 2, &[-1, 1]));
+fn tasks_are_stopped_only_at_the_loan_end() {
+    assert_fault_detected(Fault::NoLapseLead, bounds(2, 8, 2, &[-1, 1]));
 }
 
 #[test]
-fn grant_for_a_lost_record_is_taken() {
-    found(
-        Fault::GrantForLostRecordTaken,
-        Size {
+fn grant_for_a_lost_record_is_accepted() {
+    assert_fault_detected(
+        Fault::GrantForLostRecordAccepted,
+        Bounds {
             restarts: 1,
-            losses: 1,
-            ..size(2, 2, 2, &[0])
+            lost_records: 1,
+            ..bounds(2, 2, 2, &[0])
         },
     );
 }
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -17,12 +17,12 @@
 const INTERVAL: u64 = 5;
 /// Rounds of messages after the loss ends until every base is back: a lost grant is resent,
 /// accepted and returned, and the lender receives the return.
-const ROUNDS_TO_RETURN: u64 = 3;
+const ROUNDS_TO_RECOVER: u64 = 3;
 
 struct Cells {
     seconds: u64,
     cells: Vec<Cell>,
-    mail: VecDeque<(CellId, CellId, Message)>,
+    messages: VecDeque<(CellId, CellId, Message)>,
     revisions: u64,
 }
 
@@ -43,7 +43,7 @@
         let mut all = Cells {
             seconds: 0,
             cells: Vec::new(),
-            mail: VecDeque::new(),
+            messages: VecDeque::new(),
             revisions: 0,
         };
         for id in 0..CELLS {
@@ -86,14 +86,16 @@
                         },
                     );
                 }
-                Output::Send { to, message } => self.mail.push_back((to, CellId(cell), message)),
+                Output::Send { to, message } => {
+                    self.messages.push_back((to, CellId(cell), message))
+                }
                 Output::Read | Output::Refused { .. } => {}
             }
         }
     }
 
     /// Runs one second: a round of each cell with its demand, then delivery of messages, some lost.
-    fn second(&mut self, wanted: &[Units], lost: u8) {
+    fn run_second(&mut self, wanted: &[Units], lost_in_ten: u8) {
         self.seconds += 1;
         for cell in 0..CELLS {
             let limit = self.cells[usize::from(cell)]
@@ -109,9 +111,9 @@
                 }),
             );
         }
-        for letter in 0..self.mail.len() {
-            let (to, from, message) = self.mail.pop_front().expect("a message");
-            if (letter * 7 + self.seconds as usize) % 10 >= usize::from(lost) {
+        for index in 0..self.messages.len() {
+            let (to, from, message) = self.messages.pop_front().expect("a message");
+            if (index * 7 + self.seconds as usize) % 10 >= usize::from(lost_in_ten) {
                 self.step(to.0, Input::Received { from, message });
             }
         }
@@ -137,27 +139,27 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn limits_add_up_and_bases_come_back(
+    fn limits_never_exceed_the_total_and_bases_are_recovered(
         phases in prop::collection::vec((prop::collection::vec(0..40u64, 3), 0..=10u8, 1..200u64), 1..6)
     ) {
         let mut cells = Cells::new();
-        for (wanted, lost, seconds) in phases {
+        for (wanted, lost_in_ten, seconds) in phases {
             for _ in 0..seconds {
-                cells.second(&wanted, lost);
+                cells.run_second(&wanted, lost_in_ten);
                 let limits = cells.limits();
                 prop_assert!(limits.iter().sum::<Units>() <= BASE * Units::from(CELLS), "{limits:?}");
                 prop_assert!(limits.iter().all(|limit| *limit >= GUARANTEE));
             }
         }
-        for _ in 0..ROUNDS_TO_RETURN * INTERVAL {
-            cells.second(&[0, 0, 0], 0);
+        for _ in 0..ROUNDS_TO_RECOVER * INTERVAL {
+            cells.run_second(&[0, 0, 0], 0);
         }
         prop_assert_eq!(cells.lent(), 0);
         prop_assert_eq!(cells.limits(), vec![BASE; CELLS.into()]);
     }
 
     #[test]
-    fn division_gives_no_more_than_is_free(free in 0..100u64, asks in prop::collection::btree_map(0..9u16, (0..50u64, 0..50u64), 0..6)) {
+    fn division_never_exceeds_free_units(free in 0..100u64, asks in prop::collection::btree_map(0..9u16, (0..50u64, 0..50u64), 0..6)) {
         let ask = |(units, unmet_guarantee)| Ask { record: RecordId(1), units, unmet_guarantee };
         let asks: BTreeMap<_, _> = asks.into_iter().map(|(cell, asked)| (CellId(cell), ask(asked))).collect();
         let parts = divide(free, &asks);
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn shares_over_the_limit_are_refused() {
+fn shares_over_the_limit_are_rejected() {
     let shares = |base| {
         BTreeMap::from([
             (CellId(0), Share { base, guarantee: 1 }),
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -15,38 +15,38 @@
 use kiteyard_quota::message::{Ask, Holdings, Message};
 
 pub const TICK: Duration = Duration::from_secs(1);
-const START: Duration = Duration::from_secs(1000);
+const TIME_OFFSET: Duration = Duration::from_secs(1000);
 
 /// An injected fault, to verify that the search detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    LenderLowersFirst,
+    LenderLowersBeforeBorrower,
     BorrowerUsesPastTheEnd,
     GrantSentBeforeStored,
     HoldingsSentBeforeStored,
     LoanNumberReused,
-    ReturnedLoanTakenAgain,
+    ReturnedLoanAcceptedAgain,
     LenderIgnoresClockBound,
-    BorrowerReturnsAtItsOwnEnd,
+    BorrowerIgnoresClockBound,
     LimitLoweredAfterTheAnswer,
     LimitRaisedBeforeTheAnswer,
     UnsettledLeaderLowers,
     WriteWithoutClaim,
     UnclearTakenAsFailed,
     NoLapseLead,
-    GrantForLostRecordTaken,
+    GrantForLostRecordAccepted,
 }
 
 /// Bounds of the search: events that may occur, and how often.
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct Bounds {
     pub shares: Vec<Share>,
     pub horizon: u64,
     pub loans: u64,
     pub restarts: u8,
-    pub losses: u8,
+    pub lost_records: u8,
     /// Number of writes whose answer may be lost.
-    pub unclear: u8,
+    pub lost_answers: u8,
     pub clocks: Vec<i64>,
     pub fault: Option<Fault>,
 }
@@ -67,11 +67,11 @@
 struct Site {
     id: CellId,
     leader: Leader,
-    former: Option<Leader>,
+    former_leader: Option<Leader>,
     stored: Option<(Record, Revision)>,
     revision: u64,
     in_flight: Option<Write>,
-    late: Vec<Write>,
+    delayed: Vec<Write>,
     in_use: Units,
 }
 
@@ -79,30 +79,30 @@
 pub struct World {
     time: u64,
     restarts: u8,
-    losses: u8,
-    unclear: u8,
+    lost_records: u8,
+    lost_answers: u8,
     sites: Vec<Site>,
     network: BTreeSet<(CellId, CellId, Message)>,
 }
 
 /// Adds the result of a change to the possible next worlds.
-type Push<'a> = dyn FnMut(&dyn Fn(&mut World)) + 'a;
+type PushWorld<'a> = dyn FnMut(&dyn Fn(&mut World)) + 'a;
 
 /// The answer that the sender of a write receives.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Answer {
-    Given,
+    Delivered,
     Lost,
-    LostAndLate,
+    LostAndDelayed,
 }
 
-fn clock(time: u64, off: i64) -> SystemTime {
+fn clock(time: u64, skew: i64) -> SystemTime {
     SystemTime::UNIX_EPOCH
-        + START
-        + TICK * u32::try_from(time as i64 + 10 + off).expect("a short simulation")
+        + TIME_OFFSET
+        + TICK * u32::try_from(time as i64 + 10 + skew).expect("a short simulation")
 }
 
-fn config(size: &Size, id: CellId) -> Config {
+fn config(bounds: &Bounds, id: CellId) -> Config {
     let mut terms = Terms {
         term: 4 * TICK,
         lapse_lead: TICK,
@@ -110,18 +110,18 @@
         interval: 1000 * TICK,
         hold: Duration::ZERO,
     };
-    match (size.fault, id.0) {
+    match (bounds.fault, id.0) {
         (Some(Fault::LenderIgnoresClockBound), 0) => terms.clock_bound = Duration::ZERO,
-        (Some(Fault::BorrowerReturnsAtItsOwnEnd), 1) => terms.clock_bound = Duration::ZERO,
+        (Some(Fault::BorrowerIgnoresClockBound), 1) => terms.clock_bound = Duration::ZERO,
         (Some(Fault::NoLapseLead), _) => terms.lapse_lead = Duration::ZERO,
         _ => {}
     }
-    let peers = (0..size.shares.len() as u16)
+    let peers = (0..bounds.shares.len() as u16)
         .map(CellId)
         .filter(|peer| *peer != id);
     Config {
         id,
-        share: size.shares[usize::from(id.0)],
+        share: bounds.shares[usize::from(id.0)],
         terms,
         peers: peers.collect(),
     }
@@ -129,77 +129,79 @@
 
 impl World {
     /// Returns one initial world for each combination of clock skews.
-    pub fn starts(size: &Size) -> Vec<World> {
-        let cells = size.shares.len();
-        let ways = size.clocks.len().pow(cells as u32);
-        (0..ways).map(|way| World::start(size, way)).collect()
+    pub fn initial_worlds(bounds: &Bounds) -> Vec<World> {
+        let cells = bounds.shares.len();
+        let combinations = bounds.clocks.len().pow(cells as u32);
+        (0..combinations)
+            .map(|combination| World::initial(bounds, combination))
+            .collect()
     }
 
-    fn start(size: &Size, mut way: usize) -> World {
+    fn initial(bounds: &Bounds, mut combination: usize) -> World {
         let mut world = World {
             time: 0,
-            restarts: size.restarts,
-            losses: size.losses,
-            unclear: size.unclear,
+            restarts: bounds.restarts,
+            lost_records: bounds.lost_records,
+            lost_answers: bounds.lost_answers,
             sites: Vec::new(),
             network: BTreeSet::new(),
         };
-        for cell in 0..size.shares.len() {
-            let clock = size.clocks[way % size.clocks.len()];
-            way /= size.clocks.len();
+        for cell in 0..bounds.shares.len() {
+            let clock = bounds.clocks[combination % bounds.clocks.len()];
+            combination /= bounds.clocks.len();
             let (machine, _) =
-                Cell::new(config(size, CellId(cell as u16))).expect("a valid configuration");
+                Cell::new(config(bounds, CellId(cell as u16))).expect("a valid configuration");
             world.sites.push(Site {
                 id: CellId(cell as u16),
                 leader: Leader {
                     cell: machine,
                     clock,
                 },
-                former: None,
+                former_leader: None,
                 stored: Some((Record::first(RecordId(1)), Revision(1))),
                 revision: 1,
                 in_flight: None,
-                late: Vec::new(),
+                delayed: Vec::new(),
                 in_use: 0,
             });
-            world.read(size, cell);
-            world.step(size, cell, Input::Settled);
-            world.step(size, cell, Input::Poll(Load::default()));
+            world.read(bounds, cell);
+            world.step(bounds, cell, Input::Settled);
+            world.step(bounds, cell, Input::Poll(Load::default()));
         }
-        world.use_all(size);
+        world.saturate_usage(bounds);
         world
     }
 
     /// Returns all possible next worlds.
-    pub fn next(&self, size: &Size) -> Vec<World> {
+    pub fn next(&self, bounds: &Bounds) -> Vec<World> {
         let mut next = Vec::new();
         let mut push = |change: &dyn Fn(&mut World)| {
             let mut world = self.clone();
             change(&mut world);
-            world.use_all(size);
-            world.forget(size);
+            world.saturate_usage(bounds);
+            world.prune(bounds);
             if world != *self {
                 next.push(world);
             }
         };
-        if self.time < size.horizon {
-            push(&|world| world.tick(size));
+        if self.time < bounds.horizon {
+            push(&|world| world.tick(bounds));
         }
         for (to, from, message) in &self.network {
             let input = Input::Received {
                 from: *from,
                 message: message.clone(),
             };
-            push(&|world| world.step(size, usize::from(to.0), input.clone()));
+            push(&|world| world.step(bounds, usize::from(to.0), input.clone()));
         }
         for cell in 0..self.sites.len() {
-            self.rounds(size, cell, &mut push);
-            self.writes(size, cell, &mut push);
-            if self.restarts > 0 && self.sites[cell].former.is_none() {
-                for &clock in &size.clocks {
-                    push(&|world| world.restart(size, cell, clock, false));
-                    if self.losses > 0 {
-                        push(&|world| world.restart(size, cell, clock, true));
+            self.rounds(bounds, cell, &mut push);
+            self.writes(bounds, cell, &mut push);
+            if self.restarts > 0 && self.sites[cell].former_leader.is_none() {
+                for &clock in &bounds.clocks {
+                    push(&|world| world.restart(bounds, cell, clock, false));
+                    if self.lost_records > 0 {
+                        push(&|world| world.restart(bounds, cell, clock, true));
                     }
                 }
             }
@@ -208,15 +210,15 @@
     }
 
     /// Adds the leader's rounds with and without a request, and recalls, which may arrive anytime.
-    fn rounds(&self, size: &Size, cell: usize, push: &mut Push) {
+    fn rounds(&self, bounds: &Bounds, cell: usize, push: &mut PushWorld) {
         let site = &self.sites[cell];
         let Some(record) = site.leader.cell.record() else {
             return;
         };
         for in_use in 0..=site.in_use {
-            push(&|world| world.poll(size, cell, in_use, None));
+            push(&|world| world.poll(bounds, cell, in_use, None));
             for asker in (0..self.sites.len())
-                .filter(|asker| *asker != cell && record.last_number < size.loans)
+                .filter(|asker| *asker != cell && record.last_loan_number < bounds.loans)
             {
                 let Some((asking, _)) = &self.sites[asker].stored else {
                     continue;
@@ -227,7 +229,7 @@
                         units: 9,
                         unmet_guarantee: 0,
                     };
-                    push(&|world| world.poll(size, cell, in_use, Some((asker, ask.clone()))));
+                    push(&|world| world.poll(bounds, cell, in_use, Some((asker, ask.clone()))));
                 }
             }
         }
@@ -237,8 +239,8 @@
                 message: Message::Recall(*loan),
             };
             push(&|world| {
-                world.step(size, cell, input.clone());
-                if size.fault == Some(Fault::LenderLowersFirst) {
+                world.step(bounds, cell, input.clone());
+                if bounds.fault == Some(Fault::LenderLowersBeforeBorrower) {
                     let holdings = Holdings {
                         record: RecordId(1),
                         newest: Some(*loan),
@@ -249,54 +251,54 @@
                         from: CellId(cell as u16),
                         message,
                     };
-                    world.step(size, usize::from(loan.lender.0), input);
+                    world.step(bounds, usize::from(loan.lender.0), input);
                 }
             });
         }
     }
 
-    fn writes(&self, size: &Size, cell: usize, push: &mut Push) {
+    fn writes(&self, bounds: &Bounds, cell: usize, push: &mut PushWorld) {
         let site = &self.sites[cell];
         if site.in_flight.is_some() {
-            for answer in [Answer::Given, Answer::Lost, Answer::LostAndLate] {
-                if answer == Answer::Given || self.unclear > 0 {
-                    push(&|world| world.answer(size, cell, answer));
+            for answer in [Answer::Delivered, Answer::Lost, Answer::LostAndDelayed] {
+                if answer == Answer::Delivered || self.lost_answers > 0 {
+                    push(&|world| world.answer(bounds, cell, answer));
                 }
             }
         }
-        for late in 0..site.late.len() {
+        for delayed in 0..site.delayed.len() {
             push(&|world| {
-                let write = world.sites[cell].late.remove(late);
-                world.sites[cell].land(&write);
+                let write = world.sites[cell].delayed.remove(delayed);
+                world.sites[cell].apply_write(&write);
             });
         }
     }
 
     /// Advances true time by a tick, in which tasks over the limit stop and former terms end.
-    fn tick(&mut self, size: &Size) {
+    fn tick(&mut self, bounds: &Bounds) {
         for cell in 0..self.sites.len() {
-            let most = self.sites[cell].limit(size, self.time);
+            let max_limit = self.sites[cell].limit(bounds, self.time);
             let site = &mut self.sites[cell];
-            site.in_use = site.in_use.min(most);
-            site.former = None;
+            site.in_use = site.in_use.min(max_limit);
+            site.former_leader = None;
         }
         self.time += 1;
         for cell in 0..self.sites.len() {
-            self.step(size, cell, Input::Settled);
+            self.step(bounds, cell, Input::Settled);
         }
     }
 
-    fn poll(&mut self, size: &Size, cell: usize, in_use: Units, ask: Option<(usize, Ask)>) {
+    fn poll(&mut self, bounds: &Bounds, cell: usize, in_use: Units, ask: Option<(usize, Ask)>) {
         self.sites[cell].in_use = in_use;
         if let Some((asker, ask)) = ask {
             let input = Input::Received {
                 from: CellId(asker as u16),
                 message: Message::Ask(ask),
             };
-            self.step(size, cell, input);
+            self.step(bounds, cell, input);
         }
         self.step(
-            size,
+            bounds,
             cell,
             Input::Poll(Load {
                 in_use,
@@ -305,15 +307,15 @@
         );
     }
 
-    fn step(&mut self, size: &Size, cell: usize, mut input: Input) {
+    fn step(&mut self, bounds: &Bounds, cell: usize, mut input: Input) {
         let site = &mut self.sites[cell];
         if let (
-            Some(Fault::GrantForLostRecordTaken),
+            Some(Fault::GrantForLostRecordAccepted),
             Input::Received {
                 message: Message::Grant(grant),
                 ..
             },
-        ) = (size.fault, &mut input)
+        ) = (bounds.fault, &mut input)
             && let Some(record) = site.leader.cell.record()
         {
             grant.borrower_record = record.id;
@@ -322,8 +324,8 @@
         let outputs = site.leader.cell.step(now, input);
         for output in outputs {
             match output {
-                Output::Read => self.read(size, cell),
-                Output::Store { record, condition } => self.write(size, cell, record, condition),
+                Output::Read => self.read(bounds, cell),
+                Output::Store { record, condition } => self.write(bounds, cell, record, condition),
                 Output::Send { to, message } => self.send(cell, to, message),
                 Output::Refused { .. } => {}
             }
@@ -337,19 +339,19 @@
         }
     }
 
-    fn read(&mut self, size: &Size, cell: usize) {
+    fn read(&mut self, bounds: &Bounds, cell: usize) {
         let site = &self.sites[cell];
         let input = match site.stored.clone() {
             Some((record, revision)) => Input::Found { record, revision },
             None => Input::Absent {
-                fresh: RecordId(site.revision),
+                new_id: RecordId(site.revision),
             },
         };
-        self.step(size, cell, input);
+        self.step(bounds, cell, input);
     }
 
-    fn write(&mut self, size: &Size, cell: usize, mut record: Record, condition: Condition) {
-        match size.fault {
+    fn write(&mut self, bounds: &Bounds, cell: usize, mut record: Record, condition: Condition) {
+        match bounds.fault {
             Some(Fault::GrantSentBeforeStored) => {
                 for (loan, lent) in &record.lent {
                     let grant = record.grant(loan).expect("a loan that is lent");
@@ -360,39 +362,48 @@
                 let holdings = record.holdings(CellId(0));
                 self.send(cell, CellId(0), Message::Holdings(holdings));
             }
-            Some(Fault::LoanNumberReused) => record.last_number = 0,
-            Some(Fault::ReturnedLoanTakenAgain) => record.newest_taken.clear(),
+            Some(Fault::LoanNumberReused) => record.last_loan_number = 0,
+            Some(Fault::ReturnedLoanAcceptedAgain) => record.newest_accepted.clear(),
             _ => {}
         }
         self.sites[cell].in_flight = Some(Write { record, condition });
     }
 
-    fn answer(&mut self, size: &Size, cell: usize, answer: Answer) {
-        if answer != Answer::Given {
-            self.unclear -= 1;
+    fn answer(&mut self, bounds: &Bounds, cell: usize, answer: Answer) {
+        if answer != Answer::Delivered {
+            self.lost_answers -= 1;
         }
         let site = &mut self.sites[cell];
         let write = site.in_flight.take().expect("a write");
         let input = match answer {
-            Answer::Given => site.land(&write),
+            Answer::Delivered => site.apply_write(&write),
             Answer::Lost => {
-                site.land(&write);
+                site.apply_write(&write);
                 Input::Unclear
             }
-            Answer::LostAndLate => {
-                site.late.push(write);
+            Answer::LostAndDelayed => {
+                site.delayed.push(write);
                 Input::Unclear
             }
         };
-        let forgotten = size.fault == Some(Fault::UnclearTakenAsFailed) && input == Input::Unclear;
-        self.step(size, cell, if forgotten { Input::Conflict } else { input });
+        let is_reported_failed =
+            bounds.fault == Some(Fault::UnclearTakenAsFailed) && input == Input::Unclear;
+        self.step(
+            bounds,
+            cell,
+            if is_reported_failed {
+                Input::Conflict
+            } else {
+                input
+            },
+        );
     }
 
     /// Starts a new leader, which claims and reads. Writes of the old one depend on its claim.
-    fn restart(&mut self, size: &Size, cell: usize, clock: i64, lost: bool) {
+    fn restart(&mut self, bounds: &Bounds, cell: usize, clock: i64, lost: bool) {
         self.restarts -= 1;
         let (machine, _) =
-            Cell::new(config(size, CellId(cell as u16))).expect("a valid configuration");
+            Cell::new(config(bounds, CellId(cell as u16))).expect("a valid configuration");
         let site = &mut self.sites[cell];
         let old = std::mem::replace(
             &mut site.leader,
@@ -401,43 +412,43 @@
                 clock,
             },
         );
-        site.former = Some(old);
+        site.former_leader = Some(old);
         let in_flight = site.in_flight.take();
-        if size.fault == Some(Fault::WriteWithoutClaim) {
-            site.late.extend(in_flight);
+        if bounds.fault == Some(Fault::WriteWithoutClaim) {
+            site.delayed.extend(in_flight);
         } else {
-            site.late.clear();
+            site.delayed.clear();
         }
         if lost {
-            self.losses -= 1;
+            self.lost_records -= 1;
             site.stored = None;
             site.revision += 1;
         }
-        self.read(size, cell);
-        if size.fault == Some(Fault::UnsettledLeaderLowers) {
-            self.step(size, cell, Input::Settled);
+        self.read(bounds, cell);
+        if bounds.fault == Some(Fault::UnsettledLeaderLowers) {
+            self.step(bounds, cell, Input::Settled);
         }
     }
 
     /// Raises the units in use to the limit of every leader whose term may last.
-    fn use_all(&mut self, size: &Size) {
+    fn saturate_usage(&mut self, bounds: &Bounds) {
         for site in &mut self.sites {
-            site.in_use = site.in_use.max(site.limit(size, self.time));
+            site.in_use = site.in_use.max(site.limit(bounds, self.time));
         }
     }
 
     /// Drops writes whose condition can't hold again and messages about loans that are over. Loan
     /// numbers only grow, so no reachable violation is lost.
-    fn forget(&mut self, size: &Size) {
+    fn prune(&mut self, bounds: &Bounds) {
         for site in &mut self.sites {
             let stored = site
                 .stored
                 .as_ref()
                 .map(|stored| Condition::Unchanged(stored.1));
-            site.late
+            site.delayed
                 .retain(|write| Some(write.condition) == stored.or(Some(Condition::Absent)));
         }
-        if size.losses > 0 || size.fault.is_some() {
+        if bounds.lost_records > 0 || bounds.fault.is_some() {
             return;
         }
         let sites = &self.sites;
@@ -452,7 +463,7 @@
                         .get(&grant.loan)
                         .is_some_and(|loan| loan.end < grant.end);
                     open || record
-                        .newest_taken
+                        .newest_accepted
                         .get(from)
                         .is_none_or(|newest| *newest < grant.loan)
                 }
@@ -466,13 +477,13 @@
     }
 
     /// Checks the invariants of every state.
-    pub fn check(&self, size: &Size) -> Result<(), String> {
-        let limit: Units = size.shares.iter().map(|share| share.base).sum();
+    pub fn check(&self, bounds: &Bounds) -> Result<(), String> {
+        let limit: Units = bounds.shares.iter().map(|share| share.base).sum();
         let in_use: Units = self.sites.iter().map(|site| site.in_use).sum();
         if in_use > limit {
             return Err(format!("{in_use} units in use, over the limit of {limit}"));
         }
-        for (site, share) in self.sites.iter().zip(&size.shares) {
+        for (site, share) in self.sites.iter().zip(&bounds.shares) {
             let lent = |record: &Record| record.lent.values().map(|loan| loan.units).sum::<Units>();
             if let Some((record, _)) = &site.stored
                 && lent(record) + share.guarantee > share.base
@@ -495,34 +506,34 @@
 
 impl Site {
     /// Returns the maximum units that any leader of this cell lets tasks use.
-    fn limit(&self, size: &Size, time: u64) -> Units {
-        let leaders = std::iter::once(&self.leader).chain(&self.former);
+    fn limit(&self, bounds: &Bounds, time: u64) -> Units {
+        let leaders = std::iter::once(&self.leader).chain(&self.former_leader);
         let limits = leaders.filter_map(|leader| {
-            let late = if size.fault == Some(Fault::BorrowerUsesPastTheEnd) {
+            let delay = if bounds.fault == Some(Fault::BorrowerUsesPastTheEnd) {
                 3
             } else {
                 0
             };
-            leader.cell.limit(clock(time, leader.clock - late))
+            leader.cell.limit(clock(time, leader.clock - delay))
         });
-        let most = limits.max().unwrap_or(0);
-        most.max(self.wrong_limit(size, time).unwrap_or(0))
+        let max_limit = limits.max().unwrap_or(0);
+        max_limit.max(self.faulty_limit(bounds, time).unwrap_or(0))
     }
 
     /// Returns the limit by the record before or after the write in flight, if a fault says so.
-    fn wrong_limit(&self, size: &Size, time: u64) -> Option<Units> {
+    fn faulty_limit(&self, bounds: &Bounds, time: u64) -> Option<Units> {
         let write = self.in_flight.as_ref()?;
-        let record = match size.fault? {
+        let record = match bounds.fault? {
             Fault::LimitLoweredAfterTheAnswer => &self.stored.as_ref()?.0,
             Fault::LimitRaisedBeforeTheAnswer => &write.record,
             _ => return None,
         };
-        let Config { share, terms, .. } = config(size, self.id);
+        let Config { share, terms, .. } = config(bounds, self.id);
         let now = clock(time, self.leader.clock);
         Some(record.limit(&share, &terms, now, &BTreeSet::new()))
     }
 
-    fn land(&mut self, write: &Write) -> Input {
+    fn apply_write(&mut self, write: &Write) -> Input {
         let holds = match write.condition {
             Condition::Absent => self.stored.is_none(),
             Condition::Unchanged(revision) => self
