--- a/crates/ctl/src/rollout.rs
+++ b/crates/ctl/src/rollout.rs
@@ -8,7 +8,7 @@
 use kiteyard_ctl::client::{Answer, Client};
 use kiteyard_rollout::{
     generation::Stage,
-    next,
+    restart_order,
     view::{NodeStatus, Status},
 };
 use serde_json::json;
@@ -202,7 +202,7 @@
 }
 
 fn next(cli: &Cli, status: &Status, build: Option<&str>) -> ExitCode {
-    match next::next(status, build) {
+    match restart_order::next_node(status, build) {
         Ok(node) => {
             let leads = status.nodes.iter().any(|n| n.node == node && n.leads);
             match cli.json {
@@ -217,7 +217,7 @@
 }
 
 fn plan(cli: &Cli, status: &Status, build: Option<&str>) -> ExitCode {
-    let steps = next::plan(status, build);
+    let steps = restart_order::plan(status, build);
     if cli.json {
         println!("{}", json!({"steps": steps}));
         return ExitCode::SUCCESS;
--- a/crates/rollout/src/config.rs
+++ b/crates/rollout/src/config.rs
@@ -28,12 +28,12 @@
     /// Time for which all nodes must support a generation before it is written.
     pub soak: Duration,
     /// Fraction of the state service's change rate that rewriting old records may use.
-    pub share: f64,
+    pub migration_share: f64,
     /// Features that are not activated.
-    pub hold: BTreeSet<String>,
+    pub held_features: BTreeSet<String>,
     /// Newest generation that the process supports, to emulate an older build in tests of a
     /// rollout.
-    pub reads_most: Option<Generation>,
+    pub max_generation: Option<Generation>,
     /// Whether the cluster moves to the newest generation without an order.
     pub automatic: bool,
 }
@@ -42,33 +42,33 @@
 #[serde(deny_unknown_fields)]
 struct File {
     soak_s: f64,
-    #[serde(default = "share")]
+    #[serde(default = "default_migration_share")]
     migration_share: f64,
     #[serde(default)]
     hold: BTreeSet<String>,
     reads_most: Option<Generation>,
-    #[serde(default = "automatic")]
+    #[serde(default = "default_automatic")]
     automatic: bool,
 }
 
-fn share() -> f64 {
+fn default_migration_share() -> f64 {
     0.1
 }
 
-fn automatic() -> bool {
+fn default_automatic() -> bool {
     true
 }
 
-const SOAK_MOST: f64 = 30.0 * 86_400.0;
+const MAX_SOAK_S: f64 = 30.0 * 86_400.0;
 
 impl Config {
     /// Parses and checks the file; `features` are those that this build knows.
     pub fn parse(text: &str, features: &[Feature]) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
-            .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
+            .map_err(|error| ConfigError::Form(error.to_string()))?;
         let fail = |field, message: String| Err(ConfigError::Field { field, message });
-        if !(0.0..=SOAK_MOST).contains(&file.soak_s) {
-            return fail("soak_s", format!("must be 0 to {SOAK_MOST} seconds"));
+        if !(0.0..=MAX_SOAK_S).contains(&file.soak_s) {
+            return fail("soak_s", format!("must be 0 to {MAX_SOAK_S} seconds"));
         }
         if !(0.0..=0.5).contains(&file.migration_share) {
             return fail("migration_share", "must be 0 to 0.5".into());
@@ -90,17 +90,19 @@
             return fail("reads_most", format!("must be {OLDEST} to {newest}"));
         }
         Ok(Self {
-            reads_most: file.reads_most,
+            max_generation: file.reads_most,
             soak: Duration::from_secs_f64(file.soak_s),
-            share: file.migration_share,
-            hold: file.hold,
+            migration_share: file.migration_share,
+            held_features: file.hold,
             automatic: file.automatic,
         })
     }
 
     /// Returns the newest generation that may be moved to: below the first feature held back.
     pub fn held_to(&self, features: &[Feature]) -> Option<Generation> {
-        let held = features.iter().filter(|f| self.hold.contains(f.name));
+        let held = features
+            .iter()
+            .filter(|f| self.held_features.contains(f.name));
         held.map(|f| f.since - 1).min()
     }
 }
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -19,7 +19,7 @@
     /// First generation that includes the feature.
     pub since: Generation,
     /// Whether its records can be rewritten in the previous format.
-    pub way_back: bool,
+    pub is_reversible: bool,
     /// Stored formats and messages that it requires.
     pub forms: &'static [&'static str],
 }
@@ -44,7 +44,7 @@
 
 impl Ability {
     /// Returns whether the process reads and writes this generation.
-    pub fn can(&self, generation: Generation) -> bool {
+    pub fn supports(&self, generation: Generation) -> bool {
         (self.least..=self.most).contains(&generation)
     }
 }
@@ -108,16 +108,18 @@
     }
 
     /// Returns whether the record is valid.
-    pub fn holds(&self) -> bool {
-        self.from >= OLDEST && self.to >= OLDEST && (self.stage == Stage::Settled) == self.still()
+    pub fn is_valid(&self) -> bool {
+        self.from >= OLDEST
+            && self.to >= OLDEST
+            && (self.stage == Stage::Settled) == self.has_equal_generations()
     }
 
-    fn still(&self) -> bool {
+    fn has_equal_generations(&self) -> bool {
         self.from == self.to
     }
 
     /// Returns the generation whose formats are written.
-    pub fn written(&self) -> Generation {
+    pub fn written_generation(&self) -> Generation {
         match self.stage {
             Stage::Settled | Stage::Prepared | Stage::Soaking => self.from,
             Stage::Active | Stage::Migrating => self.to,
@@ -125,25 +127,26 @@
     }
 
     /// Returns whether records of both formats may exist.
-    pub fn mixed(&self) -> bool {
+    pub fn is_mixed(&self) -> bool {
         self.stage >= Stage::Active
     }
 
     /// Returns the generations whose formats are read, in this order: a record that is rewritten
     /// between the reads moves from the first to the second.
-    pub fn read(&self) -> impl Iterator<Item = Generation> + use<> {
-        let second = self.mixed().then_some(self.to);
+    pub fn read_generations(&self) -> impl Iterator<Item = Generation> + use<> {
+        let second = self.is_mixed().then_some(self.to);
         [self.from].into_iter().chain(second)
     }
 
     /// Returns whether a process with this ability may act on the stored state.
-    pub fn suits(&self, ability: &Ability) -> bool {
-        ability.can(self.written()) && (!self.mixed() || ability.can(self.from))
+    pub fn is_supported_by(&self, ability: &Ability) -> bool {
+        ability.supports(self.written_generation())
+            && (!self.is_mixed() || ability.supports(self.from))
     }
 
     /// Returns the generation that a process must support.
-    pub fn needs(&self) -> Generation {
-        match self.mixed() {
+    pub fn required_generation(&self) -> Generation {
+        match self.is_mixed() {
             true => self.from.max(self.to),
             false => self.from,
         }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -10,5 +10,5 @@
 pub mod config;
 pub mod generation;
 pub mod machine;
-pub mod next;
+pub mod restart_order;
 pub mod view;
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -16,18 +16,18 @@
 
 /// The known state of one configured node.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Seen {
+pub struct NodeState {
     /// The node's own stored record; a process writes one when it starts.
     pub ability: Option<Ability>,
     /// Revision of that record; 0: there is none.
-    pub started: u64,
+    pub record_revision: u64,
     /// Latest announcement of its process; `None` if it was not heard recently.
-    pub told: Option<Told>,
+    pub announcement: Option<NodeAnnouncement>,
 }
 
 /// The periodic announcement of a process to the other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct NodeAnnouncement {
     /// Revision of its own record.
     pub started: u64,
     /// Revision of the cluster's record that it knows.
@@ -44,9 +44,9 @@
     /// The orders of operators.
     pub orders: Orders,
     /// All configured nodes by name.
-    pub nodes: BTreeMap<String, Seen>,
+    pub nodes: BTreeMap<String, NodeState>,
     /// Whether a listing of old records, begun in the current stage, found none.
-    pub clean: bool,
+    pub no_old_records: bool,
 }
 
 /// Actions and log events for the caller.
@@ -63,32 +63,32 @@
         nodes: Vec<(String, u64)>,
     },
     /// All nodes are ready, and the soak has started.
-    SoakBegins,
+    SoakStarted,
     /// The soak was interrupted for this reason and starts over.
-    SoakBeginsAgain(String),
+    SoakRestarted(String),
 }
 
 /// The reason why the next step is not taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Held {
+pub enum Blocker {
     /// The cluster is at its target generation.
-    Nothing,
+    AtTarget,
     /// An operator has paused the rollout.
     Paused,
     /// The node has no record: its build predates generations, or it has not started since.
-    Silent(String),
+    NoRecord(String),
     /// The node's build does not support that generation.
-    Unable(String, Generation),
+    Unsupported(String, Generation),
     /// The node was not heard, or does not know the current record.
-    Away(String),
+    NotCurrent(String),
     /// The soak lasts until this time.
     Soaking(Duration),
     /// A feature on the way can't be rolled back.
-    NoWayBack(&'static str),
+    Irreversible(&'static str),
     /// Old records remain to be rewritten.
     Migrating,
     /// Nothing: the step is being stored.
-    Free,
+    StepIssued,
 }
 
 /// Decides when the cluster's record advances, and to which state.
@@ -99,7 +99,7 @@
     /// Start of the soak, and the processes that take part in it.
     soak: Option<(Duration, BTreeMap<String, u64>)>,
     /// Reason why the next step is not taken, as of the last call of `step`.
-    pub held: Held,
+    pub blocker: Blocker,
 }
 
 impl Machine {
@@ -109,12 +109,12 @@
             config,
             features,
             soak: None,
-            held: Held::Nothing,
+            blocker: Blocker::AtTarget,
         }
     }
 
     /// Returns the elapsed time of the current soak.
-    pub fn soaked(&self, now: Duration) -> Duration {
+    pub fn soak_elapsed(&self, now: Duration) -> Duration {
         let since = self.soak.as_ref().map(|(since, _)| *since);
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
@@ -125,11 +125,11 @@
         let newest = self.features.iter().map(|f| f.since).max();
         // A feature held back at any node is held back for the cluster.
         let abilities = self
-            .nodes(view)
+            .active_nodes(view)
             .filter_map(|(_, seen)| seen.ability.as_ref());
-        let held = abilities.filter_map(|ability| ability.held_to).min();
-        let held = held.into_iter().chain(self.config.held_to(self.features));
-        let newest = held.chain(newest).min().unwrap_or(at);
+        let limits = abilities.filter_map(|ability| ability.held_to).min();
+        let limits = limits.into_iter().chain(self.config.held_to(self.features));
+        let newest = limits.chain(newest).min().unwrap_or(at);
         match view.orders.target {
             // One step at a time in either direction.
             Some(target) if target < at => at - 1,
@@ -141,58 +141,58 @@
 
     /// Evaluates the view and returns the records to store and events to log.
     pub fn step(&mut self, now: Duration, view: &View) -> Vec<Output> {
-        let mut out = Vec::new();
-        self.held = self.decide(now, view, &mut out);
-        out
+        let mut outputs = Vec::new();
+        self.blocker = self.decide(now, view, &mut outputs);
+        outputs
     }
 
-    fn decide(&mut self, now: Duration, view: &View, out: &mut Vec<Output>) -> Held {
+    fn decide(&mut self, now: Duration, view: &View, outputs: &mut Vec<Output>) -> Blocker {
         let cluster = view.cluster;
         if cluster.stage != Stage::Soaking {
             self.soak = None;
         }
         if view.orders.paused {
             self.soak = None;
-            return Held::Paused;
+            return Blocker::Paused;
         }
-        let store = |out: &mut Vec<Output>, cluster, why, nodes| {
+        let store = |outputs: &mut Vec<Output>, cluster, why, nodes| {
             let step = Output::Store {
                 cluster,
                 why,
                 nodes,
             };
-            out.push(step);
-            Held::Free
+            outputs.push(step);
+            Blocker::StepIssued
         };
-        let staged = |stage| Cluster { stage, ..cluster };
+        let with_stage = |stage| Cluster { stage, ..cluster };
         let needed = match cluster.stage {
             Stage::Settled => self.target(view),
             _ => cluster.to,
         };
         // Until the new format is written, the move can be cancelled at no cost.
-        let early = matches!(cluster.stage, Stage::Prepared | Stage::Soaking);
-        if early && self.target(view) != cluster.to {
+        let is_cancellable = matches!(cluster.stage, Stage::Prepared | Stage::Soaking);
+        if is_cancellable && self.target(view) != cluster.to {
             let back = Cluster::settled(cluster.from);
-            return store(out, back, "the target has changed", Vec::new());
+            return store(outputs, back, "the target has changed", Vec::new());
         }
-        let able = self.able(view, needed);
-        if early && let Err(held @ Held::Unable(..)) = able {
+        let supported = self.check_supported(view, needed);
+        if is_cancellable && let Err(blocker @ Blocker::Unsupported(..)) = supported {
             store(
-                out,
+                outputs,
                 Cluster::settled(cluster.from),
                 "a node does not support the generation",
                 Vec::new(),
             );
-            return held;
+            return blocker;
         }
         match cluster.stage {
-            Stage::Settled if needed == cluster.from => Held::Nothing,
+            Stage::Settled if needed == cluster.from => Blocker::AtTarget,
             Stage::Settled => {
-                if let Some(feature) = self.no_way_back(cluster.from, needed) {
-                    return Held::NoWayBack(feature);
+                if let Some(feature) = self.irreversible_feature(cluster.from, needed) {
+                    return Blocker::Irreversible(feature);
                 }
-                if let Err(held) = able {
-                    return held;
+                if let Err(blocker) = supported {
+                    return blocker;
                 }
                 let prepared = Cluster {
                     to: needed,
@@ -200,106 +200,109 @@
                     ..cluster
                 };
                 store(
-                    out,
+                    outputs,
                     prepared,
                     "all nodes support the generation",
                     Vec::new(),
                 )
             }
-            Stage::Prepared => match able.and_then(|()| self.present(view)) {
-                Err(held) => held,
+            Stage::Prepared => match supported.and_then(|()| self.check_up_to_date(view)) {
+                Err(blocker) => blocker,
                 // No soak: the previous format was in use on all of them.
                 Ok(nodes) if cluster.to < cluster.from => {
-                    store(out, staged(Stage::Active), "rolling back", nodes)
+                    store(outputs, with_stage(Stage::Active), "rolling back", nodes)
                 }
                 Ok(_) => store(
-                    out,
-                    staged(Stage::Soaking),
+                    outputs,
+                    with_stage(Stage::Soaking),
                     "all nodes are up to date",
                     vec![],
                 ),
             },
-            Stage::Soaking => match able.and_then(|()| self.present(view)) {
-                Err(held) => {
+            Stage::Soaking => match supported.and_then(|()| self.check_up_to_date(view)) {
+                Err(blocker) => {
                     if self.soak.take().is_some() {
-                        out.push(Output::SoakBeginsAgain(held.to_string()));
+                        outputs.push(Output::SoakRestarted(blocker.to_string()));
                     }
-                    held
+                    blocker
                 }
-                Ok(nodes) => self.soaks(now, nodes, out, staged(Stage::Active)),
+                Ok(nodes) => self.continue_soak(now, nodes, outputs, with_stage(Stage::Active)),
             },
             // These steps don't require all nodes: writes of a process that has not seen the
             // switch fail.
             Stage::Active => store(
-                out,
-                staged(Stage::Migrating),
+                outputs,
+                with_stage(Stage::Migrating),
                 "rewriting of old records begins",
                 vec![],
             ),
-            Stage::Migrating if view.clean => {
+            Stage::Migrating if view.no_old_records => {
                 let settled = Cluster::settled(cluster.to);
-                store(out, settled, "no old records remain", vec![])
+                store(outputs, settled, "no old records remain", vec![])
             }
-            Stage::Migrating => Held::Migrating,
+            Stage::Migrating => Blocker::Migrating,
         }
     }
 
-    fn soaks(
+    fn continue_soak(
         &mut self,
         now: Duration,
         nodes: Vec<(String, u64)>,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
         next: Cluster,
-    ) -> Held {
+    ) -> Blocker {
         let processes: BTreeMap<String, u64> = nodes.iter().cloned().collect();
         let since = match &self.soak {
             Some((since, before)) if *before == processes => *since,
             before => {
-                let again = before.as_ref().map(|(_, before)| {
+                let restart_reason = before.as_ref().map(|(_, before)| {
                     let other =
                         |(node, started): &(&String, &u64)| before.get(*node) != Some(started);
                     let node = processes.iter().find(other).map(|(node, _)| node.as_str());
                     format!("{} was restarted", node.unwrap_or("a node"))
                 });
-                out.push(again.map_or(Output::SoakBegins, Output::SoakBeginsAgain));
+                outputs.push(restart_reason.map_or(Output::SoakStarted, Output::SoakRestarted));
                 self.soak = Some((now, processes));
                 now
             }
         };
         let until = since + self.config.soak;
         if now < until {
-            return Held::Soaking(until);
+            return Blocker::Soaking(until);
         }
-        out.push(Output::Store {
+        outputs.push(Output::Store {
             cluster: next,
             why: "soak completed",
             nodes,
         });
-        Held::Free
+        Blocker::StepIssued
     }
 
     /// Returns the first feature that can't be rolled back, for a move to an older generation.
-    fn no_way_back(&self, from: Generation, to: Generation) -> Option<&'static str> {
-        let left = self
+    fn irreversible_feature(&self, from: Generation, to: Generation) -> Option<&'static str> {
+        let dropped = self
             .features
             .iter()
             .filter(|f| to < f.since && f.since <= from);
-        left.filter(|f| !f.way_back).map(|f| f.name).next()
+        dropped.filter(|f| !f.is_reversible).map(|f| f.name).next()
     }
 
     /// Returns the configured nodes, without those declared gone.
-    fn nodes<'a>(&self, view: &'a View) -> impl Iterator<Item = (&'a String, &'a Seen)> {
+    fn active_nodes<'a>(
+        &self,
+        view: &'a View,
+    ) -> impl Iterator<Item = (&'a String, &'a NodeState)> {
         let gone = &view.orders.gone;
         view.nodes.iter().filter(|(node, _)| !gone.contains(*node))
     }
 
     /// Checks that the records of all nodes, reachable or not, declare support of a generation.
-    fn able(&self, view: &View, generation: Generation) -> Result<(), Held> {
-        for (node, seen) in self.nodes(view) {
+    fn check_supported(&self, view: &View, generation: Generation) -> Result<(), Blocker> {
+        for (node, seen) in self.active_nodes(view) {
             match &seen.ability {
-                None => return Err(Held::Silent(node.clone())),
-                Some(ability) if !ability.can(generation) => {
-                    return Err(Held::Unable(node.clone(), generation));
+                None => return Err(Blocker::NoRecord(node.clone())),
+                Some(ability) if !ability.supports(generation) => {
+                    return Err(Blocker::Unsupported(node.clone(), generation));
                 }
                 Some(_) => {}
             }
@@ -308,16 +311,16 @@
     }
 
     /// Checks that all nodes are heard, match their records and know the current cluster record.
-    fn present(&self, view: &View) -> Result<Vec<(String, u64)>, Held> {
+    fn check_up_to_date(&self, view: &View) -> Result<Vec<(String, u64)>, Blocker> {
         let mut nodes = Vec::new();
-        for (node, seen) in self.nodes(view) {
-            let here = seen
-                .told
-                .is_some_and(|told| told.started == seen.started && told.knows == view.revision);
-            if !here {
-                return Err(Held::Away(node.clone()));
+        for (node, seen) in self.active_nodes(view) {
+            let is_up_to_date = seen.announcement.is_some_and(|announcement| {
+                announcement.started == seen.record_revision && announcement.knows == view.revision
+            });
+            if !is_up_to_date {
+                return Err(Blocker::NotCurrent(node.clone()));
             }
-            nodes.push((node.clone(), seen.started));
+            nodes.push((node.clone(), seen.record_revision));
         }
         Ok(nodes)
     }
--- a/crates/rollout/src/next.rs
+++ b/crates/rollout/src/restart_order.rs
@@ -51,25 +51,25 @@
 
 /// The reason why no node may be restarted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NotNow {
+pub enum RestartBlocked {
     /// A node was not heard recently.
     #[error("{0} was not heard recently")]
-    Away(String),
+    NodeAbsent(String),
     /// No node is known to lead.
     #[error("no leader is known")]
     NoLeader,
     /// The status is not from the leader, which alone has the necessary information.
     #[error("the status is not from the leader")]
-    NotTheLeader,
+    NotLeader,
     /// Some machines are unreachable.
     #[error("the leader does not receive reports from all machines")]
-    Outlook,
+    MachinesUnreachable,
     /// A restart would delay the rewriting of old records.
     #[error("old records are being rewritten")]
     Migrating,
     /// All nodes run the requested build.
     #[error("every node already runs build {0}")]
-    Done(String),
+    AllDone(String),
 }
 
 /// Returns the node to restart next to run `build` on all nodes, given the leader's status.
@@ -77,26 +77,33 @@
 /// One node, and so one zone, is restarted at a time: none while any node is absent. The leader
 /// comes last, so that the leadership changes once. Without a build, nodes of an older build
 /// than the leader's come first, then the others; the caller stops at the node it began with.
-pub fn next(status: &Status, build: Option<&str>) -> Result<String, NotNow> {
+pub fn next_node(status: &Status, build: Option<&str>) -> Result<String, RestartBlocked> {
     let counted = || status.nodes.iter().filter(|node| !node.gone);
-    let leader = counted().find(|node| node.leads).ok_or(NotNow::NoLeader)?;
+    let leader = counted()
+        .find(|node| node.leads)
+        .ok_or(RestartBlocked::NoLeader)?;
     if leader.node != status.node {
-        return Err(NotNow::NotTheLeader);
+        return Err(RestartBlocked::NotLeader);
     }
     if let Some(away) = counted().find(|node| !node.here) {
-        return Err(NotNow::Away(away.node.clone()));
+        return Err(RestartBlocked::NodeAbsent(away.node.clone()));
     }
     if status.clear != Some(true) {
-        return Err(NotNow::Outlook);
+        return Err(RestartBlocked::MachinesUnreachable);
     }
     if matches!(status.stage, Stage::Active | Stage::Migrating) {
-        return Err(NotNow::Migrating);
+        return Err(RestartBlocked::Migrating);
     }
-    let wanted = |found: &Option<String>| build.is_none_or(|build| found.as_deref() != Some(build));
-    let mut due: Vec<_> = counted().filter(|node| wanted(&node.build)).collect();
+    let needs_restart =
+        |current: &Option<String>| build.is_none_or(|build| current.as_deref() != Some(build));
+    let mut due: Vec<_> = counted()
+        .filter(|node| needs_restart(&node.build))
+        .collect();
     due.sort_by_key(|node| (node.leads, node.most, &node.zone, &node.node));
     match due.first() {
         Some(node) => Ok(node.node.clone()),
-        None => Err(NotNow::Done(build.unwrap_or_default().to_owned())),
+        None => Err(RestartBlocked::AllDone(
+            build.unwrap_or_default().to_owned(),
+        )),
     }
 }
--- a/crates/rollout/src/view.rs
+++ b/crates/rollout/src/view.rs
@@ -6,29 +6,29 @@
 
 use crate::{
     generation::{Generation, Stage},
-    machine::Held,
+    machine::Blocker,
 };
 
-impl fmt::Display for Held {
+impl fmt::Display for Blocker {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Held::Nothing => f.write_str("nothing to do"),
-            Held::Paused => f.write_str("paused by an operator"),
-            Held::Silent(node) => write!(
+            Blocker::AtTarget => f.write_str("nothing to do"),
+            Blocker::Paused => f.write_str("paused by an operator"),
+            Blocker::NoRecord(node) => write!(
                 f,
                 "{node} has not declared the generations that it supports"
             ),
-            Held::Unable(node, generation) => {
+            Blocker::Unsupported(node, generation) => {
                 write!(f, "{node} does not support generation {generation}")
             }
-            Held::Away(node) => write!(
+            Blocker::NotCurrent(node) => write!(
                 f,
                 "{node} was not heard, or does not know the current generation record"
             ),
-            Held::Soaking(_) => f.write_str("soaking"),
-            Held::NoWayBack(feature) => write!(f, "{feature} can't be rolled back"),
-            Held::Migrating => f.write_str("old records remain to be rewritten"),
-            Held::Free => f.write_str("the next step is being taken"),
+            Blocker::Soaking(_) => f.write_str("soaking"),
+            Blocker::Irreversible(feature) => write!(f, "{feature} can't be rolled back"),
+            Blocker::Migrating => f.write_str("old records remain to be rewritten"),
+            Blocker::StepIssued => f.write_str("the next step is being taken"),
         }
     }
 }
--- a/crates/rollout/tests/exhaustive.rs
+++ b/crates/rollout/tests/exhaustive.rs
@@ -9,13 +9,13 @@
 use kiteyard_rollout::{
     config::Config,
     generation::{Ability, Cluster, Feature, Generation, Orders},
-    machine::{Machine, Output, Seen, Told, View},
+    machine::{Machine, NodeAnnouncement, NodeState, Output, View},
 };
 
 const FEATURES: &[Feature] = &[Feature {
     name: "second",
     since: 2,
-    way_back: true,
+    is_reversible: true,
     forms: &[],
 }];
 const NODES: usize = 3;
@@ -26,20 +26,20 @@
     /// Revision of its own record; 0: not stored yet.
     started: u8,
     /// The cluster's record that it knows, with its revision.
-    knows: (u8, Cell),
+    knows: (u8, ClusterKey),
 }
 
 /// A hashable form of the cluster record.
-type Cell = (Generation, Generation, u8);
+type ClusterKey = (Generation, Generation, u8);
 
-fn cell(cluster: Cluster) -> Cell {
+fn cluster_key(cluster: Cluster) -> ClusterKey {
     (cluster.from, cluster.to, cluster.stage as u8)
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Write {
     Step {
-        next: Cell,
+        next: ClusterKey,
         if_cluster: u8,
         if_nodes: Vec<(usize, u8)>,
     },
@@ -60,14 +60,14 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    cluster: (u8, Cell),
+    cluster: (u8, ClusterKey),
     /// Record of each node: its ability and revision.
     records: [(Generation, u8); NODES],
     processes: [Process; NODES],
     /// Format in which the end is stored.
     end: Option<Generation>,
     /// Delayed writes.
-    late: Vec<Write>,
+    delayed: Vec<Write>,
     restarts: u8,
     orders: bool,
 }
@@ -79,17 +79,17 @@
     /// Writes do not depend on the cluster's record.
     Unconditional,
     /// While records are rewritten, only the new format is read.
-    NewOnly,
+    NewFormatOnly,
     /// The cluster settles without a listing of old records.
-    NeverClean,
+    NoListing,
 }
 
-fn cluster(cell: Cell) -> Cluster {
+fn cluster(cluster_key: ClusterKey) -> Cluster {
     use kiteyard_rollout::generation::Stage::*;
-    let stage = [Settled, Prepared, Soaking, Active, Migrating][cell.2 as usize];
+    let stage = [Settled, Prepared, Soaking, Active, Migrating][cluster_key.2 as usize];
     Cluster {
-        from: cell.0,
-        to: cell.1,
+        from: cluster_key.0,
+        to: cluster_key.1,
         stage,
     }
 }
@@ -104,52 +104,53 @@
     }
 }
 
-fn reads(of: Cell, fault: Fault) -> Vec<Generation> {
+fn reads(of: ClusterKey, fault: Fault) -> Vec<Generation> {
     let cluster = cluster(of);
     match fault {
-        Fault::NewOnly if cluster.mixed() => vec![cluster.to],
-        _ => cluster.read().collect(),
+        Fault::NewFormatOnly if cluster.is_mixed() => vec![cluster.to],
+        _ => cluster.read_generations().collect(),
     }
 }
 
 /// Bounds on writes delayed at a time, on restarts in all, and on steps of the cluster.
-const LATE: usize = 1;
-const RESTARTS: u8 = 1;
-const STEPS: u8 = 10;
+const MAX_DELAYED_WRITES: usize = 1;
+const MAX_RESTARTS: u8 = 1;
+const MAX_STEPS: u8 = 10;
 
 impl State {
     fn first() -> Self {
         let process = |started| Process {
             most: 2,
             started,
-            knows: (0, cell(Cluster::default())),
+            knows: (0, cluster_key(Cluster::default())),
         };
         Self {
-            cluster: (0, cell(Cluster::default())),
+            cluster: (0, cluster_key(Cluster::default())),
             records: [(2, 1), (2, 2), (2, 3)],
             processes: [process(1), process(2), process(3)],
             end: None,
-            late: Vec::new(),
+            delayed: Vec::new(),
             restarts: 0,
             orders: false,
         }
     }
 
-    fn suits(&self, node: usize, of: Cell) -> bool {
-        cluster(of).suits(&ability(self.processes[node].most))
+    fn node_supports(&self, node: usize, of: ClusterKey) -> bool {
+        cluster(of).is_supported_by(&ability(self.processes[node].most))
     }
 
     /// Returns the steps of the machine if `node` leads, given what it knows.
     fn steps(&self, node: usize, fault: Fault) -> Vec<Write> {
         let leader = &self.processes[node];
-        let clean = fault == Fault::NeverClean || self.end != Some(cluster(leader.knows.1).from);
+        let no_old_records =
+            fault == Fault::NoListing || self.end != Some(cluster(leader.knows.1).from);
         let seen = |n: usize| {
             let (most, started) = self.records[n];
             let process = &self.processes[n];
-            let seen = Seen {
+            let seen = NodeState {
                 ability: Some(ability(most)),
-                started: started.into(),
-                told: (process.started > 0).then_some(Told {
+                record_revision: started.into(),
+                announcement: (process.started > 0).then_some(NodeAnnouncement {
                     started: process.started.into(),
                     knows: process.knows.0.into(),
                 }),
@@ -165,13 +166,13 @@
             revision: leader.knows.0.into(),
             orders,
             nodes: (0..NODES).map(seen).collect::<BTreeMap<_, _>>(),
-            clean,
+            no_old_records,
         };
         let config = Config::parse("soak_s = 0", FEATURES).expect("a good file");
         let mut machine = Machine::new(config, FEATURES);
         let step = |output| match output {
             Output::Store { cluster, nodes, .. } => Some(Write::Step {
-                next: cell(cluster),
+                next: cluster_key(cluster),
                 if_cluster: leader.knows.0,
                 if_nodes: nodes
                     .into_iter()
@@ -187,20 +188,20 @@
     /// Returns the writes that a process may send, given what it knows.
     fn writes(&self, node: usize, fault: Fault) -> Vec<Write> {
         let knows = self.processes[node].knows;
-        if !self.suits(node, knows.1) {
+        if !self.node_supports(node, knows.1) {
             return Vec::new();
         }
         let known = cluster(knows.1);
         let mut writes = self.steps(node, fault);
         writes.push(Write::End {
-            form: known.written(),
+            form: known.written_generation(),
             if_cluster: knows.0,
         });
         writes.push(Write::Accept {
             absent: reads(knows.1, fault),
             if_cluster: knows.0,
         });
-        if known.mixed() {
+        if known.is_mixed() {
             writes.push(Write::Move {
                 from: known.from,
                 to: known.to,
@@ -212,7 +213,7 @@
 
     /// Applies a write if its conditions hold; returns the invariant that it violates.
     fn apply(&mut self, write: &Write, fault: Fault) -> Option<&'static str> {
-        let stands = |at: u8| fault == Fault::Unconditional || at == self.cluster.0;
+        let is_current = |at: u8| fault == Fault::Unconditional || at == self.cluster.0;
         match write {
             Write::Step {
                 next,
@@ -226,12 +227,12 @@
                     self.cluster = (self.cluster.0 + 1, *next);
                 }
             }
-            Write::End { form, if_cluster } if stands(*if_cluster) => {
+            Write::End { form, if_cluster } if is_current(*if_cluster) => {
                 self.end.get_or_insert(*form);
             }
             Write::Accept { absent, if_cluster } => {
                 let elsewhere = |form| !absent.contains(&form);
-                if stands(*if_cluster) && self.end.is_some_and(elsewhere) {
+                if is_current(*if_cluster) && self.end.is_some_and(elsewhere) {
                     return Some("a job that has ended was accepted again");
                 }
             }
@@ -239,7 +240,7 @@
                 from,
                 to,
                 if_cluster,
-            } if stands(*if_cluster) && self.end == Some(*from) => {
+            } if is_current(*if_cluster) && self.end == Some(*from) => {
                 self.end = Some(*to);
             }
             _ => {}
@@ -247,11 +248,12 @@
         None
     }
 
-    fn broken(&self, fault: Fault) -> Option<&'static str> {
+    fn violation(&self, fault: Fault) -> Option<&'static str> {
         let end = self.end?;
         for (node, process) in self.processes.iter().enumerate() {
             // A process answers only from a cluster record that is known to be current.
-            let answers = process.knows.0 == self.cluster.0 && self.suits(node, process.knows.1);
+            let answers =
+                process.knows.0 == self.cluster.0 && self.node_supports(node, process.knows.1);
             if answers && !reads(process.knows.1, fault).contains(&end) {
                 return Some("the end of a job is not found in the formats that are read");
             }
@@ -277,7 +279,7 @@
                 all.push(Ok(state));
             }
             for most in [1, 2] {
-                if self.restarts < RESTARTS {
+                if self.restarts < MAX_RESTARTS {
                     let mut state = self.clone();
                     state.restarts += 1;
                     // A process reads all records before it acts.
@@ -290,27 +292,27 @@
                 }
             }
             for write in self.writes(node, fault) {
-                if self.cluster.0 >= STEPS && matches!(write, Write::Step { .. }) {
+                if self.cluster.0 >= MAX_STEPS && matches!(write, Write::Step { .. }) {
                     continue;
                 }
-                let mut at_once = self.clone();
-                all.push(match at_once.apply(&write, fault) {
-                    Some(broken) => Err(broken),
-                    None => Ok(at_once),
+                let mut immediate = self.clone();
+                all.push(match immediate.apply(&write, fault) {
+                    Some(violation) => Err(violation),
+                    None => Ok(immediate),
                 });
-                if self.late.len() < LATE && !self.late.contains(&write) {
+                if self.delayed.len() < MAX_DELAYED_WRITES && !self.delayed.contains(&write) {
                     let mut state = self.clone();
-                    state.late.push(write.clone());
-                    state.late.sort_by_key(|write| format!("{write:?}"));
+                    state.delayed.push(write.clone());
+                    state.delayed.sort_by_key(|write| format!("{write:?}"));
                     all.push(Ok(state));
                 }
             }
         }
-        for at in 0..self.late.len() {
+        for at in 0..self.delayed.len() {
             let mut state = self.clone();
-            let write = state.late.remove(at);
+            let write = state.delayed.remove(at);
             all.push(match state.apply(&write, fault) {
-                Some(broken) => Err(broken),
+                Some(violation) => Err(violation),
                 None => Ok(state),
             });
         }
@@ -325,19 +327,19 @@
 
 /// Visits the reachable states; returns their number, whether both the upgrade and the rollback
 /// were completed, and the first violation.
-fn walk(fault: Fault, most: usize) -> (usize, bool, Option<&'static str>) {
+fn search(fault: Fault, most: usize) -> (usize, bool, Option<&'static str>) {
     let mut seen = HashSet::from([State::first()]);
     let mut queue = std::collections::VecDeque::from([State::first()]);
-    let (mut forth, mut back) = (false, false);
+    let (mut upgraded, mut rolled_back) = (false, false);
     while let Some(state) = queue.pop_front() {
-        if let Some(broken) = state.broken(fault) {
-            return (seen.len(), forth && back, Some(broken));
+        if let Some(violation) = state.violation(fault) {
+            return (seen.len(), upgraded && rolled_back, Some(violation));
         }
-        forth |= state.cluster.1 == cell(Cluster::settled(2)) && state.end == Some(2);
-        back |= state.cluster.0 > 5 && state.cluster.1 == cell(Cluster::settled(1));
+        upgraded |= state.cluster.1 == cluster_key(Cluster::settled(2)) && state.end == Some(2);
+        rolled_back |= state.cluster.0 > 5 && state.cluster.1 == cluster_key(Cluster::settled(1));
         for next in state.next(fault) {
             match next {
-                Err(broken) => return (seen.len(), forth && back, Some(broken)),
+                Err(violation) => return (seen.len(), upgraded && rolled_back, Some(violation)),
                 Ok(next) if seen.len() < most && !seen.contains(&next) => {
                     seen.insert(next.clone());
                     queue.push_back(next);
@@ -346,28 +348,28 @@
             }
         }
     }
-    (seen.len(), forth && back, None)
+    (seen.len(), upgraded && rolled_back, None)
 }
 
 #[test]
-fn no_order_of_late_writes_and_restarts_loses_the_end_of_a_job() {
-    let (states, both, broken) = walk(Fault::None, 4_000_000);
-    assert_eq!(broken, None);
-    println!("{states} states, settled after upgrade and rollback: {both}");
+fn no_order_of_delayed_writes_and_restarts_loses_the_end_of_a_job() {
+    let (states, both_ways, violation) = search(Fault::None, 4_000_000);
+    assert_eq!(violation, None);
+    println!("{states} states, settled after upgrade and rollback: {both_ways}");
     assert!(states >= 100, "{states} states");
 }
 
 #[test]
-fn faults_that_are_planted_are_found() {
-    for fault in [Fault::Unconditional, Fault::NewOnly, Fault::NeverClean] {
-        let (states, _, broken) = walk(fault, 2_000_000);
+fn injected_faults_are_detected() {
+    for fault in [Fault::Unconditional, Fault::NewFormatOnly, Fault::NoListing] {
+        let (states, _, violation) = search(fault, 2_000_000);
         assert!(
-            broken.is_some(),
+            violation.is_some(),
             "{fault:?} was not detected in {states} states"
         );
         println!(
             "{fault:?}: {} after {states} states",
-            broken.unwrap_or_default()
+            violation.unwrap_or_default()
         );
     }
 }
--- a/crates/rollout/tests/orders.rs
+++ b/crates/rollout/tests/orders.rs
@@ -5,8 +5,8 @@
 use kiteyard_rollout::{
     config::Config,
     generation::{Ability, Cluster, Feature, Order, Orders, Stage},
-    machine::{Held, Machine, Output, Seen, Told, View},
-    next::{self, NotNow},
+    machine::{Blocker, Machine, NodeAnnouncement, NodeState, Output, View},
+    restart_order::{self, RestartBlocked},
     view::{NodeStatus, Status},
 };
 use proptest::prelude::*;
@@ -15,19 +15,19 @@
     Feature {
         name: "second",
         since: 2,
-        way_back: true,
+        is_reversible: true,
         forms: &[],
     },
     Feature {
         name: "third",
         since: 3,
-        way_back: false,
+        is_reversible: false,
         forms: &[],
     },
 ];
 
 #[test]
-fn the_file_names_what_is_wrong() {
+fn config_errors_name_the_field_or_line() {
     let error = |text: &str| Config::parse(text, FEATURES).expect_err(text).to_string();
     for (text, named) in [
         ("", "soak_s"),
@@ -90,10 +90,10 @@
 }
 
 #[test]
-fn one_node_at_a_time_and_the_leader_last() {
+fn restarts_one_node_at_a_time_and_the_leader_last() {
     let mut now = status();
     let mut order = Vec::new();
-    while let Ok(node) = next::next(&now, Some("2")) {
+    while let Ok(node) = restart_order::next_node(&now, Some("2")) {
         let due = now
             .nodes
             .iter_mut()
@@ -103,27 +103,42 @@
         order.push(node);
     }
     assert_eq!(order, ["c", "a", "b"]);
-    assert_eq!(next::next(&now, Some("2")), Err(NotNow::Done("2".into())));
-    let but = |change: &dyn Fn(&mut Status)| {
+    assert_eq!(
+        restart_order::next_node(&now, Some("2")),
+        Err(RestartBlocked::AllDone("2".into()))
+    );
+    let next_after = |change: &dyn Fn(&mut Status)| {
         let mut status = status();
         change(&mut status);
-        next::next(&status, Some("2"))
+        restart_order::next_node(&status, Some("2"))
     };
     assert_eq!(
-        but(&|s| s.nodes[1].here = false),
-        Err(NotNow::Away("a".into()))
+        next_after(&|s| s.nodes[1].here = false),
+        Err(RestartBlocked::NodeAbsent("a".into()))
+    );
+    assert_eq!(
+        next_after(&|s| s.clear = Some(false)),
+        Err(RestartBlocked::MachinesUnreachable)
+    );
+    assert_eq!(
+        next_after(&|s| s.stage = Stage::Migrating),
+        Err(RestartBlocked::Migrating)
+    );
+    assert_eq!(
+        next_after(&|s| s.node = "a".into()),
+        Err(RestartBlocked::NotLeader)
+    );
+    assert_eq!(
+        next_after(&|s| s.nodes[0].leads = false),
+        Err(RestartBlocked::NoLeader)
     );
-    assert_eq!(but(&|s| s.clear = Some(false)), Err(NotNow::Outlook));
-    assert_eq!(but(&|s| s.stage = Stage::Migrating), Err(NotNow::Migrating));
-    assert_eq!(but(&|s| s.node = "a".into()), Err(NotNow::NotTheLeader));
-    assert_eq!(but(&|s| s.nodes[0].leads = false), Err(NotNow::NoLeader));
     // A node declared gone is not waited for.
-    let gone = but(&|s| (s.nodes[1].here, s.nodes[1].gone) = (false, true));
+    let gone = next_after(&|s| (s.nodes[1].here, s.nodes[1].gone) = (false, true));
     assert_eq!(gone, Ok("c".into()));
 }
 
 fn view(cluster: Cluster) -> View {
-    let seen = |started| Seen {
+    let seen = |started| NodeState {
         ability: Some(Ability {
             build: "1".into(),
             least: 1,
@@ -131,15 +146,15 @@
             features: Vec::new(),
             held_to: None,
         }),
-        started,
-        told: Some(Told { started, knows: 9 }),
+        record_revision: started,
+        announcement: Some(NodeAnnouncement { started, knows: 9 }),
     };
     View {
         cluster,
         revision: 9,
         orders: Orders::default(),
         nodes: BTreeMap::from([("a".into(), seen(3)), ("b".into(), seen(4))]),
-        clean: false,
+        no_old_records: false,
     }
 }
 
@@ -160,24 +175,24 @@
 }
 
 #[test]
-fn a_soak_is_whole_or_begins_again() {
+fn interrupted_soak_restarts() {
     let s = Duration::from_secs;
     let soaking = view(moving(1, 2, Stage::Soaking));
     let mut machine = machine();
-    assert_eq!(machine.step(s(100), &soaking), [Output::SoakBegins]);
+    assert_eq!(machine.step(s(100), &soaking), [Output::SoakStarted]);
     assert!(machine.step(s(109), &soaking).is_empty());
     // A node restarts within the soak: its record and its announcement are new.
     let mut restarted = soaking.clone();
-    restarted.nodes.get_mut("b").expect("b").started = 12;
+    restarted.nodes.get_mut("b").expect("b").record_revision = 12;
     let away = machine.step(s(109), &restarted);
-    assert!(matches!(&away[..], [Output::SoakBeginsAgain(why)] if why.starts_with("b ")));
-    let told = Told {
+    assert!(matches!(&away[..], [Output::SoakRestarted(why)] if why.starts_with("b ")));
+    let told = NodeAnnouncement {
         started: 12,
         knows: 9,
     };
-    restarted.nodes.get_mut("b").expect("b").told = Some(told);
-    assert_eq!(machine.step(s(110), &restarted), [Output::SoakBegins]);
-    assert_eq!(machine.held, Held::Soaking(s(120)));
+    restarted.nodes.get_mut("b").expect("b").announcement = Some(told);
+    assert_eq!(machine.step(s(110), &restarted), [Output::SoakStarted]);
+    assert_eq!(machine.blocker, Blocker::Soaking(s(120)));
     assert!(machine.step(s(119), &restarted).is_empty());
     let switch = machine.step(s(120), &restarted);
     // The activation is conditional on the records of both processes.
@@ -185,53 +200,55 @@
 }
 
 #[test]
-fn one_step_at_a_time_and_only_where_there_is_a_way() {
+fn moves_one_generation_at_a_time_and_only_where_possible() {
     let mut machine = machine();
     let settled = |generation| view(Cluster::settled(generation));
     let mut step = |view: &View| {
         (
             stored(&machine.step(Duration::ZERO, view)),
-            machine.held.clone(),
+            machine.blocker.clone(),
         )
     };
     let prepared = |from, to| Some((moving(from, to, Stage::Prepared), 0));
     assert_eq!(step(&settled(1)).0, prepared(1, 2));
     assert_eq!(step(&settled(2)).0, prepared(2, 3));
-    assert_eq!(step(&settled(3)), (None, Held::Nothing));
+    assert_eq!(step(&settled(3)), (None, Blocker::AtTarget));
     let mut down = settled(3);
     down.orders.apply(&Order::Target(1));
-    assert_eq!(step(&down), (None, Held::NoWayBack("third")));
+    assert_eq!(step(&down), (None, Blocker::Irreversible("third")));
     down.cluster = Cluster::settled(2);
     assert_eq!(step(&down).0, prepared(2, 1));
     // A feature held back by one node is held back for all.
     let mut held = settled(2);
     let ability = held.nodes.get_mut("b").expect("b").ability.as_mut();
     ability.expect("an ability").held_to = Some(2);
-    assert_eq!(step(&held), (None, Held::Nothing));
+    assert_eq!(step(&held), (None, Blocker::AtTarget));
     let mut paused = settled(1);
     paused.orders.paused = true;
-    assert_eq!(step(&paused), (None, Held::Paused));
+    assert_eq!(step(&paused), (None, Blocker::Paused));
     let mut silent = settled(1);
     silent.nodes.get_mut("a").expect("a").ability = None;
-    assert_eq!(step(&silent), (None, Held::Silent("a".into())));
+    assert_eq!(step(&silent), (None, Blocker::NoRecord("a".into())));
     silent.orders.apply(&Order::Forget("a".into()));
     assert_eq!(step(&silent).0, prepared(1, 2));
 }
 
 fn any_view() -> impl Strategy<Value = View> {
     let told = prop::option::of((1..3u64, 8..10u64));
-    let told = told.prop_map(|told| told.map(|(started, knows)| Told { started, knows }));
-    let seen = (prop::option::of(1..4u32), 1..3u64, told).prop_map(|(most, started, told)| Seen {
-        ability: most.map(|most| Ability {
-            build: String::new(),
-            least: 1,
-            most,
-            features: Vec::new(),
-            held_to: None,
-        }),
-        started,
-        told,
-    });
+    let told =
+        told.prop_map(|told| told.map(|(started, knows)| NodeAnnouncement { started, knows }));
+    let seen =
+        (prop::option::of(1..4u32), 1..3u64, told).prop_map(|(most, started, told)| NodeState {
+            ability: most.map(|most| Ability {
+                build: String::new(),
+                least: 1,
+                most,
+                features: Vec::new(),
+                held_to: None,
+            }),
+            record_revision: started,
+            announcement: told,
+        });
     let stages = prop::sample::select(vec![
         Stage::Prepared,
         Stage::Soaking,
@@ -247,7 +264,7 @@
     ];
     let nodes = prop::collection::vec(seen, 1..4);
     let orders = (any::<bool>(), prop::option::of(1..4u32), any::<bool>());
-    (cluster, nodes, orders, any::<bool>()).prop_map(|(cluster, nodes, orders, clean)| {
+    (cluster, nodes, orders, any::<bool>()).prop_map(|(cluster, nodes, orders, no_old_records)| {
         let named = nodes.into_iter().enumerate();
         let gone = orders.2.then(|| "0".to_owned());
         View {
@@ -259,7 +276,7 @@
                 gone: gone.into_iter().collect(),
             },
             nodes: named.map(|(at, seen)| (at.to_string(), seen)).collect(),
-            clean,
+            no_old_records,
         }
     })
 }
@@ -274,32 +291,33 @@
 
     /// Checks each step of the machine against the rules, stated independently.
     #[test]
-    fn no_step_is_taken_that_the_rules_forbid(view in any_view(), soaked in any::<bool>()) {
+    fn steps_follow_the_rules(view in any_view(), soaked in any::<bool>()) {
         let mut machine = machine();
         machine.step(Duration::ZERO, &view);
         let later = Duration::from_secs(if soaked { 10 } else { 9 });
         if let Some((next, named)) = stored(&machine.step(later, &view)) {
             let now = view.cluster;
-            let counted: Vec<&Seen> = view
+            let counted: Vec<&NodeState> = view
                 .nodes
                 .iter()
                 .filter(|(node, _)| !view.orders.gone.contains(*node))
                 .map(|(_, seen)| seen)
                 .collect();
             let able = |generation| counted.iter().all(|seen| {
-                seen.ability.as_ref().is_some_and(|a| a.can(generation))
+                seen.ability.as_ref().is_some_and(|a| a.supports(generation))
             });
             let here = counted.iter().all(|seen| {
-                seen.told == Some(Told { started: seen.started, knows: 9 })
+                seen.announcement
+                    == Some(NodeAnnouncement { started: seen.record_revision, knows: 9 })
             });
-            prop_assert!(!view.orders.paused && next.holds());
+            prop_assert!(!view.orders.paused && next.is_valid());
             prop_assert!(next.from.abs_diff(next.to) <= 1);
-            if next.mixed() && !now.mixed() {
+            if next.is_mixed() && !now.is_mixed() {
                 prop_assert!(able(next.to) && here && named == counted.len());
                 prop_assert!(soaked || next.to < next.from);
             }
-            if now.mixed() && !next.mixed() {
-                prop_assert!(view.clean && next == Cluster::settled(now.to));
+            if now.is_mixed() && !next.is_mixed() {
+                prop_assert!(view.no_old_records && next == Cluster::settled(now.to));
             }
             if next.stage == Stage::Prepared {
                 prop_assert!(able(next.to));
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -19,7 +19,7 @@
 pub const DRAINS: Feature = Feature {
     name: "drains",
     since: 4,
-    way_back: true,
+    is_reversible: true,
     forms: &["live/drains"],
 };
 
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -113,7 +113,7 @@
     /// What is in the way of emptying these machines, said when it is asked for.
     fn objection_to_drain(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
         let cluster = self.cluster.as_ref()?;
-        if self.cache.cluster.0.written() < DRAINS.since {
+        if self.cache.cluster.0.written_generation() < DRAINS.since {
             let needs = DRAINS.since;
             return Some(format!(
                 "generation {needs} is not in use, see rollout status"
@@ -266,7 +266,7 @@
         }
         self.cordon();
         let moves = self.cache.cluster.0.stage != Stage::Settled;
-        let off = self.cache.cluster.0.written() < DRAINS.since;
+        let off = self.cache.cluster.0.written_generation() < DRAINS.since;
         let Some(cluster) = &mut self.cluster else {
             return;
         };
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use kiteyard_rollout::machine::Told;
+use kiteyard_rollout::machine::NodeAnnouncement;
 use serde::{Deserialize, Serialize};
 
 use super::phi_accrual::{PhiAccrual, Source};
@@ -29,7 +29,7 @@
     pub hears: BTreeMap<Arc<str>, u32>,
     /// Which process it is, and which generation it knows, where rollouts are on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub told: Option<Told>,
+    pub told: Option<NodeAnnouncement>,
 }
 
 impl NodeHeartbeat {
@@ -239,7 +239,7 @@
     }
 
     /// What a node that is heard told of its process.
-    pub fn told(&self, node: &str, now: Duration) -> Option<Told> {
+    pub fn told(&self, node: &str, now: Duration) -> Option<NodeAnnouncement> {
         let mut fresh = self.fresh(now);
         fresh.find(|(other, _)| *other == node)?.1.told
     }
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -101,7 +101,7 @@
         if cluster.stage != Stage::Migrating || self.cache.orders.0.paused {
             return;
         }
-        let rate = self.config.writes * config.share;
+        let rate = self.config.writes * config.migration_share;
         let most = self.limits.txn_ops;
         let migration = &mut self.rollout.migration;
         if migration.about != (revision, claim) {
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -33,7 +33,7 @@
 pub const PARTITIONED_ZONES_FEATURE: Feature = Feature {
     name: "zones-apart",
     since: 3,
-    way_back: true,
+    is_reversible: true,
     forms: &["live/apart"],
 };
 
@@ -82,7 +82,7 @@
 
 impl Node {
     fn stores_partitioned_zones(&self) -> bool {
-        self.cache.cluster.0.written() >= PARTITIONED_ZONES_FEATURE.since
+        self.cache.cluster.0.written_generation() >= PARTITIONED_ZONES_FEATURE.since
     }
 
     /// Nobody in that zone may be answered, or sent a start.
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -6,7 +6,7 @@
 
 use kiteyard_rollout::{
     generation::{Ability, Feature, OLDEST, Order, Stage},
-    machine::{Machine, Output as Step, Seen, Told, View},
+    machine::{Machine, NodeAnnouncement, NodeState, Output as Step, View},
     view::{NodeStatus, Status},
 };
 use tracing::{error, info};
@@ -74,7 +74,7 @@
 pub fn ability(config: Option<&kiteyard_rollout::config::Config>) -> Ability {
     let newest = FEATURES.iter().map(|f| f.since).max().unwrap_or(OLDEST);
     let most = config
-        .and_then(|config| config.reads_most)
+        .and_then(|config| config.max_generation)
         .unwrap_or(newest);
     let able = FEATURES.iter().filter(|f| f.since <= most);
     let names = able.map(|f| f.name).chain([JOB_DEPENDENCIES]);
@@ -93,7 +93,7 @@
     /// The stored forms are of a generation that this process can't read, or that it
     /// can't tell: it can prove nothing about jobs.
     pub(super) fn cannot_read_state(&self) -> bool {
-        !self.cache.cluster.0.suits(&self.config.ability)
+        !self.cache.cluster.0.is_supported_by(&self.config.ability)
             || self.cache.unreadable.contains_key(GENERATION)
     }
 
@@ -103,9 +103,9 @@
             return Some(format!("{key} can't be read, a newer build is needed"));
         }
         let cluster = &self.cache.cluster.0;
-        let needs = cluster.needs();
+        let needs = cluster.required_generation();
         let ability = &self.config.ability;
-        (!cluster.suits(ability)).then(|| {
+        (!cluster.is_supported_by(ability)).then(|| {
             let (least, most) = (ability.least, ability.most);
             format!("generation {needs} is in use, and this build reads {least} to {most}")
         })
@@ -168,7 +168,7 @@
         let able = |node: &String| {
             let told = self.cache.nodes.get(node);
             let ability = told.and_then(|(ability, _)| ability.as_ref());
-            ability.is_none_or(|ability| self.cache.cluster.0.suits(ability))
+            ability.is_none_or(|ability| self.cache.cluster.0.is_supported_by(ability))
         };
         nodes.best_peer_of(now, able).map(|(node, _)| node)
     }
@@ -208,8 +208,8 @@
         };
         for step in steps {
             match step {
-                Step::SoakBegins => info!(generation = before.to, "soak begins"),
-                Step::SoakBeginsAgain(why) => {
+                Step::SoakStarted => info!(generation = before.to, "soak begins"),
+                Step::SoakRestarted(why) => {
                     info!(generation = before.to, why, "soak begins again");
                 }
                 Step::Store {
@@ -270,9 +270,9 @@
     }
 
     /// What a heartbeat tells of this process.
-    pub(super) fn told(&self) -> Option<Told> {
+    pub(super) fn told(&self) -> Option<NodeAnnouncement> {
         let started = self.rollout.started;
-        (started > 0).then_some(Told {
+        (started > 0).then_some(NodeAnnouncement {
             started,
             knows: self.cache.cluster.1,
         })
@@ -290,7 +290,7 @@
 
     /// No record is left of what a generation that is being left has stored.
     fn nothing_left(&self) -> bool {
-        let written = self.cache.cluster.0.written();
+        let written = self.cache.cluster.0.written_generation();
         let no_zones = written >= PARTITIONED_ZONES_FEATURE.since
             || self.cache.partitioned_zones.0.zones.is_empty();
         no_zones && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
@@ -312,10 +312,10 @@
                 true => self.told(),
                 false => self.membership.nodes.told(node, now),
             };
-            let seen = Seen {
+            let seen = NodeState {
                 ability,
-                started,
-                told,
+                record_revision: started,
+                announcement: told,
             };
             (node.clone(), seen)
         };
@@ -324,7 +324,7 @@
             revision,
             orders: self.cache.orders.0.clone(),
             nodes: self.configured().map(seen).collect::<BTreeMap<_, _>>(),
-            clean: self.rollout.migration.clean(revision) && self.nothing_left(),
+            no_old_records: self.rollout.migration.clean(revision) && self.nothing_left(),
         }
     }
 
@@ -410,11 +410,11 @@
                     return Some(format!("generation: must be {oldest} to {newest}"));
                 }
                 let cluster = self.cache.cluster.0;
-                let now = cluster.from.max(cluster.written());
+                let now = cluster.from.max(cluster.written_generation());
                 let mut left = FEATURES
                     .iter()
                     .filter(|f| *target < f.since && f.since <= now);
-                let stuck = left.find(|f| !f.way_back)?;
+                let stuck = left.find(|f| !f.is_reversible)?;
                 Some(format!("{} has no way back", stuck.name))
             }
             _ => None,
@@ -446,7 +446,7 @@
             }
             Stage::Active | Stage::Migrating => {
                 let left = self.rollout.migration.left()? as f64;
-                let rate = self.config.writes * config.share;
+                let rate = self.config.writes * config.migration_share;
                 (rate > 0.0).then(|| left / rate)
             }
         }
@@ -488,12 +488,12 @@
             target: orders.target,
             gone: orders.gone.clone(),
             nodes,
-            soaked_ms: machine.map(|m| millis(m.soaked(now))),
+            soaked_ms: machine.map(|m| millis(m.soak_elapsed(now))),
             soak_ms: self.config.options.rollout.as_ref().map(|c| millis(c.soak)),
-            held: machine.map(|m| m.held.to_string()),
+            held: machine.map(|m| m.blocker.to_string()),
             migrated: machine.map(|_| self.rollout.migration.moved()),
             left: machine.and_then(|_| self.rollout.migration.left()),
-            estimate_s: machine.and_then(|m| self.rest_of_the_move(m.soaked(now))),
+            estimate_s: machine.and_then(|m| self.rest_of_the_move(m.soak_elapsed(now))),
             refuses: self.refusal_reason(),
             clear: reachability
                 .filter(|_| leads)
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -143,7 +143,7 @@
             }
             GENERATION => {
                 let there = event.value.is_some();
-                let cluster = self.read(event).filter(Cluster::holds);
+                let cluster = self.read(event).filter(Cluster::is_valid);
                 if there && cluster.is_none() {
                     self.unreadable.insert(event.key.clone(), revision);
                 }
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -21,7 +21,7 @@
 pub const PACKED_TERMINAL_STATES: Feature = Feature {
     name: "packed-finals",
     since: 2,
-    way_back: true,
+    is_reversible: true,
     forms: &["ends/RANGE", "live/generation", "pulse.told"],
 };
 
@@ -41,7 +41,7 @@
 
 /// Where to look, in this order: a record that is rewritten meanwhile is met.
 pub fn places(cluster: &Cluster) -> Vec<Place> {
-    let mut places: Vec<Place> = cluster.read().map(place).collect();
+    let mut places: Vec<Place> = cluster.read_generations().map(place).collect();
     places.dedup();
     places
 }
@@ -309,7 +309,7 @@
     jobs: &[(JobId, TerminalRecord)],
     ranges: &TerminalRanges,
 ) -> Option<TerminalWrite> {
-    match place(cluster.written()) {
+    match place(cluster.written_generation()) {
         Place::Single => Some(TerminalWrite {
             conditions: Vec::new(),
             changes: jobs
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -320,7 +320,7 @@
 
     /// Terminal states of jobs are stored by range.
     fn packs_terminal_states(&self) -> bool {
-        terminal_states::place(self.cache.cluster.0.written()) == Place::Packed
+        terminal_states::place(self.cache.cluster.0.written_generation()) == Place::Packed
     }
 
     /// Reads the range where the next end of a job goes, if it is not known.
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -18,7 +18,7 @@
 use kiteyard_rollout::{
     config::Config,
     generation::{Cluster, Order, Stage},
-    machine::Told,
+    machine::NodeAnnouncement,
 };
 use rand::RngExt;
 
@@ -62,7 +62,7 @@
     pub returned: usize,
     /// When a leader last had machines whose tasks it did not know.
     pub unresolved: Duration,
-    last_told: Option<Told>,
+    last_told: Option<NodeAnnouncement>,
     /// The node that was asked to step down, and that it is the one which ends.
     pub asked: Option<usize>,
     pub spare_successor: bool,
@@ -412,7 +412,7 @@
         };
         let forged = self.sabotage == Sabotage::SoakGoesOn;
         let told = self.roll.last_told.filter(|_| forged);
-        heartbeat.told = told.map(|told| Told { knows, ..told });
+        heartbeat.told = told.map(|told| NodeAnnouncement { knows, ..told });
         message
     }
 }
