--- a/crates/recovery/src/adoption.rs
+++ b/crates/recovery/src/adoption.rs
@@ -8,7 +8,7 @@
     /// It is waiting to be started.
     Waiting,
     /// Another attempt of it is placed on a machine.
-    Elsewhere,
+    PlacedElsewhere,
     /// Its result is known.
     Done,
 }
@@ -56,23 +56,25 @@
 
     /// Checks each rule independently of the implementation.
     #[test]
-    fn every_case_keeps_the_rules() {
+    fn every_case_follows_the_rules() {
         use {KnownState::*, Reported::*};
-        for known_state in [Unknown, Waiting, Elsewhere, Done] {
+        for known_state in [Unknown, Waiting, PlacedElsewhere, Done] {
             for reported in [Alive, Completed, Ended] {
                 let decision = decide_adoption(known_state, reported);
-                let what = format!("{known_state:?} {reported:?} {decision:?}");
+                let case = format!("{known_state:?} {reported:?} {decision:?}");
                 // No task has two attempts, and no attempt of an ended job is adopted.
                 assert_eq!(
                     decision == AdoptionDecision::Adopt,
                     (known_state, reported) == (Waiting, Alive)
                 );
                 // A live attempt is either adopted or stopped.
-                let settled = matches!(decision, AdoptionDecision::Adopt | AdoptionDecision::Stop);
-                assert_eq!(settled, reported == Alive, "{what}");
+                let is_adopted_or_stopped =
+                    matches!(decision, AdoptionDecision::Adopt | AdoptionDecision::Stop);
+                assert_eq!(is_adopted_or_stopped, reported == Alive, "{case}");
                 // No result of an active task is lost.
-                let wanted = matches!(known_state, Waiting | Elsewhere) && reported == Completed;
-                assert_eq!(decision == AdoptionDecision::Finish, wanted, "{what}");
+                let must_finish =
+                    matches!(known_state, Waiting | PlacedElsewhere) && reported == Completed;
+                assert_eq!(decision == AdoptionDecision::Finish, must_finish, "{case}");
             }
         }
     }
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -9,33 +9,33 @@
 
 /// Limits on the time to wait for reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct WaitLimits {
     /// Time within which every working worker has reported.
-    pub most: Duration,
+    pub max: Duration,
     /// Time without a newly heard machine, after some were heard, that ends the wait for the rest.
     pub quiet: Duration,
 }
 
 /// Counts of the machines of one zone that are stored as holding tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct ZoneCounts {
     /// Number of machines in the stored state.
     pub stored: usize,
     /// Of these, machines neither heard, nor proven empty, nor asked without an answer.
     pub silent: usize,
     /// Whether the zone is unreachable, so that its machines are not waited for.
-    pub cut: bool,
+    pub unreachable: bool,
 }
 
 /// A zone is not waited for once at most one machine in this many is silent: if the others have
 /// no capacity, the last ones are unlikely to have any.
-const FEW_ONE_IN: usize = 10;
+const STRAGGLERS_ONE_IN: usize = 10;
 
 /// The stage of a zone's reconciliation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// Machines are still likely to be heard.
-    Hearing,
+    Waiting,
     /// All stored machines were heard or proven empty.
     Reconciled,
     /// Some machines are still silent, and are no longer waited for.
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// Current counts by zone.
-    Heard(BTreeMap<Arc<str>, Count>),
+    Counts(BTreeMap<Arc<str>, ZoneCounts>),
     /// The cloud's list of machines was read completely.
     Listed,
 }
@@ -76,32 +76,32 @@
 
 #[derive(Debug, Clone)]
 struct Zone {
-    count: Count,
+    count: ZoneCounts,
     stage: Stage,
     /// Time of the last decrease of the number of silent machines.
-    fell: Option<Duration>,
+    last_progress: Option<Duration>,
 }
 
 /// Tracks, zone by zone, which stored machines a new leader has heard.
 #[derive(Debug, Clone)]
 pub struct Reconciliation {
-    patience: Patience,
-    began: Duration,
+    limits: WaitLimits,
+    started_at: Duration,
     zones: BTreeMap<Arc<str>, Zone>,
     /// Set once counts of all zones were received.
-    looked: bool,
+    has_counts: bool,
     listed: bool,
     reconciled: bool,
 }
 
 impl Reconciliation {
     /// Starts at `now`, without any zones.
-    pub fn new(patience: Patience, now: Duration) -> Self {
+    pub fn new(limits: WaitLimits, now: Duration) -> Self {
         Self {
-            patience,
-            began: now,
+            limits,
+            started_at: now,
             zones: BTreeMap::new(),
-            looked: false,
+            has_counts: false,
             listed: false,
             reconciled: false,
         }
@@ -109,47 +109,51 @@
 
     /// Applies an input and returns the changes.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         match input {
             Input::Listed if self.listed => {}
             Input::Listed => {
                 self.listed = true;
-                out.push(Output::Listed);
+                outputs.push(Output::Listed);
             }
-            Input::Heard(counts) => {
-                self.looked = true;
+            Input::Counts(counts) => {
+                self.has_counts = true;
                 for (name, count) in counts {
-                    out.extend(self.update_zone(now, name, count));
+                    outputs.extend(self.update_zone(now, name, count));
                 }
-                if !self.reconciled && self.zones.values().all(|z| z.stage != Stage::Hearing) {
+                if !self.reconciled && self.zones.values().all(|z| z.stage != Stage::Waiting) {
                     self.reconciled = true;
-                    let after = now.saturating_sub(self.began);
-                    out.push(Output::Reconciled { after });
+                    let after = now.saturating_sub(self.started_at);
+                    outputs.push(Output::Reconciled { after });
                 }
             }
         }
-        out
+        outputs
     }
 
-    fn update_zone(&mut self, now: Duration, name: Arc<str>, count: Count) -> Option<Output> {
+    fn update_zone(&mut self, now: Duration, name: Arc<str>, count: ZoneCounts) -> Option<Output> {
         let zone = self.zones.entry(name.clone()).or_insert(Zone {
             count,
-            stage: Stage::Hearing,
-            fell: (count.silent < count.stored).then_some(now),
+            stage: Stage::Waiting,
+            last_progress: (count.silent < count.stored).then_some(now),
         });
         if count.silent < zone.count.silent {
-            zone.fell = Some(now);
+            zone.last_progress = Some(now);
         }
         zone.count = count;
-        let waited = now >= self.began + self.patience.most;
-        let quiet = zone.fell.is_some_and(|at| now >= at + self.patience.quiet);
-        let few = count.silent * FEW_ONE_IN <= count.stored;
+        let is_timed_out = now >= self.started_at + self.limits.max;
+        let is_stalled = zone
+            .last_progress
+            .is_some_and(|at| now >= at + self.limits.quiet);
+        let only_stragglers = count.silent * STRAGGLERS_ONE_IN <= count.stored;
         let stage = match (zone.stage, count.silent) {
             // A zone that was given up on is not waited for again.
-            (Stage::Hearing | Stage::Overdue, 0) | (Stage::Reconciled, _) => Stage::Reconciled,
+            (Stage::Waiting | Stage::Overdue, 0) | (Stage::Reconciled, _) => Stage::Reconciled,
             (Stage::Overdue, _) => Stage::Overdue,
-            _ if waited || quiet || count.cut || few => Stage::Overdue,
-            _ => Stage::Hearing,
+            _ if is_timed_out || is_stalled || count.unreachable || only_stragglers => {
+                Stage::Overdue
+            }
+            _ => Stage::Waiting,
         };
         let changed = stage != zone.stage;
         zone.stage = stage;
@@ -164,7 +168,7 @@
     /// Returns whether machines of a zone, of unknown capacity, are still likely to be heard.
     pub fn is_awaited(&self, zone: &str) -> bool {
         let stage = self.zones.get(zone).map(|zone| zone.stage);
-        stage.map_or(!self.looked, |stage| stage == Stage::Hearing)
+        stage.map_or(!self.has_counts, |stage| stage == Stage::Waiting)
     }
 
     /// Returns whether any zone is still waited for.
@@ -174,14 +178,14 @@
 
     /// Returns whether the cloud's list, which may contain unknown machines requested earlier, is
     /// still waited for. The wait is no longer than that for a worker.
-    pub fn unlisted(&self, now: Duration) -> bool {
-        !self.listed && now < self.began + self.patience.most
+    pub fn is_list_pending(&self, now: Duration) -> bool {
+        !self.listed && now < self.started_at + self.limits.max
     }
 
     /// Returns each zone with its stage, machines heard and machines stored.
     pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, Stage, usize, usize)> {
         self.zones.iter().map(|(name, zone)| {
-            let Count { stored, silent, .. } = zone.count;
+            let ZoneCounts { stored, silent, .. } = zone.count;
             (name, zone.stage, stored - silent.min(stored), stored)
         })
     }
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/request_window.rs
@@ -6,9 +6,9 @@
 
 /// Adaptive limit on the requests that are outstanding at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Pace {
-    now: usize,
-    most: usize,
+pub struct RequestWindow {
+    current: usize,
+    max: usize,
 }
 
 /// The outcome of a request.
@@ -22,24 +22,24 @@
     Unclear,
 }
 
-impl Pace {
-    /// Starts with one request; the limit stays between one and `most`.
-    pub fn new(most: usize) -> Self {
-        let most = most.max(1);
-        Self { now: 1, most }
+impl RequestWindow {
+    /// Starts with one request; the limit stays between one and `max`.
+    pub fn new(max: usize) -> Self {
+        let max = max.max(1);
+        Self { current: 1, max }
     }
 
     /// Returns the number of requests that may be outstanding.
     pub fn window(&self) -> usize {
-        self.now
+        self.current
     }
 
     /// Adapts the window to the outcome of a request.
     pub fn step(&mut self, outcome: Outcome) {
-        self.now = match outcome {
-            Outcome::Done => (self.now * 2).min(self.most),
-            Outcome::Refused => self.now,
-            Outcome::Unclear => (self.now / 2).max(1),
+        self.current = match outcome {
+            Outcome::Done => (self.current * 2).min(self.max),
+            Outcome::Refused => self.current,
+            Outcome::Unclear => (self.current / 2).max(1),
         };
     }
 }
@@ -49,8 +49,8 @@
     use super::*;
 
     #[test]
-    fn it_grows_with_answers_and_never_leaves_its_bounds() {
-        let mut pace = Pace::new(6);
+    fn window_grows_with_answers_within_its_bounds() {
+        let mut window = RequestWindow::new(6);
         let seen: Vec<usize> = [
             Outcome::Done,
             Outcome::Refused,
@@ -59,15 +59,15 @@
         ]
         .into_iter()
         .map(|outcome| {
-            pace.step(outcome);
-            pace.window()
+            window.step(outcome);
+            window.window()
         })
         .collect();
         assert_eq!(seen, [2, 2, 4, 6]);
         for _ in 0..9 {
-            pace.step(Outcome::Unclear);
+            window.step(Outcome::Unclear);
         }
-        assert_eq!(pace.window(), 1);
-        assert_eq!(Pace::new(0).window(), 1);
+        assert_eq!(window.window(), 1);
+        assert_eq!(RequestWindow::new(0).window(), 1);
     }
 }
--- a/crates/recovery/tests/reconciliation.rs
+++ b/crates/recovery/tests/reconciliation.rs
@@ -2,71 +2,74 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use kiteyard_recovery::reconciliation::{Count, Input, Patience, Reconciliation, Stage};
+use kiteyard_recovery::reconciliation::{Input, Reconciliation, Stage, WaitLimits, ZoneCounts};
 
 const S: Duration = Duration::from_secs(1);
-const PATIENCE: Patience = Patience {
-    most: Duration::from_secs(5),
+const LIMITS: WaitLimits = WaitLimits {
+    max: Duration::from_secs(5),
     quiet: Duration::from_secs(2),
 };
 const STORED: usize = 2;
 
 /// One observation: number of silent machines, and whether the zone is unreachable.
-type Look = (usize, bool);
+type Observation = (usize, bool);
 
-fn looks() -> Vec<Look> {
+fn observations() -> Vec<Observation> {
     (0..=STORED)
         .flat_map(|silent| [(silent, false), (silent, true)])
         .collect()
 }
 
 /// Reference model: evaluates the whole history for each query.
-fn waits_for(history: &[Look]) -> bool {
+fn expects_wait(history: &[Observation]) -> bool {
     let over = |upto: usize| {
-        let (silent, cut) = history[upto];
+        let (silent, unreachable) = history[upto];
         let heard_at = (0..=upto).rev().find(|at| match at {
             0 => history[0].0 < STORED,
             at => history[*at].0 < history[at - 1].0,
         });
         let quiet = heard_at.is_some_and(|at| upto - at >= 2);
-        silent == 0 || cut || upto >= 5 || quiet
+        silent == 0 || unreachable || upto >= 5 || quiet
     };
     !(0..history.len()).any(over)
 }
 
 #[test]
-fn a_zone_is_waited_for_as_the_plain_model_says() {
-    let mut histories: Vec<Vec<Look>> = vec![Vec::new()];
+fn zone_wait_matches_reference_model() {
+    let mut histories: Vec<Vec<Observation>> = vec![Vec::new()];
     let (mut waited, mut not) = (0, 0);
     for _ in 0..6 {
         let longer = histories.iter().flat_map(|history| {
-            looks()
+            observations()
                 .into_iter()
-                .map(|look| [history.as_slice(), &[look]].concat())
+                .map(|observation| [history.as_slice(), &[observation]].concat())
         });
         histories = longer.collect();
         for history in &histories {
-            let mut reconciliation = Reconciliation::new(PATIENCE, Duration::ZERO);
-            for (at, (silent, cut)) in history.iter().enumerate() {
-                let count = Count {
+            let mut reconciliation = Reconciliation::new(LIMITS, Duration::ZERO);
+            for (at, (silent, unreachable)) in history.iter().enumerate() {
+                let count = ZoneCounts {
                     stored: STORED,
                     silent: *silent,
-                    cut: *cut,
+                    unreachable: *unreachable,
                 };
                 let zone: Arc<str> = "a".into();
-                reconciliation.step(S * at as u32, Input::Heard(BTreeMap::from([(zone, count)])));
+                reconciliation.step(
+                    S * at as u32,
+                    Input::Counts(BTreeMap::from([(zone, count)])),
+                );
             }
             assert_eq!(
                 reconciliation.is_awaited("a"),
-                waits_for(history),
+                expects_wait(history),
                 "{history:?}"
             );
             assert_eq!(
                 reconciliation.is_in_progress(),
-                waits_for(history),
+                expects_wait(history),
                 "{history:?}"
             );
-            match waits_for(history) {
+            match expects_wait(history) {
                 true => waited += 1,
                 false => not += 1,
             }
@@ -76,16 +79,16 @@
 }
 
 #[test]
-fn one_zone_that_is_silent_holds_up_no_other() {
-    let mut reconciliation = Reconciliation::new(PATIENCE, S);
+fn silent_zone_does_not_delay_others() {
+    let mut reconciliation = Reconciliation::new(LIMITS, S);
     assert!(reconciliation.is_awaited("a"), "no counts received yet");
-    let heard = |silent| Count {
+    let heard = |silent| ZoneCounts {
         stored: 3,
         silent,
-        cut: false,
+        unreachable: false,
     };
     let counts = BTreeMap::from([("a".into(), heard(3)), ("b".into(), heard(0))]);
-    reconciliation.step(S, Input::Heard(counts));
+    reconciliation.step(S, Input::Counts(counts));
     assert!(reconciliation.is_awaited("a") && !reconciliation.is_awaited("b"));
     assert!(
         !reconciliation.is_awaited("c"),
@@ -95,33 +98,33 @@
         .zones()
         .map(|(_, stage, heard, of)| (stage, heard, of))
         .collect();
-    assert_eq!(zones, [(Stage::Hearing, 0, 3), (Stage::Reconciled, 3, 3)]);
+    assert_eq!(zones, [(Stage::Waiting, 0, 3), (Stage::Reconciled, 3, 3)]);
 }
 
 #[test]
-fn nobody_waits_for_the_last_few() {
-    let hears = |silent| {
-        let mut reconciliation = Reconciliation::new(PATIENCE, S);
-        let count = Count {
+fn stragglers_are_not_waited_for() {
+    let is_awaited_with = |silent| {
+        let mut reconciliation = Reconciliation::new(LIMITS, S);
+        let count = ZoneCounts {
             stored: 40,
             silent,
-            cut: false,
+            unreachable: false,
         };
-        reconciliation.step(S, Input::Heard(BTreeMap::from([("a".into(), count)])));
+        reconciliation.step(S, Input::Counts(BTreeMap::from([("a".into(), count)])));
         reconciliation.is_awaited("a")
     };
-    assert!(hears(5) && !hears(4));
+    assert!(is_awaited_with(5) && !is_awaited_with(4));
 }
 
 #[test]
-fn the_clouds_list_is_waited_for_within_bounds() {
-    let mut reconciliation = Reconciliation::new(PATIENCE, S);
-    assert!(reconciliation.unlisted(S * 2));
+fn wait_for_the_cloud_list_is_bounded() {
+    let mut reconciliation = Reconciliation::new(LIMITS, S);
+    assert!(reconciliation.is_list_pending(S * 2));
     assert!(
-        !reconciliation.unlisted(S * 6),
+        !reconciliation.is_list_pending(S * 6),
         "an unavailable cloud is not waited for indefinitely"
     );
     assert_eq!(reconciliation.step(S * 3, Input::Listed).len(), 1);
-    assert!(!reconciliation.unlisted(S * 3));
+    assert!(!reconciliation.is_list_pending(S * 3));
     assert!(reconciliation.step(S * 4, Input::Listed).is_empty());
 }
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use kiteyard_recovery::pace::{Outcome, Pace};
+use kiteyard_recovery::request_window::{Outcome, RequestWindow};
 use tracing::info;
 
 use super::{
@@ -88,7 +88,7 @@
     /// Kinds of machine that were refused, until when they are not asked for again.
     refused: HashMap<MachineKind, Duration>,
     /// How many scale-out requests may be without an answer.
-    pace: Pace,
+    pace: RequestWindow,
     /// Machines that were returned; the list may still show them for a while.
     returned: BTreeMap<MachineId, Duration>,
 }
@@ -110,7 +110,7 @@
             next_call: Duration::ZERO,
             releasing: BTreeSet::new(),
             refused: HashMap::new(),
-            pace: Pace::new(OPEN_MOST),
+            pace: RequestWindow::new(OPEN_MOST),
             returned: BTreeMap::new(),
         }
     }
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -5,7 +5,7 @@
 
 use kiteyard_recovery::{
     adoption::{AdoptionDecision, KnownState, Reported, decide_adoption},
-    reconciliation::{Count, Input, Output, Patience, Reconciliation},
+    reconciliation::{Input, Output, Reconciliation, WaitLimits, ZoneCounts},
 };
 use tracing::info;
 
@@ -35,8 +35,8 @@
 impl Reconciler {
     pub fn new(config: &Config, now: Duration) -> Self {
         // A worker whose node is gone tries the next one, and reports at least that often.
-        let patience = Patience {
-            most: config.report * 5 / 4 + WORKER_RETRY,
+        let patience = WaitLimits {
+            max: config.report * 5 / 4 + WORKER_RETRY,
             quiet: config.report / 4,
         };
         Self {
@@ -53,19 +53,21 @@
         if !self.reconciler.reconciliation.is_in_progress() {
             return;
         }
-        let mut counts: BTreeMap<Arc<str>, Count> = BTreeMap::new();
+        let mut counts: BTreeMap<Arc<str>, ZoneCounts> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.assignment.stored) {
-            let count = counts.entry(machine.zone.clone()).or_insert_with(|| Count {
-                cut: !self.reaches(&machine.zone),
-                ..Count::default()
-            });
+            let count = counts
+                .entry(machine.zone.clone())
+                .or_insert_with(|| ZoneCounts {
+                    unreachable: !self.reaches(&machine.zone),
+                    ..ZoneCounts::default()
+                });
             count.stored += 1;
             count.silent += usize::from(is_awaited(machine));
         }
         let outputs = self
             .reconciler
             .reconciliation
-            .step(now, Input::Heard(counts));
+            .step(now, Input::Counts(counts));
         self.apply_reconciliation(outputs);
         if now >= self.reconciler.next_log && !self.reconciler.held.is_empty() {
             let held = std::mem::take(&mut self.reconciler.held);
@@ -135,7 +137,7 @@
 
     /// What a previous leader rented may not be known yet.
     pub(super) fn unlisted(&self, now: Duration) -> bool {
-        self.reconciler.reconciliation.unlisted(now)
+        self.reconciler.reconciliation.is_list_pending(now)
     }
 
     /// What becomes of a task that this leader did not start.
@@ -145,7 +147,7 @@
         let known_state = match slot {
             None => KnownState::Unknown,
             Some(Slot::Waiting) => KnownState::Waiting,
-            Some(Slot::On(_)) => KnownState::Elsewhere,
+            Some(Slot::On(_)) => KnownState::PlacedElsewhere,
             Some(Slot::Done) => KnownState::Done,
         };
         let reported = match phase {
