--- a/crates/maintenance/src/config.rs
+++ b/crates/maintenance/src/config.rs
@@ -24,15 +24,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
     /// Maximum number of replicas of one service that may be down at a time.
-    pub tasks: u32,
+    pub max_down: u32,
     /// Maximum share of a service's replicas that may be down; 0: no limit by share.
-    pub share: f64,
+    pub max_down_share: f64,
     /// Share of the team's replicas below which none is stopped while any is down by failure.
-    pub floor: f64,
+    pub min_up_share: f64,
     /// Maximum number of tasks stopped within the window; `None`: no limit.
-    pub in_window: Option<u32>,
+    pub max_stops: Option<u32>,
     /// Maximum work lost within the window; `None`: no limit.
-    pub lost: Option<Duration>,
+    pub max_lost_work: Option<Duration>,
     /// Length of the window.
     pub window: Duration,
 }
@@ -51,15 +51,15 @@
 impl Config {
     /// Returns the configuration without a file, which limits only the replicas of a service that
     /// are down at a time.
-    pub fn plain(tasks: u32) -> Self {
+    pub fn without_file(max_down: u32) -> Self {
         Self {
             default: Budget {
-                tasks,
-                share: 0.0,
-                floor: 0.0,
-                in_window: None,
-                lost: None,
-                window: WINDOW,
+                max_down,
+                max_down_share: 0.0,
+                min_up_share: 0.0,
+                max_stops: None,
+                max_lost_work: None,
+                window: DEFAULT_WINDOW,
             },
             teams: BTreeMap::new(),
             counts_failures: false,
@@ -73,8 +73,8 @@
     }
 }
 
-const WINDOW: Duration = Duration::from_secs(600);
-const WINDOW_MOST: f64 = 7.0 * 86_400.0;
+const DEFAULT_WINDOW: Duration = Duration::from_secs(600);
+const MAX_WINDOW_S: f64 = 7.0 * 86_400.0;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -104,12 +104,12 @@
 }
 
 impl Config {
-    /// Parses and checks the file; `tasks` is the default number of replicas that may be down.
-    pub fn parse(text: &str, tasks: u32) -> Result<Self, ConfigError> {
+    /// Parses and checks the file; `max_down` is the default number of replicas that may be down.
+    pub fn parse(text: &str, max_down: u32) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
-            .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
-        let plain = Self::plain(tasks).default;
-        let default = file.budget.check("budget", &plain)?;
+            .map_err(|error| ConfigError::Form(error.to_string()))?;
+        let base = Self::without_file(max_down).default;
+        let default = file.budget.check("budget", &base)?;
         let mut teams = BTreeMap::new();
         for (team, entry) in file.team {
             let budget = entry.check(&format!("team.{team}"), &default)?;
@@ -134,13 +134,13 @@
         };
         let mut budget = base.clone();
         match self.max_down {
-            Some(MaxDown::Tasks(tasks)) => (budget.tasks, budget.share) = (tasks, 0.0),
+            Some(MaxDown::Tasks(tasks)) => (budget.max_down, budget.max_down_share) = (tasks, 0.0),
             Some(MaxDown::Share(text)) => {
                 let percent = text.strip_suffix('%').and_then(|n| n.trim().parse().ok());
                 match percent {
                     Some(percent) if (0.0..=100.0).contains(&percent) => {
                         let tasks = if percent > 0.0 { u32::MAX } else { 0 };
-                        (budget.tasks, budget.share) = (tasks, percent / 100.0);
+                        (budget.max_down, budget.max_down_share) = (tasks, percent / 100.0);
                     }
                     _ => {
                         return fail(
@@ -156,10 +156,10 @@
             if !(0.0..=1.0).contains(&floor) {
                 return fail("floor", "must be 0 to 1");
             }
-            budget.floor = floor;
+            budget.min_up_share = floor;
         }
         if let Some(window) = self.max_in_s {
-            if !(window > 0.0 && window <= WINDOW_MOST) {
+            if !(window > 0.0 && window <= MAX_WINDOW_S) {
                 return fail(
                     "max_in_s",
                     "must be above 0 and at most 604800 seconds (a week)",
@@ -171,9 +171,9 @@
             if !(0.0..=1e9).contains(&lost) {
                 return fail("max_lost_s", "must be 0 seconds or more");
             }
-            budget.lost = Some(Duration::from_secs_f64(lost));
+            budget.max_lost_work = Some(Duration::from_secs_f64(lost));
         }
-        budget.in_window = self.max_tasks.or(budget.in_window);
+        budget.max_stops = self.max_tasks.or(budget.max_stops);
         Ok(budget)
     }
 }
--- a/crates/maintenance/src/drain.rs
+++ b/crates/maintenance/src/drain.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ledger::{Ask, Ledger, Refusal, Replicas};
+use crate::ledger::{Ledger, Refusal, Replicas, StopRequest};
 
 /// The stored drain order of one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,15 +57,15 @@
     /// Replica counts of its service, for a replica.
     pub service: Option<Replicas>,
     /// Whether another machine has room for it now.
-    pub room: bool,
+    pub has_room: bool,
     /// Work that would be lost if it were stopped now.
-    pub lost: Duration,
+    pub lost_work: Duration,
 }
 
 /// The reason why a machine is not drained yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Waits {
+pub enum WaitReason {
     /// No tasks are left on it.
     Nothing,
     /// Tasks are stopping.
@@ -88,63 +88,63 @@
     Rollout,
 }
 
-impl From<Refusal> for Waits {
+impl From<Refusal> for WaitReason {
     fn from(refusal: Refusal) -> Self {
         match refusal {
-            Refusal::Service => Waits::Service,
-            Refusal::Floor => Waits::Floor,
-            Refusal::Window => Waits::Window,
-            Refusal::Work => Waits::Work,
+            Refusal::Service => WaitReason::Service,
+            Refusal::Floor => WaitReason::Floor,
+            Refusal::Window => WaitReason::Window,
+            Refusal::Work => WaitReason::Work,
         }
     }
 }
 
-/// Returns the tasks of one machine to stop now, and the reason why the rest waits. `over` means
-/// that the deadline of the drain has passed. Stops are recorded in the ledger at once, so that
-/// they count for the tasks after them.
+/// Returns the tasks of one machine to stop now, and the reason why the rest waits.
+/// `is_past_deadline` means that the deadline of the drain has passed. Stops are recorded in the
+/// ledger at once, so that they count for the tasks after them.
 pub fn step<K: Clone>(
     now: Duration,
-    over: bool,
+    is_past_deadline: bool,
     tasks: &mut [Task<K>],
     ledger: &mut Ledger,
-) -> (Vec<K>, Waits) {
+) -> (Vec<K>, WaitReason) {
     let mut stop = Vec::new();
-    let mut waits = Waits::Nothing;
-    let mut worse = |found: Waits| {
-        if waits == Waits::Nothing || waits == Waits::Stopping {
-            waits = found;
+    let mut reason = WaitReason::Nothing;
+    let mut note_reason = |new_reason: WaitReason| {
+        if reason == WaitReason::Nothing || reason == WaitReason::Stopping {
+            reason = new_reason;
         }
     };
     for task in tasks.iter() {
         if task.stopping {
-            worse(Waits::Stopping);
+            note_reason(WaitReason::Stopping);
             continue;
         }
-        if task.kind != Kind::Replica && !over {
-            worse(Waits::Ending);
+        if task.kind != Kind::Replica && !is_past_deadline {
+            note_reason(WaitReason::Ending);
             continue;
         }
-        if task.kind == Kind::Replica && !task.room {
-            worse(Waits::Room);
+        if task.kind == Kind::Replica && !task.has_room {
+            note_reason(WaitReason::Room);
             continue;
         }
-        let ask = Ask {
+        let request = StopRequest {
             team: &task.team,
             service: task.service,
-            lost: task.lost,
+            lost_work: task.lost_work,
         };
-        match ledger.ask(now, &ask) {
+        match ledger.check(now, &request) {
             Ok(()) => {
-                ledger.take(now, &ask);
+                ledger.record_stop(now, &request);
                 stop.push(task.key.clone());
-                worse(Waits::Stopping);
+                note_reason(WaitReason::Stopping);
                 // One replica a step: the counts of its service are updated before the next one.
                 if task.kind == Kind::Replica {
                     break;
                 }
             }
-            Err(refusal) => worse(refusal.into()),
+            Err(refusal) => note_reason(refusal.into()),
         }
     }
-    (stop, waits)
+    (stop, reason)
 }
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -37,28 +37,28 @@
 
 /// A request to stop one task.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask<'a> {
+pub struct StopRequest<'a> {
     /// Team whose budget is charged.
     pub team: &'a str,
     /// Replica counts of its service, if it is a replica.
     pub service: Option<Replicas>,
     /// Work that would have to be repeated, as time of one task. A replica loses none.
-    pub lost: Duration,
+    pub lost_work: Duration,
 }
 
 /// The reason why a task may not be stopped now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// See [`Ledger::most_down`].
+    /// See [`Ledger::max_down`].
     #[error("the service already has the maximum number of replicas down")]
     Service,
-    /// See [`Budget::floor`].
+    /// See [`Budget::min_up_share`].
     #[error("too few replicas of the team are up, and some have failed")]
     Floor,
-    /// See [`Budget::in_window`].
+    /// See [`Budget::max_stops`].
     #[error("the team's limit on stops within the window is reached")]
     Window,
-    /// See [`Budget::lost`].
+    /// See [`Budget::max_lost_work`].
     #[error("the team's limit on lost work within the window is reached")]
     Work,
 }
@@ -67,7 +67,7 @@
 struct Stopped {
     at: Duration,
     team: String,
-    lost: Duration,
+    lost_work: Duration,
 }
 
 /// Records voluntary stops, and decides whether more are allowed.
@@ -96,23 +96,23 @@
 
     /// Returns the number of replicas of one service that may be down at a time: at least one if
     /// the share is above zero, or a small service could never be moved.
-    pub fn most_down(&self, team: &str, wanted: u32) -> u32 {
+    pub fn max_down(&self, team: &str, wanted: u32) -> u32 {
         let budget = self.budget(team);
-        let share = (f64::from(wanted) * budget.share).floor() as u32;
-        match budget.share > 0.0 {
-            true => share.max(1).min(budget.tasks),
-            false => budget.tasks,
+        let share = (f64::from(wanted) * budget.max_down_share).floor() as u32;
+        match budget.max_down_share > 0.0 {
+            true => share.max(1).min(budget.max_down),
+            false => budget.max_down,
         }
     }
 
     /// Returns whether stopping this many more replicas breaches the team's budget. Preemption
     /// chooses such victims last, but may choose them.
-    pub fn breach(&self, team: &str, service: Replicas, more: u32) -> bool {
+    pub fn is_breach(&self, team: &str, service: Replicas, more: u32) -> bool {
         let down = match self.config.counts_failures {
             true => service.down(),
             false => service.stopping,
         };
-        down + more > self.most_down(team, service.wanted)
+        down + more > self.max_down(team, service.wanted)
     }
 
     /// Updates the replica counts of all services; called before any stop is requested.
@@ -134,33 +134,35 @@
     }
 
     /// Checks whether a task may be stopped now, without recording a stop.
-    pub fn ask(&self, now: Duration, ask: &Ask) -> Result<(), Refusal> {
-        let budget = self.budget(ask.team);
-        if let Some(service) = ask.service {
-            if service.down() + 1 > self.most_down(ask.team, service.wanted) {
+    pub fn check(&self, now: Duration, request: &StopRequest) -> Result<(), Refusal> {
+        let budget = self.budget(request.team);
+        if let Some(service) = request.service {
+            if service.down() + 1 > self.max_down(request.team, service.wanted) {
                 return Err(Refusal::Service);
             }
-            let team = self.teams.get(ask.team).copied().unwrap_or(service);
-            let least = f64::from(team.wanted) * budget.floor;
-            if team.failed() > 0 && f64::from(team.up) < least {
+            let team = self.teams.get(request.team).copied().unwrap_or(service);
+            let min_up = f64::from(team.wanted) * budget.min_up_share;
+            if team.failed() > 0 && f64::from(team.up) < min_up {
                 return Err(Refusal::Floor);
             }
         }
-        let lately = || {
+        let recent_stops = || {
             let since = now.saturating_sub(budget.window);
-            let own = move |s: &&Stopped| s.team == ask.team && s.at > since;
+            let own = move |s: &&Stopped| s.team == request.team && s.at > since;
             self.stopped.iter().filter(own)
         };
         if budget
-            .in_window
-            .is_some_and(|most| lately().count() as u32 >= most)
+            .max_stops
+            .is_some_and(|max| recent_stops().count() as u32 >= max)
         {
             return Err(Refusal::Window);
         }
-        if let Some(most) = budget.lost {
-            let lost: Duration = lately().map(|s| s.lost).sum();
+        if let Some(max) = budget.max_lost_work {
+            let lost: Duration = recent_stops().map(|s| s.lost_work).sum();
             // A task that exceeds the limit by itself may be stopped if no other work was lost.
-            if lost + ask.lost > most && !lost.is_zero() || ask.lost > most && most.is_zero() {
+            if lost + request.lost_work > max && !lost.is_zero()
+                || request.lost_work > max && max.is_zero()
+            {
                 return Err(Refusal::Work);
             }
         }
@@ -168,9 +170,9 @@
     }
 
     /// Records that the task is stopped.
-    pub fn take(&mut self, now: Duration, ask: &Ask) {
+    pub fn record_stop(&mut self, now: Duration, request: &StopRequest) {
         self.prune(now);
-        if let (Some(service), Some(team)) = (ask.service, self.teams.get_mut(ask.team))
+        if let (Some(service), Some(team)) = (request.service, self.teams.get_mut(request.team))
             && service.up > 0
         {
             team.up = team.up.saturating_sub(1);
@@ -178,8 +180,8 @@
         }
         self.stopped.push_back(Stopped {
             at: now,
-            team: ask.team.to_owned(),
-            lost: ask.lost,
+            team: request.team.to_owned(),
+            lost_work: request.lost_work,
         });
     }
 }
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -40,7 +40,7 @@
     store::progress_key,
 };
 use kiteyard_maintenance::{
-    drain::{Drains, Waits},
+    drain::{Drains, WaitReason},
     ledger::Ledger,
 };
 
@@ -94,8 +94,8 @@
     pub(super) drains: Drains,
     pub(super) draining: BTreeMap<MachineId, Progress>,
     /// Why nothing is emptied now: by the node, and as it was logged.
-    pub(super) drains_pause: Option<Waits>,
-    pub(super) drains_paused: Option<Waits>,
+    pub(super) drains_pause: Option<WaitReason>,
+    pub(super) drains_paused: Option<WaitReason>,
     /// When it took over, and how far it is with that.
     pub(super) leading_since: Duration,
     pub(super) reconciler: Reconciler,
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -119,7 +119,9 @@
     pub fn budgets(&self) -> kiteyard_maintenance::config::Config {
         match &self.options.maintenance {
             Some(config) => (**config).clone(),
-            None => kiteyard_maintenance::config::Config::plain(self.options.disruption_budget),
+            None => {
+                kiteyard_maintenance::config::Config::without_file(self.options.disruption_budget)
+            }
         }
     }
 
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use kiteyard_maintenance::ledger::{Ask, Replicas};
+use kiteyard_maintenance::ledger::{Replicas, StopRequest};
 use tracing::info;
 
 use super::{
@@ -126,13 +126,13 @@
                 ..*standing
             };
             let team = job.spec.team.clone();
-            let ask = Ask {
+            let ask = StopRequest {
                 team: &team,
                 service: Some(service),
-                lost: Duration::ZERO,
+                lost_work: Duration::ZERO,
             };
-            if self.ledger.ask(now, &ask).is_ok() {
-                self.ledger.take(now, &ask);
+            if self.ledger.check(now, &ask).is_ok() {
+                self.ledger.record_stop(now, &ask);
                 *stops += 1;
                 self.stop(id, &key, self.config.options.grace, now);
             }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use kiteyard_maintenance::{
-    drain::{self, Task, Waits},
+    drain::{self, Task, WaitReason},
     ledger::Replicas,
 };
 use kiteyard_rollout::generation::Feature;
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
     pub tasks: u32,
-    pub waits: Waits,
+    pub waits: WaitReason,
 }
 
 impl ClusterState {
@@ -122,7 +122,7 @@
         let pause = self.drains_pause.or_else(|| {
             let clear =
                 !self.reachability.is_uncertain && self.reachability.partitioned_zones.is_empty();
-            (!clear || self.unresolved()).then_some(Waits::Outlook)
+            (!clear || self.unresolved()).then_some(WaitReason::Outlook)
         });
         if pause != self.drains_paused {
             match &pause {
@@ -184,8 +184,8 @@
                     kind,
                     stopping: placement.stopping(),
                     service: services.get(&key.0.job).copied(),
-                    room: self.has_room_elsewhere(id, placement, now),
-                    lost: work_lost(placement, now),
+                    has_room: self.has_room_elsewhere(id, placement, now),
+                    lost_work: work_lost(placement, now),
                 })
             })
             .collect();
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use kiteyard_maintenance::drain::{Drain, Drains, Waits};
+use kiteyard_maintenance::drain::{Drain, Drains, WaitReason};
 use kiteyard_rollout::generation::Stage;
 use serde::{Deserialize, Serialize};
 use tracing::info;
@@ -40,7 +40,7 @@
     pub replicas: u32,
     pub array_tasks: u32,
     pub gang_tasks: u32,
-    pub waits: Option<Waits>,
+    pub waits: Option<WaitReason>,
     pub by_ms: Option<u64>,
 }
 
@@ -133,7 +133,7 @@
                 let Some(spec) = placement.spec.as_ref() else {
                     continue;
                 };
-                let none = cluster.ledger.most_down(&spec.team, spec.tasks) == 0;
+                let none = cluster.ledger.max_down(&spec.team, spec.tasks) == 0;
                 if spec.kind == Kind::Service && none {
                     let (team, id) = (&spec.team, &spec.id);
                     return Some(format!(
@@ -270,7 +270,7 @@
         let Some(cluster) = &mut self.cluster else {
             return;
         };
-        cluster.drains_pause = moves.then_some(Waits::Rollout);
+        cluster.drains_pause = moves.then_some(WaitReason::Rollout);
         if self.maintenance.storing || now < self.maintenance.retry {
             return;
         }
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -641,7 +641,7 @@
             .entry(victim.id.clone())
             .or_insert_with(|| (self.standing(&victim.id), 0));
         *count += 1;
-        self.ledger.breach(&victim.team, *standing, *count)
+        self.ledger.is_breach(&victim.team, *standing, *count)
     }
 
     fn nominate(
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -236,7 +236,9 @@
         live.push(entry(TYPES, TYPE));
         live.push(entry(GENERATION, r#"{"from":4,"to":4,"stage":"settled"}"#));
         let options = Options {
-            maintenance: Some(Arc::new(kiteyard_maintenance::config::Config::plain(1))),
+            maintenance: Some(Arc::new(
+                kiteyard_maintenance::config::Config::without_file(1),
+            )),
             ..Options::default()
         };
         let mut leading = Self {
