--- a/crates/licences/src/config.rs
+++ b/crates/licences/src/config.rs
@@ -49,12 +49,12 @@
 
 impl Licence {
     /// Returns the number of seats that a team could hold if no other team held any.
-    pub fn most_for(&self, team: &str) -> u32 {
+    pub fn max_seats_for(&self, team: &str) -> u32 {
         let others = self.teams.iter().filter(|(other, _)| *other != team);
-        let kept: u32 = others.map(|(_, share)| share.least).sum();
+        let reserved: u32 = others.map(|(_, share)| share.least).sum();
         let most = self.teams.get(team).and_then(|share| share.most);
         most.unwrap_or(u32::MAX)
-            .min(self.seats.saturating_sub(kept))
+            .min(self.seats.saturating_sub(reserved))
     }
 }
 
@@ -83,15 +83,15 @@
     team: BTreeMap<String, Share>,
 }
 
-const NAME_MOST: usize = 64;
-const SEATS_MOST: u32 = 1_000_000;
-const LINGER_MOST: f64 = 86_400.0;
+const MAX_NAME_LEN: usize = 64;
+const MAX_SEATS: u32 = 1_000_000;
+const MAX_LINGER_S: f64 = 86_400.0;
 
 impl Config {
     /// Parses and checks a licences file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
-            .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
+            .map_err(|error| ConfigError::Form(error.to_string()))?;
         let mut licences = BTreeMap::new();
         for (name, entry) in file.licence {
             let licence = entry.check(&name)?;
@@ -110,20 +110,20 @@
                 message,
             })
         };
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        if name.is_empty() || name.len() > NAME_MOST || !name.chars().all(plain) {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+        if name.is_empty() || name.len() > MAX_NAME_LEN || !name.chars().all(is_allowed) {
             let message = "must be 1 to 64 letters, digits, dots, dashes or underscores";
             return fail("name", message.into());
         }
-        if self.seats > SEATS_MOST {
-            return fail("seats", format!("must be at most {SEATS_MOST}"));
+        if self.seats > MAX_SEATS {
+            return fail("seats", format!("must be at most {MAX_SEATS}"));
         }
-        if !(0.0..=LINGER_MOST).contains(&self.linger_s) {
-            return fail("linger_s", format!("must be 0 to {LINGER_MOST} seconds"));
+        if !(0.0..=MAX_LINGER_S).contains(&self.linger_s) {
+            return fail("linger_s", format!("must be 0 to {MAX_LINGER_S} seconds"));
         }
-        let mut kept: u64 = 0;
+        let mut reserved: u64 = 0;
         for (team, share) in &self.team {
-            kept += u64::from(share.least);
+            reserved += u64::from(share.least);
             if share.most.is_some_and(|most| most < share.least) {
                 return fail(
                     &format!("team.{team}.most"),
@@ -131,9 +131,9 @@
                 );
             }
         }
-        if kept > u64::from(self.seats) {
+        if reserved > u64::from(self.seats) {
             let message = format!(
-                "{kept} seats are reserved for teams, of {} in all",
+                "{reserved} seats are reserved for teams, of {} in all",
                 self.seats
             );
             return fail("team", message);
--- a/crates/licences/src/grant.rs
+++ b/crates/licences/src/grant.rs
@@ -49,22 +49,22 @@
 #[derive(Clone)]
 pub struct Keys {
     current: [u8; 32],
-    former: Option<[u8; 32]>,
+    previous: Option<[u8; 32]>,
 }
 
 /// Key derivation context, which separates these keys from other uses of the secret.
 const CONTEXT: &str = "kiteyard 2026 licence grants";
 const SEPARATOR: char = '.';
 /// Maximum length of a sealed grant in bytes.
-const TEXT_MOST: usize = 2048;
+const MAX_SEALED_LEN: usize = 2048;
 
 impl Keys {
     /// Derives the keys from a secret, and from the previous one while it is still accepted.
-    pub fn new(secret: &[u8], former: Option<&[u8]>) -> Self {
+    pub fn new(secret: &[u8], previous: Option<&[u8]>) -> Self {
         let key = |secret: &[u8]| blake3::derive_key(CONTEXT, secret);
         Self {
             current: key(secret),
-            former: former.map(key),
+            previous: previous.map(key),
         }
     }
 
@@ -77,7 +77,7 @@
 
     /// Returns the grant if one of the keys made its MAC.
     pub fn open(&self, sealed: &str) -> Result<Grant, Refusal> {
-        if sealed.len() > TEXT_MOST {
+        if sealed.len() > MAX_SEALED_LEN {
             return Err(Refusal::Malformed);
         }
         let (text, mac) = sealed.rsplit_once(SEPARATOR).ok_or(Refusal::Malformed)?;
@@ -87,8 +87,8 @@
         }
         let mac = blake3::Hash::from_hex(mac).map_err(|_| Refusal::Malformed)?;
         // `blake3::Hash` compares in constant time.
-        let made = |key: &[u8; 32]| blake3::keyed_hash(key, text.as_bytes()) == mac;
-        if !made(&self.current) && !self.former.as_ref().is_some_and(made) {
+        let is_signed_with = |key: &[u8; 32]| blake3::keyed_hash(key, text.as_bytes()) == mac;
+        if !is_signed_with(&self.current) && !self.previous.as_ref().is_some_and(is_signed_with) {
             return Err(Refusal::Forged);
         }
         serde_json::from_str(text).map_err(|_| Refusal::Malformed)
@@ -97,17 +97,17 @@
 
 /// Verifier at a licence counter: accepts each grant once, and none of a superseded leader.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct GrantVerifier {
     claim: u64,
     /// Accepted attempts, with the time until which they must be remembered.
-    seen: BTreeMap<(Attempt, String), u64>,
+    accepted: BTreeMap<(Attempt, String), u64>,
     /// Number of refused grants by reason.
     pub refused: BTreeMap<Refusal, u64>,
 }
 
-impl Gate {
+impl GrantVerifier {
     /// Accepts a grant, or counts and returns the reason why it is refused.
-    pub fn enter(&mut self, keys: &Keys, sealed: &str, now_ms: u64) -> Result<Grant, Refusal> {
+    pub fn accept(&mut self, keys: &Keys, sealed: &str, now_ms: u64) -> Result<Grant, Refusal> {
         let result = self.check(keys, sealed, now_ms);
         if let Err(refusal) = &result {
             *self.refused.entry(*refusal).or_insert(0) += 1;
@@ -123,17 +123,17 @@
         if grant.claim < self.claim {
             return Err(Refusal::Outdated);
         }
-        self.seen.retain(|_, until| now_ms < *until);
+        self.accepted.retain(|_, until| now_ms < *until);
         let attempt = Attempt {
             task: grant.task.clone(),
             attempt: grant.attempt,
         };
         let key = (attempt, grant.licence.clone());
-        if self.seen.contains_key(&key) {
+        if self.accepted.contains_key(&key) {
             return Err(Refusal::Replayed);
         }
         self.claim = grant.claim;
-        self.seen.insert(key, grant.expires_ms);
+        self.accepted.insert(key, grant.expires_ms);
         Ok(grant)
     }
 }
--- a/crates/licences/src/history.rs
+++ b/crates/licences/src/history.rs
@@ -7,7 +7,7 @@
 
 /// The period for which an attempt held seats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stay {
+pub struct SeatPeriod {
     /// Name of the licence.
     pub licence: String,
     /// Team that was charged.
@@ -27,91 +27,95 @@
 /// Periods in order of their start. A clone shares the data.
 #[derive(Debug, Clone)]
 pub struct History {
-    most: usize,
+    max: usize,
     next: u64,
-    stays: OrdMap<u64, Stay>,
+    periods: OrdMap<u64, SeatPeriod>,
     open: OrdMap<(String, u64, String), u64>,
 }
 
 impl History {
-    /// Creates an empty history that keeps `most` periods, at least one.
-    pub fn new(most: usize) -> Self {
+    /// Creates an empty history that keeps `max` periods, at least one.
+    pub fn new(max: usize) -> Self {
         Self {
-            most: most.max(1),
+            max: max.max(1),
             next: 0,
-            stays: OrdMap::new(),
+            periods: OrdMap::new(),
             open: OrdMap::new(),
         }
     }
 
     /// Records that an attempt took seats; idempotent.
-    pub fn begins(&mut self, stay: Stay) {
-        let key = (stay.task.clone(), stay.attempt, stay.licence.clone());
+    pub fn record_start(&mut self, period: SeatPeriod) {
+        let key = (period.task.clone(), period.attempt, period.licence.clone());
         // A period recorded twice, as after a failover, is kept once.
         if self.open.contains_key(&key) {
             return;
         }
         self.open.insert(key, self.next);
-        self.stays.insert(self.next, stay);
+        self.periods.insert(self.next, period);
         self.next += 1;
         self.trim();
     }
 
     /// Records that an attempt released all of its seats.
-    pub fn ends(&mut self, attempt: &Attempt, to_ms: u64) {
+    pub fn record_end(&mut self, attempt: &Attempt, to_ms: u64) {
         let first = (attempt.task.clone(), attempt.attempt, String::new());
-        let of = |key: &(String, u64, String)| key.0 == attempt.task && key.1 == attempt.attempt;
-        let over: Vec<_> = self
+        let is_of_attempt =
+            |key: &(String, u64, String)| key.0 == attempt.task && key.1 == attempt.attempt;
+        let ended: Vec<_> = self
             .open
             .range(first..)
-            .take_while(|(key, _)| of(key))
+            .take_while(|(key, _)| is_of_attempt(key))
             .map(|(key, number)| (key.clone(), *number))
             .collect();
-        for (key, number) in over {
+        for (key, number) in ended {
             self.open.remove(&key);
-            if let Some(stay) = self.stays.get_mut(&number) {
+            if let Some(period) = self.periods.get_mut(&number) {
                 // Clocks of two leaders may differ; no period ends before its start.
-                stay.to_ms = Some(to_ms.max(stay.from_ms));
+                period.to_ms = Some(to_ms.max(period.from_ms));
             }
         }
     }
 
     /// Removes the oldest ended periods over the bound; an open one is never removed.
     fn trim(&mut self) {
-        while self.stays.len() > self.most {
-            let over = self.stays.iter().find(|(_, stay)| stay.to_ms.is_some());
-            let Some(number) = over.map(|(number, _)| *number) else {
+        while self.periods.len() > self.max {
+            let ended = self
+                .periods
+                .iter()
+                .find(|(_, period)| period.to_ms.is_some());
+            let Some(number) = ended.map(|(number, _)| *number) else {
                 return;
             };
-            self.stays.remove(&number);
+            self.periods.remove(&number);
         }
     }
 
     /// Returns all periods in order of their start.
-    pub fn stays(&self) -> impl Iterator<Item = &Stay> {
-        self.stays.values()
+    pub fn periods(&self) -> impl Iterator<Item = &SeatPeriod> {
+        self.periods.values()
     }
 
     /// Returns the number of periods.
     pub fn len(&self) -> usize {
-        self.stays.len()
+        self.periods.len()
     }
 
     /// Returns whether there are no periods.
     pub fn is_empty(&self) -> bool {
-        self.stays.is_empty()
+        self.periods.is_empty()
     }
 
-    /// Returns the history as JSON pages of at most `most` bytes, to be stored as values. A period
+    /// Returns the history as JSON pages of at most `max` bytes, to be stored as values. A period
     /// that is larger than a page by itself is omitted.
-    pub fn pages(&self, most: usize) -> Vec<String> {
+    pub fn pages(&self, max: usize) -> Vec<String> {
         let mut pages: Vec<String> = Vec::new();
         let mut page = String::new();
-        for text in self.stays().filter_map(|s| serde_json::to_string(s).ok()) {
-            if text.len() + 2 > most {
+        for text in self.periods().filter_map(|s| serde_json::to_string(s).ok()) {
+            if text.len() + 2 > max {
                 continue;
             }
-            if !page.is_empty() && page.len() + text.len() + 2 > most {
+            if !page.is_empty() && page.len() + text.len() + 2 > max {
                 pages.push(std::mem::take(&mut page) + "]");
             }
             page.push(if page.is_empty() { '[' } else { ',' });
@@ -124,24 +128,24 @@
     }
 
     /// Restores a history from pages; skips pages that don't parse.
-    pub fn restore<'a>(most: usize, pages: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut history = Self::new(most);
+    pub fn restore<'a>(max: usize, pages: impl IntoIterator<Item = &'a str>) -> Self {
+        let mut history = Self::new(max);
         for page in pages {
-            let stays: Vec<Stay> = serde_json::from_str(page).unwrap_or_default();
-            for stay in stays {
+            let periods: Vec<SeatPeriod> = serde_json::from_str(page).unwrap_or_default();
+            for period in periods {
                 let (to, attempt) = (
-                    stay.to_ms,
+                    period.to_ms,
                     Attempt {
-                        task: stay.task.clone(),
-                        attempt: stay.attempt,
+                        task: period.task.clone(),
+                        attempt: period.attempt,
                     },
                 );
-                history.begins(Stay {
+                history.record_start(SeatPeriod {
                     to_ms: None,
-                    ..stay
+                    ..period
                 });
                 if let Some(to) = to {
-                    history.ends(&attempt, to);
+                    history.record_end(&attempt, to);
                 }
             }
         }
--- a/crates/licences/src/ledger.rs
+++ b/crates/licences/src/ledger.rs
@@ -44,7 +44,7 @@
         needs: Needs,
     },
     /// The complete set of current holders; any other holder is gone.
-    Holding(BTreeMap<Attempt, (String, Needs)>),
+    Holders(BTreeMap<Attempt, (String, Needs)>),
     /// A silent machine may hold these seats; replaces earlier values of the machine.
     MayHold {
         /// The machine.
@@ -53,19 +53,19 @@
         needs: Needs,
     },
     /// No tasks of a former leader remain on the machine.
-    Empty {
+    MachineEmpty {
         /// The machine.
         machine: String,
     },
     /// The licence counter reported the seats in use outside the cluster.
-    Counted {
+    CounterReport {
         /// The licence.
         licence: String,
         /// Seats in use outside the cluster.
         elsewhere: u32,
     },
     /// The licence counter refused a seat that should be free.
-    Refused {
+    CounterRefused {
         /// The licence.
         licence: String,
     },
@@ -81,7 +81,7 @@
     /// The attempt now holds its seats.
     Taken(Attempt),
     /// No attempt got seats: too few are free for the team.
-    Lacking {
+    InsufficientSeats {
         /// Licence without enough seats.
         licence: String,
         /// Number of missing seats.
@@ -114,8 +114,8 @@
     until: Duration,
 }
 
-const BACK_OFF: Duration = Duration::from_secs(1);
-const BACK_OFF_DOUBLED_MOST: u32 = 6;
+const BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// Seats of all licences and their holders.
 #[derive(Debug, Default)]
@@ -123,19 +123,19 @@
     config: Config,
     holders: BTreeMap<Attempt, Holder>,
     /// Seats that silent machines may hold.
-    maybe: BTreeMap<String, Needs>,
+    possibly_held: BTreeMap<String, Needs>,
     /// Seats in use outside the cluster.
     elsewhere: BTreeMap<String, u32>,
     refusals: BTreeMap<String, Refusals>,
     /// Start of the ledger after a failover; seats released before it may still linger.
-    began: Option<Duration>,
+    failover_at: Option<Duration>,
     /// Licences for which a request was denied.
-    wanted: BTreeSet<String>,
+    denied: BTreeSet<String>,
 }
 
 /// The seat counts of a licence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct SeatCounts {
     /// Total number of seats.
     pub seats: u32,
     /// Seats of tasks that are not proven gone.
@@ -143,15 +143,20 @@
     /// Seats of gone tasks that the counter may not have released yet.
     pub lingering: u32,
     /// Seats that silent machines may hold.
-    pub maybe: u32,
+    pub possibly_held: u32,
     /// Seats in use outside the cluster.
     pub elsewhere: u32,
 }
 
-impl Standing {
+impl SeatCounts {
     /// Returns the free seats; seats that may be in use are not free.
     pub fn free(&self) -> u32 {
-        let used = [self.held, self.lingering, self.maybe, self.elsewhere];
+        let used = [
+            self.held,
+            self.lingering,
+            self.possibly_held,
+            self.elsewhere,
+        ];
         let used: u64 = used.into_iter().map(u64::from).sum();
         u64::from(self.seats).saturating_sub(used) as u32
     }
@@ -167,9 +172,9 @@
     }
 
     /// Creates the ledger of a new leader, which knows only the current holders of seats.
-    pub fn after_take_over(config: Config, now: Duration) -> Self {
+    pub fn after_failover(config: Config, now: Duration) -> Self {
         Self {
-            began: Some(now),
+            failover_at: Some(now),
             ..Self::new(config)
         }
     }
@@ -181,14 +186,14 @@
 
     /// Releases seats whose linger time is over, then applies an input.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
-        let mut out = self.expire(now);
+        let mut outputs = self.expire(now);
         match input {
             Input::Take {
                 team,
                 attempts,
                 needs,
-            } => self.take(now, team, attempts, needs, &mut out),
-            Input::Gone(attempt) => self.gone(now, &attempt, &mut out),
+            } => self.take(now, team, attempts, needs, &mut outputs),
+            Input::Gone(attempt) => self.mark_gone(now, &attempt, &mut outputs),
             Input::Found {
                 team,
                 attempt,
@@ -201,9 +206,9 @@
                 };
                 self.holders.insert(attempt, holder);
             }
-            Input::Holding(held) => {
-                let lasting = self.holders.iter().filter(|(_, h)| h.until.is_none());
-                let gone: Vec<Attempt> = lasting
+            Input::Holders(held) => {
+                let active = self.holders.iter().filter(|(_, h)| h.until.is_none());
+                let gone: Vec<Attempt> = active
                     .map(|(attempt, _)| attempt)
                     .filter(|attempt| !held.contains_key(*attempt))
                     .cloned()
@@ -214,38 +219,38 @@
                     self.holders.insert(attempt, holder);
                 }
                 for attempt in gone {
-                    self.gone(now, &attempt, &mut out);
+                    self.mark_gone(now, &attempt, &mut outputs);
                 }
             }
             Input::MayHold { machine, needs } => {
-                self.maybe.insert(machine, needs);
+                self.possibly_held.insert(machine, needs);
             }
-            Input::Empty { machine } => {
-                if let Some(needs) = self.maybe.remove(&machine) {
-                    self.freed(needs.into_keys(), &mut out);
+            Input::MachineEmpty { machine } => {
+                if let Some(needs) = self.possibly_held.remove(&machine) {
+                    self.release(needs.into_keys(), &mut outputs);
                 }
             }
-            Input::Counted { licence, elsewhere } => {
+            Input::CounterReport { licence, elsewhere } => {
                 let before = self.elsewhere.insert(licence.clone(), elsewhere);
                 self.refusals.remove(&licence);
                 if before.unwrap_or(0) > elsewhere {
-                    self.freed([licence], &mut out);
+                    self.release([licence], &mut outputs);
                 }
             }
-            Input::Refused { licence } => {
+            Input::CounterRefused { licence } => {
                 let refusals = self.refusals.entry(licence).or_default();
-                let doubled = refusals.count.min(BACK_OFF_DOUBLED_MOST);
+                let doubled = refusals.count.min(MAX_BACKOFF_DOUBLINGS);
                 refusals.count += 1;
-                refusals.until = now + BACK_OFF * (1 << doubled);
+                refusals.until = now + BACKOFF * (1 << doubled);
             }
             Input::Configured(config) => {
                 self.config = config;
                 let names: Vec<String> = self.config.licences.keys().cloned().collect();
-                self.freed(names, &mut out);
+                self.release(names, &mut outputs);
             }
             Input::Tick => {}
         }
-        out
+        outputs
     }
 
     fn take(
@@ -254,21 +259,21 @@
         team: String,
         attempts: Vec<Attempt>,
         needs: Needs,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         // An attempt that already holds its seats takes no others.
         let holds = |a: &Attempt| self.holders.get(a).is_some_and(|h| h.until.is_none());
         let new = attempts.iter().filter(|a| !holds(a)).count() as u64;
         for (licence, seats) in &needs {
-            let Some(free) = self.free_for(licence, &team, now) else {
+            let Some(free) = self.free_seats(licence, &team, now) else {
                 let licence = licence.clone();
-                out.push(Output::Unknown { licence });
+                outputs.push(Output::Unknown { licence });
                 return;
             };
             let wanted = u64::from(*seats) * new;
             if wanted > u64::from(free) {
-                self.wanted.insert(licence.clone());
-                out.push(Output::Lacking {
+                self.denied.insert(licence.clone());
+                outputs.push(Output::InsufficientSeats {
                     licence: licence.clone(),
                     seats: (wanted - u64::from(free)).min(u64::from(u32::MAX)) as u32,
                 });
@@ -282,11 +287,11 @@
                 until: None,
             };
             self.holders.insert(attempt.clone(), holder);
-            out.push(Output::Taken(attempt));
+            outputs.push(Output::Taken(attempt));
         }
     }
 
-    fn gone(&mut self, now: Duration, attempt: &Attempt, out: &mut Vec<Output>) {
+    fn mark_gone(&mut self, now: Duration, attempt: &Attempt, outputs: &mut Vec<Output>) {
         let Some(holder) = self.holders.get_mut(attempt) else {
             return;
         };
@@ -297,17 +302,17 @@
         holder
             .until
             .get_or_insert(now + longest.unwrap_or_default());
-        out.extend(self.expire(now));
+        outputs.extend(self.expire(now));
     }
 
     fn expire(&mut self, now: Duration) -> Vec<Output> {
-        let over = |h: &Holder| h.until.is_some_and(|until| now >= until);
+        let is_over = |h: &Holder| h.until.is_some_and(|until| now >= until);
         let mut names = BTreeSet::new();
         self.holders.retain(|_, holder| {
-            if over(holder) {
+            if is_over(holder) {
                 names.extend(holder.needs.keys().cloned());
             }
-            !over(holder)
+            !is_over(holder)
         });
         for (name, refusals) in &mut self.refusals {
             if refusals.count > 0 && !refusals.until.is_zero() && now >= refusals.until {
@@ -315,41 +320,44 @@
                 names.insert(name.clone());
             }
         }
-        let mut out = Vec::new();
-        self.freed(names, &mut out);
-        out
+        let mut outputs = Vec::new();
+        self.release(names, &mut outputs);
+        outputs
     }
 
-    fn freed(&mut self, names: impl IntoIterator<Item = String>, out: &mut Vec<Output>) {
+    fn release(&mut self, names: impl IntoIterator<Item = String>, outputs: &mut Vec<Output>) {
         for licence in names {
-            if self.wanted.remove(&licence) {
-                out.push(Output::Freed { licence });
+            if self.denied.remove(&licence) {
+                outputs.push(Output::Freed { licence });
             }
         }
     }
 
     /// Returns the seat counts of a licence, if it is configured.
-    pub fn standing(&self, licence: &str) -> Option<Standing> {
+    pub fn seat_counts(&self, licence: &str) -> Option<SeatCounts> {
         let known = self.config.licences.get(licence)?;
-        let mut standing = Standing {
+        let mut seat_counts = SeatCounts {
             seats: known.seats,
             elsewhere: self.elsewhere.get(licence).copied().unwrap_or(0),
-            ..Standing::default()
+            ..SeatCounts::default()
         };
         for holder in self.holders.values() {
             let seats = holder.needs.get(licence).copied().unwrap_or(0);
             match holder.until {
-                None => standing.held += seats,
-                Some(_) => standing.lingering += seats,
+                None => seat_counts.held += seats,
+                Some(_) => seat_counts.lingering += seats,
             }
         }
-        let maybe = self.maybe.values().filter_map(|needs| needs.get(licence));
-        standing.maybe = maybe.sum();
-        Some(standing)
+        let possibly_held = self
+            .possibly_held
+            .values()
+            .filter_map(|needs| needs.get(licence));
+        seat_counts.possibly_held = possibly_held.sum();
+        Some(seat_counts)
     }
 
     /// Returns the seats of a licence held by each team, lingering ones included.
-    pub fn by_team(&self, licence: &str) -> BTreeMap<String, u32> {
+    pub fn seats_by_team(&self, licence: &str) -> BTreeMap<String, u32> {
         let mut teams = BTreeMap::new();
         for holder in self.holders.values() {
             let seats = holder.needs.get(licence).copied().unwrap_or(0);
@@ -361,22 +369,24 @@
     }
 
     /// Returns the seats that a team may take now, without those reserved for other teams.
-    pub fn free_for(&self, licence: &str, team: &str, now: Duration) -> Option<u32> {
+    pub fn free_seats(&self, licence: &str, team: &str, now: Duration) -> Option<u32> {
         let known: &Licence = self.config.licences.get(licence)?;
-        let waits = self.refusals.get(licence).is_some_and(|r| now < r.until);
-        let lingers = self.began.is_some_and(|began| now < began + known.linger);
-        if waits || lingers {
+        let is_backing_off = self.refusals.get(licence).is_some_and(|r| now < r.until);
+        let may_linger = self
+            .failover_at
+            .is_some_and(|failover_at| now < failover_at + known.linger);
+        if is_backing_off || may_linger {
             return Some(0);
         }
-        let held = self.by_team(licence);
+        let held = self.seats_by_team(licence);
         let has = |team: &str| held.get(team).copied().unwrap_or(0);
-        let kept: u64 = known
+        let reserved: u64 = known
             .teams
             .iter()
             .filter(|(other, _)| *other != team)
             .map(|(other, share)| u64::from(share.least.saturating_sub(has(other))))
             .sum();
-        let free = u64::from(self.standing(licence)?.free()).saturating_sub(kept);
+        let free = u64::from(self.seat_counts(licence)?.free()).saturating_sub(reserved);
         let most = known.teams.get(team).and_then(|share| share.most);
         let own = most.map_or(u64::MAX, |most| u64::from(most.saturating_sub(has(team))));
         Some(free.min(own) as u32)
--- a/crates/licences/tests/ledger.rs
+++ b/crates/licences/tests/ledger.rs
@@ -4,8 +4,8 @@
 
 use kiteyard_licences::{
     config::{Config, ConfigError},
-    grant::{Gate, Grant, Keys, Refusal},
-    history::{History, Stay},
+    grant::{Grant, GrantVerifier, Keys, Refusal},
+    history::{History, SeatPeriod},
     ledger::{Attempt, Input, Ledger, Needs, Output},
 };
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_file_is_checked_and_the_place_is_named() {
+fn config_errors_name_the_field_or_line() {
     let bad = [
         ("[licence.a]\nseats = -1\n", "line 2"),
         ("[licence.a]\n", "seats"),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_last_seat_goes_to_one_of_two_and_comes_back_after_proof() {
+fn last_seat_is_granted_once_and_released_after_proof() {
     let mut ledger = Ledger::new(config());
     let take = |task, now: u64, ledger: &mut Ledger| {
         let input = Input::Take {
@@ -76,11 +76,11 @@
         ledger.step(Duration::from_secs(now), input)
     };
     assert_eq!(take(1, 0, &mut ledger), [Output::Taken(attempt(1, 1))]);
-    let lacking = Output::Lacking {
+    let insufficient = Output::InsufficientSeats {
         licence: "calib".into(),
         seats: 3,
     };
-    assert_eq!(take(2, 1, &mut ledger), [lacking]);
+    assert_eq!(take(2, 1, &mut ledger), [insufficient]);
     let freed = Output::Freed {
         licence: "calib".into(),
     };
@@ -90,10 +90,10 @@
 }
 
 #[test]
-fn seats_that_silent_machines_or_others_may_hold_are_not_given() {
+fn seats_possibly_held_elsewhere_are_not_granted() {
     let mut ledger = Ledger::new(config());
     let now = Duration::from_secs(1);
-    let free = |ledger: &Ledger| ledger.free_for("calib", "archive", now);
+    let free = |ledger: &Ledger| ledger.free_seats("calib", "archive", now);
     let machine = "vm-000001".to_owned();
     let may_hold = Input::MayHold {
         machine: machine.clone(),
@@ -103,13 +103,13 @@
     assert_eq!(free(&ledger), Some(1));
     let licence = "calib".to_owned();
     let elsewhere = 4;
-    ledger.step(now, Input::Counted { licence, elsewhere });
+    ledger.step(now, Input::CounterReport { licence, elsewhere });
     assert_eq!(free(&ledger), Some(0));
-    ledger.step(now, Input::Empty { machine });
+    ledger.step(now, Input::MachineEmpty { machine });
     let licence = "calib".to_owned();
     ledger.step(
         now,
-        Input::Counted {
+        Input::CounterReport {
             licence,
             elsewhere: 1,
         },
@@ -118,8 +118,8 @@
     // A refusal by the counter delays the next request, longer each time.
     for wait in [1, 2, 4] {
         let licence = "calib".to_owned();
-        ledger.step(now, Input::Refused { licence });
-        let at = |s: f64| ledger.free_for("calib", "archive", now + Duration::from_secs_f64(s));
+        ledger.step(now, Input::CounterRefused { licence });
+        let at = |s: f64| ledger.free_seats("calib", "archive", now + Duration::from_secs_f64(s));
         assert_eq!(at(f64::from(wait) - 0.1), Some(0));
         assert_eq!(at(f64::from(wait)), Some(2));
     }
@@ -133,18 +133,20 @@
     let fewer = Config::parse("[licence.flow-solver]\nseats = 2\n").expect("a valid file");
     ledger.step(now, Input::Configured(fewer));
     assert_eq!(
-        ledger.standing("flow-solver").map(|s| (s.held, s.free())),
+        ledger
+            .seat_counts("flow-solver")
+            .map(|s| (s.held, s.free())),
         Some((4, 0))
     );
 }
 
 /// Reference model: a list of holders with their end.
 #[derive(Default)]
-struct Plain {
+struct ReferenceModel {
     held: Vec<(Attempt, String, Needs, Option<u64>)>,
 }
 
-impl Plain {
+impl ReferenceModel {
     fn used(&self, licence: &str, team: Option<&str>) -> u32 {
         let of = self.held.iter().filter(|h| team.is_none_or(|t| t == h.1));
         of.map(|h| h.2.get(licence).copied().unwrap_or(0)).sum()
@@ -153,7 +155,7 @@
     fn takes(&self, team: &str, needs: &Needs, count: u32) -> bool {
         needs.iter().all(|(licence, n)| {
             let known = &config().licences[licence];
-            let kept: u32 = known
+            let reserved: u32 = known
                 .teams
                 .iter()
                 .filter(|(name, _)| *name != team)
@@ -161,7 +163,7 @@
                 .sum();
             let most = known.teams.get(team).and_then(|s| s.most);
             let own = most.is_none_or(|m| self.used(licence, Some(team)) + n * count <= m);
-            own && self.used(licence, None) + n * count + kept <= known.seats
+            own && self.used(licence, None) + n * count + reserved <= known.seats
         })
     }
 }
@@ -170,56 +172,59 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(14), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_ledger_agrees_with_the_plain_model(
+    fn ledger_agrees_with_reference_model(
         steps in prop::collection::vec((0..10usize, 0..2usize, 0..3u32, 0..3u32, 1..4usize, 0..3u64), 1..60)
     ) {
         let mut ledger = Ledger::new(config());
-        let mut plain = Plain::default();
+        let mut model = ReferenceModel::default();
         let mut now = 0;
         for (number, (what, team, solver, calib, count, passed)) in steps.into_iter().enumerate() {
             now += passed;
             let at = Duration::from_secs(now);
-            plain.held.retain(|h| h.3.is_none_or(|until| now < until));
+            model.held.retain(|h| h.3.is_none_or(|until| now < until));
             ledger.step(at, Input::Tick);
             let team = ["gas", "archive"][team];
             if what < 6 {
                 let attempts: Vec<Attempt> = (0..count).map(|i| attempt(number * 10 + i, 1)).collect();
                 let needs = needs(solver, calib);
-                let expected = plain.takes(team, &needs, count as u32);
+                let expected = model.takes(team, &needs, count as u32);
                 let input = Input::Take { team: team.into(), attempts: attempts.clone(), needs: needs.clone() };
                 let out = ledger.step(at, input);
                 let taken = out.iter().filter(|o| matches!(o, Output::Taken(_))).count();
                 prop_assert_eq!(taken, if expected { count } else { 0 });
                 if expected {
-                    plain.held.extend(attempts.into_iter().map(|a| (a, team.to_owned(), needs.clone(), None)));
+                    model.held.extend(attempts.into_iter().map(|a| (a, team.to_owned(), needs.clone(), None)));
                 }
-            } else if let Some(place) = plain.held.len().checked_sub(1).map(|last| (what * 7 + number) % (last + 1)) {
-                let held = &mut plain.held[place];
+            } else if let Some(place) = model.held.len().checked_sub(1).map(|last| (what * 7 + number) % (last + 1)) {
+                let held = &mut model.held[place];
                 let linger = if held.2.contains_key("flow-solver") { 2 } else { 0 };
                 held.3.get_or_insert(now + linger);
                 let gone = held.0.clone();
                 ledger.step(at, Input::Gone(gone));
-                plain.held.retain(|h| h.3.is_none_or(|until| now < until));
+                model.held.retain(|h| h.3.is_none_or(|until| now < until));
             }
             for licence in ["flow-solver", "calib"] {
-                let standing = ledger.standing(licence).expect("known");
-                prop_assert_eq!(standing.held + standing.lingering, plain.used(licence, None));
-                prop_assert!(standing.held + standing.lingering <= standing.seats);
+                let seat_counts = ledger.seat_counts(licence).expect("known");
+                prop_assert_eq!(
+                    seat_counts.held + seat_counts.lingering,
+                    model.used(licence, None)
+                );
+                prop_assert!(seat_counts.held + seat_counts.lingering <= seat_counts.seats);
             }
         }
     }
 
     #[test]
-    fn a_history_comes_back_from_its_pages(ends in prop::collection::vec(any::<bool>(), 1..80), most in 200..900usize) {
+    fn history_is_restored_from_pages(ends in prop::collection::vec(any::<bool>(), 1..80), most in 200..900usize) {
         let mut history = History::new(40);
         for (number, over) in ends.iter().enumerate() {
             let Attempt { task, attempt: tried } = attempt(number, 1);
-            history.begins(Stay {
+            history.record_start(SeatPeriod {
                 licence: "calib".into(), team: "archive".into(), task, attempt: tried,
                 seats: 1, from_ms: number as u64, to_ms: None,
             });
             if *over {
-                history.ends(&attempt(number, 1), number as u64 + 5);
+                history.record_end(&attempt(number, 1), number as u64 + 5);
             }
         }
         let lasting = ends.iter().filter(|over| !**over).count();
@@ -227,7 +232,7 @@
         let pages = history.pages(most);
         prop_assert!(pages.iter().all(|page| page.len() <= most));
         let again = History::restore(40, pages.iter().map(String::as_str));
-        prop_assert!(again.stays().eq(history.stays()));
+        prop_assert!(again.periods().eq(history.periods()));
     }
 }
 
@@ -243,7 +248,7 @@
 }
 
 #[test]
-fn a_grant_with_any_byte_changed_is_refused() {
+fn grant_with_any_byte_changed_is_refused() {
     let keys = Keys::new(b"secret", None);
     let sealed = keys.seal(&grant(5, 1));
     assert_eq!(keys.open(&sealed), Ok(grant(5, 1)));
@@ -259,23 +264,29 @@
 }
 
 #[test]
-fn grants_count_once_and_only_from_the_last_leader() {
+fn grants_are_accepted_once_and_only_from_the_latest_leader() {
     let old = Keys::new(b"old", None);
     let new = Keys::new(b"new", Some(b"old"));
     let newest = Keys::new(b"newest", Some(b"new"));
-    let mut gate = Gate::default();
+    let mut verifier = GrantVerifier::default();
     let first = old.seal(&grant(5, 1));
-    assert_eq!(gate.enter(&new, &first, 1000), Ok(grant(5, 1)));
-    assert_eq!(gate.enter(&new, &first, 1001), Err(Refusal::Replayed));
-    assert_eq!(gate.enter(&newest, &first, 1001), Err(Refusal::Forged));
+    assert_eq!(verifier.accept(&new, &first, 1000), Ok(grant(5, 1)));
+    assert_eq!(verifier.accept(&new, &first, 1001), Err(Refusal::Replayed));
+    assert_eq!(verifier.accept(&newest, &first, 1001), Err(Refusal::Forged));
     let later = new.seal(&grant(6, 2));
-    assert_eq!(gate.enter(&newest, &later, 1002), Ok(grant(6, 2)));
+    assert_eq!(verifier.accept(&newest, &later, 1002), Ok(grant(6, 2)));
     let outdated = new.seal(&grant(5, 3));
-    assert_eq!(gate.enter(&newest, &outdated, 1003), Err(Refusal::Outdated));
+    assert_eq!(
+        verifier.accept(&newest, &outdated, 1003),
+        Err(Refusal::Outdated)
+    );
     let expired = new.seal(&grant(6, 4));
-    assert_eq!(gate.enter(&newest, &expired, 2000), Err(Refusal::Expired));
     assert_eq!(
-        gate.enter(&newest, "nonsense", 1000),
+        verifier.accept(&newest, &expired, 2000),
+        Err(Refusal::Expired)
+    );
+    assert_eq!(
+        verifier.accept(&newest, "nonsense", 1000),
         Err(Refusal::Malformed)
     );
     let counted = [
@@ -285,5 +296,5 @@
         (Refusal::Replayed, 1),
         (Refusal::Outdated, 1),
     ];
-    assert_eq!(gate.refused, BTreeMap::from(counted));
+    assert_eq!(verifier.refused, BTreeMap::from(counted));
 }
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -52,7 +52,7 @@
             return Vec::new();
         };
         let view = ledger.licences().filter_map(|name| {
-            let standing = ledger.standing(name)?;
+            let standing = ledger.seat_counts(name)?;
             let wants = self.jobs.values().filter_map(|job| {
                 let each = job.spec.licences.get(name)?;
                 Some(u64::from(*each) * u64::from(job.waiting_count()))
@@ -62,10 +62,10 @@
                 seats: standing.seats,
                 in_use: standing.held,
                 lingering: standing.lingering,
-                maybe: standing.maybe.min(standing.seats),
+                maybe: standing.possibly_held.min(standing.seats),
                 elsewhere: standing.elsewhere,
                 waiting: wants.sum(),
-                teams: ledger.by_team(name),
+                teams: ledger.seats_by_team(name),
             })
         });
         view.collect()
@@ -73,7 +73,7 @@
 
     pub(super) fn new_ledger(&self, now: Duration) -> Option<Ledger> {
         let config = self.config.options.licences.as_ref()?;
-        Some(Ledger::after_take_over((**config).clone(), now))
+        Some(Ledger::after_failover((**config).clone(), now))
     }
 
     /// Tells the ledger who holds seats now.
@@ -117,7 +117,7 @@
                 maybe.insert(licence.to_owned(), u32::MAX / 4);
             }
         }
-        ledger.step(now, Input::Holding(held));
+        ledger.step(now, Input::Holders(held));
         let machine = SILENT.to_owned();
         let needs = maybe;
         ledger.step(now, Input::MayHold { machine, needs });
@@ -130,7 +130,7 @@
             return u32::MAX;
         };
         let fits = spec.licences.iter().map(|(licence, seats)| {
-            let free = ledger.free_for(licence, &spec.team, now).unwrap_or(0);
+            let free = ledger.free_seats(licence, &spec.team, now).unwrap_or(0);
             let nominated = self.jobs.values().filter(|job| {
                 job.spec.id != spec.id
                     && job.spec.priority >= spec.priority
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -308,7 +308,7 @@
                 return Some(format!("unknown licence {name}"));
             };
             let wanted = u64::from(*seats) * u64::from(at_once);
-            if wanted > u64::from(licence.most_for(&spec.team)) {
+            if wanted > u64::from(licence.max_seats_for(&spec.team)) {
                 return Some(format!("more seats of {name} than the team can have"));
             }
         }
