--- a/crates/ctl/src/rollout.rs
+++ b/crates/ctl/src/rollout.rs
@@ -9,7 +9,7 @@
 use kiteyard_rollout::{
     generation::Stage,
     restart_order,
-    view::{NodeStatus, Status},
+    status::{NodeStatus, Status},
 };
 use serde_json::json;
 
--- a/crates/licences/src/config.rs
+++ b/crates/licences/src/config.rs
@@ -9,7 +9,7 @@
 pub enum ConfigError {
     /// The file does not parse; the message names the line.
     #[error("licences: {0}")]
-    Form(String),
+    Parse(String),
     /// A value is out of range.
     #[error("licences: `{licence}.{field}`: {message}")]
     Field {
@@ -91,7 +91,7 @@
     /// Parses and checks a licences file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
-            .map_err(|error| ConfigError::Form(error.to_string()))?;
+            .map_err(|error| ConfigError::Parse(error.to_string()))?;
         let mut licences = BTreeMap::new();
         for (name, entry) in file.licence {
             let licence = entry.check(&name)?;
--- a/crates/maintenance/src/config.rs
+++ b/crates/maintenance/src/config.rs
@@ -9,7 +9,7 @@
 pub enum ConfigError {
     /// The file does not parse; the message names the line.
     #[error("maintenance: {0}")]
-    Form(String),
+    Parse(String),
     /// A value is out of range.
     #[error("maintenance: `{field}`: {message}")]
     Field {
@@ -107,7 +107,7 @@
     /// Parses and checks the file; `max_down` is the default number of replicas that may be down.
     pub fn parse(text: &str, max_down: u32) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
-            .map_err(|error| ConfigError::Form(error.to_string()))?;
+            .map_err(|error| ConfigError::Parse(error.to_string()))?;
         let base = Self::without_file(max_down).default;
         let default = file.budget.check("budget", &base)?;
         let mut teams = BTreeMap::new();
--- a/crates/rollout/src/config.rs
+++ b/crates/rollout/src/config.rs
@@ -11,7 +11,7 @@
 pub enum ConfigError {
     /// The file does not parse; the message names the line.
     #[error("rollout: {0}")]
-    Form(String),
+    Parse(String),
     /// A value is out of range, or names something unknown.
     #[error("rollout: `{field}`: {message}")]
     Field {
@@ -65,7 +65,7 @@
     /// Parses and checks the file; `features` are those that this build knows.
     pub fn parse(text: &str, features: &[Feature]) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
-            .map_err(|error| ConfigError::Form(error.to_string()))?;
+            .map_err(|error| ConfigError::Parse(error.to_string()))?;
         let fail = |field, message: String| Err(ConfigError::Field { field, message });
         if !(0.0..=MAX_SOAK_S).contains(&file.soak_s) {
             return fail("soak_s", format!("must be 0 to {MAX_SOAK_S} seconds"));
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -82,7 +82,7 @@
 /// Unknown fields are rejected: a field added by a later build must not be ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cluster {
+pub struct ClusterGeneration {
     /// The generation that is moved from, or the current one when settled.
     pub from: Generation,
     /// The generation that is moved to; equal to `from` when settled.
@@ -91,13 +91,13 @@
     pub stage: Stage,
 }
 
-impl Default for Cluster {
+impl Default for ClusterGeneration {
     fn default() -> Self {
         Self::settled(OLDEST)
     }
 }
 
-impl Cluster {
+impl ClusterGeneration {
     /// Returns the record of a cluster that is settled in a generation.
     pub fn settled(generation: Generation) -> Self {
         Self {
--- a/crates/rollout/src/restart_order.rs
+++ b/crates/rollout/src/restart_order.rs
@@ -1,15 +1,15 @@
 //! Selection of the next node that is safe to restart.
 
-use crate::{generation::Stage, view::Status};
+use crate::{generation::Stage, status::Status};
 
 /// Returns the remaining steps to run a build on all nodes and the newest generation, as text.
 pub fn plan(status: &Status, build: Option<&str>) -> Vec<String> {
     let mut steps = Vec::new();
-    let counted = || status.nodes.iter().filter(|node| !node.gone);
-    for node in counted().filter(|node| !node.here) {
+    let active_nodes = || status.nodes.iter().filter(|node| !node.gone);
+    for node in active_nodes().filter(|node| !node.here) {
         steps.push(format!("bring {} back, or forget it", node.node));
     }
-    let mut due: Vec<_> = counted()
+    let mut due: Vec<_> = active_nodes()
         .filter(|node| build.is_some_and(|build| node.build.as_deref() != Some(build)))
         .collect();
     due.sort_by_key(|node| (node.leads, node.most, &node.zone, &node.node));
@@ -20,7 +20,10 @@
         steps.push(format!("restart {} ({})", node.node, node.zone));
     }
     let to = match status.stage {
-        Stage::Settled => counted().map(|node| node.most).max().unwrap_or(status.from),
+        Stage::Settled => active_nodes()
+            .map(|node| node.most)
+            .max()
+            .unwrap_or(status.from),
         _ => status.to,
     };
     let to = status.target.unwrap_or(to);
@@ -78,15 +81,15 @@
 /// comes last, so that the leadership changes once. Without a build, nodes of an older build
 /// than the leader's come first, then the others; the caller stops at the node it began with.
 pub fn next_node(status: &Status, build: Option<&str>) -> Result<String, RestartBlocked> {
-    let counted = || status.nodes.iter().filter(|node| !node.gone);
-    let leader = counted()
+    let active_nodes = || status.nodes.iter().filter(|node| !node.gone);
+    let leader = active_nodes()
         .find(|node| node.leads)
         .ok_or(RestartBlocked::NoLeader)?;
     if leader.node != status.node {
         return Err(RestartBlocked::NotLeader);
     }
-    if let Some(away) = counted().find(|node| !node.here) {
-        return Err(RestartBlocked::NodeAbsent(away.node.clone()));
+    if let Some(absent) = active_nodes().find(|node| !node.here) {
+        return Err(RestartBlocked::NodeAbsent(absent.node.clone()));
     }
     if status.clear != Some(true) {
         return Err(RestartBlocked::MachinesUnreachable);
@@ -96,7 +99,7 @@
     }
     let needs_restart =
         |current: &Option<String>| build.is_none_or(|build| current.as_deref() != Some(build));
-    let mut due: Vec<_> = counted()
+    let mut due: Vec<_> = active_nodes()
         .filter(|node| needs_restart(&node.build))
         .collect();
     due.sort_by_key(|node| (node.leads, node.most, &node.zone, &node.node));
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/state_machine.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     config::Config,
-    generation::{Ability, Cluster, Feature, Generation, Orders, Stage},
+    generation::{Ability, ClusterGeneration, Feature, Generation, Orders, Stage},
 };
 
 /// The known state of one configured node.
@@ -36,9 +36,9 @@
 
 /// The input of a step.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct View {
+pub struct ClusterView {
     /// The cluster's record.
-    pub cluster: Cluster,
+    pub cluster: ClusterGeneration,
     /// Revision of the cluster's record; 0: there is none.
     pub revision: u64,
     /// The orders of operators.
@@ -56,7 +56,7 @@
     /// records at these revisions.
     Store {
         /// The record to store.
-        cluster: Cluster,
+        cluster: ClusterGeneration,
         /// The reason, for the log.
         why: &'static str,
         /// Nodes that the write depends on, each with the revision of its own record.
@@ -93,7 +93,7 @@
 
 /// Decides when the cluster's record advances, and to which state.
 #[derive(Debug)]
-pub struct Machine {
+pub struct StateMachine {
     config: Config,
     features: &'static [Feature],
     /// Start of the soak, and the processes that take part in it.
@@ -102,7 +102,7 @@
     pub blocker: Blocker,
 }
 
-impl Machine {
+impl StateMachine {
     /// Creates a machine without history; `features` are those that this build knows.
     pub fn new(config: Config, features: &'static [Feature]) -> Self {
         Self {
@@ -120,7 +120,7 @@
     }
 
     /// Returns the generation to move to from a settled one.
-    fn target(&self, view: &View) -> Generation {
+    fn target(&self, view: &ClusterView) -> Generation {
         let at = view.cluster.from;
         let newest = self.features.iter().map(|f| f.since).max();
         // A feature held back at any node is held back for the cluster.
@@ -140,13 +140,13 @@
     }
 
     /// Evaluates the view and returns the records to store and events to log.
-    pub fn step(&mut self, now: Duration, view: &View) -> Vec<Output> {
+    pub fn step(&mut self, now: Duration, view: &ClusterView) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.blocker = self.decide(now, view, &mut outputs);
         outputs
     }
 
-    fn decide(&mut self, now: Duration, view: &View, outputs: &mut Vec<Output>) -> Blocker {
+    fn decide(&mut self, now: Duration, view: &ClusterView, outputs: &mut Vec<Output>) -> Blocker {
         let cluster = view.cluster;
         if cluster.stage != Stage::Soaking {
             self.soak = None;
@@ -164,7 +164,7 @@
             outputs.push(step);
             Blocker::StepIssued
         };
-        let with_stage = |stage| Cluster { stage, ..cluster };
+        let with_stage = |stage| ClusterGeneration { stage, ..cluster };
         let needed = match cluster.stage {
             Stage::Settled => self.target(view),
             _ => cluster.to,
@@ -172,14 +172,14 @@
         // Until the new format is written, the move can be cancelled at no cost.
         let is_cancellable = matches!(cluster.stage, Stage::Prepared | Stage::Soaking);
         if is_cancellable && self.target(view) != cluster.to {
-            let back = Cluster::settled(cluster.from);
+            let back = ClusterGeneration::settled(cluster.from);
             return store(outputs, back, "the target has changed", Vec::new());
         }
         let supported = self.check_supported(view, needed);
         if is_cancellable && let Err(blocker @ Blocker::Unsupported(..)) = supported {
             store(
                 outputs,
-                Cluster::settled(cluster.from),
+                ClusterGeneration::settled(cluster.from),
                 "a node does not support the generation",
                 Vec::new(),
             );
@@ -194,7 +194,7 @@
                 if let Err(blocker) = supported {
                     return blocker;
                 }
-                let prepared = Cluster {
+                let prepared = ClusterGeneration {
                     to: needed,
                     stage: Stage::Prepared,
                     ..cluster
@@ -237,7 +237,7 @@
                 vec![],
             ),
             Stage::Migrating if view.no_old_records => {
-                let settled = Cluster::settled(cluster.to);
+                let settled = ClusterGeneration::settled(cluster.to);
                 store(outputs, settled, "no old records remain", vec![])
             }
             Stage::Migrating => Blocker::Migrating,
@@ -249,7 +249,7 @@
         now: Duration,
         nodes: Vec<(String, u64)>,
         outputs: &mut Vec<Output>,
-        next: Cluster,
+        next: ClusterGeneration,
     ) -> Blocker {
         let processes: BTreeMap<String, u64> = nodes.iter().cloned().collect();
         let since = match &self.soak {
@@ -290,14 +290,14 @@
     /// Returns the configured nodes, without those declared gone.
     fn active_nodes<'a>(
         &self,
-        view: &'a View,
+        view: &'a ClusterView,
     ) -> impl Iterator<Item = (&'a String, &'a NodeState)> {
         let gone = &view.orders.gone;
         view.nodes.iter().filter(|(node, _)| !gone.contains(*node))
     }
 
     /// Checks that the records of all nodes, reachable or not, declare support of a generation.
-    fn check_supported(&self, view: &View, generation: Generation) -> Result<(), Blocker> {
+    fn check_supported(&self, view: &ClusterView, generation: Generation) -> Result<(), Blocker> {
         for (node, seen) in self.active_nodes(view) {
             match &seen.ability {
                 None => return Err(Blocker::NoRecord(node.clone())),
@@ -311,7 +311,7 @@
     }
 
     /// Checks that all nodes are heard, match their records and know the current cluster record.
-    fn check_up_to_date(&self, view: &View) -> Result<Vec<(String, u64)>, Blocker> {
+    fn check_up_to_date(&self, view: &ClusterView) -> Result<Vec<(String, u64)>, Blocker> {
         let mut nodes = Vec::new();
         for (node, seen) in self.active_nodes(view) {
             let is_up_to_date = seen.announcement.is_some_and(|announcement| {
--- a/crates/rollout/src/view.rs
+++ b/crates/rollout/src/status.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     generation::{Generation, Stage},
-    machine::Blocker,
+    state_machine::Blocker,
 };
 
 impl fmt::Display for Blocker {
--- a/crates/rollout/tests/exhaustive.rs
+++ b/crates/rollout/tests/exhaustive.rs
@@ -8,8 +8,8 @@
 
 use kiteyard_rollout::{
     config::Config,
-    generation::{Ability, Cluster, Feature, Generation, Orders},
-    machine::{Machine, NodeAnnouncement, NodeState, Output, View},
+    generation::{Ability, ClusterGeneration, Feature, Generation, Orders},
+    state_machine::{ClusterView, NodeAnnouncement, NodeState, Output, StateMachine},
 };
 
 const FEATURES: &[Feature] = &[Feature {
@@ -32,7 +32,7 @@
 /// A hashable form of the cluster record.
 type ClusterKey = (Generation, Generation, u8);
 
-fn cluster_key(cluster: Cluster) -> ClusterKey {
+fn cluster_key(cluster: ClusterGeneration) -> ClusterKey {
     (cluster.from, cluster.to, cluster.stage as u8)
 }
 
@@ -84,10 +84,10 @@
     NoListing,
 }
 
-fn cluster(cluster_key: ClusterKey) -> Cluster {
+fn cluster(cluster_key: ClusterKey) -> ClusterGeneration {
     use kiteyard_rollout::generation::Stage::*;
     let stage = [Settled, Prepared, Soaking, Active, Migrating][cluster_key.2 as usize];
-    Cluster {
+    ClusterGeneration {
         from: cluster_key.0,
         to: cluster_key.1,
         stage,
@@ -122,10 +122,10 @@
         let process = |started| Process {
             most: 2,
             started,
-            knows: (0, cluster_key(Cluster::default())),
+            knows: (0, cluster_key(ClusterGeneration::default())),
         };
         Self {
-            cluster: (0, cluster_key(Cluster::default())),
+            cluster: (0, cluster_key(ClusterGeneration::default())),
             records: [(2, 1), (2, 2), (2, 3)],
             processes: [process(1), process(2), process(3)],
             end: None,
@@ -161,7 +161,7 @@
             target: self.orders.then_some(1),
             ..Orders::default()
         };
-        let view = View {
+        let view = ClusterView {
             cluster: cluster(leader.knows.1),
             revision: leader.knows.0.into(),
             orders,
@@ -169,7 +169,7 @@
             no_old_records,
         };
         let config = Config::parse("soak_s = 0", FEATURES).expect("a good file");
-        let mut machine = Machine::new(config, FEATURES);
+        let mut machine = StateMachine::new(config, FEATURES);
         let step = |output| match output {
             Output::Store { cluster, nodes, .. } => Some(Write::Step {
                 next: cluster_key(cluster),
@@ -335,8 +335,10 @@
         if let Some(violation) = state.violation(fault) {
             return (seen.len(), upgraded && rolled_back, Some(violation));
         }
-        upgraded |= state.cluster.1 == cluster_key(Cluster::settled(2)) && state.end == Some(2);
-        rolled_back |= state.cluster.0 > 5 && state.cluster.1 == cluster_key(Cluster::settled(1));
+        upgraded |=
+            state.cluster.1 == cluster_key(ClusterGeneration::settled(2)) && state.end == Some(2);
+        rolled_back |=
+            state.cluster.0 > 5 && state.cluster.1 == cluster_key(ClusterGeneration::settled(1));
         for next in state.next(fault) {
             match next {
                 Err(violation) => return (seen.len(), upgraded && rolled_back, Some(violation)),
--- a/crates/rollout/tests/orders.rs
+++ b/crates/rollout/tests/orders.rs
@@ -4,10 +4,10 @@
 
 use kiteyard_rollout::{
     config::Config,
-    generation::{Ability, Cluster, Feature, Order, Orders, Stage},
-    machine::{Blocker, Machine, NodeAnnouncement, NodeState, Output, View},
+    generation::{Ability, ClusterGeneration, Feature, Order, Orders, Stage},
     restart_order::{self, RestartBlocked},
-    view::{NodeStatus, Status},
+    state_machine::{Blocker, ClusterView, NodeAnnouncement, NodeState, Output, StateMachine},
+    status::{NodeStatus, Status},
 };
 use proptest::prelude::*;
 
@@ -137,7 +137,7 @@
     assert_eq!(gone, Ok("c".into()));
 }
 
-fn view(cluster: Cluster) -> View {
+fn view(cluster: ClusterGeneration) -> ClusterView {
     let seen = |started| NodeState {
         ability: Some(Ability {
             build: "1".into(),
@@ -149,7 +149,7 @@
         record_revision: started,
         announcement: Some(NodeAnnouncement { started, knows: 9 }),
     };
-    View {
+    ClusterView {
         cluster,
         revision: 9,
         orders: Orders::default(),
@@ -158,16 +158,16 @@
     }
 }
 
-fn moving(from: u32, to: u32, stage: Stage) -> Cluster {
-    Cluster { from, to, stage }
+fn moving(from: u32, to: u32, stage: Stage) -> ClusterGeneration {
+    ClusterGeneration { from, to, stage }
 }
 
-fn machine() -> Machine {
+fn machine() -> StateMachine {
     let config = Config::parse("soak_s = 10", FEATURES).expect("a valid file");
-    Machine::new(config, FEATURES)
+    StateMachine::new(config, FEATURES)
 }
 
-fn stored(outputs: &[Output]) -> Option<(Cluster, usize)> {
+fn stored(outputs: &[Output]) -> Option<(ClusterGeneration, usize)> {
     outputs.iter().find_map(|output| match output {
         Output::Store { cluster, nodes, .. } => Some((*cluster, nodes.len())),
         _ => None,
@@ -202,8 +202,8 @@
 #[test]
 fn moves_one_generation_at_a_time_and_only_where_possible() {
     let mut machine = machine();
-    let settled = |generation| view(Cluster::settled(generation));
-    let mut step = |view: &View| {
+    let settled = |generation| view(ClusterGeneration::settled(generation));
+    let mut step = |view: &ClusterView| {
         (
             stored(&machine.step(Duration::ZERO, view)),
             machine.blocker.clone(),
@@ -216,7 +216,7 @@
     let mut down = settled(3);
     down.orders.apply(&Order::Target(1));
     assert_eq!(step(&down), (None, Blocker::Irreversible("third")));
-    down.cluster = Cluster::settled(2);
+    down.cluster = ClusterGeneration::settled(2);
     assert_eq!(step(&down).0, prepared(2, 1));
     // A feature held back by one node is held back for all.
     let mut held = settled(2);
@@ -233,7 +233,7 @@
     assert_eq!(step(&silent).0, prepared(1, 2));
 }
 
-fn any_view() -> impl Strategy<Value = View> {
+fn any_view() -> impl Strategy<Value = ClusterView> {
     let told = prop::option::of((1..3u64, 8..10u64));
     let told =
         told.prop_map(|told| told.map(|(started, knows)| NodeAnnouncement { started, knows }));
@@ -256,7 +256,7 @@
         Stage::Migrating,
     ]);
     let cluster = prop_oneof![
-        (1..4u32).prop_map(Cluster::settled),
+        (1..4u32).prop_map(ClusterGeneration::settled),
         (1..3u32, any::<bool>(), stages).prop_map(|(low, up, stage)| match up {
             true => moving(low, low + 1, stage),
             false => moving(low + 1, low, stage),
@@ -267,7 +267,7 @@
     (cluster, nodes, orders, any::<bool>()).prop_map(|(cluster, nodes, orders, no_old_records)| {
         let named = nodes.into_iter().enumerate();
         let gone = orders.2.then(|| "0".to_owned());
-        View {
+        ClusterView {
             cluster,
             revision: 9,
             orders: Orders {
@@ -317,7 +317,7 @@
                 prop_assert!(soaked || next.to < next.from);
             }
             if now.is_mixed() && !next.is_mixed() {
-                prop_assert!(view.no_old_records && next == Cluster::settled(now.to));
+                prop_assert!(view.no_old_records && next == ClusterGeneration::settled(now.to));
             }
             if next.stage == Stage::Prepared {
                 prop_assert!(able(next.to));
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use kiteyard_rollout::machine::NodeAnnouncement;
+use kiteyard_rollout::state_machine::NodeAnnouncement;
 use serde::{Deserialize, Serialize};
 
 use super::phi_accrual::{PhiAccrual, Source};
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -169,7 +169,7 @@
     Ready(bool),
     /// How licences stand, and how old that is where this node does not lead.
     Licences(Vec<LicenceView>, Option<Duration>),
-    Rollout(Box<kiteyard_rollout::view::Status>),
+    Rollout(Box<kiteyard_rollout::status::Status>),
     Drains(Vec<maintenance::MachineView>),
     Commands {
         token: u64,
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -6,8 +6,8 @@
 
 use kiteyard_rollout::{
     generation::{Ability, Feature, OLDEST, Order, Stage},
-    machine::{Machine, NodeAnnouncement, NodeState, Output as Step, View},
-    view::{NodeStatus, Status},
+    state_machine::{ClusterView, NodeAnnouncement, NodeState, Output as Step, StateMachine},
+    status::{NodeStatus, Status},
 };
 use tracing::{error, info};
 
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct Rollout {
     /// Where rollouts are on.
-    machine: Option<Machine>,
+    machine: Option<StateMachine>,
     /// The revision of this process's own record; 0: it is not stored yet.
     started: u64,
     announcing: bool,
@@ -64,7 +64,7 @@
 impl Rollout {
     pub fn new(config: Option<&kiteyard_rollout::config::Config>) -> Self {
         Self {
-            machine: config.map(|config| Machine::new(config.clone(), FEATURES)),
+            machine: config.map(|config| StateMachine::new(config.clone(), FEATURES)),
             ..Self::default()
         }
     }
@@ -300,7 +300,7 @@
         self.config.peers.iter().chain([&self.config.node])
     }
 
-    fn rollout_view(&self) -> View {
+    fn rollout_view(&self) -> ClusterView {
         let now = self.now();
         let (cluster, revision) = self.cache.cluster;
         let seen = |node: &String| {
@@ -319,7 +319,7 @@
             };
             (node.clone(), seen)
         };
-        View {
+        ClusterView {
             cluster,
             revision,
             orders: self.cache.orders.0.clone(),
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use kiteyard_maintenance::drain::Drains;
-use kiteyard_rollout::generation::{Ability, Cluster, Orders};
+use kiteyard_rollout::generation::{Ability, ClusterGeneration, Orders};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use super::{
@@ -51,7 +51,7 @@
     /// an older change that arrives meanwhile must not bring one back.
     ended: BTreeMap<JobId, u64>,
     /// The generation of the stored forms, and the revision of its key; 0: there is none.
-    pub cluster: (Cluster, u64),
+    pub cluster: (ClusterGeneration, u64),
     pub orders: (Orders, u64),
     /// Zones that are partitioned, and the revision; 0: there is no such key.
     pub partitioned_zones: (PartitionedZonesRecord, u64),
@@ -143,7 +143,7 @@
             }
             GENERATION => {
                 let there = event.value.is_some();
-                let cluster = self.read(event).filter(Cluster::is_valid);
+                let cluster = self.read(event).filter(ClusterGeneration::is_valid);
                 if there && cluster.is_none() {
                     self.unreadable.insert(event.key.clone(), revision);
                 }
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use kiteyard_rollout::generation::{Cluster, Feature, Generation};
+use kiteyard_rollout::generation::{ClusterGeneration, Feature, Generation};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
 use super::{
@@ -40,7 +40,7 @@
 }
 
 /// Where to look, in this order: a record that is rewritten meanwhile is met.
-pub fn places(cluster: &Cluster) -> Vec<Place> {
+pub fn places(cluster: &ClusterGeneration) -> Vec<Place> {
     let mut places: Vec<Place> = cluster.read_generations().map(place).collect();
     places.dedup();
     places
@@ -274,7 +274,7 @@
 /// What proves that a job has no end, in each place where it could be; none where a
 /// range is not known, or where it has one.
 pub fn absence_conditions(
-    cluster: &Cluster,
+    cluster: &ClusterGeneration,
     id: &JobId,
     ranges: &TerminalRanges,
 ) -> Option<Vec<Condition>> {
@@ -305,7 +305,7 @@
 }
 
 pub fn terminal_write(
-    cluster: &Cluster,
+    cluster: &ClusterGeneration,
     jobs: &[(JobId, TerminalRecord)],
     ranges: &TerminalRanges,
 ) -> Option<TerminalWrite> {
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use kiteyard_job_graph::Status;
-use kiteyard_rollout::generation::Cluster;
+use kiteyard_rollout::generation::ClusterGeneration;
 
 use super::{
     Answer, Node, Purpose, RequestId,
@@ -66,7 +66,7 @@
         request: RequestId,
         id: JobId,
         question: Question,
-        (cluster, generation): &(Cluster, u64),
+        (cluster, generation): &(ClusterGeneration, u64),
     ) -> Self {
         Self {
             id,
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use kiteyard_rollout::{generation::Order, view::Status};
+use kiteyard_rollout::{generation::Order, status::Status};
 
 use crate::core::{
     job::{JobId, JobSpec, JobState, Kind, Priority, Resources},
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -15,7 +15,7 @@
     wire::peer::Line,
 };
 use kiteyard_maintenance::drain::Drains;
-use kiteyard_rollout::generation::{Ability, Cluster, Orders};
+use kiteyard_rollout::generation::{Ability, ClusterGeneration, Orders};
 use proptest::prelude::*;
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
@@ -53,7 +53,7 @@
         // Only its revision counts.
         ("live", "claims") => again::<String>(text),
         ("live", "types") => again::<Vec<MachineType>>(text),
-        ("live", "generation") => again::<Cluster>(text),
+        ("live", "generation") => again::<ClusterGeneration>(text),
         ("live", "orders") => again::<Orders>(text),
         ("live", "sign") => again::<StoredHeartbeat>(text),
         ("live", "drains") => again::<Drains>(text),
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kiteyard::core::store::{TERMINAL_RANGES, TERMINAL_STATES};
-use kiteyard_rollout::generation::{Cluster, Order, Stage};
+use kiteyard_rollout::generation::{ClusterGeneration, Order, Stage};
 
 use crate::{
     cases::Case,
@@ -14,7 +14,7 @@
 /// Many small jobs, so that there are ends to rewrite, and no troubles of its own.
 const ROLLED: Scale = SMALL.quiet(40);
 
-const NEW: Cluster = Cluster {
+const NEW: ClusterGeneration = ClusterGeneration {
     from: 2,
     to: 2,
     stage: Stage::Settled,
@@ -33,7 +33,7 @@
     world
 }
 
-fn run_to(mut world: World, end: Cluster, what: &str) -> World {
+fn run_to(mut world: World, end: ClusterGeneration, what: &str) -> World {
     world.run();
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
     assert!(world.observer.finished > 6, "{what}: finished too little");
@@ -63,7 +63,11 @@
             run_to(rolled(world(seed, Sabotage::None), order), NEW, &what);
             let back = rolled(world(seed, Sabotage::None), order);
             let back = back.ordered(90 * S, Order::Target(1));
-            run_to(back, Cluster::default(), &format!("{what} and back"));
+            run_to(
+                back,
+                ClusterGeneration::default(),
+                &format!("{what} and back"),
+            );
         }
     }
 }
@@ -75,11 +79,11 @@
         let world = world(3, Sabotage::None);
         world.upgrade(20 * S, 0, 2).upgrade(26 * S, 1, 2)
     };
-    run_to(two(), Cluster::default(), "one is old");
+    run_to(two(), ClusterGeneration::default(), "one is old");
     let mut away = two();
     away.roll.on_stage.clear();
     away.push(ms(32 * S), Event::End(2));
-    let mut away = run_to(away, Cluster::default(), "one is away");
+    let mut away = run_to(away, ClusterGeneration::default(), "one is away");
     assert!(away.nodes[2].is_none() && away.keys("live/node/") == NODES);
     let mut gone = two().ordered(60 * S, Order::Forget("n2".into()));
     gone.push(ms(32 * S), Event::End(2));
@@ -132,7 +136,7 @@
     let (end, alone) = (world.cluster(), world.keys(TERMINAL_STATES));
     match back {
         true => assert!(end.to == 1, "{what}: {end:?}"),
-        false => assert_eq!((end, alone), (Cluster::settled(to), 0), "{what}"),
+        false => assert_eq!((end, alone), (ClusterGeneration::settled(to), 0), "{what}"),
     }
 }
 
@@ -168,7 +172,9 @@
     let rolled = || rolled(world(1, Sabotage::None), [0, 1, 2]).ordered(100 * S, Order::Target(1));
     let mut whole = rolled();
     whole.roll.crash_at = Some((u64::MAX, true));
-    let writes = run_to(whole, Cluster::default(), "undisturbed").roll.writes;
+    let writes = run_to(whole, ClusterGeneration::default(), "undisturbed")
+        .roll
+        .writes;
     assert!(writes > 20, "only {writes} writes");
     for at in 1..=writes {
         for before in [true, false] {
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -17,8 +17,8 @@
 };
 use kiteyard_rollout::{
     config::Config,
-    generation::{Cluster, Order, Stage},
-    machine::NodeAnnouncement,
+    generation::{ClusterGeneration, Order, Stage},
+    state_machine::NodeAnnouncement,
 };
 use rand::RngExt;
 
@@ -40,7 +40,7 @@
     pub config: Option<Arc<Config>>,
     pub on_stage: Vec<OnStage>,
     /// The stages that were seen, in order.
-    pub seen: Vec<Cluster>,
+    pub seen: Vec<ClusterGeneration>,
     /// Submissions' transactions are now and then held back for so long.
     pub held_back: Option<Duration>,
     /// The leader ends at this write of ends or the generation, before or after it.
@@ -158,7 +158,7 @@
         }
     }
 
-    pub fn cluster(&mut self) -> Cluster {
+    pub fn cluster(&mut self) -> ClusterGeneration {
         self.stored(GENERATION).unwrap_or_default()
     }
 
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -13,7 +13,7 @@
     store::{Change, GENERATION, StateReply, StateRequest, TERMINAL_RANGES, TERMINAL_STATES, put},
     terminal_states::{Range, TerminalStates, parse_single},
 };
-use kiteyard_rollout::generation::{Cluster, Stage};
+use kiteyard_rollout::generation::{ClusterGeneration, Stage};
 use rand::RngExt;
 
 use super::{Asker, Event, NODES, Sabotage, World, ms, users::Asking};
@@ -99,7 +99,7 @@
 impl World {
     /// The terminal states of jobs are stored by ranges of ids from the start.
     pub fn packs_ends(mut self) -> Self {
-        let cluster = Cluster {
+        let cluster = ClusterGeneration {
             from: 2,
             to: 2,
             stage: Stage::Settled,
