--- a/crates/quota/src/cell.rs
+++ b/crates/quota/src/cell.rs
@@ -14,7 +14,7 @@
 use crate::error::{ConfigError, Refusal};
 use crate::ledger::{Record, Share};
 use crate::loan::{CellId, LoanId, RecordId, Terms};
-use crate::message::{Ask, Holdings, Message};
+use crate::message::{Holdings, Message, UnitRequest};
 
 /// The revision of a stored record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -150,7 +150,7 @@
     known: Option<Versioned>,
     write: Option<Write>,
     settled: bool,
-    asks: BTreeMap<CellId, Ask>,
+    requests: BTreeMap<CellId, UnitRequest>,
     /// Borrowed loans that their lenders have recalled.
     recalled: BTreeSet<LoanId>,
     /// Lent loans that this cell is recalling.
@@ -185,7 +185,7 @@
             known: None,
             write: None,
             settled: false,
-            asks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             recalled: BTreeSet::new(),
             recalling: BTreeSet::new(),
             next_exchange: None,
@@ -352,8 +352,8 @@
         };
         let terms = &self.config.terms;
         match message {
-            Message::Ask(ask) => {
-                self.asks.insert(from, ask);
+            Message::Request(request) => {
+                self.requests.insert(from, request);
                 Ok(Vec::new())
             }
             Message::Recall(loan) => {
@@ -397,7 +397,7 @@
             self.return_loans(&mut next, now, load);
             self.lend(&mut next, now, load);
         }
-        self.asks.clear();
+        self.requests.clear();
         outputs.extend(self.store(next));
         outputs
     }
@@ -412,14 +412,14 @@
             outputs.push(Output::Send { to, message });
             if missing > 0 {
                 let unmet_guarantee = load.unmet_guarantee.min(missing);
-                let ask = Ask {
+                let request = UnitRequest {
                     record: record.id,
                     units: missing,
                     unmet_guarantee,
                 };
                 outputs.push(Output::Send {
                     to,
-                    message: Message::Ask(ask),
+                    message: Message::Request(request),
                 });
             }
         }
@@ -488,8 +488,8 @@
         } = &self.config;
         let kept = load.in_use.max(load.wanted).max(share.guarantee);
         let free = next.own_units(share, now).saturating_sub(kept);
-        for (borrower, units) in divide(free, &self.asks) {
-            let record = self.asks[&borrower].record;
+        for (borrower, units) in divide(free, &self.requests) {
+            let record = self.requests[&borrower].record;
             next.lend(*id, (borrower, record), units, now, terms);
         }
     }
--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -5,17 +5,23 @@
 
 use crate::Units;
 use crate::loan::CellId;
-use crate::message::Ask;
+use crate::message::UnitRequest;
 
 /// Divides half of the free units, rounded up, between the asking cells, ordered by unmet guarantee
 /// and then by demand. The other half remains for later requests.
-pub fn divide(free: Units, asks: &BTreeMap<CellId, Ask>) -> Vec<(CellId, Units)> {
-    let mut askers: Vec<_> = asks.iter().collect();
-    askers.sort_by_key(|(cell, ask)| (Reverse(ask.unmet_guarantee), Reverse(ask.units), **cell));
+pub fn divide(free: Units, requests: &BTreeMap<CellId, UnitRequest>) -> Vec<(CellId, Units)> {
+    let mut requesters: Vec<_> = requests.iter().collect();
+    requesters.sort_by_key(|(cell, request)| {
+        (
+            Reverse(request.unmet_guarantee),
+            Reverse(request.units),
+            **cell,
+        )
+    });
     let mut left = free.div_ceil(2);
     let mut parts = Vec::new();
-    for (&cell, ask) in askers {
-        let units = ask.units.min(left);
+    for (&cell, request) in requesters {
+        let units = request.units.min(left);
         left -= units;
         if units > 0 {
             parts.push((cell, units));
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
     /// A request for units.
-    Ask(Ask),
+    Request(UnitRequest),
     /// A loan, or its renewal.
     Grant(Grant),
     /// A lender's request to return the units of a loan.
@@ -21,7 +21,7 @@
 
 /// A request for units.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ask {
+pub struct UnitRequest {
     /// The requester's record; a grant is valid for this record only.
     pub record: RecordId,
     /// Number of missing units.
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -8,7 +8,7 @@
 use kiteyard_quota::division::divide;
 use kiteyard_quota::ledger::{Record, Share, check_shares};
 use kiteyard_quota::loan::{CellId, RecordId, Terms};
-use kiteyard_quota::message::{Ask, Message};
+use kiteyard_quota::message::{Message, UnitRequest};
 use proptest::prelude::*;
 
 const CELLS: u16 = 3;
@@ -159,14 +159,24 @@
     }
 
     #[test]
-    fn division_never_exceeds_free_units(free in 0..100u64, asks in prop::collection::btree_map(0..9u16, (0..50u64, 0..50u64), 0..6)) {
-        let ask = |(units, unmet_guarantee)| Ask { record: RecordId(1), units, unmet_guarantee };
-        let asks: BTreeMap<_, _> = asks.into_iter().map(|(cell, asked)| (CellId(cell), ask(asked))).collect();
-        let parts = divide(free, &asks);
+    fn division_never_exceeds_free_units(
+        free in 0..100u64,
+        requests in prop::collection::btree_map(0..9u16, (0..50u64, 0..50u64), 0..6)
+    ) {
+        let request = |(units, unmet_guarantee)| UnitRequest {
+            record: RecordId(1),
+            units,
+            unmet_guarantee,
+        };
+        let requests: BTreeMap<_, _> = requests
+            .into_iter()
+            .map(|(cell, requested)| (CellId(cell), request(requested)))
+            .collect();
+        let parts = divide(free, &requests);
         let given: Units = parts.iter().map(|part| part.1).sum();
-        let asked: Units = asks.values().map(|ask| ask.units).sum();
-        prop_assert_eq!(given, free.div_ceil(2).min(asked));
-        prop_assert!(parts.iter().all(|(cell, units)| *units <= asks[cell].units));
+        let requested: Units = requests.values().map(|request| request.units).sum();
+        prop_assert_eq!(given, free.div_ceil(2).min(requested));
+        prop_assert!(parts.iter().all(|(cell, units)| *units <= requests[cell].units));
         prop_assert_eq!(parts.iter().map(|part| part.0).collect::<BTreeSet<_>>().len(), parts.len());
     }
 }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -12,7 +12,7 @@
 use kiteyard_quota::cell::{Cell, Condition, Config, Input, Load, Output, Revision};
 use kiteyard_quota::ledger::{Record, Share};
 use kiteyard_quota::loan::{CellId, RecordId, Terms};
-use kiteyard_quota::message::{Ask, Holdings, Message};
+use kiteyard_quota::message::{Holdings, Message, UnitRequest};
 
 pub const TICK: Duration = Duration::from_secs(1);
 const TIME_OFFSET: Duration = Duration::from_secs(1000);
@@ -217,19 +217,21 @@
         };
         for in_use in 0..=site.in_use {
             push(&|world| world.poll(bounds, cell, in_use, None));
-            for asker in (0..self.sites.len())
-                .filter(|asker| *asker != cell && record.last_loan_number < bounds.loans)
+            for requester in (0..self.sites.len())
+                .filter(|requester| *requester != cell && record.last_loan_number < bounds.loans)
             {
-                let Some((asking, _)) = &self.sites[asker].stored else {
+                let Some((requester_record, _)) = &self.sites[requester].stored else {
                     continue;
                 };
-                for id in [RecordId(1), asking.id] {
-                    let ask = Ask {
+                for id in [RecordId(1), requester_record.id] {
+                    let request = UnitRequest {
                         record: id,
                         units: 9,
                         unmet_guarantee: 0,
                     };
-                    push(&|world| world.poll(bounds, cell, in_use, Some((asker, ask.clone()))));
+                    push(&|world| {
+                        world.poll(bounds, cell, in_use, Some((requester, request.clone())))
+                    });
                 }
             }
         }
@@ -288,12 +290,18 @@
         }
     }
 
-    fn poll(&mut self, bounds: &Bounds, cell: usize, in_use: Units, ask: Option<(usize, Ask)>) {
+    fn poll(
+        &mut self,
+        bounds: &Bounds,
+        cell: usize,
+        in_use: Units,
+        request: Option<(usize, UnitRequest)>,
+    ) {
         self.sites[cell].in_use = in_use;
-        if let Some((asker, ask)) = ask {
+        if let Some((requester, request)) = request {
             let input = Input::Received {
-                from: CellId(asker as u16),
-                message: Message::Ask(ask),
+                from: CellId(requester as u16),
+                message: Message::Request(request),
             };
             self.step(bounds, cell, input);
         }
@@ -334,7 +342,7 @@
 
     fn send(&mut self, cell: usize, to: CellId, message: Message) {
         let empty = matches!(&message, Message::Holdings(holdings) if holdings.newest.is_none());
-        if !empty && !matches!(message, Message::Ask(_) | Message::Recall(_)) {
+        if !empty && !matches!(message, Message::Request(_) | Message::Recall(_)) {
             self.network.insert((to, CellId(cell as u16), message));
         }
     }
@@ -471,7 +479,7 @@
                     .lent
                     .keys()
                     .any(|loan| holdings.newest.is_some_and(|newest| newest >= *loan)),
-                Message::Ask(_) | Message::Recall(_) => true,
+                Message::Request(_) | Message::Recall(_) => true,
             }
         });
     }
