--- a/crates/job-graph/src/contribution.rs
+++ b/crates/job-graph/src/contribution.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns the urgency of a job with this urgency of its own.
+    /// Combines the own urgency of a job with these contributions.
     pub(crate) fn combine_with(&self, own: Urgency) -> Urgency {
         let dependents_finish_ms = self.latest_finishes_ms.first();
         Urgency {
--- a/crates/licences/src/grant.rs
+++ b/crates/licences/src/grant.rs
@@ -1,5 +1,5 @@
-//! Signed grants sent with a start: an attempt holds these seats, under this claim, until an
-//! expiry. A holder of the key can verify a grant offline.
+//! Authenticated grants sent with a start: an attempt holds these seats, under this claim, until
+//! an expiry. A holder of the key can verify a grant offline.
 
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
     Outdated,
 }
 
-/// The key that signs grants, and the previous one, which is still accepted.
+/// The key that authenticates grants, and the previous one, which is still accepted.
 #[derive(Clone)]
 pub struct Keys {
     current: [u8; 32],
--- a/crates/licences/src/lib.rs
+++ b/crates/licences/src/lib.rs
@@ -1,5 +1,5 @@
-//! Floating licences: seats, their holders, and signed grants that a licence counter can verify
-//! offline.
+//! Floating licences: seats, their holders, and authenticated grants that a licence counter can
+//! verify offline.
 //!
 //! [`ledger::Ledger`] is a state machine without clocks or I/O. A seat is taken before the start
 //! of its task is sent and released only when the task is proven gone, so that no failure of a
--- a/crates/quota/src/cell.rs
+++ b/crates/quota/src/cell.rs
@@ -317,7 +317,7 @@
         )
     }
 
-    /// Writes a record that differs from the known one.
+    /// Stores a record if it differs from the known one.
     fn store(&mut self, next: Record) -> Vec<Output> {
         let Some(known) = &self.known else {
             return Vec::new();
--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -1,4 +1,4 @@
-//! Division of free units between the cells that ask for them.
+//! Division of free units between the cells that request them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use crate::loan::CellId;
 use crate::message::UnitRequest;
 
-/// Divides half of the free units, rounded up, between the asking cells, ordered by unmet guarantee
+/// Divides half of the free units, rounded up, between the requesting cells, ordered by unmet guarantee
 /// and then by demand. The other half remains for later requests.
 pub fn divide(free: Units, requests: &BTreeMap<CellId, UnitRequest>) -> Vec<(CellId, Units)> {
     let mut requesters: Vec<_> = requests.iter().collect();
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -22,7 +22,7 @@
 /// A request for units.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnitRequest {
-    /// The requester's record; a grant is valid for this record only.
+    /// Record of the requester; a grant is valid for this record only.
     pub record: RecordId,
     /// Number of missing units.
     pub units: Units,
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn two_cells_with_clock_skew() {
-    assert_no_violation("two cells, clocks off", &bounds(2, 8, 2, &[-1, 1]));
+    assert_no_violation("two cells, clock skew", &bounds(2, 8, 2, &[-1, 1]));
 }
 
 #[test]
@@ -73,7 +73,7 @@
 #[test]
 fn leader_failover() {
     assert_no_violation(
-        "a leader ends",
+        "leader failover",
         &Bounds {
             restarts: 1,
             ..bounds(2, 5, 1, &[0])
@@ -84,7 +84,7 @@
 #[test]
 fn leader_failover_with_clock_skew() {
     assert_no_violation(
-        "a leader ends, clocks off",
+        "leader failover, clock skew",
         &Bounds {
             restarts: 1,
             ..bounds(2, 3, 1, &[-1, 1])
@@ -95,7 +95,7 @@
 #[test]
 fn lost_write_answer() {
     assert_no_violation(
-        "an answer is lost",
+        "lost answer",
         &Bounds {
             lost_answers: 1,
             ..bounds(2, 8, 1, &[0])
@@ -106,7 +106,7 @@
 #[test]
 fn lost_write_answer_and_leader_failover() {
     assert_no_violation(
-        "an answer lost, a leader ends",
+        "lost answer, leader failover",
         &Bounds {
             lost_answers: 1,
             restarts: 1,
@@ -118,7 +118,7 @@
 #[test]
 fn lost_record() {
     assert_no_violation(
-        "a record is lost",
+        "lost record",
         &Bounds {
             restarts: 1,
             lost_records: 1,
@@ -140,7 +140,7 @@
         },
     ];
     assert_no_violation(
-        "a guarantee",
+        "guarantee",
         &Bounds {
             shares,
             ..bounds(2, 2, 1, &[0])
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -10,7 +10,7 @@
 /// Limits on the time to wait for reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitLimits {
-    /// Time within which every working worker has reported.
+    /// Time after the start of the leader within which every working worker has reported.
     pub max: Duration,
     /// Time without a newly heard machine, after some were heard, that ends the wait for the rest.
     pub quiet: Duration,
--- a/crates/rollout/src/state_machine.rs
+++ b/crates/rollout/src/state_machine.rs
@@ -103,7 +103,7 @@
 }
 
 impl StateMachine {
-    /// Creates a machine without history; `features` are those that this build knows.
+    /// Creates a state machine without history; `features` are those that this build knows.
     pub fn new(config: Config, features: &'static [Feature]) -> Self {
         Self {
             config,
--- a/crates/rollout/tests/exhaustive.rs
+++ b/crates/rollout/tests/exhaustive.rs
@@ -139,7 +139,7 @@
         cluster(of).is_supported_by(&ability(self.processes[node].most))
     }
 
-    /// Returns the steps of the machine if `node` leads, given what it knows.
+    /// Returns the steps of the state machine if `node` leads, given what it knows.
     fn steps(&self, node: usize, fault: Fault) -> Vec<Write> {
         let leader = &self.processes[node];
         let no_old_records =
--- a/crates/rollout/tests/orders.rs
+++ b/crates/rollout/tests/orders.rs
@@ -289,7 +289,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Checks each step of the machine against the rules, stated independently.
+    /// Checks each step of the state machine against the rules, stated independently.
     #[test]
     fn steps_follow_the_rules(view in any_view(), soaked in any::<bool>()) {
         let mut machine = machine();
