--- a/crates/licences/src/grant.rs
+++ b/crates/licences/src/grant.rs
@@ -87,8 +87,8 @@
         }
         let mac = blake3::Hash::from_hex(mac).map_err(|_| Refusal::Malformed)?;
         // `blake3::Hash` compares in constant time.
-        let is_signed_with = |key: &[u8; 32]| blake3::keyed_hash(key, text.as_bytes()) == mac;
-        if !is_signed_with(&self.current) && !self.previous.as_ref().is_some_and(is_signed_with) {
+        let mac_matches = |key: &[u8; 32]| blake3::keyed_hash(key, text.as_bytes()) == mac;
+        if !mac_matches(&self.current) && !self.previous.as_ref().is_some_and(mac_matches) {
             return Err(Refusal::Forged);
         }
         serde_json::from_str(text).map_err(|_| Refusal::Malformed)
