--- a/crates/rollout/src/restart_order.rs
+++ b/crates/rollout/src/restart_order.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RestartBlocked {
     /// A node was not heard recently.
-    #[error("{0} was not heard recently")]
+    #[error("{0} is away")]
     NodeAbsent(String),
     /// No node is known to lead.
     #[error("no leader is known")]
