--- a/crates/job-graph/src/graph.rs
+++ b/crates/job-graph/src/graph.rs
@@ -1,4 +1,4 @@
-//! The graph: its state, its inputs and its queries.
+//! State, inputs and queries of the graph.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 /// The dependency graph of the active jobs.
 ///
-/// What it holds grows with the active jobs and the needs that they name, not with the jobs that
-/// have ended.
+/// Memory grows with the active jobs and the needs that they name, not with the jobs that have
+/// ended.
 #[derive(Debug, Clone)]
 pub struct JobGraph<Id> {
     pub(crate) active: BTreeMap<Id, ActiveJob<Id>>,
-    /// The jobs that active jobs name.
+    /// Jobs that active jobs name as needs.
     pub(crate) needed: BTreeMap<Id, NeededJob<Id>>,
-    /// Those of `needed` that are not active and have no known end.
+    /// Entries of `needed` that are neither active nor have a known end.
     unknown_ends: BTreeSet<Id>,
 }
 
@@ -31,25 +31,25 @@
 }
 
 impl<Id: Clone + Ord> JobGraph<Id> {
-    /// A graph without jobs.
+    /// Creates an empty graph.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes an input and returns what follows from it. The outputs of one step are of different
-    /// jobs or of different kinds; their order has no meaning.
+    /// Applies an input and returns the resulting outputs. No two outputs of one step have both the
+    /// same job and the same kind; their order has no meaning.
     pub fn step(&mut self, input: Input<Id>) -> Vec<Output<Id>> {
         let mut outputs = Vec::new();
         match input {
             Input::Added { id, facts } => self.add(id, facts, &mut outputs),
             Input::Removed { id } => self.remove(&id, &mut outputs),
             Input::Ended { id, end } => self.end(&id, end, &mut outputs),
-            Input::Expected { id, expected } => self.expect(id, expected, &mut outputs),
+            Input::Expected { id, expected } => self.update_expected(id, expected, &mut outputs),
         }
         outputs
     }
 
-    /// Where a job stands.
+    /// Returns the status of a job.
     pub fn status(&self, id: &Id) -> Status<Id> {
         let Some(job) = self.active.get(id) else {
             return Status::NotActive;
@@ -70,27 +70,27 @@
         Status::Waiting { on }
     }
 
-    /// The inactive jobs that active ones need and whose ends are not known.
+    /// Returns the inactive jobs that active ones need and whose ends are not known.
     pub fn unknown_ends(&self) -> impl Iterator<Item = &Id> {
         self.unknown_ends.iter()
     }
 
-    /// Whether an active job names this one.
+    /// Returns whether an active job names this one as a need.
     pub fn has_dependents(&self, id: &Id) -> bool {
         self.needed.contains_key(id)
     }
 
-    /// The urgency of an active job.
+    /// Returns the urgency of an active job.
     pub fn urgency(&self, id: &Id) -> Option<Urgency> {
         self.active.get(id)?.urgency
     }
 
-    /// Forgets everything, as when all is read again.
+    /// Clears the graph, for use before all jobs are read again.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// The active jobs that name this one.
+    /// Returns the active jobs that name this one as a need.
     pub(crate) fn dependents(&self, id: &Id) -> impl Iterator<Item = &Id> {
         self.needed
             .get(id)
@@ -103,7 +103,7 @@
             return;
         }
         self.insert(&id, ActiveJob::new(facts), outputs);
-        self.place(&id);
+        self.assign_level(&id);
         let mut changed = Vec::new();
         if self.has_cancelled_need(&id) {
             changed = self.cancel(vec![id.clone()], outputs);
@@ -113,7 +113,7 @@
         self.update_urgencies(&changed, outputs);
     }
 
-    /// Enters an active job with its needs.
+    /// Inserts an active job and registers it with each of its needs.
     fn insert(&mut self, id: &Id, mut job: ActiveJob<Id>, outputs: &mut Vec<Output<Id>>) {
         self.unknown_ends.remove(id);
         for need in &job.needs {
@@ -131,7 +131,7 @@
     }
 
     fn remove(&mut self, id: &Id, outputs: &mut Vec<Output<Id>>) {
-        let Some(changed) = self.take_out(id) else {
+        let Some(changed) = self.remove_active(id) else {
             return;
         };
         if self.needed.contains_key(id) {
@@ -141,16 +141,16 @@
         self.update_urgencies(&changed, outputs);
     }
 
-    /// Takes a job out of the active ones, with its needs; returns these.
-    fn take_out(&mut self, id: &Id) -> Option<Vec<Id>> {
+    /// Removes a job from the active ones and from its needs; returns those needs.
+    fn remove_active(&mut self, id: &Id) -> Option<Vec<Id>> {
         let job = self.active.remove(id)?;
         for need in &job.needs {
             let Some(needed) = self.needed.get_mut(need) else {
                 continue;
             };
             needed.dependents.remove(id);
-            if let Some(offer) = job.offer {
-                needed.offers.withdraw(offer);
+            if let Some(contribution) = job.contribution {
+                needed.contributions.remove(contribution);
             }
             if needed.dependents.is_empty() {
                 self.needed.remove(need);
@@ -161,18 +161,18 @@
     }
 
     fn end(&mut self, id: &Id, end: End, outputs: &mut Vec<Output<Id>>) {
-        let mut changed = self.take_out(id).unwrap_or_default();
+        let mut changed = self.remove_active(id).unwrap_or_default();
         if self.store_end(id, end) {
             let dependents = self.dependents(id).cloned().collect::<Vec<_>>();
             match end.outcome {
-                Outcome::Done => self.count_done(&dependents, outputs),
+                Outcome::Done => self.record_done_need(&dependents, outputs),
                 Outcome::Cancelled => changed.extend(self.cancel(dependents, outputs)),
             }
         }
         self.update_urgencies(&changed, outputs);
     }
 
-    /// Keeps the end of a job that is needed; whether it is a new one.
+    /// Stores the end of a needed job; returns whether it was unknown before.
     fn store_end(&mut self, id: &Id, end: End) -> bool {
         let Some(needed) = self.needed.get_mut(id) else {
             return false;
@@ -185,8 +185,8 @@
         true
     }
 
-    /// One more of the jobs that these need is done.
-    fn count_done(&mut self, dependents: &[Id], outputs: &mut Vec<Output<Id>>) {
+    /// Records for each dependent that one more of its needs is done.
+    fn record_done_need(&mut self, dependents: &[Id], outputs: &mut Vec<Output<Id>>) {
         for dependent in dependents {
             if let Some(job) = self.active.get_mut(dependent) {
                 job.not_done -= 1;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// What to tell of a job that needs others, if it may start.
+    /// Returns a [`Output::Ready`] for a job that has needs and may start.
     fn ready_output(&self, id: &Id) -> Option<Output<Id>> {
         let job = self.active.get(id)?;
         let ready = !job.needs.is_empty() && job.not_done == 0 && !job.cancelled;
@@ -205,7 +205,7 @@
         })
     }
 
-    fn expect(&mut self, id: Id, expected: Duration, outputs: &mut Vec<Output<Id>>) {
+    fn update_expected(&mut self, id: Id, expected: Duration, outputs: &mut Vec<Output<Id>>) {
         if let Some(job) = self.active.get_mut(&id) {
             job.expected = expected;
             self.update_urgencies(&[id], outputs);
@@ -227,7 +227,7 @@
             .fold(job.accepted_ms, u64::max)
     }
 
-    /// The unknown ends that a job needs directly or through active jobs.
+    /// Returns the unknown ends that a job needs directly or through active jobs.
     fn unknown_ends_before(&self, id: &Id) -> Vec<Id> {
         if self.unknown_ends.is_empty() {
             return Vec::new();
--- a/crates/job-graph/tests/plain/mod.rs
+++ b/crates/job-graph/tests/reference/mod.rs
@@ -1,4 +1,4 @@
-//! A plain model: after each input it works everything out again by definition.
+//! Reference model of the graph: recomputes everything from the definitions after each input.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,21 +7,21 @@
 pub type Id = u8;
 
 #[derive(Debug, Clone, Default)]
-pub struct Plain {
+pub struct ReferenceModel {
     pub active: BTreeMap<Id, JobFacts<Id>>,
     ends: BTreeMap<Id, End>,
     cancelled: BTreeSet<Id>,
 }
 
-impl Plain {
-    /// Takes an input, and returns what has changed; in the order of [`sorted`].
+impl ReferenceModel {
+    /// Applies an input and returns the changes in the order of [`sorted`].
     pub fn step(&mut self, input: &Input<Id>) -> Vec<Output<Id>> {
         let before = self.clone();
         self.step_without_urgencies(input);
         self.changes_since(&before)
     }
 
-    /// Takes an input, which may close a cycle.
+    /// Applies an input, which may close a cycle.
     pub fn step_without_urgencies(&mut self, input: &Input<Id>) {
         match input.clone() {
             Input::Added { id, facts } => {
@@ -42,18 +42,18 @@
                 }
             }
         }
-        let named = self.named();
-        self.ends.retain(|id, _| named.contains(id));
+        let needed_jobs = self.needed_jobs();
+        self.ends.retain(|id, _| needed_jobs.contains(id));
         self.derive_cancelled();
     }
 
-    pub fn named(&self) -> BTreeSet<Id> {
+    pub fn needed_jobs(&self) -> BTreeSet<Id> {
         let needs = self.active.values().flat_map(|facts| &facts.needs);
         needs.copied().collect()
     }
 
     pub fn unknown_ends(&self) -> BTreeSet<Id> {
-        let mut unknown = self.named();
+        let mut unknown = self.needed_jobs();
         unknown.retain(|id| !self.active.contains_key(id) && !self.ends.contains_key(id));
         unknown
     }
@@ -65,13 +65,16 @@
         let ended = |need: &Id| self.ends.get(need).map(|end| end.outcome);
         let done = |need: &&Id| ended(need) == Some(Outcome::Done);
         let unknown_ends = self.unknown_ends();
-        let unknown = &self.before(id) & &unknown_ends;
+        let unknown = &self.transitive_needs(id) & &unknown_ends;
         let unknown = unknown.into_iter().collect::<Vec<_>>();
         if self.cancelled.contains(&id) {
             Status::Cancelled
         } else if facts.needs.iter().all(|need| done(&need)) {
             let ends = facts.needs.iter().filter_map(|need| self.ends[need].at_ms);
-            let since_ms = ends.chain([facts.accepted_ms]).max().expect("one at least");
+            let since_ms = ends
+                .chain([facts.accepted_ms])
+                .max()
+                .expect("at least one time");
             Status::Ready { since_ms }
         } else if !unknown.is_empty() {
             Status::Unknown { ends: unknown }
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Only for a graph without cycles, but for jobs that name themselves.
+    /// Returns the urgency; only for graphs whose cycles are all jobs that name themselves.
     pub fn urgency(&self, id: Id) -> Option<Urgency> {
         let own = self.active.get(&id)?;
         let mut urgency = Urgency {
@@ -98,18 +101,21 @@
             }
             let theirs = self.urgency(*dependent)?;
             let expected_ms = u64::try_from(facts.expected.as_millis()).unwrap_or(u64::MAX);
-            let worked_back = theirs
+            let required_finish_ms = theirs
                 .latest_finish_ms
                 .map(|finish_ms| finish_ms.saturating_sub(expected_ms));
             urgency.priority = urgency.priority.max(theirs.priority);
-            let finishes_ms = urgency.latest_finish_ms.into_iter().chain(worked_back);
+            let finishes_ms = urgency
+                .latest_finish_ms
+                .into_iter()
+                .chain(required_finish_ms);
             urgency.latest_finish_ms = finishes_ms.min();
         }
         Some(urgency)
     }
 
-    /// Every job needed by this one, directly or through active jobs.
-    fn before(&self, id: Id) -> BTreeSet<Id> {
+    /// Returns this job and every job that it needs directly or through active jobs.
+    fn transitive_needs(&self, id: Id) -> BTreeSet<Id> {
         let mut found = BTreeSet::from([id]);
         loop {
             let known = found.iter().filter_map(|id| self.active.get(id));
@@ -122,7 +128,7 @@
         }
     }
 
-    /// Once cancelled a job stays so while it is active.
+    /// Propagates cancellations. A cancelled job stays cancelled while it is active.
     fn derive_cancelled(&mut self) {
         self.cancelled.retain(|id| self.active.contains_key(id));
         loop {
@@ -141,11 +147,11 @@
         }
     }
 
-    fn changes_since(&self, before: &Plain) -> Vec<Output<Id>> {
+    fn changes_since(&self, before: &ReferenceModel) -> Vec<Output<Id>> {
         let mut changes = Vec::new();
         let lookups = &self.unknown_ends() - &before.unknown_ends();
         changes.extend(lookups.into_iter().map(|id| Output::Lookup { id }));
-        let named = self.named();
+        let needed_jobs = self.needed_jobs();
         for (&id, facts) in &self.active {
             let was_ready = matches!(before.status(id), Status::Ready { .. });
             match self.status(id) {
@@ -160,11 +166,11 @@
         }
         for (&id, facts) in &self.active {
             let urgency = self.urgency(id).expect("an active job");
-            let tell = match before.urgency(id) {
+            let is_reported = match before.urgency(id) {
                 Some(before) => before != urgency,
-                None => !facts.needs.is_empty() || named.contains(&id),
+                None => !facts.needs.is_empty() || needed_jobs.contains(&id),
             };
-            if tell {
+            if is_reported {
                 changes.push(Output::Urgency { id, urgency });
             }
         }
@@ -172,7 +178,7 @@
     }
 }
 
-/// The order of the outputs of a step has no meaning.
+/// Sorts the outputs of a step, whose order has no meaning.
 pub fn sorted(mut outputs: Vec<Output<Id>>) -> Vec<Output<Id>> {
     outputs.sort_by_key(|output| format!("{output:?}"));
     outputs
--- a/crates/licences/src/ledger.rs
+++ b/crates/licences/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Who holds which seat. A seat is in use from before its task's start is sent until the
-//! task is proven gone, and for as long after that as its licence lingers.
+//! Accounting of licence seats. A seat is in use from before the start of its task is sent until
+//! the task is proven gone, and for the linger time of its licence after that.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,93 +8,93 @@
 
 use crate::config::{Config, Licence};
 
-/// One try of one task.
+/// An attempt of a task.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
-    /// The task's name.
+    /// Name of the task.
     pub task: String,
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: u64,
 }
 
-/// Seats by licence.
+/// Number of seats by licence.
 pub type Needs = BTreeMap<String, u32>;
 
-/// What the ledger is told.
+/// Inputs of the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// A start of these is about to be sent: all of them get their seats, or none does.
+    /// Starts of these attempts are about to be sent: all of them get their seats, or none does.
     Take {
         /// The team that is charged.
         team: String,
-        /// The attempts to be started.
+        /// Attempts to start.
         attempts: Vec<Attempt>,
-        /// Of each.
+        /// Seats that each attempt needs.
         needs: Needs,
     },
-    /// The task is proven gone: by a newer report, the machine's release or its lease.
+    /// The task is proven gone by a newer report, or the machine's release or expired lease.
     Gone(Attempt),
-    /// A task was found that holds seats, after a take-over.
+    /// A task that holds seats was found after a failover.
     Found {
         /// The team that is charged.
         team: String,
-        /// The attempt that was found.
+        /// Attempt that was found.
         attempt: Attempt,
-        /// The seats that it holds.
+        /// Seats that it holds.
         needs: Needs,
     },
-    /// All that holds seats now, as it is known otherwise: who is not named is gone.
-    Holding(BTreeMap<Attempt, (String, Needs)>),
-    /// A silent machine may hold as much; what was told of it before is replaced.
+    /// The complete set of current holders; any other holder is gone.
+    Holders(BTreeMap<Attempt, (String, Needs)>),
+    /// A silent machine may hold these seats; replaces earlier values of the machine.
     MayHold {
         /// The machine.
         machine: String,
-        /// The seats that it may hold.
+        /// Seats that it may hold.
         needs: Needs,
     },
-    /// Nothing of a former leader is left there.
-    Empty {
+    /// No tasks of a former leader remain on the machine.
+    MachineEmpty {
         /// The machine.
         machine: String,
     },
-    /// The counter says how many seats are in use by others.
-    Counted {
+    /// The licence counter reported the seats in use outside the cluster.
+    CounterReport {
         /// The licence.
         licence: String,
         /// Seats in use outside the cluster.
         elsewhere: u32,
     },
-    /// The counter gave no seat though there should be one.
-    Refused {
+    /// The licence counter refused a seat that should be free.
+    CounterRefused {
         /// The licence.
         licence: String,
     },
-    /// Another file.
+    /// A new configuration.
     Configured(Config),
-    /// Time goes on.
+    /// Time has passed.
     Tick,
 }
 
-/// What follows from an input.
+/// Outputs of the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// The attempt holds its seats from now on.
+    /// The attempt now holds its seats.
     Taken(Attempt),
-    /// None of them: this licence lacks so many seats.
-    Lacking {
-        /// The licence that lacks seats.
+    /// No attempt got seats: too few are free for the team.
+    InsufficientSeats {
+        /// Licence without enough seats.
         licence: String,
-        /// How many seats are missing.
+        /// Number of missing seats.
         seats: u32,
     },
-    /// The licence is not known at all.
+    /// The licence is not configured.
     Unknown {
-        /// The name that is not in the configuration.
+        /// Name of the licence.
         licence: String,
     },
-    /// Seats have come back: whoever waits for this licence may try again.
+    /// Seats were released: requests that wait for this licence may be retried.
     Freed {
-        /// The licence whose seats came back.
+        /// Licence whose seats were released.
         licence: String,
     },
 }
@@ -103,62 +103,67 @@
 struct Holder {
     team: String,
     needs: Needs,
-    /// It is gone, and its seats come back then.
+    /// Time at which the seats of a gone attempt are released; `None` while it is not gone.
     until: Option<Duration>,
 }
 
-/// A licence whose counter refuses is tried again after twice as long each time.
+/// Exponential backoff of a licence whose counter refuses seats.
 #[derive(Debug, Clone, Copy, Default)]
 struct Refusals {
     count: u32,
     until: Duration,
 }
 
-const BACK_OFF: Duration = Duration::from_secs(1);
-const BACK_OFF_DOUBLED_MOST: u32 = 6;
+const BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// The seats of all licences, and who holds them.
+/// Seats of all licences and their holders.
 #[derive(Debug, Default)]
 pub struct Ledger {
     config: Config,
     holders: BTreeMap<Attempt, Holder>,
-    /// What silent machines may hold.
-    maybe: BTreeMap<String, Needs>,
-    /// Seats that people use outside kiteyard.
+    /// Seats that silent machines may hold.
+    possibly_held: BTreeMap<String, Needs>,
+    /// Seats in use outside the cluster.
     elsewhere: BTreeMap<String, u32>,
     refusals: BTreeMap<String, Refusals>,
-    /// When the ledger began: what went before may linger still.
-    began: Option<Duration>,
-    /// Licences that somebody asked for in vain.
-    wanted: BTreeSet<String>,
+    /// Start of the ledger after a failover; seats released before it may still linger.
+    failover_at: Option<Duration>,
+    /// Licences for which a request was denied.
+    denied: BTreeSet<String>,
 }
 
-/// How a licence stands.
+/// The seat counts of a licence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
-    /// Seats in all.
+pub struct SeatCounts {
+    /// Total number of seats.
     pub seats: u32,
     /// Seats of tasks that are not proven gone.
     pub held: u32,
-    /// Gone, and not given back by the counter yet.
+    /// Seats of gone tasks that the counter may not have released yet.
     pub lingering: u32,
     /// Seats that silent machines may hold.
-    pub maybe: u32,
+    pub possibly_held: u32,
     /// Seats in use outside the cluster.
     pub elsewhere: u32,
 }
 
-impl Standing {
-    /// Never counts on what may be in use.
+impl SeatCounts {
+    /// Returns the free seats; seats that may be in use are not free.
     pub fn free(&self) -> u32 {
-        let used = [self.held, self.lingering, self.maybe, self.elsewhere];
+        let used = [
+            self.held,
+            self.lingering,
+            self.possibly_held,
+            self.elsewhere,
+        ];
         let used: u64 = used.into_iter().map(u64::from).sum();
         u64::from(self.seats).saturating_sub(used) as u32
     }
 }
 
 impl Ledger {
-    /// A ledger in which nobody holds a seat.
+    /// Creates a ledger without holders.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -166,30 +171,29 @@
         }
     }
 
-    /// A ledger that takes the place of another one, of which it knows only what still
-    /// holds seats.
-    pub fn after_take_over(config: Config, now: Duration) -> Self {
+    /// Creates the ledger of a new leader, which knows only the current holders of seats.
+    pub fn after_failover(config: Config, now: Duration) -> Self {
         Self {
-            began: Some(now),
+            failover_at: Some(now),
             ..Self::new(config)
         }
     }
 
-    /// The names of all configured licences.
+    /// Returns the names of all configured licences.
     pub fn licences(&self) -> impl Iterator<Item = &str> {
         self.config.licences.keys().map(String::as_str)
     }
 
-    /// Takes an input in, after expiring what lingers no more, and tells what follows.
+    /// Releases seats whose linger time is over, then applies an input.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
-        let mut out = self.expire(now);
+        let mut outputs = self.expire(now);
         match input {
             Input::Take {
                 team,
                 attempts,
                 needs,
-            } => self.take(now, team, attempts, needs, &mut out),
-            Input::Gone(attempt) => self.gone(now, &attempt, &mut out),
+            } => self.take(now, team, attempts, needs, &mut outputs),
+            Input::Gone(attempt) => self.mark_gone(now, &attempt, &mut outputs),
             Input::Found {
                 team,
                 attempt,
@@ -202,9 +206,9 @@
                 };
                 self.holders.insert(attempt, holder);
             }
-            Input::Holding(held) => {
-                let lasting = self.holders.iter().filter(|(_, h)| h.until.is_none());
-                let gone: Vec<Attempt> = lasting
+            Input::Holders(held) => {
+                let active = self.holders.iter().filter(|(_, h)| h.until.is_none());
+                let gone: Vec<Attempt> = active
                     .map(|(attempt, _)| attempt)
                     .filter(|attempt| !held.contains_key(*attempt))
                     .cloned()
@@ -215,38 +219,38 @@
                     self.holders.insert(attempt, holder);
                 }
                 for attempt in gone {
-                    self.gone(now, &attempt, &mut out);
+                    self.mark_gone(now, &attempt, &mut outputs);
                 }
             }
             Input::MayHold { machine, needs } => {
-                self.maybe.insert(machine, needs);
+                self.possibly_held.insert(machine, needs);
             }
-            Input::Empty { machine } => {
-                if let Some(needs) = self.maybe.remove(&machine) {
-                    self.freed(needs.into_keys(), &mut out);
+            Input::MachineEmpty { machine } => {
+                if let Some(needs) = self.possibly_held.remove(&machine) {
+                    self.release(needs.into_keys(), &mut outputs);
                 }
             }
-            Input::Counted { licence, elsewhere } => {
+            Input::CounterReport { licence, elsewhere } => {
                 let before = self.elsewhere.insert(licence.clone(), elsewhere);
                 self.refusals.remove(&licence);
                 if before.unwrap_or(0) > elsewhere {
-                    self.freed([licence], &mut out);
+                    self.release([licence], &mut outputs);
                 }
             }
-            Input::Refused { licence } => {
+            Input::CounterRefused { licence } => {
                 let refusals = self.refusals.entry(licence).or_default();
-                let doubled = refusals.count.min(BACK_OFF_DOUBLED_MOST);
+                let doubled = refusals.count.min(MAX_BACKOFF_DOUBLINGS);
                 refusals.count += 1;
-                refusals.until = now + BACK_OFF * (1 << doubled);
+                refusals.until = now + BACKOFF * (1 << doubled);
             }
             Input::Configured(config) => {
                 self.config = config;
                 let names: Vec<String> = self.config.licences.keys().cloned().collect();
-                self.freed(names, &mut out);
+                self.release(names, &mut outputs);
             }
             Input::Tick => {}
         }
-        out
+        outputs
     }
 
     fn take(
@@ -255,21 +259,21 @@
         team: String,
         attempts: Vec<Attempt>,
         needs: Needs,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        // One that holds its seats already takes no others.
+        // An attempt that already holds its seats takes no others.
         let holds = |a: &Attempt| self.holders.get(a).is_some_and(|h| h.until.is_none());
         let new = attempts.iter().filter(|a| !holds(a)).count() as u64;
         for (licence, seats) in &needs {
-            let Some(free) = self.free_for(licence, &team, now) else {
+            let Some(free) = self.free_seats(licence, &team, now) else {
                 let licence = licence.clone();
-                out.push(Output::Unknown { licence });
+                outputs.push(Output::Unknown { licence });
                 return;
             };
             let wanted = u64::from(*seats) * new;
             if wanted > u64::from(free) {
-                self.wanted.insert(licence.clone());
-                out.push(Output::Lacking {
+                self.denied.insert(licence.clone());
+                outputs.push(Output::InsufficientSeats {
                     licence: licence.clone(),
                     seats: (wanted - u64::from(free)).min(u64::from(u32::MAX)) as u32,
                 });
@@ -283,32 +287,32 @@
                 until: None,
             };
             self.holders.insert(attempt.clone(), holder);
-            out.push(Output::Taken(attempt));
+            outputs.push(Output::Taken(attempt));
         }
     }
 
-    fn gone(&mut self, now: Duration, attempt: &Attempt, out: &mut Vec<Output>) {
+    fn mark_gone(&mut self, now: Duration, attempt: &Attempt, outputs: &mut Vec<Output>) {
         let Some(holder) = self.holders.get_mut(attempt) else {
             return;
         };
         let licences = &self.config.licences;
         let linger = |name: &String| licences.get(name).map_or(Duration::ZERO, |l| l.linger);
         let longest = holder.needs.keys().map(linger).max();
-        // Proven twice, it still went but once.
+        // A repeated proof does not extend the linger time.
         holder
             .until
             .get_or_insert(now + longest.unwrap_or_default());
-        out.extend(self.expire(now));
+        outputs.extend(self.expire(now));
     }
 
     fn expire(&mut self, now: Duration) -> Vec<Output> {
-        let over = |h: &Holder| h.until.is_some_and(|until| now >= until);
+        let is_over = |h: &Holder| h.until.is_some_and(|until| now >= until);
         let mut names = BTreeSet::new();
         self.holders.retain(|_, holder| {
-            if over(holder) {
+            if is_over(holder) {
                 names.extend(holder.needs.keys().cloned());
             }
-            !over(holder)
+            !is_over(holder)
         });
         for (name, refusals) in &mut self.refusals {
             if refusals.count > 0 && !refusals.until.is_zero() && now >= refusals.until {
@@ -316,41 +320,44 @@
                 names.insert(name.clone());
             }
         }
-        let mut out = Vec::new();
-        self.freed(names, &mut out);
-        out
+        let mut outputs = Vec::new();
+        self.release(names, &mut outputs);
+        outputs
     }
 
-    fn freed(&mut self, names: impl IntoIterator<Item = String>, out: &mut Vec<Output>) {
+    fn release(&mut self, names: impl IntoIterator<Item = String>, outputs: &mut Vec<Output>) {
         for licence in names {
-            if self.wanted.remove(&licence) {
-                out.push(Output::Freed { licence });
+            if self.denied.remove(&licence) {
+                outputs.push(Output::Freed { licence });
             }
         }
     }
 
-    /// How a licence stands; none where it is not known.
-    pub fn standing(&self, licence: &str) -> Option<Standing> {
+    /// Returns the seat counts of a licence, if it is configured.
+    pub fn seat_counts(&self, licence: &str) -> Option<SeatCounts> {
         let known = self.config.licences.get(licence)?;
-        let mut standing = Standing {
+        let mut seat_counts = SeatCounts {
             seats: known.seats,
             elsewhere: self.elsewhere.get(licence).copied().unwrap_or(0),
-            ..Standing::default()
+            ..SeatCounts::default()
         };
         for holder in self.holders.values() {
             let seats = holder.needs.get(licence).copied().unwrap_or(0);
             match holder.until {
-                None => standing.held += seats,
-                Some(_) => standing.lingering += seats,
+                None => seat_counts.held += seats,
+                Some(_) => seat_counts.lingering += seats,
             }
         }
-        let maybe = self.maybe.values().filter_map(|needs| needs.get(licence));
-        standing.maybe = maybe.sum();
-        Some(standing)
+        let possibly_held = self
+            .possibly_held
+            .values()
+            .filter_map(|needs| needs.get(licence));
+        seat_counts.possibly_held = possibly_held.sum();
+        Some(seat_counts)
     }
 
-    /// What each team holds of a licence, what lingers included.
-    pub fn by_team(&self, licence: &str) -> BTreeMap<String, u32> {
+    /// Returns the seats of a licence held by each team, lingering ones included.
+    pub fn seats_by_team(&self, licence: &str) -> BTreeMap<String, u32> {
         let mut teams = BTreeMap::new();
         for holder in self.holders.values() {
             let seats = holder.needs.get(licence).copied().unwrap_or(0);
@@ -361,23 +368,25 @@
         teams
     }
 
-    /// Seats that a team may take now. Those kept for other teams are left to them.
-    pub fn free_for(&self, licence: &str, team: &str, now: Duration) -> Option<u32> {
+    /// Returns the seats that a team may take now, without those reserved for other teams.
+    pub fn free_seats(&self, licence: &str, team: &str, now: Duration) -> Option<u32> {
         let known: &Licence = self.config.licences.get(licence)?;
-        let waits = self.refusals.get(licence).is_some_and(|r| now < r.until);
-        let lingers = self.began.is_some_and(|began| now < began + known.linger);
-        if waits || lingers {
+        let is_backing_off = self.refusals.get(licence).is_some_and(|r| now < r.until);
+        let may_linger = self
+            .failover_at
+            .is_some_and(|failover_at| now < failover_at + known.linger);
+        if is_backing_off || may_linger {
             return Some(0);
         }
-        let held = self.by_team(licence);
+        let held = self.seats_by_team(licence);
         let has = |team: &str| held.get(team).copied().unwrap_or(0);
-        let kept: u64 = known
+        let reserved: u64 = known
             .teams
             .iter()
             .filter(|(other, _)| *other != team)
             .map(|(other, share)| u64::from(share.least.saturating_sub(has(other))))
             .sum();
-        let free = u64::from(self.standing(licence)?.free()).saturating_sub(kept);
+        let free = u64::from(self.seat_counts(licence)?.free()).saturating_sub(reserved);
         let most = known.teams.get(team).and_then(|share| share.most);
         let own = most.map_or(u64::MAX, |most| u64::from(most.saturating_sub(has(team))));
         Some(free.min(own) as u32)
--- a/crates/maintenance/src/config.rs
+++ b/crates/maintenance/src/config.rs
@@ -1,81 +1,80 @@
-//! The operators' file: budgets of disruption by team.
+//! The maintenance file: disruption budgets by team.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::Deserialize;
 
-/// Why a maintenance file is rejected.
+/// The reason why a maintenance file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
-    /// Not a file of this form; the message names the line.
+    /// The file does not parse; the message names the line.
     #[error("maintenance: {0}")]
-    Form(String),
-    /// A value is out of its range.
+    Parse(String),
+    /// A value is out of range.
     #[error("maintenance: `{field}`: {message}")]
     Field {
-        /// The field, with the table that it is in.
+        /// The field, with its table.
         field: String,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// What a team can bear.
+/// The disruption budget of a team.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
-    /// Replicas of one service that may be down at a time: so many, and no more than this
-    /// share of them where it is above zero.
-    pub tasks: u32,
-    /// The largest share of a service's replicas that may be down; 0: no limit by share.
-    pub share: f64,
-    /// While replicas are down by themselves and fewer than this share of the team's are
-    /// up, none is stopped.
-    pub floor: f64,
-    /// Tasks that may be stopped within the window, and seconds of work lost.
-    pub in_window: Option<u32>,
-    /// Tasks that may be stopped within the window; none: any number.
-    pub lost: Option<Duration>,
-    /// Work that may be lost within the window; none: any amount.
+    /// Maximum number of replicas of one service that may be down at a time.
+    pub max_down: u32,
+    /// Maximum share of a service's replicas that may be down; 0: no limit by share.
+    pub max_down_share: f64,
+    /// Share of the team's replicas below which none is stopped while any is down by failure.
+    pub min_up_share: f64,
+    /// Maximum number of tasks stopped within the window; `None`: no limit.
+    pub max_stops: Option<u32>,
+    /// Maximum work lost within the window; `None`: no limit.
+    pub max_lost_work: Option<Duration>,
+    /// Length of the window.
     pub window: Duration,
 }
 
 /// The disruption budgets of all teams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The budget of a team that has none of its own.
+    /// Budget of teams without one of their own.
     pub default: Budget,
     /// Budgets by team.
     pub teams: BTreeMap<String, Budget>,
-    /// What is down by itself counts in a breach as well.
+    /// Whether replicas that are down by failure count in a breach.
     pub counts_failures: bool,
 }
 
 impl Config {
-    /// Without a file: so many replicas of a service at a time, and nothing else.
-    pub fn plain(tasks: u32) -> Self {
+    /// Returns the configuration without a file, which limits only the replicas of a service that
+    /// are down at a time.
+    pub fn without_file(max_down: u32) -> Self {
         Self {
             default: Budget {
-                tasks,
-                share: 0.0,
-                floor: 0.0,
-                in_window: None,
-                lost: None,
-                window: WINDOW,
+                max_down,
+                max_down_share: 0.0,
+                min_up_share: 0.0,
+                max_stops: None,
+                max_lost_work: None,
+                window: DEFAULT_WINDOW,
             },
             teams: BTreeMap::new(),
             counts_failures: false,
         }
     }
 
-    /// The longest window of any budget: what was stopped earlier counts nowhere.
+    /// Returns the longest window of any budget; earlier stops don't count.
     pub(crate) fn longest_window(&self) -> Duration {
         let teams = self.teams.values().map(|budget| budget.window);
         teams.fold(self.default.window, Duration::max)
     }
 }
 
-const WINDOW: Duration = Duration::from_secs(600);
-const WINDOW_MOST: f64 = 7.0 * 86_400.0;
+const DEFAULT_WINDOW: Duration = Duration::from_secs(600);
+const MAX_WINDOW_S: f64 = 7.0 * 86_400.0;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -96,7 +95,7 @@
     max_lost_s: Option<f64>,
 }
 
-/// So many, or a share such as "5%".
+/// A number of tasks, or a share such as "5%".
 #[derive(Deserialize, Clone)]
 #[serde(untagged)]
 enum MaxDown {
@@ -105,12 +104,12 @@
 }
 
 impl Config {
-    /// Reads the file; `tasks` is what a service may have down where it does not say.
-    pub fn parse(text: &str, tasks: u32) -> Result<Self, ConfigError> {
+    /// Parses and checks the file; `max_down` is the default number of replicas that may be down.
+    pub fn parse(text: &str, max_down: u32) -> Result<Self, ConfigError> {
         let file: File = kiteyard_toml_file::parse(text)
-            .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
-        let plain = Self::plain(tasks).default;
-        let default = file.budget.check("budget", &plain)?;
+            .map_err(|error| ConfigError::Parse(error.to_string()))?;
+        let base = Self::without_file(max_down).default;
+        let default = file.budget.check("budget", &base)?;
         let mut teams = BTreeMap::new();
         for (team, entry) in file.team {
             let budget = entry.check(&format!("team.{team}"), &default)?;
@@ -125,7 +124,7 @@
 }
 
 impl Entry {
-    /// What is not said is as in `base`.
+    /// Checks an entry; fields that are not set are taken from `base`.
     fn check(self, name: &str, base: &Budget) -> Result<Budget, ConfigError> {
         let fail = |field: &str, message: &str| {
             Err(ConfigError::Field {
@@ -135,13 +134,13 @@
         };
         let mut budget = base.clone();
         match self.max_down {
-            Some(MaxDown::Tasks(tasks)) => (budget.tasks, budget.share) = (tasks, 0.0),
+            Some(MaxDown::Tasks(tasks)) => (budget.max_down, budget.max_down_share) = (tasks, 0.0),
             Some(MaxDown::Share(text)) => {
                 let percent = text.strip_suffix('%').and_then(|n| n.trim().parse().ok());
                 match percent {
                     Some(percent) if (0.0..=100.0).contains(&percent) => {
                         let tasks = if percent > 0.0 { u32::MAX } else { 0 };
-                        (budget.tasks, budget.share) = (tasks, percent / 100.0);
+                        (budget.max_down, budget.max_down_share) = (tasks, percent / 100.0);
                     }
                     _ => {
                         return fail(
@@ -157,11 +156,14 @@
             if !(0.0..=1.0).contains(&floor) {
                 return fail("floor", "must be 0 to 1");
             }
-            budget.floor = floor;
+            budget.min_up_share = floor;
         }
         if let Some(window) = self.max_in_s {
-            if !(window > 0.0 && window <= WINDOW_MOST) {
-                return fail("max_in_s", "must be above 0, and a week at most");
+            if !(window > 0.0 && window <= MAX_WINDOW_S) {
+                return fail(
+                    "max_in_s",
+                    "must be above 0 and at most 604800 seconds (a week)",
+                );
             }
             budget.window = Duration::from_secs_f64(window);
         }
@@ -169,9 +171,9 @@
             if !(0.0..=1e9).contains(&lost) {
                 return fail("max_lost_s", "must be 0 seconds or more");
             }
-            budget.lost = Some(Duration::from_secs_f64(lost));
+            budget.max_lost_work = Some(Duration::from_secs_f64(lost));
         }
-        budget.in_window = self.max_tasks.or(budget.in_window);
+        budget.max_stops = self.max_tasks.or(budget.max_stops);
         Ok(budget)
     }
 }
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The ledger of disruption: by team, and by service within it, what should run, what is
-//! down now, and how much more may be taken down.
+//! Accounting of disruption by team and service: wanted replicas, replicas that are down, and how
+//! many more may be stopped.
 //!
-//! What is down by itself uses up a budget as what was stopped does: a fleet that is losing
-//! machines is not drained further. After a take-over nothing is known to run until it is
-//! seen, so everything counts as down at first, which is the careful side.
+//! Failed replicas use up a budget as stopped ones do: a fleet that is losing machines is not
+//! drained further. After a failover no replica is known to run until it is reported, so all count
+//! as down at first, which is the safe side.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,54 +12,54 @@
 
 use crate::config::{Budget, Config};
 
-/// How a service stands, as far as is known.
+/// Known replica counts of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Replicas {
-    /// Replicas that the service should have.
+    /// Number of replicas that the service should have.
     pub wanted: u32,
-    /// Running, and not told to stop.
+    /// Number of replicas running and not stopping.
     pub up: u32,
-    /// Told to stop, and not gone yet.
+    /// Number of replicas told to stop and not gone yet.
     pub stopping: u32,
 }
 
 impl Replicas {
-    /// Replicas that are not up, for whatever reason.
+    /// Returns the number of replicas that are not up for any reason.
     pub fn down(&self) -> u32 {
         self.wanted.saturating_sub(self.up)
     }
 
-    /// Down without having been told to.
+    /// Returns the number of replicas that are down without having been told to stop.
     pub fn failed(&self) -> u32 {
         self.down().saturating_sub(self.stopping)
     }
 }
 
-/// One task that somebody would stop.
+/// A request to stop one task.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask<'a> {
-    /// The team whose budget is asked.
+pub struct StopRequest<'a> {
+    /// Team whose budget is charged.
     pub team: &'a str,
-    /// The service that it belongs to, if it is a replica.
+    /// Replica counts of its service, if it is a replica.
     pub service: Option<Replicas>,
-    /// Work that would have to be done again, in seconds of one task. A replica loses none.
-    pub lost: Duration,
+    /// Work that would have to be repeated, as time of one task. A replica loses none.
+    pub lost_work: Duration,
 }
 
-/// Why it may not be stopped now.
+/// The reason why a task may not be stopped now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// See [`Ledger::most_down`].
-    #[error("as many replicas of the service are down as its team allows")]
+    /// See [`Ledger::max_down`].
+    #[error("the service already has the maximum number of replicas down")]
     Service,
-    /// See [`Budget::floor`].
-    #[error("replicas of the team are down by themselves")]
+    /// See [`Budget::min_up_share`].
+    #[error("too few replicas of the team are up, and some have failed")]
     Floor,
-    /// See [`Budget::in_window`].
-    #[error("the team's tasks that may be stopped in a while are used up")]
+    /// See [`Budget::max_stops`].
+    #[error("the team's limit on stops within the window is reached")]
     Window,
-    /// See [`Budget::lost`].
-    #[error("the team's work that may be lost in a while is used up")]
+    /// See [`Budget::max_lost_work`].
+    #[error("the team's limit on lost work within the window is reached")]
     Work,
 }
 
@@ -67,21 +67,21 @@
 struct Stopped {
     at: Duration,
     team: String,
-    lost: Duration,
+    lost_work: Duration,
 }
 
-/// Counts what was stopped on purpose, and says what still may be.
+/// Records voluntary stops, and decides whether more are allowed.
 #[derive(Debug)]
 pub struct Ledger {
     config: Config,
-    /// Replicas wanted and up by team, as they were told last.
+    /// Sums of replica counts by team, as last observed.
     teams: BTreeMap<String, Replicas>,
-    /// What was stopped lately, the oldest first.
+    /// Recent stops, oldest first.
     stopped: VecDeque<Stopped>,
 }
 
 impl Ledger {
-    /// A ledger in which nothing was stopped yet.
+    /// Creates a ledger without stops.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -94,28 +94,28 @@
         self.config.teams.get(team).unwrap_or(&self.config.default)
     }
 
-    /// Replicas of one service that may be down at a time: one at least where any may be,
-    /// or a small service could never be moved.
-    pub fn most_down(&self, team: &str, wanted: u32) -> u32 {
+    /// Returns the number of replicas of one service that may be down at a time: at least one if
+    /// the share is above zero, or a small service could never be moved.
+    pub fn max_down(&self, team: &str, wanted: u32) -> u32 {
         let budget = self.budget(team);
-        let share = (f64::from(wanted) * budget.share).floor() as u32;
-        match budget.share > 0.0 {
-            true => share.max(1).min(budget.tasks),
-            false => budget.tasks,
+        let share = (f64::from(wanted) * budget.max_down_share).floor() as u32;
+        match budget.max_down_share > 0.0 {
+            true => share.max(1).min(budget.max_down),
+            false => budget.max_down,
         }
     }
 
-    /// Stopping so many more of a service is a breach of its team's budget. Preemption
-    /// takes those last, and is not forbidden them.
-    pub fn breach(&self, team: &str, service: Replicas, more: u32) -> bool {
+    /// Returns whether stopping this many more replicas breaches the team's budget. Preemption
+    /// chooses such victims last, but may choose them.
+    pub fn is_breach(&self, team: &str, service: Replicas, more: u32) -> bool {
         let down = match self.config.counts_failures {
             true => service.down(),
             false => service.stopping,
         };
-        down + more > self.most_down(team, service.wanted)
+        down + more > self.max_down(team, service.wanted)
     }
 
-    /// How all services stand, told before anything is asked.
+    /// Updates the replica counts of all services; called before any stop is requested.
     pub fn observe<'a>(&mut self, services: impl Iterator<Item = (&'a str, Replicas)>) {
         self.teams.clear();
         for (team, service) in services {
@@ -133,44 +133,46 @@
         }
     }
 
-    /// Whether a task may be stopped now. Nothing is taken yet.
-    pub fn ask(&self, now: Duration, ask: &Ask) -> Result<(), Refusal> {
-        let budget = self.budget(ask.team);
-        if let Some(service) = ask.service {
-            if service.down() + 1 > self.most_down(ask.team, service.wanted) {
+    /// Checks whether a task may be stopped now, without recording a stop.
+    pub fn check(&self, now: Duration, request: &StopRequest) -> Result<(), Refusal> {
+        let budget = self.budget(request.team);
+        if let Some(service) = request.service {
+            if service.down() + 1 > self.max_down(request.team, service.wanted) {
                 return Err(Refusal::Service);
             }
-            let team = self.teams.get(ask.team).copied().unwrap_or(service);
-            let least = f64::from(team.wanted) * budget.floor;
-            if team.failed() > 0 && f64::from(team.up) < least {
+            let team = self.teams.get(request.team).copied().unwrap_or(service);
+            let min_up = f64::from(team.wanted) * budget.min_up_share;
+            if team.failed() > 0 && f64::from(team.up) < min_up {
                 return Err(Refusal::Floor);
             }
         }
-        let lately = || {
+        let recent_stops = || {
             let since = now.saturating_sub(budget.window);
-            let own = move |s: &&Stopped| s.team == ask.team && s.at > since;
+            let own = move |s: &&Stopped| s.team == request.team && s.at > since;
             self.stopped.iter().filter(own)
         };
         if budget
-            .in_window
-            .is_some_and(|most| lately().count() as u32 >= most)
+            .max_stops
+            .is_some_and(|max| recent_stops().count() as u32 >= max)
         {
             return Err(Refusal::Window);
         }
-        if let Some(most) = budget.lost {
-            let lost: Duration = lately().map(|s| s.lost).sum();
-            // A task that alone would lose more may still go, where nothing else did.
-            if lost + ask.lost > most && !lost.is_zero() || ask.lost > most && most.is_zero() {
+        if let Some(max) = budget.max_lost_work {
+            let lost: Duration = recent_stops().map(|s| s.lost_work).sum();
+            // A task that exceeds the limit by itself may be stopped if no other work was lost.
+            if lost + request.lost_work > max && !lost.is_zero()
+                || request.lost_work > max && max.is_zero()
+            {
                 return Err(Refusal::Work);
             }
         }
         Ok(())
     }
 
-    /// It is stopped.
-    pub fn take(&mut self, now: Duration, ask: &Ask) {
+    /// Records that the task is stopped.
+    pub fn record_stop(&mut self, now: Duration, request: &StopRequest) {
         self.prune(now);
-        if let (Some(service), Some(team)) = (ask.service, self.teams.get_mut(ask.team))
+        if let (Some(service), Some(team)) = (request.service, self.teams.get_mut(request.team))
             && service.up > 0
         {
             team.up = team.up.saturating_sub(1);
@@ -178,8 +180,8 @@
         }
         self.stopped.push_back(Stopped {
             at: now,
-            team: ask.team.to_owned(),
-            lost: ask.lost,
+            team: request.team.to_owned(),
+            lost_work: request.lost_work,
         });
     }
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,4 +1,4 @@
-//! A cell's stored record and the transitions of its loans, each as the record that follows.
+//! A cell's stored record and the transitions of its loans; each transition yields a new record.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::SystemTime;
@@ -8,16 +8,16 @@
 use crate::loan::{Borrowed, CellId, Lent, LoanId, RecordId, Terms};
 use crate::message::{Grant, Holdings};
 
-/// A cell's part of a team's limit and guarantee, by configuration.
+/// A cell's configured share of a team's limit and guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Share {
-    /// Units of the limit that the cell owns, and may lend beyond its guarantee.
+    /// Units of the limit that the cell owns; the part beyond its guarantee may be lent.
     pub base: Units,
-    /// Never lent.
+    /// Units that are never lent.
     pub guarantee: Units,
 }
 
-/// Checks that the shares of all cells can't add up to more than the limit.
+/// Checks that the shares of all cells don't add up to more than the limit.
 pub fn check_shares(limit: Units, shares: &BTreeMap<CellId, Share>) -> Result<(), ConfigError> {
     for (&cell, &Share { base, guarantee }) in shares {
         if guarantee > base {
@@ -37,37 +37,37 @@
     Ok(())
 }
 
-/// What a cell stores of one team and resource.
+/// The stored record of a cell for one team and resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// Which life of the cell's record this is.
+    /// Incarnation of the cell's record.
     pub id: RecordId,
-    /// Set where an earlier record was lost: until then the base may still be lent.
+    /// Set after the loss of an earlier record: the base may still be lent until then.
     pub quarantined_until: Option<SystemTime>,
-    /// The number of the last loan made.
-    pub last_number: u64,
+    /// Number of the last loan made.
+    pub last_loan_number: u64,
     /// Loans to other cells that may still be in use.
     pub lent: BTreeMap<LoanId, Lent>,
-    /// Loans from other cells that were not given back.
+    /// Loans from other cells that were not returned.
     pub borrowed: BTreeMap<LoanId, Borrowed>,
-    /// The newest loan ever taken from each lender.
-    pub newest_taken: BTreeMap<CellId, LoanId>,
+    /// The newest loan ever accepted from each lender.
+    pub newest_accepted: BTreeMap<CellId, LoanId>,
 }
 
 impl Record {
-    /// The first record of a cell, written when the cell is set up and never again.
+    /// Creates the first record of a cell, written only when the cell is set up.
     pub fn first(id: RecordId) -> Record {
         Record {
             id,
             quarantined_until: None,
-            last_number: 0,
+            last_loan_number: 0,
             lent: BTreeMap::new(),
             borrowed: BTreeMap::new(),
-            newest_taken: BTreeMap::new(),
+            newest_accepted: BTreeMap::new(),
         }
     }
 
-    /// The record of a cell whose earlier one is lost.
+    /// Creates the record of a cell whose earlier one is lost.
     pub(crate) fn after_loss(id: RecordId, now: SystemTime, terms: &Terms) -> Record {
         let until = now + terms.quarantine();
         Record {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Units of the base that are the cell's own now.
-    pub(crate) fn own(&self, share: &Share, now: SystemTime) -> Units {
+    /// Returns the units of the base that are not lent; only the guarantee during quarantine.
+    pub(crate) fn own_units(&self, share: &Share, now: SystemTime) -> Units {
         if self.quarantined_until.is_some_and(|until| now < until) {
             return share.guarantee;
         }
@@ -85,8 +85,8 @@
         share.base.saturating_sub(lent)
     }
 
-    /// What tasks may take: the cell's own units and those borrowed that are neither recalled
-    /// nor within their lapse lead.
+    /// Returns the units that tasks may use: the cell's own units and the borrowed ones that are
+    /// neither recalled nor within their lapse lead.
     pub fn limit(
         &self,
         share: &Share,
@@ -97,12 +97,12 @@
         let usable = self
             .borrowed
             .iter()
-            .filter(|(id, loan)| !terms.lapsing(now, loan.end) && !recalled.contains(id))
+            .filter(|(id, loan)| !terms.is_lapsing(now, loan.end) && !recalled.contains(id))
             .map(|(_, loan)| loan.units);
-        self.own(share, now) + usable.sum::<Units>()
+        self.own_units(share, now) + usable.sum::<Units>()
     }
 
-    /// Makes a loan; the caller has checked that the units are free.
+    /// Makes a loan. The caller must have checked that the units are free.
     pub(crate) fn lend(
         &mut self,
         lender: CellId,
@@ -111,11 +111,11 @@
         now: SystemTime,
         terms: &Terms,
     ) {
-        self.last_number += 1;
+        self.last_loan_number += 1;
         let id = LoanId {
             lender,
             record: self.id,
-            number: self.last_number,
+            number: self.last_loan_number,
         };
         let (borrower, borrower_record) = to;
         let end = now + terms.term;
@@ -126,20 +126,20 @@
                 borrower_record,
                 units,
                 end,
-                since: now,
+                made_at: now,
             },
         );
     }
 
-    /// The borrower takes a new loan, or the later end of one that it has.
-    pub(crate) fn take(
+    /// Accepts a new loan as the borrower, or the later end of a loan that it already has.
+    pub(crate) fn accept_grant(
         &mut self,
         grant: &Grant,
         now: SystemTime,
         terms: &Terms,
     ) -> Result<(), Refusal> {
         if grant.borrower_record != self.id {
-            return Err(Refusal::OtherRecord);
+            return Err(Refusal::StaleRecord);
         }
         if let Some(loan) = self.borrowed.get_mut(&grant.loan) {
             loan.end = loan.end.max(grant.end);
@@ -147,25 +147,25 @@
         }
         let lender = grant.loan.lender;
         if self
-            .newest_taken
+            .newest_accepted
             .get(&lender)
             .is_some_and(|newest| *newest >= grant.loan)
         {
-            return Err(Refusal::OldLoan);
+            return Err(Refusal::StaleLoan);
         }
-        if terms.lapsing(now, grant.end) {
-            return Err(Refusal::TooLate);
+        if terms.is_lapsing(now, grant.end) {
+            return Err(Refusal::LoanLapsing);
         }
         let Grant {
             loan, units, end, ..
         } = *grant;
-        self.newest_taken.insert(lender, loan);
+        self.newest_accepted.insert(lender, loan);
         self.borrowed.insert(loan, Borrowed { units, end });
         Ok(())
     }
 
-    /// Lowers a borrowed loan; at nothing it is returned.
-    pub(crate) fn give_back(&mut self, loan: &LoanId, units: Units) {
+    /// Returns units of a borrowed loan; the loan is removed when no units remain.
+    pub(crate) fn return_units(&mut self, loan: &LoanId, units: Units) {
         let Some(held) = self.borrowed.get_mut(loan) else {
             return;
         };
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The lender takes in what a borrower still holds.
+    /// Applies a borrower's holdings to the loans that it was lent.
     pub(crate) fn reconcile(&mut self, from: CellId, holdings: &Holdings) {
         self.lent.retain(|id, loan| {
             if loan.borrower != from || loan.borrower_record != holdings.record {
@@ -190,7 +190,7 @@
         });
     }
 
-    /// The lender renews what a borrower still holds, if it is time, except what it recalls.
+    /// Renews the loans that a borrower still holds and whose renewal is due, except recalled ones.
     pub(crate) fn renew(
         &mut self,
         from: CellId,
@@ -202,35 +202,35 @@
         for id in holdings.open.keys().filter(|id| !recalling.contains(id)) {
             if let Some(loan) = self.lent.get_mut(id)
                 && (loan.borrower, loan.borrower_record) == (from, holdings.record)
-                && terms.renewal_due(now, loan.end)
+                && terms.is_renewal_due(now, loan.end)
             {
                 loan.end = loan.end.max(now + terms.term);
             }
         }
     }
 
-    /// Removes, on both sides, loans that nobody can use any more by any clock.
+    /// Removes loans, lent and borrowed, that are expired by any clock.
     pub(crate) fn expire(&mut self, now: SystemTime, terms: &Terms) {
         self.lent
-            .retain(|_, loan| now < terms.surely_over(loan.end));
+            .retain(|_, loan| now < terms.expired_for_all(loan.end));
         self.borrowed
-            .retain(|_, loan| now < terms.surely_over(loan.end));
+            .retain(|_, loan| now < terms.expired_for_all(loan.end));
         if self.quarantined_until.is_some_and(|until| now >= until) {
             self.quarantined_until = None;
         }
     }
 
-    /// What the record says of one lender.
+    /// Returns the holdings of one lender's loans.
     pub fn holdings(&self, lender: CellId) -> Holdings {
         let open = self.borrowed.iter().filter(|(id, _)| id.lender == lender);
         Holdings {
             record: self.id,
-            newest: self.newest_taken.get(&lender).copied(),
+            newest: self.newest_accepted.get(&lender).copied(),
             open: open.map(|(id, loan)| (*id, loan.units)).collect(),
         }
     }
 
-    /// The grant of a loan that this record has lent.
+    /// Returns the grant of a loan that this record has lent.
     pub fn grant(&self, loan: &LoanId) -> Option<Grant> {
         let Lent {
             borrower_record,
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Cells against a plain ledger that knows everything, with polls, losses of messages and a heal.
+//! Invariants of several cells under message loss, and recovery of all bases after it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, SystemTime};
@@ -8,21 +8,21 @@
 use kiteyard_quota::division::divide;
 use kiteyard_quota::ledger::{Record, Share, check_shares};
 use kiteyard_quota::loan::{CellId, RecordId, Terms};
-use kiteyard_quota::message::{Ask, Message};
+use kiteyard_quota::message::{Message, UnitRequest};
 use proptest::prelude::*;
 
 const CELLS: u16 = 3;
 const BASE: Units = 10;
 const GUARANTEE: Units = 3;
 const INTERVAL: u64 = 5;
-/// Rounds of messages after a heal until every base is back: a grant that was lost is sent again, taken,
-/// returned, and the return is heard.
-const ROUNDS_TO_RETURN: u64 = 3;
+/// Rounds of messages after the loss ends until every base is back: a lost grant is resent,
+/// accepted and returned, and the lender receives the return.
+const ROUNDS_TO_RECOVER: u64 = 3;
 
 struct Cells {
     seconds: u64,
     cells: Vec<Cell>,
-    mail: VecDeque<(CellId, CellId, Message)>,
+    messages: VecDeque<(CellId, CellId, Message)>,
     revisions: u64,
 }
 
@@ -43,7 +43,7 @@
         let mut all = Cells {
             seconds: 0,
             cells: Vec::new(),
-            mail: VecDeque::new(),
+            messages: VecDeque::new(),
             revisions: 0,
         };
         for id in 0..CELLS {
@@ -55,7 +55,7 @@
                 peers,
             };
             all.cells
-                .push(Cell::new(config).expect("a sound configuration").0);
+                .push(Cell::new(config).expect("a valid configuration").0);
             let record = Record::first(RecordId(1));
             all.step(
                 id,
@@ -86,14 +86,16 @@
                         },
                     );
                 }
-                Output::Send { to, message } => self.mail.push_back((to, CellId(cell), message)),
+                Output::Send { to, message } => {
+                    self.messages.push_back((to, CellId(cell), message))
+                }
                 Output::Read | Output::Refused { .. } => {}
             }
         }
     }
 
-    /// A second: each cell's round at its wish, then the mail, of which some is lost.
-    fn second(&mut self, wanted: &[Units], lost: u8) {
+    /// Runs one second: a round of each cell with its demand, then delivery of messages, some lost.
+    fn run_second(&mut self, wanted: &[Units], lost_in_ten: u8) {
         self.seconds += 1;
         for cell in 0..CELLS {
             let limit = self.cells[usize::from(cell)]
@@ -109,9 +111,9 @@
                 }),
             );
         }
-        for letter in 0..self.mail.len() {
-            let (to, from, message) = self.mail.pop_front().expect("a letter");
-            if (letter * 7 + self.seconds as usize) % 10 >= usize::from(lost) {
+        for index in 0..self.messages.len() {
+            let (to, from, message) = self.messages.pop_front().expect("a message");
+            if (index * 7 + self.seconds as usize) % 10 >= usize::from(lost_in_ten) {
                 self.step(to.0, Input::Received { from, message });
             }
         }
@@ -137,40 +139,50 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn limits_add_up_and_bases_come_back(
+    fn limits_never_exceed_the_total_and_bases_are_recovered(
         phases in prop::collection::vec((prop::collection::vec(0..40u64, 3), 0..=10u8, 1..200u64), 1..6)
     ) {
         let mut cells = Cells::new();
-        for (wanted, lost, seconds) in phases {
+        for (wanted, lost_in_ten, seconds) in phases {
             for _ in 0..seconds {
-                cells.second(&wanted, lost);
+                cells.run_second(&wanted, lost_in_ten);
                 let limits = cells.limits();
                 prop_assert!(limits.iter().sum::<Units>() <= BASE * Units::from(CELLS), "{limits:?}");
                 prop_assert!(limits.iter().all(|limit| *limit >= GUARANTEE));
             }
         }
-        for _ in 0..ROUNDS_TO_RETURN * INTERVAL {
-            cells.second(&[0, 0, 0], 0);
+        for _ in 0..ROUNDS_TO_RECOVER * INTERVAL {
+            cells.run_second(&[0, 0, 0], 0);
         }
         prop_assert_eq!(cells.lent(), 0);
         prop_assert_eq!(cells.limits(), vec![BASE; CELLS.into()]);
     }
 
     #[test]
-    fn division_gives_no_more_than_is_free(free in 0..100u64, asks in prop::collection::btree_map(0..9u16, (0..50u64, 0..50u64), 0..6)) {
-        let ask = |(units, unmet_guarantee)| Ask { record: RecordId(1), units, unmet_guarantee };
-        let asks: BTreeMap<_, _> = asks.into_iter().map(|(cell, asked)| (CellId(cell), ask(asked))).collect();
-        let parts = divide(free, &asks);
+    fn division_never_exceeds_free_units(
+        free in 0..100u64,
+        requests in prop::collection::btree_map(0..9u16, (0..50u64, 0..50u64), 0..6)
+    ) {
+        let request = |(units, unmet_guarantee)| UnitRequest {
+            record: RecordId(1),
+            units,
+            unmet_guarantee,
+        };
+        let requests: BTreeMap<_, _> = requests
+            .into_iter()
+            .map(|(cell, requested)| (CellId(cell), request(requested)))
+            .collect();
+        let parts = divide(free, &requests);
         let given: Units = parts.iter().map(|part| part.1).sum();
-        let asked: Units = asks.values().map(|ask| ask.units).sum();
-        prop_assert_eq!(given, free.div_ceil(2).min(asked));
-        prop_assert!(parts.iter().all(|(cell, units)| *units <= asks[cell].units));
+        let requested: Units = requests.values().map(|request| request.units).sum();
+        prop_assert_eq!(given, free.div_ceil(2).min(requested));
+        prop_assert!(parts.iter().all(|(cell, units)| *units <= requests[cell].units));
         prop_assert_eq!(parts.iter().map(|part| part.0).collect::<BTreeSet<_>>().len(), parts.len());
     }
 }
 
 #[test]
-fn shares_over_the_limit_are_refused() {
+fn shares_over_the_limit_are_rejected() {
     let shares = |base| {
         BTreeMap::from([
             (CellId(0), Share { base, guarantee: 1 }),
--- a/crates/toml-file/src/lib.rs
+++ b/crates/toml-file/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operators' TOML files: read, and what is wrong with them in one line.
+//! Parser of TOML configuration files with one-line errors.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -6,26 +6,26 @@
 
 use serde::de::DeserializeOwned;
 
-/// Not a file of the form that was expected.
+/// The file does not parse as the expected type.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wrong {
-    /// The line of the file, from 1.
+pub struct ParseError {
+    /// Line in the file, starting at 1.
     pub line: usize,
-    /// Without line breaks.
+    /// Error message without line breaks.
     pub message: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.message)
     }
 }
 
-/// Reads a file's text into `T`, or tells the line that does not fit.
-pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Wrong> {
+/// Parses the text of a file as `T`; an error names the line.
+pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ParseError> {
     toml::from_str(text).map_err(|error| {
         let start = error.span().map_or(0, |span| span.start.min(text.len()));
-        Wrong {
+        ParseError {
             line: text[..start].matches('\n').count() + 1,
             message: error.message().replace('\n', " "),
         }
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -40,7 +40,7 @@
     store::progress_key,
 };
 use kiteyard_maintenance::{
-    drain::{Drains, Waits},
+    drain::{Drains, WaitReason},
     ledger::Ledger,
 };
 
@@ -93,8 +93,8 @@
     pub(super) drains: Drains,
     pub(super) draining: BTreeMap<MachineId, DrainProgress>,
     /// Reason why draining is paused, as set by the node and as last logged.
-    pub(super) drains_pause: Option<Waits>,
-    pub(super) logged_drains_pause: Option<Waits>,
+    pub(super) drains_pause: Option<WaitReason>,
+    pub(super) logged_drains_pause: Option<WaitReason>,
     /// Time of this leader's failover, and the state of its reconciliation.
     pub(super) leading_since: Duration,
     pub(super) reconciler: Reconciler,
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use kiteyard_maintenance::ledger::{Ask, Replicas};
+use kiteyard_maintenance::ledger::{Replicas, StopRequest};
 use tracing::info;
 
 use super::{
@@ -129,13 +129,13 @@
                 ..*counts
             };
             let team = job.spec.team.clone();
-            let ask = Ask {
+            let ask = StopRequest {
                 team: &team,
                 service: Some(service),
-                lost: Duration::ZERO,
+                lost_work: Duration::ZERO,
             };
-            if self.disruption_ledger.ask(now, &ask).is_ok() {
-                self.disruption_ledger.take(now, &ask);
+            if self.disruption_ledger.check(now, &ask).is_ok() {
+                self.disruption_ledger.record_stop(now, &ask);
                 *stopped += 1;
                 self.stop(id, &key, self.config.options.grace, now);
             }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use kiteyard_maintenance::{
-    drain::{self, Task, Waits},
+    drain::{self, Task, WaitReason},
     ledger::Replicas,
 };
 use kiteyard_rollout::generation::Feature;
@@ -19,7 +19,7 @@
 pub const DRAINS: Feature = Feature {
     name: "drains",
     since: 4,
-    way_back: true,
+    is_reversible: true,
     forms: &["live/drains"],
 };
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainProgress {
     pub tasks: u32,
-    pub waits: Waits,
+    pub waits: WaitReason,
 }
 
 impl ClusterState {
@@ -124,7 +124,7 @@
         let pause = self.drains_pause.or_else(|| {
             let clear =
                 !self.reachability.is_uncertain && self.reachability.partitioned_zones.is_empty();
-            (!clear || self.has_unresolved_machines()).then_some(Waits::Outlook)
+            (!clear || self.has_unresolved_machines()).then_some(WaitReason::Outlook)
         });
         if pause != self.logged_drains_pause {
             match &pause {
@@ -187,8 +187,8 @@
                     kind,
                     stopping: placement.stopping(),
                     service: services.get(&key.0.job).copied(),
-                    room: self.has_capacity_elsewhere(id, placement, now),
-                    lost: unsaved_run_time(placement, now),
+                    has_room: self.has_capacity_elsewhere(id, placement, now),
+                    lost_work: unsaved_run_time(placement, now),
                 })
             })
             .collect();
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use kiteyard_maintenance::drain::{Drain, Drains, Waits};
+use kiteyard_maintenance::drain::{Drain, Drains, WaitReason};
 use kiteyard_rollout::generation::Stage;
 use serde::{Deserialize, Serialize};
 use tracing::info;
@@ -42,7 +42,7 @@
     pub replicas: u32,
     pub array_tasks: u32,
     pub gang_tasks: u32,
-    pub waits: Option<Waits>,
+    pub waits: Option<WaitReason>,
     pub by_ms: Option<u64>,
 }
 
@@ -125,7 +125,7 @@
     /// Returns the reason why these machines can't be drained, if any.
     fn drain_refusal(&self, machines: &[String], by: Option<Duration>) -> Option<String> {
         let cluster = self.cluster.as_ref()?;
-        if self.cache.generation.0.written() < DRAINS.since {
+        if self.cache.generation.0.written_generation() < DRAINS.since {
             let needs = DRAINS.since;
             return Some(format!(
                 "generation {needs} is not active yet, see rollout status"
@@ -145,7 +145,7 @@
                 let Some(spec) = placement.spec.as_ref() else {
                     continue;
                 };
-                let allows_none = cluster.disruption_ledger.most_down(&spec.team, spec.tasks) == 0;
+                let allows_none = cluster.disruption_ledger.max_down(&spec.team, spec.tasks) == 0;
                 if spec.kind == Kind::Service && allows_none {
                     let (team, id) = (&spec.team, &spec.id);
                     return Some(format!(
@@ -283,11 +283,11 @@
         }
         self.apply_drains();
         let is_changing = self.cache.generation.0.stage != Stage::Settled;
-        let is_unsupported = self.cache.generation.0.written() < DRAINS.since;
+        let is_unsupported = self.cache.generation.0.written_generation() < DRAINS.since;
         let Some(cluster) = &mut self.cluster else {
             return;
         };
-        cluster.drains_pause = is_changing.then_some(Waits::Rollout);
+        cluster.drains_pause = is_changing.then_some(WaitReason::Rollout);
         if self.maintenance.storing || now < self.maintenance.next_store {
             return;
         }
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use kiteyard_rollout::machine::Told;
+use kiteyard_rollout::state_machine::NodeAnnouncement;
 use serde::{Deserialize, Serialize};
 
 use super::phi_accrual::{ArrivalPattern, PhiAccrual};
@@ -31,7 +31,7 @@
     pub machines_heard: BTreeMap<Arc<str>, u32>,
     /// Process of the sender and the generation it knows, if rollouts are enabled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub told: Option<Told>,
+    pub told: Option<NodeAnnouncement>,
 }
 
 impl NodeHeartbeat {
@@ -260,7 +260,7 @@
     }
 
     /// Returns the process information of a live node.
-    pub fn told(&self, node: &str, now: Duration) -> Option<Told> {
+    pub fn told(&self, node: &str, now: Duration) -> Option<NodeAnnouncement> {
         let mut peers = self.live_peers(now);
         peers.find(|(other, _)| *other == node)?.1.told
     }
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -101,7 +101,7 @@
         if generation.stage != Stage::Migrating || self.cache.orders.0.paused {
             return;
         }
-        let rate = self.config.write_rate * config.share;
+        let rate = self.config.write_rate * config.migration_share;
         let max_ops = self.limits.txn_ops;
         let migration = &mut self.rollout.migration;
         if migration.scope != (revision, claim) {
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -36,7 +36,7 @@
 pub const PARTITIONED_ZONES_FEATURE: Feature = Feature {
     name: "zones-apart",
     since: 3,
-    way_back: true,
+    is_reversible: true,
     forms: &["live/apart"],
 };
 
@@ -86,7 +86,7 @@
 impl Node {
     /// Returns whether the stored generation includes the list of partitioned zones.
     fn stores_partitioned_zones(&self) -> bool {
-        self.cache.generation.0.written() >= PARTITIONED_ZONES_FEATURE.since
+        self.cache.generation.0.written_generation() >= PARTITIONED_ZONES_FEATURE.since
     }
 
     /// Returns whether the zone is or may be listed, so that its workers must not be answered.
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use kiteyard_recovery::pace::{Outcome, Pace};
+use kiteyard_recovery::request_window::{Outcome, RequestWindow};
 use tracing::info;
 
 use super::{
@@ -90,7 +90,7 @@
     /// Machine kinds that the cloud refused, and the time until which none are requested.
     refused: HashMap<MachineKind, Duration>,
     /// Adaptive bound on the number of open requests.
-    pace: Pace,
+    pace: RequestWindow,
     /// Released machines and the time of their release; the cloud's list lags behind.
     released: BTreeMap<MachineId, Duration>,
 }
@@ -112,7 +112,7 @@
             next_call: Duration::ZERO,
             releasing: BTreeSet::new(),
             refused: HashMap::new(),
-            pace: Pace::new(MAX_OPEN_REQUESTS),
+            pace: RequestWindow::new(MAX_OPEN_REQUESTS),
             released: BTreeMap::new(),
         }
     }
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -5,7 +5,7 @@
 
 use kiteyard_recovery::{
     adoption::{AdoptionDecision, KnownState, Reported, decide_adoption},
-    reconciliation::{Count, Input, Output, Patience, Reconciliation},
+    reconciliation::{Input, Output, Reconciliation, WaitLimits, ZoneCounts},
 };
 use tracing::info;
 
@@ -35,8 +35,8 @@
 impl Reconciler {
     pub fn new(config: &Config, now: Duration) -> Self {
         // A worker whose node fails tries the next one, and reports at least this often.
-        let patience = Patience {
-            most: config.report_interval * 5 / 4 + WORKER_RETRY_DELAY,
+        let patience = WaitLimits {
+            max: config.report_interval * 5 / 4 + WORKER_RETRY_DELAY,
             quiet: config.report_interval / 4,
         };
         Self {
@@ -53,23 +53,25 @@
         if !self.reconciler.reconciliation.is_in_progress() {
             return;
         }
-        let mut counts: BTreeMap<Arc<str>, Count> = BTreeMap::new();
+        let mut counts: BTreeMap<Arc<str>, ZoneCounts> = BTreeMap::new();
         for machine in self
             .machines
             .values()
             .filter(|m| m.assignment.may_be_stored)
         {
-            let count = counts.entry(machine.zone.clone()).or_insert_with(|| Count {
-                cut: !self.is_zone_reachable(&machine.zone),
-                ..Count::default()
-            });
+            let count = counts
+                .entry(machine.zone.clone())
+                .or_insert_with(|| ZoneCounts {
+                    unreachable: !self.is_zone_reachable(&machine.zone),
+                    ..ZoneCounts::default()
+                });
             count.stored += 1;
             count.silent += usize::from(is_awaited(machine));
         }
         let outputs = self
             .reconciler
             .reconciliation
-            .step(now, Input::Heard(counts));
+            .step(now, Input::Counts(counts));
         self.apply_reconciliation_outputs(outputs);
         if now >= self.reconciler.next_log && !self.reconciler.deferred.is_empty() {
             let deferred = std::mem::take(&mut self.reconciler.deferred);
@@ -143,7 +145,7 @@
 
     /// Returns whether machines rented by a previous leader may still be unknown.
     pub(super) fn may_have_unlisted_machines(&self, now: Duration) -> bool {
-        self.reconciler.reconciliation.unlisted(now)
+        self.reconciler.reconciliation.is_list_pending(now)
     }
 
     /// Decides how to handle a reported task that this leader did not start.
@@ -153,7 +155,7 @@
         let known_state = match slot {
             None => KnownState::Unknown,
             Some(Slot::Waiting) => KnownState::Waiting,
-            Some(Slot::Placed(_)) => KnownState::Elsewhere,
+            Some(Slot::Placed(_)) => KnownState::PlacedElsewhere,
             Some(Slot::Done) => KnownState::Done,
         };
         let reported = match phase {
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -6,8 +6,8 @@
 
 use kiteyard_rollout::{
     generation::{Ability, Feature, OLDEST, Order, Stage},
-    machine::{Machine, Output as Step, Seen, Told, View},
-    view::{NodeStatus, Status},
+    state_machine::{ClusterView, NodeAnnouncement, NodeState, Output as Step, StateMachine},
+    status::{NodeStatus, Status},
 };
 use tracing::{error, info};
 
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub struct Rollout {
     /// State machine of the generation, or `None` if rollouts are off.
-    state_machine: Option<Machine>,
+    state_machine: Option<StateMachine>,
     /// Revision of this process's own record; 0 if it is not stored yet.
     announced_revision: u64,
     announcing: bool,
@@ -65,7 +65,7 @@
 impl Rollout {
     pub fn new(config: Option<&kiteyard_rollout::config::Config>) -> Self {
         Self {
-            state_machine: config.map(|config| Machine::new(config.clone(), FEATURES)),
+            state_machine: config.map(|config| StateMachine::new(config.clone(), FEATURES)),
             ..Self::default()
         }
     }
@@ -75,7 +75,7 @@
 pub fn ability(config: Option<&kiteyard_rollout::config::Config>) -> Ability {
     let newest = FEATURES.iter().map(|f| f.since).max().unwrap_or(OLDEST);
     let most = config
-        .and_then(|config| config.reads_most)
+        .and_then(|config| config.max_generation)
         .unwrap_or(newest);
     let supported = FEATURES.iter().filter(|f| f.since <= most);
     let names = supported.map(|f| f.name).chain([JOB_DEPENDENCIES]);
@@ -94,7 +94,11 @@
     /// Returns whether the stored records are of a generation that is unknown or that this
     /// process can't read. If so, it can't prove anything about jobs.
     pub(super) fn cannot_read_state(&self) -> bool {
-        !self.cache.generation.0.suits(&self.config.ability)
+        !self
+            .cache
+            .generation
+            .0
+            .is_supported_by(&self.config.ability)
             || self.cache.unreadable.contains_key(GENERATION_KEY)
     }
 
@@ -104,9 +108,9 @@
             return Some(format!("{key} can't be read, a newer build is needed"));
         }
         let cluster = &self.cache.generation.0;
-        let needs = cluster.needs();
+        let needs = cluster.required_generation();
         let ability = &self.config.ability;
-        (!cluster.suits(ability)).then(|| {
+        (!cluster.is_supported_by(ability)).then(|| {
             let (least, most) = (ability.least, ability.most);
             format!("generation {needs} is in use, and this build reads {least} to {most}")
         })
@@ -170,7 +174,7 @@
         let can_lead = |node: &String| {
             let announced = self.cache.nodes.get(node);
             let ability = announced.and_then(|(ability, _)| ability.as_ref());
-            ability.is_none_or(|ability| self.cache.generation.0.suits(ability))
+            ability.is_none_or(|ability| self.cache.generation.0.is_supported_by(ability))
         };
         nodes.best_peer_among(now, can_lead).map(|(node, _)| node)
     }
@@ -210,8 +214,8 @@
         };
         for step in steps {
             match step {
-                Step::SoakBegins => info!(generation = before.to, "soak period started"),
-                Step::SoakBeginsAgain(why) => {
+                Step::SoakStarted => info!(generation = before.to, "soak period started"),
+                Step::SoakRestarted(why) => {
                     info!(generation = before.to, why, "soak period restarted");
                 }
                 Step::Store {
@@ -277,9 +281,9 @@
     }
 
     /// Returns what a heartbeat says about this process's rollout state.
-    pub(super) fn announced_state(&self) -> Option<Told> {
+    pub(super) fn announced_state(&self) -> Option<NodeAnnouncement> {
         let started = self.rollout.announced_revision;
-        (started > 0).then_some(Told {
+        (started > 0).then_some(NodeAnnouncement {
             started,
             knows: self.cache.generation.1,
         })
@@ -298,7 +302,7 @@
 
     /// Returns whether no record is left of the features that the written generation lacks.
     fn has_no_newer_records(&self) -> bool {
-        let written = self.cache.generation.0.written();
+        let written = self.cache.generation.0.written_generation();
         let has_no_partitions = written >= PARTITIONED_ZONES_FEATURE.since
             || self.cache.partitioned_zones.0.zones.is_empty();
         has_no_partitions && (written >= DRAINS.since || self.cache.drains.0.machines.is_empty())
@@ -308,7 +312,7 @@
         self.config.peers.iter().chain([&self.config.node])
     }
 
-    fn rollout_view(&self) -> View {
+    fn rollout_view(&self) -> ClusterView {
         let now = self.now();
         let (cluster, revision) = self.cache.generation;
         let seen = |node: &String| {
@@ -320,14 +324,14 @@
                 true => self.announced_state(),
                 false => self.membership.nodes.told(node, now),
             };
-            let seen = Seen {
+            let seen = NodeState {
                 ability,
-                started,
-                told,
+                record_revision: started,
+                announcement: told,
             };
             (node.clone(), seen)
         };
-        View {
+        ClusterView {
             cluster,
             revision,
             orders: self.cache.orders.0.clone(),
@@ -335,7 +339,8 @@
                 .configured_nodes()
                 .map(seen)
                 .collect::<BTreeMap<_, _>>(),
-            clean: self.rollout.migration.is_finished(revision) && self.has_no_newer_records(),
+            no_old_records: self.rollout.migration.is_finished(revision)
+                && self.has_no_newer_records(),
         }
     }
 
@@ -423,11 +428,11 @@
                     return Some(format!("generation: must be {oldest} to {newest}"));
                 }
                 let cluster = self.cache.generation.0;
-                let newest_in_use = cluster.from.max(cluster.written());
+                let newest_in_use = cluster.from.max(cluster.written_generation());
                 let mut removed = FEATURES
                     .iter()
                     .filter(|f| *target < f.since && f.since <= newest_in_use);
-                let irreversible = removed.find(|f| !f.way_back)?;
+                let irreversible = removed.find(|f| !f.is_reversible)?;
                 Some(format!("{} can't be downgraded", irreversible.name))
             }
             _ => None,
@@ -459,7 +464,7 @@
             }
             Stage::Active | Stage::Migrating => {
                 let remaining = self.rollout.migration.remaining()? as f64;
-                let rate = self.config.write_rate * config.share;
+                let rate = self.config.write_rate * config.migration_share;
                 (rate > 0.0).then(|| remaining / rate)
             }
         }
@@ -501,12 +506,12 @@
             target: orders.target,
             gone: orders.gone.clone(),
             nodes,
-            soaked_ms: machine.map(|m| millis(m.soaked(now))),
+            soaked_ms: machine.map(|m| millis(m.soak_elapsed(now))),
             soak_ms: self.config.options.rollout.as_ref().map(|c| millis(c.soak)),
-            held: machine.map(|m| m.held.to_string()),
+            held: machine.map(|m| m.blocker.to_string()),
             migrated: machine.map(|_| self.rollout.migration.total_rewritten()),
             left: machine.and_then(|_| self.rollout.migration.remaining()),
-            estimate_s: machine.and_then(|m| self.estimated_remaining_s(m.soaked(now))),
+            estimate_s: machine.and_then(|m| self.estimated_remaining_s(m.soak_elapsed(now))),
             refuses: self.refusal_reason(),
             clear: reachability
                 .filter(|_| leads)
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -748,7 +748,7 @@
             .or_insert_with(|| (self.replica_counts(&victim.id), 0));
         *count += 1;
         self.disruption_ledger
-            .breach(&victim.team, *replicas, *count)
+            .is_breach(&victim.team, *replicas, *count)
     }
 
     /// Executes a plan: stops its victims and nominates the machine for the job.
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use kiteyard_maintenance::drain::Drains;
-use kiteyard_rollout::generation::{Ability, Cluster, Orders};
+use kiteyard_rollout::generation::{Ability, ClusterGeneration, Orders};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use super::{
@@ -52,7 +52,7 @@
     /// an older change that arrives in between must not restore the job.
     ended_jobs: BTreeMap<JobId, u64>,
     /// Generation of the stored records, and the revision of its key; 0 if the key is missing.
-    pub generation: (Cluster, u64),
+    pub generation: (ClusterGeneration, u64),
     pub orders: (Orders, u64),
     /// Partitioned zones, and the revision of the key; 0 if the key is missing.
     pub partitioned_zones: (PartitionedZonesRecord, u64),
@@ -145,7 +145,7 @@
             }
             GENERATION_KEY => {
                 let there = event.value.is_some();
-                let cluster = self.parse_value(event).filter(Cluster::holds);
+                let cluster = self.parse_value(event).filter(ClusterGeneration::is_valid);
                 if there && cluster.is_none() {
                     self.unreadable.insert(event.key.clone(), revision);
                 }
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use kiteyard_rollout::generation::{Cluster, Feature, Generation};
+use kiteyard_rollout::generation::{ClusterGeneration, Feature, Generation};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
 use super::{
@@ -24,7 +24,7 @@
 pub const PACKED_TERMINAL_STATES: Feature = Feature {
     name: "packed-finals",
     since: 2,
-    way_back: true,
+    is_reversible: true,
     forms: &["ends/RANGE", "live/generation", "pulse.told"],
 };
 
@@ -44,8 +44,8 @@
 
 /// Returns the layouts in the order in which to read them, so that a record rewritten meanwhile is
 /// found.
-pub fn layouts(cluster: &Cluster) -> Vec<Layout> {
-    let mut layouts: Vec<Layout> = cluster.read().map(layout).collect();
+pub fn layouts(cluster: &ClusterGeneration) -> Vec<Layout> {
+    let mut layouts: Vec<Layout> = cluster.read_generations().map(layout).collect();
     layouts.dedup();
     layouts
 }
@@ -281,7 +281,7 @@
 /// Returns the conditions which prove that a job has no terminal state in any layout; none if
 /// its range is unknown or contains it.
 pub fn absence_conditions(
-    cluster: &Cluster,
+    cluster: &ClusterGeneration,
     id: &JobId,
     ranges: &TerminalRanges,
 ) -> Option<Vec<Condition>> {
@@ -312,11 +312,11 @@
 }
 
 pub fn terminal_write(
-    cluster: &Cluster,
+    cluster: &ClusterGeneration,
     jobs: &[(JobId, TerminalRecord)],
     ranges: &TerminalRanges,
 ) -> Option<TerminalWrite> {
-    match layout(cluster.written()) {
+    match layout(cluster.written_generation()) {
         Layout::Single => Some(TerminalWrite {
             conditions: Vec::new(),
             changes: jobs
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use kiteyard_job_graph::Status;
-use kiteyard_rollout::generation::Cluster;
+use kiteyard_rollout::generation::ClusterGeneration;
 
 use super::{
     Answer, Node, Purpose, RequestId,
@@ -67,7 +67,7 @@
         request: RequestId,
         id: JobId,
         query: JobQuery,
-        (cluster, generation): &(Cluster, u64),
+        (cluster, generation): &(ClusterGeneration, u64),
     ) -> Self {
         Self {
             id,
@@ -324,7 +324,7 @@
                 return Some(format!("unknown licence {name}"));
             };
             let wanted = u64::from(*seats) * u64::from(concurrent_tasks);
-            if wanted > u64::from(licence.most_for(&spec.team)) {
+            if wanted > u64::from(licence.max_seats_for(&spec.team)) {
                 return Some(format!("needs more seats of {name} than the team may use"));
             }
         }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -324,7 +324,7 @@
 
     /// Returns whether terminal states of jobs are stored by range.
     fn packs_terminal_states(&self) -> bool {
-        terminal_states::layout(self.cache.generation.0.written()) == Layout::Packed
+        terminal_states::layout(self.cache.generation.0.written_generation()) == Layout::Packed
     }
 
     /// Reads the range that the next terminal state belongs to, if its content is unknown.
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -15,7 +15,7 @@
     wire::peer::Line,
 };
 use kiteyard_maintenance::drain::Drains;
-use kiteyard_rollout::generation::{Ability, Cluster, Orders};
+use kiteyard_rollout::generation::{Ability, ClusterGeneration, Orders};
 use proptest::prelude::*;
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
@@ -53,7 +53,7 @@
         // Only its revision counts.
         ("live", "claims") => round_trip::<String>(text),
         ("live", "types") => round_trip::<Vec<MachineType>>(text),
-        ("live", "generation") => round_trip::<Cluster>(text),
+        ("live", "generation") => round_trip::<ClusterGeneration>(text),
         ("live", "orders") => round_trip::<Orders>(text),
         ("live", "sign") => round_trip::<StoredHeartbeat>(text),
         ("live", "drains") => round_trip::<Drains>(text),
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -17,8 +17,8 @@
 };
 use kiteyard_rollout::{
     config::Config,
-    generation::{Cluster, Order, Stage},
-    machine::Told,
+    generation::{ClusterGeneration, Order, Stage},
+    state_machine::NodeAnnouncement,
 };
 use rand::RngExt;
 
@@ -40,7 +40,7 @@
     pub config: Option<Arc<Config>>,
     pub on_stage: Vec<OnStage>,
     /// The stages that were seen, in order.
-    pub seen: Vec<Cluster>,
+    pub seen: Vec<ClusterGeneration>,
     /// Submissions' transactions are now and then held back for so long.
     pub held_back: Option<Duration>,
     /// The leader ends at this write of ends or the generation, before or after it.
@@ -62,7 +62,7 @@
     pub returned: usize,
     /// When a leader last had machines whose tasks it did not know.
     pub unresolved: Duration,
-    last_told: Option<Told>,
+    last_told: Option<NodeAnnouncement>,
     /// The node that was asked to step down, and that it is the one which ends.
     pub asked: Option<usize>,
     pub spare_successor: bool,
@@ -166,7 +166,7 @@
         }
     }
 
-    pub fn cluster(&mut self) -> Cluster {
+    pub fn cluster(&mut self) -> ClusterGeneration {
         self.stored(GENERATION_KEY).unwrap_or_default()
     }
 
@@ -426,7 +426,7 @@
         };
         let forged = self.sabotage == Sabotage::SoakGoesOn;
         let told = self.roll.last_told.filter(|_| forged);
-        heartbeat.told = told.map(|told| Told { knows, ..told });
+        heartbeat.told = told.map(|told| NodeAnnouncement { knows, ..told });
         message
     }
 }
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -16,7 +16,7 @@
     },
     terminal_states::{JobIdRange, TerminalStates, parse_single},
 };
-use kiteyard_rollout::generation::{Cluster, Stage};
+use kiteyard_rollout::generation::{ClusterGeneration, Stage};
 use rand::RngExt;
 
 use super::{Asker, Event, NODES, Sabotage, World, ms, users::Asking};
@@ -102,7 +102,7 @@
 impl World {
     /// The terminal states of jobs are stored by ranges of ids from the start.
     pub fn packs_ends(mut self) -> Self {
-        let cluster = Cluster {
+        let cluster = ClusterGeneration {
             from: 2,
             to: 2,
             stage: Stage::Settled,
