--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -84,16 +84,16 @@
         since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report_interval))
     }
 
-    pub(super) fn hears_leader(&self) -> bool {
-        self.membership.nodes.hears_leader(self.now())
+    pub(super) fn reaches_leader(&self) -> bool {
+        self.membership.nodes.reaches_leader(self.now())
     }
 
     /// Returns another node that hears the leader.
-    pub(super) fn peer_hearing_leader(&self) -> Option<String> {
+    pub(super) fn peer_reaching_leader(&self) -> Option<String> {
         let (leader, claim) = self.known_leader()?;
         self.membership
             .nodes
-            .peer_hearing_leader(leader, claim, self.now())
+            .peer_reaching_leader(leader, claim, self.now())
     }
 
     /// Returns the leader and its claim: by the stored key, or by the other nodes' heartbeats while
@@ -134,8 +134,8 @@
                 false => nodes.leader_silence(now).max(Duration::from_millis(1)),
             },
             state_service_silence: nodes.state_service_silence(now),
-            machines_heard: self.membership.detector.machines_heard(),
-            told: self.announced_state(),
+            reachable_machines: self.membership.detector.reachable_machines(),
+            announced_state: self.announced_state(),
         };
         let needs_probe = heartbeat.state_service_silence > HEARTBEAT_INTERVAL;
         for to in self.config.peers.clone() {
@@ -253,7 +253,7 @@
         let own_machines = || {
             self.membership
                 .detector
-                .machines_heard()
+                .reachable_machines()
                 .values()
                 .sum::<u32>()
         };
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -101,7 +101,7 @@
                 .record_stranded_worker(&report.machine, now);
             self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
         }
-        if is_cut_from_leader && !self.hears_leader() {
+        if is_cut_from_leader && !self.reaches_leader() {
             match self.leader_stores_heartbeats() {
                 // No node can forward the report, and the leader stays the leader: the worker
                 // tries the other nodes.
@@ -162,12 +162,12 @@
     fn is_cut_from_leader(&mut self, report: &WorkerReport, claim: u64) -> bool {
         let now = self.now();
         let knows_token = report.token >> 16 == claim;
-        if !self.hears_leader() && self.leader_stores_heartbeats() {
+        if !self.reaches_leader() && self.leader_stores_heartbeats() {
             // Reports can't be forwarded: the worker is redirected, unless it just returned.
             let redirected_at = self.forwarded.redirected.get(&report.machine);
             return redirected_at.is_some_and(|at| now < *at + WORKER_RETURN_TIMEOUT);
         }
-        if knows_token && !self.hears_leader() {
+        if knows_token && !self.reaches_leader() {
             return true;
         }
         match self.forwarded.redirected.get(&report.machine) {
@@ -227,7 +227,7 @@
         let tasks = report.tasks.len();
         let is_full = self.forwarded.held.len() >= self.config.max_waiting_requests
             || self.forwarded.held_tasks + tasks > self.config.max_waiting_tasks;
-        match self.peer_hearing_leader() {
+        match self.peer_reaching_leader() {
             Some(node) => self.answer(request, Answer::Redirect(Some(node))),
             None if is_full => self.answer(request, Answer::Redirect(None)),
             None => {
@@ -248,9 +248,9 @@
             return;
         };
         let is_expired = now >= first.deadline;
-        let hears_leader = (self.hears_leader() || self.leader_stores_heartbeats())
+        let reaches_leader = (self.reaches_leader() || self.leader_stores_heartbeats())
             && self.other_leader().is_some();
-        let has_route = hears_leader || self.is_leader() || self.peer_hearing_leader().is_some();
+        let has_route = reaches_leader || self.is_leader() || self.peer_reaching_leader().is_some();
         if !has_route && !is_expired {
             return;
         }
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -28,15 +28,15 @@
     pub state_service_silence: Duration,
     /// Number of machines per zone that reported to the sender recently.
     #[serde(default, rename = "hears")]
-    pub machines_heard: BTreeMap<Arc<str>, u32>,
+    pub reachable_machines: BTreeMap<Arc<str>, u32>,
     /// Process of the sender and the generation it knows, if rollouts are enabled.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub told: Option<Told>,
+    #[serde(default, rename = "told", skip_serializing_if = "Option::is_none")]
+    pub announced_state: Option<Told>,
 }
 
 impl NodeHeartbeat {
     pub fn machines(&self) -> u32 {
-        self.machines_heard.values().sum()
+        self.reachable_machines.values().sum()
     }
 }
 
@@ -190,7 +190,7 @@
     }
 
     /// Returns whether this node has heard the leader recently. A new leader counts as heard.
-    pub fn hears_leader(&self, now: Duration) -> bool {
+    pub fn reaches_leader(&self, now: Duration) -> bool {
         let silence = self.leader_silence(now);
         silence < LEADER_HEARTBEAT_TIMEOUT
             || (silence < LEADER_HEARTBEAT_TIMEOUT * 3 / 2
@@ -201,7 +201,7 @@
     pub fn record_stored_heartbeat(&mut self, stored_heartbeat: StoredHeartbeat, now: Duration) {
         if stored_heartbeat.claim == self.leader.0 {
             self.stored_heartbeat_at = Some(now);
-            self.leader_machines = stored_heartbeat.machines_heard;
+            self.leader_machines = stored_heartbeat.reachable_machines;
         }
     }
 
@@ -213,11 +213,11 @@
     }
 
     /// Returns whether a node reported recently that it hears the leader of this claim.
-    pub fn peer_hears_leader(&self, node: &str, claim: u64, now: Duration) -> bool {
-        let hears_leader =
+    pub fn peer_reaches_leader(&self, node: &str, claim: u64, now: Duration) -> bool {
+        let reaches_leader =
             |p: &NodeHeartbeat| p.claim == claim && p.leader_silence < LEADER_HEARTBEAT_TIMEOUT;
         self.live_peers(now)
-            .any(|(n, heartbeat)| n == node && hears_leader(heartbeat))
+            .any(|(n, heartbeat)| n == node && reaches_leader(heartbeat))
     }
 
     fn live_peers(&self, now: Duration) -> impl Iterator<Item = (&String, &NodeHeartbeat)> {
@@ -229,7 +229,7 @@
     }
 
     /// Returns another node that hears the leader.
-    pub fn peer_hearing_leader(&self, leader: &str, claim: u64, now: Duration) -> Option<String> {
+    pub fn peer_reaching_leader(&self, leader: &str, claim: u64, now: Duration) -> Option<String> {
         let hearing = self.peers.iter().find(|(node, peer)| {
             *node != leader
                 && peer.heartbeat.claim == claim
@@ -260,9 +260,9 @@
     }
 
     /// Returns the process information of a live node.
-    pub fn told(&self, node: &str, now: Duration) -> Option<Told> {
+    pub fn announced_state(&self, node: &str, now: Duration) -> Option<Told> {
         let mut peers = self.live_peers(now);
-        peers.find(|(other, _)| *other == node)?.1.told
+        peers.find(|(other, _)| *other == node)?.1.announced_state
     }
 
     /// Returns the served node that hears the most machines, and their number.
@@ -302,7 +302,7 @@
             return false;
         }
         // A leader that another node hears still receives the reports which that node forwards.
-        let hears_leader = |p: &NodeHeartbeat| p.claim == claim && p.leader_silence < timeout;
+        let reaches_leader = |p: &NodeHeartbeat| p.claim == claim && p.leader_silence < timeout;
         let stranded = self
             .stranded_workers
             .values()
@@ -318,6 +318,6 @@
             && !keeps_leading
             && !self
                 .live_peers(now)
-                .any(|(_, heartbeat)| hears_leader(heartbeat))
+                .any(|(_, heartbeat)| reaches_leader(heartbeat))
     }
 }
--- a/src/core/membership/reachability.rs
+++ b/src/core/membership/reachability.rs
@@ -39,7 +39,7 @@
 const MIN_MACHINES: usize = 3;
 
 #[derive(Debug)]
-struct LastHeard {
+struct LastHeartbeat {
     zone: Arc<str>,
     /// Time of the last heartbeat by any path.
     any_path: Duration,
@@ -75,7 +75,7 @@
     /// Time after which a silent machine is forgotten.
     retention: Duration,
     active_time: ActiveTime,
-    machines: HashMap<MachineId, LastHeard>,
+    machines: HashMap<MachineId, LastHeartbeat>,
     zones: BTreeMap<Arc<str>, Zone>,
     reports: PhiAccrual,
     unanswered: u32,
@@ -119,19 +119,19 @@
         let at = self.active_time.elapsed();
         let is_direct = path != HeartbeatPath::Forwarded;
         match self.machines.get_mut(machine) {
-            Some(last_heard) => {
-                last_heard.any_path = at;
+            Some(last_heartbeat) => {
+                last_heartbeat.any_path = at;
                 if is_direct {
-                    last_heard.direct = Some(at);
+                    last_heartbeat.direct = Some(at);
                 }
             }
             None => {
-                let last_heard = LastHeard {
+                let last_heartbeat = LastHeartbeat {
                     zone: zone.clone(),
                     any_path: at,
                     direct: is_direct.then_some(at),
                 };
-                self.machines.insert(machine.clone(), last_heard);
+                self.machines.insert(machine.clone(), last_heartbeat);
             }
         }
         if !is_direct {
@@ -152,8 +152,8 @@
     /// Records that a machine did not answer a direct command.
     pub fn record_unanswered(&mut self, machine: &MachineId) {
         self.unanswered += 1;
-        if let Some(last_heard) = self.machines.get(machine)
-            && let Some(zone) = self.zones.get_mut(&last_heard.zone)
+        if let Some(last_heartbeat) = self.machines.get(machine)
+            && let Some(zone) = self.zones.get_mut(&last_heartbeat.zone)
         {
             zone.unanswered += 1;
         }
@@ -165,20 +165,20 @@
     }
 
     /// Returns the number of machines per zone heard directly within 1.5 report intervals.
-    pub fn machines_heard(&self) -> BTreeMap<Arc<str>, u32> {
+    pub fn reachable_machines(&self) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
-        for last_heard in self
+        for last_heartbeat in self
             .machines
             .values()
-            .filter(|last_heard| self.is_recent(last_heard))
+            .filter(|last_heartbeat| self.is_recent(last_heartbeat))
         {
-            *zones.entry(last_heard.zone.clone()).or_insert(0) += 1;
+            *zones.entry(last_heartbeat.zone.clone()).or_insert(0) += 1;
         }
         zones
     }
 
-    fn is_recent(&self, last_heard: &LastHeard) -> bool {
-        last_heard
+    fn is_recent(&self, last_heartbeat: &LastHeartbeat) -> bool {
+        last_heartbeat
             .direct
             .is_some_and(|at| self.active_time.elapsed() <= at + self.report_interval * 3 / 2)
     }
@@ -193,12 +193,12 @@
         let at = self.active_time.elapsed();
         let retention = self.retention;
         self.machines
-            .retain(|_, last_heard| at <= last_heard.any_path + retention);
+            .retain(|_, last_heartbeat| at <= last_heartbeat.any_path + retention);
         let mut counts: BTreeMap<&Arc<str>, (usize, usize)> = BTreeMap::new();
-        for last_heard in self.machines.values() {
-            let count = counts.entry(&last_heard.zone).or_insert((0, 0));
+        for last_heartbeat in self.machines.values() {
+            let count = counts.entry(&last_heartbeat.zone).or_insert((0, 0));
             count.0 += 1;
-            count.1 += usize::from(self.is_recent(last_heard));
+            count.1 += usize::from(self.is_recent(last_heartbeat));
         }
         let total = counts.values().fold((0, 0), |s, c| (s.0 + c.0, s.1 + c.1));
         let has_enough_machines = total.0 >= MIN_MACHINES;
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -70,7 +70,7 @@
     /// Zones listed by a write that is in flight or whose result is unknown.
     unconfirmed: BTreeSet<Arc<str>>,
     /// Listed zones that were heard again and should be removed from the list.
-    heard_again: BTreeSet<Arc<str>>,
+    reachable_again: BTreeSet<Arc<str>>,
     deferred: Vec<DeferredReport>,
     /// Number of tasks listed by the deferred reports.
     deferred_tasks: usize,
@@ -107,7 +107,7 @@
     /// Marks a listed zone for removal after a heartbeat from one of its machines.
     pub(super) fn record_zone_heartbeat(&mut self, zone: &Arc<str>) {
         if self.is_partitioned(zone) {
-            self.partitioned_zones.heard_again.insert(zone.clone());
+            self.partitioned_zones.reachable_again.insert(zone.clone());
         }
     }
 
@@ -219,7 +219,7 @@
             // Late writes of a lost claim fail. As long as the claim may become valid again, as
             // after an outage, a write without a reply may still be executed.
             self.partitioned_zones.unconfirmed.clear();
-            self.partitioned_zones.heard_again.clear();
+            self.partitioned_zones.reachable_again.clear();
         }
         if !self.is_leader() {
             return;
@@ -244,7 +244,9 @@
         }
         let mut zones = self.cache.partitioned_zones.0.zones.clone();
         let stores_zones = self.stores_partitioned_zones();
-        zones.retain(|zone, _| stores_zones && !self.partitioned_zones.heard_again.contains(zone));
+        zones.retain(|zone, _| {
+            stores_zones && !self.partitioned_zones.reachable_again.contains(zone)
+        });
         if stores_zones && self.has_previous_leader_stopped() {
             for zone in self.newly_partitioned() {
                 let last = self.last_answered(&zone);
@@ -335,7 +337,7 @@
             if has_removed {
                 self.partitioned_zones.retry_at = now + RELIST_DELAY;
             }
-            self.partitioned_zones.heard_again.clear();
+            self.partitioned_zones.reachable_again.clear();
             self.partitioned_zones.unconfirmed.clear();
             if *revision > self.cache.partitioned_zones.1 {
                 self.cache.partitioned_zones = (record, *revision);
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -318,7 +318,7 @@
             };
             let told = match *node == self.config.node {
                 true => self.announced_state(),
-                false => self.membership.nodes.told(node, now),
+                false => self.membership.nodes.announced_state(node, now),
             };
             let seen = Seen {
                 ability,
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -23,7 +23,7 @@
     pub claim: u64,
     /// Number of machines that reported to the leader recently.
     #[serde(rename = "hears")]
-    pub machines_heard: u32,
+    pub reachable_machines: u32,
 }
 
 #[derive(Debug, Default)]
@@ -50,20 +50,20 @@
         }
         let Some(claim) = self.claim() else { return };
         let nodes = &self.membership.nodes;
-        let hears_leader = |node: &String| nodes.peer_hears_leader(node, claim, now);
+        let reaches_leader = |node: &String| nodes.peer_reaches_leader(node, claim, now);
         if self.membership.leading_for(now) < FIRST_HEARTBEAT_DELAY
-            || self.config.peers.iter().all(hears_leader)
+            || self.config.peers.iter().all(reaches_leader)
         {
             return;
         }
         self.heartbeat_writer.write_in_flight = true;
         self.write_queue.charge(1.0);
-        let machines_heard = self.membership.detector.machines_heard().values().sum();
+        let reachable_machines = self.membership.detector.reachable_machines().values().sum();
         let changes = vec![put(
             STORED_HEARTBEAT_KEY,
             &StoredHeartbeat {
                 claim,
-                machines_heard,
+                reachable_machines,
             },
         )];
         let conditions = vec![if_version(LEADER_KEY, claim)];
@@ -85,7 +85,7 @@
     /// should turn to a node that hears the leader, if there is one: it forwards their reports.
     pub(super) fn leader_stores_heartbeats(&self) -> bool {
         let leader = self.cache.leader.as_ref();
-        self.peer_hearing_leader().is_none()
+        self.peer_reaching_leader().is_none()
             && leader.is_some_and(|(_, claim)| {
                 self.membership
                     .nodes
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -292,7 +292,7 @@
     };
     let stored_heartbeat = StoredHeartbeat {
         claim: 9,
-        machines_heard: 5,
+        reachable_machines: 5,
     };
     let reply = StateReply::Events {
         events: vec![Event {
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -413,8 +413,8 @@
             return message;
         };
         if !self.roll.before[node] {
-            if node == 2 && heartbeat.told.is_some() {
-                self.roll.last_told = heartbeat.told;
+            if node == 2 && heartbeat.announced_state.is_some() {
+                self.roll.last_told = heartbeat.announced_state;
             }
             return message;
         }
@@ -426,7 +426,7 @@
         };
         let forged = self.sabotage == Sabotage::SoakGoesOn;
         let told = self.roll.last_told.filter(|_| forged);
-        heartbeat.told = told.map(|told| Told { knows, ..told });
+        heartbeat.announced_state = told.map(|told| Told { knows, ..told });
         message
     }
 }
