--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -39,7 +39,7 @@
 
 struct Reply {
     status: u16,
-    retry: Option<Duration>,
+    retry_after: Option<Duration>,
     body: Bytes,
 }
 
@@ -67,7 +67,7 @@
         let results = self.results.clone();
         tokio::task::spawn_local(async move {
             let reply = match reply.await {
-                Some(r) => wire::state::decode(&request, r.status, r.retry, &r.body),
+                Some(r) => wire::state::decode(&request, r.status, r.retry_after, &r.body),
                 None => StateReply::Unclear,
             };
             let _ = results.send(Input::State { call, reply });
@@ -153,7 +153,7 @@
     let answer = async {
         let response = http.request(request).await.ok()?;
         let status = response.status().as_u16();
-        let retry = response
+        let retry_after = response
             .headers()
             .get(RETRY_AFTER)
             .and_then(|v| v.to_str().ok()?.parse::<f64>().ok())
@@ -165,7 +165,7 @@
             .to_bytes();
         Some(Reply {
             status,
-            retry,
+            retry_after,
             body,
         })
     };
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -22,7 +22,7 @@
 /// about 6,000 machines take about a megabyte.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 const MAX_LINE_BYTES: u64 = MAX_QUEUED_BYTES as u64;
-const RETRY_DELAY: Duration = Duration::from_millis(300);
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 const IO_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub struct Peers {
@@ -121,7 +121,7 @@
         }
         // Lines queued while the peer was unreachable are outdated.
         lines.clear();
-        sleep(RETRY_DELAY).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -146,7 +146,7 @@
     let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(max_connections));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(RETRY_DELAY).await;
+            sleep(RECONNECT_DELAY).await;
             continue;
         };
         let Ok(permit) = permits.clone().try_acquire_owned() else {
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -156,8 +156,12 @@
                 self.job_request(&request, |request, id| Input::Withdraw { request, id })
                     .await
             }
-            Handler::Ready => self.api.ask(|request| Input::Ready { request }).await,
-            Handler::Licences => self.api.ask(|request| Input::Licences { request }).await,
+            Handler::Ready => self.api.dispatch(|request| Input::Ready { request }).await,
+            Handler::Licences => {
+                self.api
+                    .dispatch(|request| Input::Licences { request })
+                    .await
+            }
             Handler::Rollout => self.rollout(RolloutAction::Status).await,
             Handler::Drains => {
                 self.maintenance(maintenance::MaintenanceRequest::Status)
@@ -169,7 +173,7 @@
                     .await
                     .map(|body| wire::user::parse_drain(&order, &body))
                 {
-                    Ok(Ok(ask)) => self.maintenance(ask).await,
+                    Ok(Ok(action)) => self.maintenance(action).await,
                     Ok(Err(message)) => {
                         json_response(StatusCode::BAD_REQUEST, wire::user::error_body(&message))
                     }
@@ -179,7 +183,7 @@
             Handler::Order => {
                 let path = request.uri().path();
                 match wire::user::parse_order(path.trim_start_matches("/rollout/")) {
-                    Ok(ask) => self.rollout(ask).await,
+                    Ok(action) => self.rollout(action).await,
                     Err(message) => {
                         json_response(StatusCode::BAD_REQUEST, wire::user::error_body(&message))
                     }
@@ -199,7 +203,7 @@
             Ok(spec) => {
                 let spec = Arc::new(spec);
                 self.api
-                    .ask(move |request| Input::Submit { request, spec })
+                    .dispatch(move |request| Input::Submit { request, spec })
                     .await
             }
             Err(message) => {
@@ -208,21 +212,15 @@
         }
     }
 
-    async fn maintenance(&self, ask: maintenance::MaintenanceRequest) -> Response {
+    async fn maintenance(&self, action: maintenance::MaintenanceRequest) -> Response {
         self.api
-            .ask(move |request| Input::Maintenance {
-                request,
-                action: ask,
-            })
+            .dispatch(move |request| Input::Maintenance { request, action })
             .await
     }
 
-    async fn rollout(&self, ask: RolloutAction) -> Response {
+    async fn rollout(&self, action: RolloutAction) -> Response {
         self.api
-            .ask(move |request| Input::Rollout {
-                request,
-                action: ask,
-            })
+            .dispatch(move |request| Input::Rollout { request, action })
             .await
     }
 
@@ -234,7 +232,7 @@
         match wire::worker::parse_report(&body) {
             Ok(report) => {
                 self.api
-                    .ask(move |request| Input::Report { request, report })
+                    .dispatch(move |request| Input::Report { request, report })
                     .await
             }
             Err(message) => {
@@ -250,14 +248,21 @@
     ) -> Response {
         // A job with an invalid ID was never accepted.
         match JobId::parse(&request.path_params::<String>().unwrap_or_default()) {
-            Some(id) => self.api.ask(move |request| into_input(request, id)).await,
+            Some(id) => {
+                self.api
+                    .dispatch(move |request| into_input(request, id))
+                    .await
+            }
             None => answer_response(Answer::NotFound),
         }
     }
 }
 
 impl Api {
-    async fn ask(&self, into_input: impl FnOnce(RequestId) -> Input + Send + 'static) -> Response {
+    async fn dispatch(
+        &self,
+        into_input: impl FnOnce(RequestId) -> Input + Send + 'static,
+    ) -> Response {
         let (answer, answered) = oneshot::channel();
         let request = IncomingRequest {
             into_input: Box::new(into_input),
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -144,12 +144,12 @@
 pub fn decode(
     request: &StateRequest,
     status: u16,
-    retry: Option<Duration>,
+    retry_after: Option<Duration>,
     body: &[u8],
 ) -> StateReply {
     match (status, request) {
         (429 | 503, _) => StateReply::Refused {
-            retry_after: retry,
+            retry_after,
             rate_limited: status == 429,
         },
         (200, request) => decode_ok(request, body).unwrap_or(StateReply::Unclear),
