--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -52,7 +52,7 @@
     Cancel {
         request: RequestId,
         id: JobId,
-        ends: Option<(terminal_states::JobIdRange, terminal_states::TerminalStates)>,
+        states: Option<(terminal_states::JobIdRange, terminal_states::TerminalStates)>,
     },
     ReadTerminalState(Box<user_requests::TerminalRead>),
     /// Reads whether a job that a submission depends on is active.
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -12,7 +12,7 @@
 
 /// Divisors of the state service's request rate: the proofs of all nodes together use one request
 /// in six, and the followers' watches one in five.
-const PROOF_RATE_DIVISOR: f64 = 6.0;
+const SYNC_RATE_DIVISOR: f64 = 6.0;
 const WATCH_RATE_DIVISOR: f64 = 5.0;
 /// Share of the state service's change rate that the leader plans with.
 const WRITE_SHARE: f64 = 0.9;
@@ -157,7 +157,7 @@
             round_pause_per_machine: ROUND_PAUSE_PER_MACHINE
                 .div_f64(params.resources.cpu_share.clamp(0.05, 1.0)),
             renew_interval: (leader_ttl / 8).min(Duration::from_millis(1500)),
-            sync_interval: seconds(PROOF_RATE_DIVISOR * node_count as f64 / params.state.rps),
+            sync_interval: seconds(SYNC_RATE_DIVISOR * node_count as f64 / params.state.rps),
             watch_interval: seconds(WATCH_RATE_DIVISOR * node_count as f64 / params.state.rps),
             write_rate: params.state.write_rps * WRITE_SHARE,
             announced_write_rate: announced_rps.map(|rate| rate * WRITE_SHARE),
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -282,14 +282,14 @@
     /// refused, lost or slow miss cancellations that other nodes have confirmed.
     fn verify_claim(&mut self) {
         let Some(claim) = self.claim() else { return };
-        let (asked, renewed) = (self.now(), self.election.last_renewal_sent);
-        self.election.verification_sent_at = asked;
+        let (sent, renewal_sent) = (self.now(), self.election.last_renewal_sent);
+        self.election.verification_sent_at = sent;
         self.call_with_timeout(
             self.failover_timeout(),
             Purpose::Verify {
                 claim,
-                renewal_sent: renewed,
-                sent: asked,
+                renewal_sent,
+                sent,
             },
             self.watch_request(Duration::ZERO),
         );
@@ -306,22 +306,22 @@
         self.election.verified_at
     }
 
-    /// Handles the reply to a verification. If the claim was valid after `asked`, the cache holds
+    /// Handles the reply to a verification. If the claim was valid after `sent`, the cache holds
     /// everything stored before that, so a node within its term knows each cancellation that was
     /// confirmed more than a term ago.
     pub(super) fn verification_answered(
         &mut self,
         claim: u64,
-        renewed: Duration,
-        asked: Duration,
+        renewal_sent: Duration,
+        sent: Duration,
         reply: StateReply,
     ) {
         let is_cache_current = self.apply_watch_reply(reply);
         let stored_claim = self.cache.leader.as_ref().map(|(_, version)| *version);
         // A replaced claim was dropped while the events were applied.
         if is_cache_current && self.election.claim == Some(claim) && stored_claim == Some(claim) {
-            self.election.verified_at = self.election.verified_at.max(asked);
-            let term_end = renewed + self.config.leader_term;
+            self.election.verified_at = self.election.verified_at.max(sent);
+            let term_end = renewal_sent + self.config.leader_term;
             self.election.valid_until = self.election.valid_until.max(term_end);
         }
     }
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -176,7 +176,7 @@
             mut conditions,
             changes,
             range,
-            states: ends,
+            states,
             records,
         } = rewrite;
         conditions.push(if_version(GENERATION_KEY, revision));
@@ -184,7 +184,7 @@
         migration.allowance -= changes.len() as f64;
         self.write_queue.charge(changes.len() as f64);
         self.ranges.mark_busy(&range);
-        let step = MigrationRequest::Rewrite(range, ends, records as u64);
+        let step = MigrationRequest::Rewrite(range, states, records as u64);
         self.call(
             Purpose::Migrate((revision, claim), step),
             StateRequest::Txn {
@@ -201,13 +201,13 @@
         reply: StateReply,
     ) {
         let now = self.now();
-        if let MigrationRequest::Rewrite(range, ends, _) = &step {
+        if let MigrationRequest::Rewrite(range, states, _) = &step {
             match &reply {
                 StateReply::Committed { revision } => {
                     // An empty range is stored by deleting its key.
                     let known = terminal_states::KnownRange {
-                        version: if ends.is_empty() { 0 } else { *revision },
-                        states: ends.clone(),
+                        version: if states.is_empty() { 0 } else { *revision },
+                        states: states.clone(),
                     };
                     self.ranges.forget(range);
                     self.ranges.update(range.clone(), known);
@@ -229,11 +229,11 @@
                     self.rollout.migration.retry_at = now + RETRY_DELAY * 4;
                 }
             }
-            (MigrationRequest::Rewrite(range, ends, records), StateReply::Committed { .. }) => {
+            (MigrationRequest::Rewrite(range, states, records), StateReply::Committed { .. }) => {
                 let migration = &mut self.rollout.migration;
                 migration.total_rewritten += records;
                 migration.rewritten += records;
-                let is_empty = ends.is_empty();
+                let is_empty = states.is_empty();
                 let front = migration.queue.front();
                 if matches!(front, Some(PendingRange::Unpack(r)) if *r == range && is_empty) {
                     migration.queue.pop_front();
@@ -270,9 +270,10 @@
                     1
                 }),
                 None => JobIdRange::from_key(&entry.key).and_then(|range| {
-                    let ends: terminal_states::TerminalStates = serde_json::from_str(text).ok()?;
+                    let states: terminal_states::TerminalStates =
+                        serde_json::from_str(text).ok()?;
                     migration.queue.push_back(PendingRange::Unpack(range));
-                    Some(ends.len() as u64)
+                    Some(states.len() as u64)
                 }),
             };
             match read {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -80,7 +80,7 @@
 /// Requests that result from a round of the leader.
 struct RoundWork {
     /// A decision waits for a new proof of the claim.
-    needs_proof: bool,
+    needs_verification: bool,
     direct_commands: Vec<DirectCommands>,
     cloud_request: Option<CloudRequest>,
 }
@@ -265,10 +265,10 @@
     }
 
     fn run_leader_round(&mut self) {
-        let proven = self.claim_verified_at();
+        let verified_at = self.claim_verified_at();
         self.schedule_next_round();
         self.update_reachability();
-        let Some(work) = self.plan_leader_round(proven) else {
+        let Some(work) = self.plan_leader_round(verified_at) else {
             return;
         };
         for direct in work.direct_commands {
@@ -277,7 +277,7 @@
         if let Some(request) = work.cloud_request {
             self.call_cloud(request);
         }
-        if work.needs_proof {
+        if work.needs_verification {
             self.expedite_verification();
         }
         self.drive_write_queue();
@@ -293,15 +293,15 @@
     }
 
     /// Plans a round. Returns `None` if this node has just stopped leading.
-    fn plan_leader_round(&mut self, proven: Duration) -> Option<RoundWork> {
+    fn plan_leader_round(&mut self, verified_at: Duration) -> Option<RoundWork> {
         let now = self.now();
         let cluster = self.cluster.as_mut()?;
-        cluster.claim_proven_at = proven;
+        cluster.claim_proven_at = verified_at;
         cluster.tick(now);
-        let needs_proof = cluster.needs_claim_proof(now);
+        let needs_verification = cluster.needs_claim_proof(now);
         run_due_pass(cluster, now);
         Some(RoundWork {
-            needs_proof,
+            needs_verification,
             direct_commands: cluster.direct_commands(now),
             cloud_request: cluster.due_cloud_request(now),
         })
@@ -415,7 +415,11 @@
                 accepted_ms,
                 tries,
             } => self.accepted(request, spec, accepted_ms, tries, reply),
-            Purpose::Cancel { request, id, ends } => self.cancelled(request, id, ends, reply),
+            Purpose::Cancel {
+                request,
+                id,
+                states,
+            } => self.cancelled(request, id, states, reply),
             Purpose::ReadTerminalState(read) => self.terminal_state_read(*read, reply),
             Purpose::ReadDependency(check) => self.dependency_read(*check, &reply),
             Purpose::ReadRange { request, id, then } => {
@@ -452,8 +456,8 @@
     }
 
     fn sync_answered(&mut self, reply: StateReply) {
-        let proven = self.apply_watch_reply(reply);
-        self.synced(proven);
+        let is_current = self.apply_watch_reply(reply);
+        self.synced(is_current);
     }
 
     fn cache_terminal_state(&mut self, id: JobId, record: TerminalRecord) {
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -96,7 +96,7 @@
     Cancel,
 }
 
-const RETRY_DELAY: Duration = Duration::from_secs(1);
+const CLIENT_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Attempts to store a submission that conflicts with other writes.
 const MAX_STORE_ATTEMPTS: u8 = 4;
 
@@ -104,7 +104,12 @@
     pub(super) fn submit(&mut self, request: RequestId, spec: Arc<JobSpec>) {
         let is_available = self.cache.loaded && !self.cannot_read_state();
         let Some(types) = self.cache.machine_types.clone().filter(|_| is_available) else {
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         };
         let id = spec.id.clone();
@@ -118,7 +123,12 @@
             return;
         }
         if !spec.needs.is_empty() && !self.all_support_dependencies() {
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         }
         self.check_dependencies(DependencyCheck {
@@ -139,7 +149,12 @@
                     return;
                 }
             } else if self.cache.is_unreadable(dependency) {
-                self.answer(check.request, Answer::Later { retry: RETRY_DELAY });
+                self.answer(
+                    check.request,
+                    Answer::Later {
+                        retry: CLIENT_RETRY_DELAY,
+                    },
+                );
                 return;
             } else if !self.terminal_cache.contains_key(dependency) {
                 let key = job_key(dependency);
@@ -181,7 +196,12 @@
                     }
                     Err(_) => {
                         self.report_unreadable(&entry.key);
-                        self.answer(check.request, Answer::Later { retry: RETRY_DELAY });
+                        self.answer(
+                            check.request,
+                            Answer::Later {
+                                retry: CLIENT_RETRY_DELAY,
+                            },
+                        );
                     }
                 }
             }
@@ -194,7 +214,12 @@
                     JobQuery::ForSubmission(Box::new(check)),
                 );
             }
-            _ => self.answer(check.request, Answer::Later { retry: RETRY_DELAY }),
+            _ => self.answer(
+                check.request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            ),
         }
     }
 
@@ -253,7 +278,12 @@
             .cache_range(&JobIdRange::containing(&id).0, reply)
             .is_none()
         {
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         }
         match then {
@@ -271,9 +301,9 @@
         let known = match reply {
             StateReply::Missing => KnownRange::default(),
             StateReply::Entry(entry) => match serde_json::from_str(entry.value.get()) {
-                Ok(ends) => KnownRange {
+                Ok(states) => KnownRange {
                     version: entry.version,
-                    states: ends,
+                    states,
                 },
                 Err(_) => {
                     self.report_unreadable(&entry.key);
@@ -356,13 +386,16 @@
                 self.ranges.forget(&JobIdRange::containing(&id).0);
                 self.queue_query(request, id, JobQuery::Resubmit(spec, tries + 1));
             }
-            StateReply::Refused {
-                retry_after: retry, ..
-            } => {
-                let retry = retry.unwrap_or(RETRY_DELAY);
+            StateReply::Refused { retry_after, .. } => {
+                let retry = retry_after.unwrap_or(CLIENT_RETRY_DELAY);
                 self.answer(request, Answer::Later { retry });
             }
-            _ => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
+            _ => self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            ),
         }
     }
 
@@ -373,7 +406,12 @@
             || self.cannot_read_state()
             || self.user_requests.queued.len() >= self.config.max_waiting_requests
         {
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
         } else {
             self.user_requests
                 .queued
@@ -407,7 +445,12 @@
             if is_current {
                 self.resolve(pending);
             } else {
-                self.answer(pending.request, Answer::Later { retry: RETRY_DELAY });
+                self.answer(
+                    pending.request,
+                    Answer::Later {
+                        retry: CLIENT_RETRY_DELAY,
+                    },
+                );
             }
         }
     }
@@ -417,7 +460,12 @@
         let PendingQuery { request, id, query } = pending;
         if self.cannot_read_state() || self.cache.is_unreadable(&id) {
             // The stored record has a format that this build can't read.
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         }
         let Some(_) = self.cache.jobs.get(&id) else {
@@ -500,7 +548,7 @@
             Purpose::Cancel {
                 request,
                 id,
-                ends: terminal_write.states,
+                states: terminal_write.states,
             },
             StateRequest::Txn {
                 conditions,
@@ -520,11 +568,11 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        ends: Option<(JobIdRange, terminal_states::TerminalStates)>,
+        states: Option<(JobIdRange, terminal_states::TerminalStates)>,
         reply: StateReply,
     ) {
         let now = self.now();
-        self.range_written(&id, ends, &reply);
+        self.range_written(&id, states, &reply);
         match reply {
             StateReply::Committed { revision } => {
                 self.cache_terminal_state(id.clone(), TerminalRecord::cancelled(0));
@@ -536,7 +584,12 @@
             }
             // Done or cancelled meanwhile: query the job again.
             StateReply::Conflict => self.queue_query(request, id, JobQuery::Withdraw),
-            _ => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
+            _ => self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            ),
         }
     }
 
@@ -544,19 +597,13 @@
     pub(super) fn range_written(
         &mut self,
         id: &JobId,
-        ends: Option<(JobIdRange, terminal_states::TerminalStates)>,
+        states: Option<(JobIdRange, terminal_states::TerminalStates)>,
         reply: &StateReply,
     ) {
-        match (reply, ends) {
-            (StateReply::Committed { revision }, Some((range, ends))) => {
+        match (reply, states) {
+            (StateReply::Committed { revision }, Some((range, states))) => {
                 let version = *revision;
-                self.ranges.update(
-                    range,
-                    KnownRange {
-                        version,
-                        states: ends,
-                    },
-                );
+                self.ranges.update(range, KnownRange { version, states });
             }
             (StateReply::Committed { .. }, None) => {}
             _ => self.ranges.forget(&JobIdRange::containing(id).0),
@@ -589,7 +636,12 @@
                     Some(record) => Some((record, entry.version)),
                     None => {
                         self.report_unreadable(&entry.key);
-                        self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
+                        self.answer(
+                            read.request,
+                            Answer::Later {
+                                retry: CLIENT_RETRY_DELAY,
+                            },
+                        );
                         return;
                     }
                 }
@@ -599,7 +651,12 @@
                 match self.cache_range(&range, reply) {
                     Some(known) => known.states.get(name).map(|record| (record, known.version)),
                     None => {
-                        self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
+                        self.answer(
+                            read.request,
+                            Answer::Later {
+                                retry: CLIENT_RETRY_DELAY,
+                            },
+                        );
                         return;
                     }
                 }
@@ -609,7 +666,12 @@
                 return;
             }
             _ => {
-                self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
+                self.answer(
+                    read.request,
+                    Answer::Later {
+                        retry: CLIENT_RETRY_DELAY,
+                    },
+                );
                 return;
             }
         };
@@ -651,7 +713,12 @@
                 self.accept(request, spec, tries)
             }
             JobQuery::Resubmit(..) | JobQuery::ForDependent(_) => {
-                self.answer(request, Answer::Later { retry: RETRY_DELAY });
+                self.answer(
+                    request,
+                    Answer::Later {
+                        retry: CLIENT_RETRY_DELAY,
+                    },
+                );
             }
             JobQuery::ForSubmission(check) => {
                 self.reject_for_dependency(*check, "was never accepted")
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -47,7 +47,7 @@
         claim: u64,
         ended: Vec<(JobId, TerminalRecord)>,
         /// The jobs' range with its new content, if terminal states are stored by range.
-        ends: Option<(JobIdRange, TerminalStates)>,
+        states: Option<(JobIdRange, TerminalStates)>,
         keys: Vec<String>,
     },
     /// Reads a range of terminal states before it is written.
@@ -273,11 +273,13 @@
 
     /// Rereads one shard of the assignment index after a write with an unknown outcome.
     fn reread_shard(&mut self, claim: u64) -> bool {
-        let unsure = self
+        let unverified = self
             .cluster
             .as_mut()
-            .and_then(|l| l.assignment_index.next_unverified());
-        let Some(shard) = unsure else { return false };
+            .and_then(|cluster| cluster.assignment_index.next_unverified());
+        let Some(shard) = unverified else {
+            return false;
+        };
         let key = shard_key(shard);
         self.write_queue.in_flight += 1;
         let write = Purpose::QueuedWrite(QueuedWrite::RereadShard { claim, shard });
@@ -295,8 +297,9 @@
             .jobs
             .iter_mut()
             .filter(|(_, job)| !job.saving && !job.is_complete());
-        let mut unsure = idle.filter_map(|(id, job)| Some((id, job.saved.next_unverified()?, job)));
-        let Some((id, chunk, job)) = unsure.next() else {
+        let mut unverified =
+            idle.filter_map(|(id, job)| Some((id, job.saved.next_unverified()?, job)));
+        let Some((id, chunk, job)) = unverified.next() else {
             return false;
         };
         job.saving = true;
@@ -406,7 +409,7 @@
         let write = QueuedWrite::Finish {
             claim,
             ended,
-            ends: terminal_write.states,
+            states: terminal_write.states,
             keys: remaining_keys,
         };
         Some((write, conditions, changes))
@@ -485,12 +488,12 @@
             self.write_queue.unsplittable_rejections = 0;
         }
         match &write {
-            QueuedWrite::Finish { ended, ends, .. } => {
+            QueuedWrite::Finish { ended, states, .. } => {
                 for (id, record) in ended.iter().filter(|_| committed) {
                     self.cache_terminal_state(id.clone(), *record);
                     self.cache.job_end_committed(id, revision);
                 }
-                if let Some((range, _)) = ends {
+                if let Some((range, _)) = states {
                     let pause = if committed {
                         RANGE_WRITE_INTERVAL
                     } else {
@@ -498,7 +501,7 @@
                     };
                     self.ranges.release(range, now + pause, now);
                 }
-                self.range_written(&ended[0].0, ends.clone(), &reply);
+                self.range_written(&ended[0].0, states.clone(), &reply);
             }
             QueuedWrite::ReadRange { range, .. } => {
                 let is_known = self.cache_range(range, &reply).is_some();
@@ -520,7 +523,11 @@
             | QueuedWrite::ReadRange { claim, .. }
             | QueuedWrite::DeleteGarbage { claim, .. } => *claim,
         };
-        let Some(cluster) = self.cluster.as_mut().filter(|l| l.claim == claim) else {
+        let Some(cluster) = self
+            .cluster
+            .as_mut()
+            .filter(|cluster| cluster.claim == claim)
+        else {
             return;
         };
         self.write_queue.in_flight = self.write_queue.in_flight.saturating_sub(1);
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -363,7 +363,7 @@
         let mut settings = settings(700);
         settings.params.state.value_kb = value_kb;
         let mut leading = LeadingNode::new(&settings, Vec::new());
-        let ask = MaintenanceRequest::Start {
+        let action = MaintenanceRequest::Start {
             machines: (0..machines).map(|i| format!("{names}{i}")).collect(),
             by: Some(Duration::from_secs(60)),
         };
@@ -373,7 +373,7 @@
         }
         let outputs = leading.run(Input::Maintenance {
             request: 7,
-            action: ask,
+            action,
         });
         match answers(&outputs)[..] {
             [Answer::Impossible(why)] => why.clone(),
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -157,16 +157,16 @@
 /// times may be dropped for this, but never a terminal state.
 #[test]
 fn full_range_fits_into_smallest_value_limit() {
-    let mut ends = TerminalStates::default();
+    let mut states = TerminalStates::default();
     for number in 0..100 {
         let record = TerminalRecord {
             state: JobState::Done,
             done: 100_000,
             ended_ms: Some(1_733_130_000_000 + number),
         };
-        ends.insert(&format!("{number:02}"), record);
+        states.insert(&format!("{number:02}"), record);
     }
-    let text = serde_json::to_string(&ends).expect("ends");
+    let text = serde_json::to_string(&states).expect("states");
     assert!(text.len() <= 2048, "{} bytes", text.len());
     let read: TerminalStates = serde_json::from_str(&text).expect("ends");
     assert_eq!(read.len(), 100);
