--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -371,10 +371,7 @@
         for _ in 0..3_000 {
             leading.run(Input::Tick);
         }
-        let outputs = leading.run(Input::Maintenance {
-            request: 7,
-            action,
-        });
+        let outputs = leading.run(Input::Maintenance { request: 7, action });
         match answers(&outputs)[..] {
             [Answer::Impossible(why)] => why.clone(),
             ref other => panic!("{other:?}"),
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -126,15 +126,15 @@
 
 #[test]
 fn terminal_state_times_are_parsed() {
-    let ends: TerminalStates =
+    let states: TerminalStates =
         serde_json::from_str(r#""07c3,12d400t1733130000000""#).expect("ends");
     let timed = TerminalRecord {
         state: JobState::Done,
         done: 400,
         ended_ms: Some(1_733_130_000_000),
     };
-    assert_eq!(ends.get("12"), Some(timed));
-    assert_eq!(ends.get("07"), Some(TerminalRecord::cancelled(3)));
+    assert_eq!(states.get("12"), Some(timed));
+    assert_eq!(states.get("07"), Some(TerminalRecord::cancelled(3)));
     let single = r#"{"state":"done","done":400,"ended_ms":1733130000000}"#;
     assert_eq!(parse_single(single), Some(timed));
     for text in [
