--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -26,7 +26,7 @@
     Renew {
         sent: Duration,
     },
-    /// Proves the claim and the cache after a renewal that was sent at `renewal_sent`.
+    /// Verifies the claim and the cache after a renewal that was sent at `renewal_sent`.
     Verify {
         claim: u64,
         renewal_sent: Duration,
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -10,8 +10,8 @@
 
 use crate::settings::{CLOCK_MARGIN, MAX_CLOCK_DRIFT, Settings, Team, seconds};
 
-/// Divisors of the state service's request rate: the proofs of all nodes together use one request
-/// in six, and the followers' watches one in five.
+/// Divisors of the state service's request rate: the cache syncs of all nodes together use one
+/// request in six, and the followers' watches one in five.
 const SYNC_RATE_DIVISOR: f64 = 6.0;
 const WATCH_RATE_DIVISOR: f64 = 5.0;
 /// Share of the state service's change rate that the leader plans with.
@@ -90,11 +90,11 @@
     /// is mostly back before that, with more state than any other node. The rest of a worker's
     /// lease has to suffice for another node to take over and answer the worker.
     pub leader_silence_limit: Duration,
-    /// Minimum time between two requests that prove this node's cache.
+    /// Minimum time between two requests that verify that this node's cache is current.
     pub sync_interval: Duration,
     /// Minimum time between two watches of a follower. The leader does not pause between watches.
     pub watch_interval: Duration,
-    /// Rate of all writes in changes per second; users' submissions come first.
+    /// Rate of all writes in changes per second; users' submissions take precedence.
     pub write_rate: f64,
     /// The same after the announced reduction of the state service's limits, if there is one.
     pub announced_write_rate: Option<f64>,
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -6,8 +6,8 @@
 //! of its claim, and every write of a leader is conditional on that claim.
 //!
 //! A node never acts past its term, and a renewal alone never extends the term. A missing leader
-//! key proves neither that this node's claim is valid nor that a leader which the holder of the
-//! key superseded has stopped.
+//! key does not imply that this node's claim is valid, nor that a leader which was superseded by
+//! the holder of that key has stopped.
 
 mod failover;
 mod key_removal;
@@ -44,8 +44,8 @@
     renewal_in_flight: bool,
     campaign_in_flight: bool,
     retry_at: Duration,
-    /// This process has requested the leadership itself, so a leader key of this node need not
-    /// belong to the previous process.
+    /// This process has requested the leadership itself, so a leader key with this node's name does
+    /// not necessarily belong to the previous process.
     has_requested_claim: bool,
     /// Latest time at which the claim is known to have been valid.
     verified_at: Duration,
@@ -74,16 +74,16 @@
     has_superseded: bool,
 }
 
-/// State of the previous leader at the time of a claim, which tells when it has stopped acting.
+/// State of the previous leader at the time of a claim, which determines when it stops acting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PreviousLeader {
-    /// Its lease has expired, and its term before that.
+    /// The lease has expired, and the term ended before that.
     LeaseExpired,
-    /// It was the previous process of this node.
+    /// The leader was the previous process of this node.
     SameNode,
-    /// It has resigned.
+    /// The leader has resigned.
     Resigned,
-    /// It may act until the end of its term, which it last renewed before this claim.
+    /// The leader may act until the end of its term, which it last renewed before this claim.
     Superseded,
 }
 
@@ -403,7 +403,7 @@
 
     pub(super) fn drop_leadership(&mut self, reason: &str) {
         if self.election.claim.take().is_some() {
-            info!(reason, "stopped leading");
+            info!(why = reason, "stopped leading");
         }
         self.cluster = None;
         self.election.loader = None;
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -2,8 +2,8 @@
 //!
 //! The lease is long, so that work continues during an outage of the state service. A
 //! partitioned leader would keep the leadership for as long, and every worker that can't reach
-//! it would lose its tasks. So a leader that no node hears is superseded, a leader that the state
-//! service refuses resigns on request, and a leader that hears no workers steps down by itself.
+//! it would lose its tasks. So a leader that no node reaches is superseded, a leader that the state
+//! service refuses resigns on request, and a leader that no worker reaches steps down by itself.
 //! All of this affects availability only: that no task runs twice is ensured by the claim and by
 //! the bound on how long a previous leader may act, whatever the heartbeats say.
 
@@ -27,7 +27,7 @@
 pub struct Heartbeats {
     next_send: Duration,
     probe_in_flight: bool,
-    /// Leader that is asked to resign once the state service has answered, and its claim.
+    /// Leader to be requested to resign once the state service has answered, and its claim.
     refused_leader: Option<(String, u64)>,
 }
 
@@ -88,7 +88,7 @@
         self.membership.nodes.reaches_leader(self.now())
     }
 
-    /// Returns another node that hears the leader.
+    /// Returns another node that reaches the leader.
     pub(super) fn peer_reaching_leader(&self) -> Option<String> {
         let (leader, claim) = self.known_leader()?;
         self.membership
@@ -177,7 +177,7 @@
         if is_from_leader && heartbeat.state_service_silence > STATE_REFUSED_TIMEOUT && is_served {
             // The state service may be down for all nodes by now. If the leader resigned then,
             // nobody could lead until it is back, and the workers would lose their leases. So
-            // the leader is asked only after the service has answered this node.
+            // the request is sent only after the service has answered this node.
             self.heartbeats.refused_leader = Some((from.clone(), heartbeat.claim));
             self.probe_state_service();
         }
@@ -213,14 +213,14 @@
         }
         let is_lost = nodes.is_leader_lost(*version, self.config.leader_silence_limit, now);
         is_lost.then(|| {
-            info!(leader = %record.node, claim = version, "superseding a leader no node hears");
+            info!(leader = %record.node, claim = version, "superseding a leader that no node reaches");
             PreviousLeader::Superseded
         })
     }
 
-    /// Updates the leader's view of which machines are reachable. A leader that hears no machine
-    /// and gets no answers is partitioned itself: it hands the leadership over to the node that
-    /// hears the most machines, or releases it.
+    /// Updates the leader's view of which machines are reachable. A leader without reports and
+    /// answers is partitioned itself: it hands the leadership over to the node that reaches the
+    /// most machines, or releases it.
     pub(super) fn update_reachability(&mut self) {
         let now = self.now();
         let reachability = self.membership.detector.reachability();
@@ -249,7 +249,7 @@
         let best_peer = self.membership.nodes.best_peer(now);
         let has_settled =
             self.membership.leading_for(now) > worker_move_time(self.config.report_interval);
-        // Evaluated only if another node hears machines, as it iterates over all machines.
+        // Evaluated only if another node reaches machines, as it iterates over all machines.
         let own_machines = || {
             self.membership
                 .detector
@@ -264,7 +264,7 @@
         if is_isolated || is_peer_better {
             self.transfer_leadership(
                 best_peer.map(|(node, _)| node),
-                "it hears few or no workers",
+                "few or no workers reach this node",
             );
         }
     }
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -27,7 +27,7 @@
     deadline: Duration,
 }
 
-/// Report that arrived while no leader was heard.
+/// Report that arrived while no leader was reachable.
 #[derive(Debug)]
 struct HeldReport {
     request: RequestId,
@@ -219,9 +219,9 @@
         (node != self.config.node).then(|| (node.to_owned(), claim))
     }
 
-    /// Holds a report while this node hears no leader, or redirects the worker to a node that does.
-    /// Redirected elsewhere, the worker would spend the rest of its lease on a dead node or on
-    /// trying the others.
+    /// Holds a report while this node reaches no leader, or redirects the worker to a node that
+    /// does. Redirected elsewhere, the worker would spend the rest of its lease on a dead node or
+    /// on trying the others.
     fn hold_report(&mut self, request: RequestId, report: WorkerReport) {
         let now = self.now();
         let tasks = report.tasks.len();
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Handles the held reports once a leader is heard, or their deadline has passed.
+    /// Handles the held reports once a leader is reachable, or their deadline has passed.
     fn drive_held_reports(&mut self) {
         let now = self.now();
         let Some(first) = self.forwarded.held.front() else {
--- a/src/core/membership/nodes.rs
+++ b/src/core/membership/nodes.rs
@@ -20,7 +20,7 @@
 pub struct NodeHeartbeat {
     /// Claim of the leader that the sender knows; 0 if none.
     pub claim: u64,
-    /// Time since the sender heard from that leader; zero if it is the leader itself.
+    /// Time since that leader's last heartbeat to the sender; zero if the sender is the leader.
     #[serde(rename = "heard")]
     pub leader_silence: Duration,
     /// Time since the state service answered the sender.
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Nodes {
     peers: BTreeMap<String, PeerState>,
-    /// Claim of the leader, and the time at which it was last heard.
+    /// Claim of the leader, and the time of its last heartbeat.
     leader: (u64, Duration),
     /// Newest claim that another node reported to hold, and that node.
     newest_claim: Option<(String, u64)>,
@@ -57,7 +57,7 @@
     leader_since: Duration,
     /// Intervals between the leader's heartbeats.
     leader_gaps: PhiAccrual,
-    /// Number of machines that the leader hears, by its last heartbeat.
+    /// Number of machines that reach the leader, by its last heartbeat.
     leader_machines: u32,
     /// Time at which the leader's last stored heartbeat was seen.
     stored_heartbeat_at: Option<Duration>,
@@ -75,8 +75,8 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
 /// Time for which the last heartbeat of another node is considered current.
 const PEER_HEARTBEAT_TTL: Duration = Duration::from_millis(2200);
-/// Silence of two missed heartbeats. A leader silent for longer counts as not heard if its phi
-/// value is high or still unknown, and in any case after 1.5 times this time.
+/// Silence of two missed heartbeats. A leader that is silent for longer is considered unreachable
+/// if its phi value is high or still unknown, and in any case after 1.5 times this time.
 const LEADER_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1700);
 /// Suspicion level at which the leader's silence is no longer an ordinary gap.
 const PHI_THRESHOLD: f64 = 8.0;
@@ -86,8 +86,8 @@
 pub const STATE_REFUSED_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Delay after an outage of the state service in which the leader may resume.
 const OUTAGE_RECOVERY_DELAY: Duration = Duration::from_millis(1500);
-/// The leader counts as lost to its workers when one in this many of the machines that it heard
-/// has reported to this node instead. One worker is always needed.
+/// The leader counts as lost to its workers when one in this many of the machines that reached it
+/// has reported to this node instead. At least one such worker is needed.
 const STRANDED_WORKER_DIVISOR: u32 = 10;
 
 impl Nodes {
@@ -132,7 +132,7 @@
     /// Sets the known leader, which may be this node itself.
     pub fn set_leader(&mut self, claim: u64, is_self: bool, now: Duration) {
         if self.leader.0 != claim {
-            // A new leader counts as heard at first, so that its heartbeats can arrive.
+            // A new leader counts as reachable at first, until its heartbeats can have arrived.
             self.leader = (claim, now);
             self.leader_since = now;
             self.leader_gaps = PhiAccrual::new(ArrivalPattern::Periodic);
@@ -189,7 +189,8 @@
         );
     }
 
-    /// Returns whether this node has heard the leader recently. A new leader counts as heard.
+    /// Returns whether this node received the leader's heartbeats recently. A new leader counts as
+    /// reachable.
     pub fn reaches_leader(&self, now: Duration) -> bool {
         let silence = self.leader_silence(now);
         silence < LEADER_HEARTBEAT_TIMEOUT
@@ -212,7 +213,7 @@
         self.leader.0 == claim && self.stored_heartbeat_at.is_some_and(is_recent)
     }
 
-    /// Returns whether a node reported recently that it hears the leader of this claim.
+    /// Returns whether a node reported recently that it reaches the leader of this claim.
     pub fn peer_reaches_leader(&self, node: &str, claim: u64, now: Duration) -> bool {
         let reaches_leader =
             |p: &NodeHeartbeat| p.claim == claim && p.leader_silence < LEADER_HEARTBEAT_TIMEOUT;
@@ -228,7 +229,7 @@
             .map(|(node, peer)| (node, &peer.heartbeat))
     }
 
-    /// Returns another node that hears the leader.
+    /// Returns another node that reaches the leader.
     pub fn peer_reaching_leader(&self, leader: &str, claim: u64, now: Duration) -> Option<String> {
         let hearing = self.peers.iter().find(|(node, peer)| {
             *node != leader
@@ -265,12 +266,12 @@
         peers.find(|(other, _)| *other == node)?.1.announced_state
     }
 
-    /// Returns the served node that hears the most machines, and their number.
+    /// Returns the served node that reaches the most machines, and their number.
     pub fn best_peer(&self, now: Duration) -> Option<(String, u32)> {
         self.best_peer_among(now, |_| true)
     }
 
-    /// Returns the served node that hears the most machines among those accepted by the filter.
+    /// Returns the served node that reaches the most machines among those accepted by the filter.
     pub fn best_peer_among(
         &self,
         now: Duration,
@@ -295,13 +296,13 @@
         self.stranded_workers.insert(machine.clone(), now);
     }
 
-    /// Returns whether the leader is lost: no live node hears it and its workers are leaving it.
+    /// Returns whether the leader is lost: no live node reaches it and its workers are leaving it.
     pub fn is_leader_lost(&self, claim: u64, timeout: Duration, now: Duration) -> bool {
         let is_silent = self.leader.0 == claim && self.leader_silence(now) > timeout;
         if !is_silent {
             return false;
         }
-        // A leader that another node hears still receives the reports which that node forwards.
+        // A leader that another node reaches still receives the reports which that node forwards.
         let reaches_leader = |p: &NodeHeartbeat| p.claim == claim && p.leader_silence < timeout;
         let stranded = self
             .stranded_workers
@@ -309,7 +310,7 @@
             .filter(|at| now < **at + timeout);
         let stranded = stranded.count();
         let min_stranded = (self.leader_machines / STRANDED_WORKER_DIVISOR).max(1) as usize;
-        // A leader that stores heartbeats stays, unless more workers left it than it hears.
+        // A leader that stores heartbeats stays, unless more workers have left it than reach it.
         let has_stored_heartbeat = self
             .stored_heartbeat_at
             .is_some_and(|at| now < at + timeout);
--- a/src/core/membership/reachability.rs
+++ b/src/core/membership/reachability.rs
@@ -1,10 +1,10 @@
-//! Failure detector for machines: which machines a node hears, and by which path.
+//! Failure detector for machines: which machines reach a node, and by which path.
 //!
 //! A single machine that stops reporting has failed or hangs. Many that stop at once have a
 //! common cause, most likely the network between them and this node: either this node or a zone
-//! is partitioned. The two are told apart by the other machines on the same path. So a machine's
-//! silence counts against it only while the rest of its zone is heard, and a node that hears no
-//! machine at all suspects itself.
+//! is partitioned. The other machines on the same path distinguish the two cases: a machine's
+//! silence counts against it only while the rest of its zone is reachable, and a node that no
+//! machine reaches suspects itself.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -57,14 +57,14 @@
 /// Reachability of machines and zones as seen by a node.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Reachability {
-    /// No machine is heard, and the cause is not known yet.
+    /// No machine is reachable, and the cause is not known yet.
     pub is_uncertain: bool,
-    /// No machine is heard and none answers: this node is cut off.
+    /// No machine is reachable and none answers direct commands: this node is cut off.
     pub is_isolated: bool,
-    /// Zones in which no machine is heard any more.
+    /// Zones in which no machine is reachable any more.
     pub partitioned_zones: BTreeSet<Arc<str>>,
-    /// Zones in which at least half of the machines are heard, so that a silent machine there has
-    /// failed on its own.
+    /// Zones in which at least half of the machines are reachable, so that a silent machine there
+    /// has failed on its own.
     pub reachable_zones: BTreeSet<Arc<str>>,
 }
 
@@ -164,7 +164,7 @@
         self.machines.remove(machine);
     }
 
-    /// Returns the number of machines per zone heard directly within 1.5 report intervals.
+    /// Returns the number of machines per zone with a direct heartbeat within 1.5 report intervals.
     pub fn reachable_machines(&self) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
         for last_heartbeat in self
@@ -229,7 +229,7 @@
     }
 
     /// Returns the zones that were silent for too long and should be probed; all zones if no
-    /// machine is heard at all.
+    /// machine is reachable.
     pub fn silent_zones(&self) -> BTreeSet<Arc<str>> {
         let all_silent = self.is_silent(&self.reports);
         let zones = self.zones.iter();
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -66,7 +66,8 @@
         self.total_rewritten
     }
 
-    /// Number of records found and not yet rewritten, or `None` before the first listing.
+    /// Returns the number of records found and not yet rewritten, or `None` before the first
+    /// listing.
     pub fn remaining(&self) -> Option<u64> {
         (self.listed || self.found > 0).then(|| self.found.saturating_sub(self.rewritten))
     }
@@ -138,7 +139,7 @@
             return;
         };
         let range = pending.range().clone();
-        // Writes that someone waits for come first, and so do terminal states of jobs.
+        // Writes that users or tasks wait for take precedence, as do terminal states of jobs.
         if migration.allowance < 1.0
             || !self.write_queue.has_spare_budget()
             || !self.ranges.is_available(&range, now)
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -79,7 +79,7 @@
 
 /// Requests that result from a round of the leader.
 struct RoundWork {
-    /// A decision waits for a new proof of the claim.
+    /// A decision waits for a new verification of the claim.
     needs_verification: bool,
     direct_commands: Vec<DirectCommands>,
     cloud_request: Option<CloudRequest>,
@@ -91,6 +91,8 @@
         cluster.run_pass(now);
     }
 }
+
+/// Controller node: its state cache, its role and everything that waits for an answer.
 pub struct Node {
     config: Arc<Config>,
     clock: Clock,
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -69,7 +69,7 @@
     write_in_flight: bool,
     /// Zones listed by a write that is in flight or whose result is unknown.
     unconfirmed: BTreeSet<Arc<str>>,
-    /// Listed zones that were heard again and should be removed from the list.
+    /// Listed zones that are reachable again and should be removed from the list.
     reachable_again: BTreeSet<Arc<str>>,
     deferred: Vec<DeferredReport>,
     /// Number of tasks listed by the deferred reports.
@@ -80,7 +80,7 @@
 /// Time for which a report waits until its zone is removed from the list: less than the second
 /// that another node waits for a forwarded report, and less than a worker waits.
 const DEFER_TIMEOUT: Duration = Duration::from_millis(900);
-/// Delay before a zone that was heard again may be listed again.
+/// Delay before a zone that became reachable again may be listed again.
 const RELIST_DELAY: Duration = Duration::from_secs(5);
 
 impl Node {
@@ -348,7 +348,7 @@
     /// Returns the time by which the leases in each listed zone have expired, for a new leader.
     pub(super) fn zone_lease_ends(&self) -> BTreeMap<Arc<str>, Duration> {
         let now = self.now();
-        // Both ends of the interval were read from clocks that may be off by `wall_error`.
+        // Both ends of the interval were read from clocks that may be off by the maximum error.
         let lease = self.config.worker_lease_bound + self.config.max_wall_clock_error * 2;
         let zones = self.cache.partitioned_zones.0.zones.iter();
         let lease_ends = zones.map(|(zone, at)| {
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -92,13 +92,13 @@
 
 impl Node {
     /// Returns whether the stored records are of a generation that is unknown or that this
-    /// process can't read. If so, it can't prove anything about jobs.
+    /// process can't read. If so, it can't verify anything about jobs.
     pub(super) fn cannot_read_state(&self) -> bool {
         !self.cache.generation.0.suits(&self.config.ability)
             || self.cache.unreadable.contains_key(GENERATION_KEY)
     }
 
-    /// Reason why this node accepts no requests and does not lead, if there is one.
+    /// Returns the reason why this node accepts no requests and does not lead, if there is one.
     pub(super) fn refusal_reason(&self) -> Option<String> {
         if let Some(key) = self.cache.unreadable.keys().next() {
             return Some(format!("{key} can't be read, a newer build is needed"));
@@ -164,7 +164,7 @@
     }
 
     /// Returns the node that should lead next: of those that the state service answers and that
-    /// can read the stored records, the one that hears from most workers.
+    /// can read the stored records, the one that most machines reach.
     fn successor(&self) -> Option<String> {
         let (nodes, now) = (&self.membership.nodes, self.now());
         let can_lead = |node: &String| {
@@ -188,7 +188,7 @@
             self.rollout.logged_refusal = reason;
         }
         if self.rollout.logged_refusal.is_some() && self.claim().is_some() {
-            self.step_down("it can't read the stored state");
+            self.step_down("this node can't read the stored state");
         }
         if self.rollout.state_machine.is_none() {
             return;
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Returns what a heartbeat says about this process's rollout state.
+    /// Returns the rollout state of this process for its heartbeats, once its record is stored.
     pub(super) fn announced_state(&self) -> Option<Told> {
         let started = self.rollout.announced_revision;
         (started > 0).then_some(Told {
@@ -361,7 +361,7 @@
                 self.answer(request, Answer::Later { retry });
             }
             RolloutAction::StepDown => {
-                self.step_down("an operator asked it to step down");
+                self.step_down("an operator requested a step-down");
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
@@ -407,7 +407,7 @@
         );
     }
 
-    /// Reason why an order is invalid, if it is.
+    /// Returns the reason why an order is invalid, if it is.
     fn order_error(&self, order: &Order) -> Option<String> {
         match order {
             Order::Forget(node) if !self.configured_nodes().any(|known| known == node) => {
@@ -448,8 +448,8 @@
         self.answer(request, answer);
     }
 
-    /// Estimated seconds until the present stage ends, if known: the rest of the soak, or the time
-    /// to rewrite the records found so far at the configured share of the change rate.
+    /// Estimates the seconds until the present stage ends, if possible: the rest of the soak, or
+    /// the time to rewrite the records found so far at the configured share of the change rate.
     fn estimated_remaining_s(&self, soaked: Duration) -> Option<f64> {
         let config = self.config.options.rollout.as_ref()?;
         match self.cache.generation.0.stage {
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -1,6 +1,6 @@
 //! A node's cache of the live keys, kept current by watching the state service.
 //!
-//! The reply to a watch with a zero wait proves that the cache is as recent as the moment the
+//! The reply to a watch with a zero wait verifies that the cache is as recent as the moment the
 //! watch was sent, so one such request serves every poll received before it.
 
 use std::{collections::BTreeMap, sync::Arc};
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -10,8 +10,8 @@
 /// Key prefix of everything a follower watches, such as the leader, machine types and active jobs.
 pub const LIVE_PREFIX: &str = "live/";
 pub const LEADER_KEY: &str = "live/leader";
-/// Key changed by each claim and by nothing else. The leader key expires, so its absence does not
-/// tell a claim that is applied late whether another node has led in between.
+/// Key changed by each claim and by nothing else. The leader key expires, so a claim that is
+/// applied late can't conclude from its absence that no other node has led in between.
 pub const CLAIMS_KEY: &str = "live/claims";
 /// Key of the last claim whose holder knows that the previous leader has stopped acting.
 pub const SETTLED_CLAIM_KEY: &str = "live/settled";
@@ -22,7 +22,7 @@
 pub const ORDERS_KEY: &str = "live/orders";
 /// Key of the machines that operators want drained.
 pub const DRAINS_KEY: &str = "live/drains";
-/// Key of the partitioned zones, with the time since when no worker there got an answer.
+/// Key of the partitioned zones, with the time of the last answer to a worker of each.
 pub const PARTITIONED_ZONES_KEY: &str = "live/apart";
 /// Key of the leader's last heartbeat, stored while some node may not receive heartbeats.
 pub const STORED_HEARTBEAT_KEY: &str = "live/sign";
@@ -82,7 +82,7 @@
     },
 }
 
-/// Size of the encoded value in bytes.
+/// Returns the size of the encoded value in bytes.
 pub fn encoded_len(value: &impl Serialize) -> usize {
     serde_json::to_string(value).map_or(usize::MAX, |text| text.len())
 }
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -1,10 +1,10 @@
 //! Leader heartbeats stored in the state service, for nodes that the direct ones don't reach.
 //!
-//! A node that hears neither the leader nor a node that does can't tell a dead leader from one
-//! whose connections are refused. The node and a live leader both reach the state service, so
-//! a leader that some node may not hear periodically stores there that it is alive and how many
-//! machines it hears. The writes are made only in that case and cost nothing otherwise. A stored
-//! heartbeat is not a claim and affects availability only.
+//! A node that reaches neither the leader nor a node that does can't distinguish a dead leader
+//! from one whose connections are refused. The node and a live leader both reach the state
+//! service, so a leader whose heartbeats may not reach some node periodically stores one there,
+//! with the number of its reachable machines. The writes are made only in that case and cost
+//! nothing otherwise. A stored heartbeat is not a claim and affects availability only.
 
 use std::time::Duration;
 
@@ -81,8 +81,8 @@
         self.heartbeat_writer.next_write = self.now() + STORED_HEARTBEAT_INTERVAL;
     }
 
-    /// Returns whether the leader stores heartbeats and no other node is known to hear it. Workers
-    /// should turn to a node that hears the leader, if there is one: it forwards their reports.
+    /// Returns whether the leader stores heartbeats and no other node is known to reach it. Workers
+    /// should turn to a node that reaches the leader, if there is one: it forwards their reports.
     pub(super) fn leader_stores_heartbeats(&self) -> bool {
         let leader = self.cache.leader.as_ref();
         self.peer_reaching_leader().is_none()
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -3,8 +3,8 @@
 //!
 //! The replicas of a hung machine may start elsewhere only after its lease has expired or the
 //! machine is gone, and it is gone once the cloud has confirmed its return. A partitioned machine
-//! keeps working, though, so a machine is returned only while most of its zone is heard, which
-//! rules out a partition of the zone.
+//! keeps working, though, so a machine is returned only while most of its zone is reachable,
+//! which rules out a partition of the zone.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -39,7 +39,7 @@
 }
 
 impl ClusterState {
-    /// Returns whether the machine missed a report and should be asked whether it still answers.
+    /// Returns whether the machine missed a report and should be probed by a direct command.
     pub(super) fn should_probe(&self, machine: &Machine, now: Duration) -> bool {
         machine.is_silent_for(self.config.report_interval * 3 / 2, now)
             && !machine.commands_unanswered
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -96,6 +96,7 @@
     Cancel,
 }
 
+/// Delay after which a client should repeat a request that could not be answered.
 const CLIENT_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Attempts to store a submission that conflicts with other writes.
 const MAX_STORE_ATTEMPTS: u8 = 4;
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Request for the changes after the cursor. With a zero wait, its reply proves that the
-    /// cache is current.
+    /// Builds the request for the changes after the cursor. With a zero wait, its reply verifies
+    /// that the cache is current.
     pub(super) fn watch_request(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
             prefix: LIVE_PREFIX.into(),
@@ -78,10 +78,10 @@
         }
     }
 
-    /// Applies the reply to a watch. Returns whether it proves the cache.
+    /// Applies the reply to a watch. Returns whether the cache is as recent as the reply.
     ///
     /// Events are ignored during a reload: a key set and deleted before the first page was
-    /// listed would stay in the cache for good. An incomplete cache also does not prove that a
+    /// listed would stay in the cache for good. An incomplete cache also can't confirm that a
     /// job is unknown.
     pub(super) fn apply_watch_reply(&mut self, reply: StateReply) -> bool {
         if !self.cache.loaded {
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -201,7 +201,7 @@
         self.write_rate.reduce(now);
     }
 
-    /// Handles a rejected write; `smaller` tells whether the next one will be smaller.
+    /// Handles a rejected write; `smaller` is set if the next one will be smaller.
     pub fn rejected(&mut self, smaller: bool) {
         self.unsplittable_rejections = match smaller {
             true => 0,
@@ -209,7 +209,7 @@
         };
     }
 
-    /// Delay before the next write after a failed one.
+    /// Returns the delay before the next write after a failed one.
     fn pause(&self) -> Duration {
         RETRY_DELAY * 2_u32.pow(self.unsplittable_rejections.min(MAX_PAUSE_DOUBLINGS))
     }
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -31,8 +31,8 @@
 /// Interval between ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time between a SIGTERM and the end of the process, to hand over leadership and to answer
-/// the requests in flight.
+/// Time between a SIGTERM and the end of the process, in which the leadership is handed over and
+/// the requests in flight are answered.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(800);
 
 /// Request received by the server, with the channel for its answer.
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -18,8 +18,8 @@
     wire::peer::Line,
 };
 
-/// Maximum size of the lines queued for one peer, and so of a single line: a leader's hints
-/// about 6,000 machines take about a megabyte.
+/// Maximum size of the lines queued for one peer, and so of a single line: a leader's handover
+/// snapshot of 6,000 machines takes about a megabyte.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 const MAX_LINE_BYTES: u64 = MAX_QUEUED_BYTES as u64;
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -74,11 +74,11 @@
 struct Api {
     requests: mpsc::Sender<IncomingRequest>,
     permits: Arc<Semaphore>,
-    /// Whether licences are configured.
+    /// Licences are configured.
     licensed: bool,
 }
 
-/// Serves a limited number of concurrent requests; others are told to retry later.
+/// Serves a limited number of concurrent requests; others are answered with a retry delay.
 pub async fn serve(
     listener: TcpListener,
     requests: mpsc::Sender<IncomingRequest>,
@@ -259,6 +259,7 @@
 }
 
 impl Api {
+    /// Passes a request to the core and returns its answer as a response.
     async fn dispatch(
         &self,
         into_input: impl FnOnce(RequestId) -> Input + Send + 'static,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -114,13 +114,13 @@
 const MIN_LEADER_TTL: Duration = Duration::from_secs(2);
 
 impl Workers {
-    /// Upper bound on the time from the last answer to a worker to the end of its lease.
+    /// Returns an upper bound of the time from the last answer to a worker to the end of its lease.
     pub fn lease_bound(&self) -> Duration {
         seconds(self.lease_s * (1.0 + 2.0 * MAX_CLOCK_DRIFT)) + CLOCK_MARGIN
     }
 
-    /// Time that a leader may go on without learning of cancellations: its workers' leases
-    /// must then expire within the rest of the cancellation time.
+    /// Returns the time for which a leader may miss cancellations: afterwards, its workers' leases
+    /// must expire within the rest of the cancellation time.
     pub fn max_cancellation_lag(&self) -> Duration {
         let left = seconds(self.cancel_s).saturating_sub(self.lease_bound());
         left.saturating_sub(CANCEL_MARGIN)
@@ -151,13 +151,13 @@
 }
 
 impl StateLimits {
-    /// Value size that is allowed both now and later.
+    /// Returns the value size that is allowed both now and later.
     pub fn lowest_value_kb(&self) -> f64 {
         let next = self.next.as_ref().and_then(|next| next.value_kb);
         next.map_or(self.value_kb, |next| next.min(self.value_kb))
     }
 
-    /// Number of changes per transaction that is allowed both now and later.
+    /// Returns the number of changes per transaction that is allowed both now and later.
     pub fn lowest_txn_ops(&self) -> usize {
         let next = self.next.as_ref().and_then(|next| next.txn_ops);
         next.map_or(self.txn_ops, |next| next.min(self.txn_ops))
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,4 @@
-//! Answers of a node that can't serve: users are told at once when to retry, workers wait for
-//! a leader.
+//! Answers of a node that can't serve: users get a retry delay at once, workers wait for a leader.
 
 mod node_settings;
 mod worker_reports;
@@ -91,7 +90,7 @@
     assert!(is_later(&step(&mut node, 4, submission())));
 
     // When the state service refuses the write, or does not answer it.
-    let call = types.expect("machine types are asked for");
+    let call = types.expect("a request for the machine types");
     let reply = CloudReply::Types(wire::cloud::parse_types(FLAVORS).expect("types"));
     let outputs = step(&mut node, 5, Input::Cloud { call, reply });
     let stored = outputs.iter().find_map(|output| match output {
@@ -281,8 +280,8 @@
     assert_eq!(delivered([1, 2]), None);
 }
 
-/// A leader that this node can't hear, but whose stored heartbeat changes: workers are
-/// redirected to it, and those that come back from it are not held up.
+/// If a leader is unreachable for this node but its stored heartbeat changes, workers are
+/// redirected to it, and those that come back from it are not held.
 #[test]
 fn workers_are_redirected_to_a_leader_known_only_by_its_stored_heartbeat() {
     let (mut node, watch) = loaded(led_by_n1());
@@ -315,7 +314,7 @@
         first_answer(&step(&mut node, 8_600, at(2))),
         Some((2, next))
     );
-    // Another node hears the leader, and can relay: between two zones that can't reach each
+    // Another node reaches the leader and can relay: between two zones that can't reach each
     // other, workers that were redirected to the leader itself lost their leases.
     let heartbeat = NodeHeartbeat {
         claim: 9,
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -432,7 +432,7 @@
     }
 }
 
-/// The next leader is told the location of every worker of the fleet, in a line within its limit.
+/// The next leader receives the address of every worker of the fleet, in a line within its limit.
 #[test]
 fn handover_hints_contain_every_machine_of_a_fleet() {
     const MAX_LINE_BYTES: usize = 4 << 20;
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -513,7 +513,7 @@
         test_node.complete_sync();
         let waiting = Answer::Waiting(id_of(1), vec![id_of(2), id_of(3)]);
         assert_eq!(test_node.answer(1), Some(waiting));
-        // The absence of an active job does not tell its terminal state.
+        // The absence of an active job does not determine its terminal state.
         test_node.remove_active(2, 11);
         test_node.status_of(2, 1);
         let sync = test_node.last_call(is_sync);
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -352,7 +352,7 @@
     assert_eq!((job.placed, job.running, job.failures), (0, 0, 1));
 }
 
-/// A worker is told to forget a result only after it is stored.
+/// A worker is sent the command to forget a result only after the result is stored.
 #[test]
 fn a_result_is_kept_at_the_worker_until_it_is_stored() {
     let mut c = Cluster::new(4.0);
@@ -377,7 +377,7 @@
 }
 
 /// A start that was sent directly and not answered may be executed late. Only a report under a
-/// higher token proves that it never will be.
+/// higher token shows that it never will be.
 #[test]
 fn an_unclear_direct_start_is_void_only_under_a_higher_token() {
     use kiteyard::core::machine::DirectReply;
@@ -1005,7 +1005,7 @@
 }
 
 /// A start in the answer to a report may still be in flight when a direct call shows that the
-/// task has ended. A worker told to forget the attempt at that point would run it again. This
+/// task has ended. A worker that forgets the attempt at that point would run it again. This
 /// happened in the simulated world with an answer delayed by 0.9 s.
 #[test]
 fn an_attempt_is_not_forgotten_while_its_start_may_be_in_flight() {
@@ -1054,7 +1054,7 @@
             .iter()
             .any(|direct| forgets(&direct.commands))
     );
-    // The next report proves that the worker has received that answer or never will.
+    // The next report shows that the worker has received that answer or never will.
     let machine = c.cluster.machines.get_mut("vm-1").expect("a machine");
     machine.direct_in_flight = false;
     assert!(forgets(&c.report("vm-1")));
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -83,7 +83,7 @@
 
 /// A reclaimed machine is known to be gone once a list omits it, and need not wait for its
 /// worker's lease. Neither a list that may be older than the one that showed the machine,
-/// nor any list while the machine reports, proves that it is gone.
+/// nor any list while the machine reports, shows that it is gone.
 #[test]
 fn a_silent_machine_missing_from_the_list_is_gone() {
     let mut c = Cluster::new(4.0);
@@ -123,7 +123,7 @@
     assert!(!c.cluster.machines.contains_key("vm-000007"));
 }
 
-/// Where GPUs are scarce, free CPUs don't tell how full a machine is.
+/// If GPUs are scarce, free CPUs don't show how full a machine is.
 #[test]
 fn the_share_of_a_machine_is_its_largest_resource_share() {
     let whole = Resources {
