--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -434,7 +434,7 @@
 
 /// The next leader receives the address of every worker of the fleet, in a line within its limit.
 #[test]
-fn handover_hints_contain_every_machine_of_a_fleet() {
+fn handover_snapshot_contains_every_machine_of_a_fleet() {
     const MAX_LINE_BYTES: usize = 4 << 20;
     for (machines, sockets) in FLEETS {
         let mut leading = LeadingNode::new(&settings(sockets), Vec::new());
