--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -116,9 +116,9 @@
         if terminal_states::layout(generation.from) == terminal_states::layout(generation.to) {
             migration.is_finished = true;
         }
-        let passed = now.saturating_sub(migration.refilled_at).as_secs_f64();
+        let elapsed = now.saturating_sub(migration.refilled_at).as_secs_f64();
         migration.refilled_at = now;
-        migration.allowance = (migration.allowance + passed * rate).min(max_ops as f64);
+        migration.allowance = (migration.allowance + elapsed * rate).min(max_ops as f64);
         if migration.request_in_flight || migration.is_finished || now < migration.retry_at {
             return;
         }
@@ -185,9 +185,9 @@
         migration.allowance -= changes.len() as f64;
         self.write_queue.charge(changes.len() as f64);
         self.ranges.mark_busy(&range);
-        let step = MigrationRequest::Rewrite(range, states, records as u64);
+        let request = MigrationRequest::Rewrite(range, states, records as u64);
         self.call(
-            Purpose::Migrate((revision, claim), step),
+            Purpose::Migrate((revision, claim), request),
             StateRequest::Txn {
                 conditions,
                 changes,
@@ -198,11 +198,11 @@
     pub(super) fn migration_answered(
         &mut self,
         scope: (u64, u64),
-        step: MigrationRequest,
+        request: MigrationRequest,
         reply: StateReply,
     ) {
         let now = self.now();
-        if let MigrationRequest::Rewrite(range, states, _) = &step {
+        if let MigrationRequest::Rewrite(range, states, _) = &request {
             match &reply {
                 StateReply::Committed { revision } => {
                     // An empty range is stored by deleting its key.
@@ -221,7 +221,7 @@
             return;
         }
         self.rollout.migration.request_in_flight = false;
-        match (step, reply) {
+        match (request, reply) {
             (MigrationRequest::List, StateReply::Entries { entries, more, .. }) => {
                 self.queue_old_records(&entries, more);
             }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -430,14 +430,14 @@
             Purpose::Announce => self.announced(&reply),
             Purpose::StoreGeneration => self.generation_stored(&reply),
             Purpose::Order { request } => self.order_stored(request, &reply),
-            Purpose::Migrate(scope, step) => self.migration_answered(scope, step, reply),
+            Purpose::Migrate(scope, request) => self.migration_answered(scope, request, reply),
             Purpose::StoreDrains { request, drains } => {
                 self.handle_drains_stored(request, drains, &reply);
             }
             Purpose::StorePartitions { claim, record } => {
                 self.partitioned_zones_answered(claim, record, &reply)
             }
-            Purpose::Failover(loading) => self.failover_read_answered(loading, reply),
+            Purpose::Failover(read) => self.failover_read_answered(read, reply),
             Purpose::QueuedWrite(write) => self.write_answered(write, reply),
             Purpose::StoreTypes | Purpose::Cloud(_) | Purpose::Direct(_) => {}
         }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -128,11 +128,11 @@
     pub(super) fn all_support_dependencies(&self) -> bool {
         let gone = &self.cache.orders.0.gone;
         let mut nodes = self.configured_nodes().filter(|node| !gone.contains(*node));
-        let knows = |node: &String| {
+        let supports = |node: &String| {
             let ability = self.cache.nodes.get(node).and_then(|(a, _)| a.as_ref());
             ability.is_some_and(|a| a.features.iter().any(|name| name == JOB_DEPENDENCIES))
         };
-        self.rollout.state_machine.is_none() || nodes.all(knows)
+        self.rollout.state_machine.is_none() || nodes.all(supports)
     }
 
     /// Logs a key outside the watched prefix whose value can't be parsed, unless it was the last
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -116,15 +116,15 @@
     /// can't be parsed, in which case the key is recorded as unreadable.
     fn parse_value<T: DeserializeOwned>(&mut self, event: &Event) -> Option<T> {
         let value = event.value.as_ref();
-        let read = value.map(|value| serde_json::from_str(value.get()));
-        match read {
+        let parsed = value.map(|value| serde_json::from_str(value.get()));
+        match parsed {
             Some(Err(_)) => {
                 self.unreadable.insert(event.key.clone(), event.revision);
                 None
             }
-            read => {
+            parsed => {
                 self.unreadable.remove(&event.key);
-                read.and_then(Result::ok)
+                parsed.and_then(Result::ok)
             }
         }
     }
@@ -144,12 +144,12 @@
                 return Some(StateChange::MachineTypes);
             }
             GENERATION_KEY => {
-                let there = event.value.is_some();
+                let exists = event.value.is_some();
                 let cluster = self.parse_value(event).filter(Cluster::holds);
-                if there && cluster.is_none() {
+                if exists && cluster.is_none() {
                     self.unreadable.insert(event.key.clone(), revision);
                 }
-                let revision = if there { revision } else { 0 };
+                let revision = if exists { revision } else { 0 };
                 self.generation = (cluster.unwrap_or_default(), revision);
                 return Some(StateChange::Generation);
             }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -190,10 +190,10 @@
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
         self.present_rate = self.write_rate.rate_at(now);
-        self.allowance = (self.allowance + passed * self.present_rate).min(self.present_rate);
+        self.allowance = (self.allowance + elapsed * self.present_rate).min(self.present_rate);
     }
 
     /// Handles a write that was refused because of the rate limit.
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -73,14 +73,14 @@
                 peers: peer::Peers::new(&settings, max_requests),
             };
             let mut next_request: RequestId = 0;
-            let mut retired_at = None;
+            let mut shutdown_started = None;
             loop {
                 // Polled in a fixed order, so that runs are reproducible.
                 tokio::select! {
                     biased;
                     _ = tick.tick() => {
                         if shutdown_requested.load(Ordering::Relaxed) {
-                            let since = *retired_at.get_or_insert_with(|| {
+                            let since = *shutdown_started.get_or_insert_with(|| {
                                 driver.step(Input::Shutdown);
                                 Instant::now()
                             });
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -262,9 +262,9 @@
 #[test]
 fn an_answer_to_a_previous_process_is_dropped() {
     let delivered = |incarnations: [u32; 2]| {
-        let [(mut former, _), (mut next, _)] =
+        let [(mut previous, _), (mut next, _)] =
             incarnations.map(|incarnation| loaded_as(incarnation, led_by_n1()));
-        let relay = relay_number(&mut former, "vm-1");
+        let relay = relay_number(&mut previous, "vm-1");
         relay_number(&mut next, "vm-2");
         let answer = Some(Answer::Commands {
             token: 9 << 16,
@@ -322,10 +322,10 @@
     };
     let (from, message) = ("n2".to_owned(), PeerMessage::Heartbeat(heartbeat));
     step(&mut node, 8_700, Input::Peer { from, message });
-    let relayer = Answer::Redirect(Some("n2".into()));
+    let forwarder = Answer::Redirect(Some("n2".into()));
     assert_eq!(
         first_answer(&step(&mut node, 8_800, at(4))),
-        Some((4, relayer))
+        Some((4, forwarder))
     );
     // The leader is silent again: a report waits for the next leader.
     assert_eq!(first_answer(&step(&mut node, 20_000, at(3))), None);
@@ -382,12 +382,12 @@
         panic!("the worker is answered");
     };
     assert_eq!(sent, Answer::Redirect(None));
-    let relayed = PeerMessage::Reported {
+    let forwarded = PeerMessage::Reported {
         relay: 3,
         answer: Some(commands),
     };
     let to = "n1".to_owned();
-    let message = relayed;
+    let message = forwarded;
     let Ok(Output::Peer { message, .. }) = (Output::Peer { to, message }).after_term_expired()
     else {
         panic!("the other node is answered");
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn every_misdirected_report_of_a_fleet_is_relayed() {
+fn every_misdirected_report_of_a_fleet_is_forwarded() {
     for (machines, sockets) in FLEETS {
         let (mut node, _) = follower(sockets);
         receive_leader_heartbeat(&mut node, 3);
@@ -188,16 +188,16 @@
         // Their last answer is recent, so none is urgent.
         let outputs = send_reports(&mut node, 5, machines, 0);
         assert!(answers(&outputs).is_empty(), "{machines} machines");
-        let relayed = outputs.iter().filter_map(|output| match output {
+        let forwarded = outputs.iter().filter_map(|output| match output {
             Output::Peer {
                 message: PeerMessage::Report { relay, .. },
                 ..
             } => Some(*relay),
             _ => None,
         });
-        let relayed: Vec<u64> = relayed.collect();
-        assert_eq!(relayed.len(), machines);
-        for relay in relayed {
+        let forwarded: Vec<u64> = forwarded.collect();
+        assert_eq!(forwarded.len(), machines);
+        for relay in forwarded {
             let answer = Some(Answer::Commands {
                 token: CLAIM << 16,
                 commands: Vec::new(),
@@ -458,19 +458,19 @@
             }
         }
         assert!(token > 0, "workers receive a token");
-        let hints = (0..500).find_map(|_| {
+        let snapshot = (0..500).find_map(|_| {
             let outputs = leading.run(Input::Tick);
             outputs.into_iter().find_map(|output| match output {
                 Output::Peer {
-                    message: PeerMessage::Handover(hints),
+                    message: PeerMessage::Handover(snapshot),
                     ..
-                } => serde_json::to_value(&hints).ok(),
+                } => serde_json::to_value(&snapshot).ok(),
                 _ => None,
             })
         });
-        let hints = hints.expect("hints");
-        let workers = hints["workers"].as_object().map(|workers| workers.len());
+        let snapshot = snapshot.expect("snapshot");
+        let workers = snapshot["workers"].as_object().map(|workers| workers.len());
         assert_eq!(workers, Some(machines));
-        assert!(hints.to_string().len() < MAX_LINE_BYTES);
+        assert!(snapshot.to_string().len() < MAX_LINE_BYTES);
     }
 }
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -74,7 +74,7 @@
             boot_s: 30.0,
             zones: vec![Arc::from("a"), Arc::from("b")],
         }];
-        let found = StoredClusterState {
+        let stored = StoredClusterState {
             jobs: &BTreeMap::new(),
             progress: BTreeMap::new(),
             assignment_index,
@@ -83,7 +83,7 @@
         };
         let now = Duration::from_secs(100);
         Self {
-            cluster: ClusterState::new(Arc::new(config), 5, Arc::new(types), found, now),
+            cluster: ClusterState::new(Arc::new(config), 5, Arc::new(types), stored, now),
             now,
             seq: 0,
             running: BTreeMap::new(),
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn scheduler_agrees_with_reference_model() {
-    let (mut placed, mut preempted, mut parked) = (0, 0, 0);
+    let (mut placed, mut preempted, mut waiting) = (0, 0, 0);
     for seed in 0..400 {
         let mut rng = StdRng::seed_from_u64(seed);
         let cpus = 8.0;
@@ -170,7 +170,7 @@
         let plans: BTreeMap<&String, (Score, BTreeSet<TaskId>)> = plans.collect();
         assert!(cluster.machines_of(&job).is_empty(), "seed {seed}");
         let Some(best) = plans.values().map(|(score, _)| score).min() else {
-            parked += 1;
+            waiting += 1;
             assert!(cluster.nominated(&job).is_empty(), "seed {seed}");
             assert_eq!(stopped, 0, "seed {seed}");
             continue;
@@ -185,8 +185,8 @@
         assert_eq!(stopped, victims.len(), "seed {seed}");
     }
     assert!(
-        placed > 50 && preempted > 50 && parked > 20,
-        "{placed} {preempted} {parked}"
+        placed > 50 && preempted > 50 && waiting > 20,
+        "{placed} {preempted} {waiting}"
     );
 }
 
@@ -993,15 +993,15 @@
     c.now = Duration::from_secs(104);
     c.cluster
         .apply_direct_reply(&direct, DirectReply::Executed(report), c.now);
-    let standing = |c: &mut Cluster, at: u64| {
+    let state_at = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
         c.cluster.claim_proven_at = c.now;
         c.cluster.tick(c.now);
         c.cluster.machines["vm-1"].state
     };
-    assert_eq!(standing(&mut c, 106), MachineState::Up);
-    assert_eq!(standing(&mut c, 113), MachineState::Up);
-    assert_eq!(standing(&mut c, 115), MachineState::Lost);
+    assert_eq!(state_at(&mut c, 106), MachineState::Up);
+    assert_eq!(state_at(&mut c, 113), MachineState::Up);
+    assert_eq!(state_at(&mut c, 115), MachineState::Lost);
 }
 
 /// A start in the answer to a report may still be in flight when a direct call shows that the
--- a/tests/unreadable.rs
+++ b/tests/unreadable.rs
@@ -193,7 +193,7 @@
 #[test]
 fn an_unreadable_terminal_state_is_not_treated_as_absent() {
     let settled = r#"{"from":2,"to":2,"stage":"settled"}"#;
-    let over = r#"{"state":"done","done":3}"#;
+    let done = r#"{"state":"done","done":3}"#;
     let cases = [
         (None, "final/run-000001", NEWER_RECORD, true),
         (
@@ -202,7 +202,7 @@
             r#"{"state":"pending","done":0}"#,
             true,
         ),
-        (None, "final/run-000001", over, false),
+        (None, "final/run-000001", done, false),
         (Some(settled), "ends/run-0000", r#""01x3""#, true),
         (Some(settled), "ends/run-0000", r#""01d3,01d4""#, true),
         (Some(settled), "ends/run-0000", r#""01d3,02c0""#, false),
@@ -224,10 +224,10 @@
 fn a_failover_stops_at_an_unreadable_record() {
     let assignment_index = format!("{ASSIGNMENTS_PREFIX}0");
     let progress = format!("{PROGRESS_PREFIX}run-000001/0");
-    let beyond = r#"{"kinds":[["m","a",false]],"jobs":[],"machines":[["vm-1",0,[0]]]}"#;
+    let out_of_range = r#"{"kinds":[["m","a",false]],"jobs":[],"machines":[["vm-1",0,[0]]]}"#;
     let cases = [
         (&assignment_index, NEWER_RECORD),
-        (&assignment_index, beyond),
+        (&assignment_index, out_of_range),
         (&progress, NEWER_RECORD),
         (&progress, r#""ff,zz""#),
     ];
