--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -69,8 +69,11 @@
 
 pub use message::{Answer, CallId, Clock, INTERNAL, Input, Output, RequestId};
 
+/// Timeout of a request to the state service. For a watch, its wait is added.
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time after which the state service answers a watch without events.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
+/// Delay before a failed request to the state service is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Minimum time between two periodic rounds of the leader.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -182,8 +182,8 @@
         let reason = self.refusal_reason();
         if reason != self.rollout.logged_refusal {
             match &reason {
-                Some(why) => error!(why, "refuses to serve and to lead"),
-                None => info!("serves requests again"),
+                Some(why) => error!(why, "serving no requests and not leading"),
+                None => info!("serving requests again"),
             }
             self.rollout.logged_refusal = reason;
         }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -77,6 +77,7 @@
     pub(super) has_new_replies: bool,
 }
 
+/// Maximum number of concurrent requests: writes, and the reads that they depend on.
 const MAX_WRITES_IN_FLIGHT: u32 = 6;
 /// Maximum number of times the pause doubles while a rejected write can't be made smaller.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -22,6 +22,7 @@
 /// snapshot of 6,000 machines takes about a megabyte.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 const MAX_LINE_BYTES: u64 = MAX_QUEUED_BYTES as u64;
+/// Delay before a failed connection is opened again, or after a failed accept.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 const IO_TIMEOUT: Duration = Duration::from_secs(1);
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -231,7 +231,7 @@
     }]
 }
 
-/// Returns the number under which a node relays the report of a worker that comes back to it.
+/// Returns the relay number with which a node forwards the report of a worker that returns to it.
 fn relay_number(node: &mut Node, machine: &str) -> u64 {
     let heartbeat = NodeHeartbeat {
         claim: 9,
@@ -257,8 +257,8 @@
     relay.expect("a relay")
 }
 
-/// The answer to a report that a former process relayed is not delivered to a worker of the
-/// restarted process. Without the incarnation, both would use the same relay number.
+/// The answer to a report that the previous process forwarded is not delivered to a worker of
+/// the restarted process. Without the incarnation, both would use the same relay number.
 #[test]
 fn an_answer_to_a_previous_process_is_dropped() {
     let delivered = |incarnations: [u32; 2]| {
@@ -314,7 +314,7 @@
         first_answer(&step(&mut node, 8_600, at(2))),
         Some((2, next))
     );
-    // Another node reaches the leader and can relay: between two zones that can't reach each
+    // Another node reaches the leader and forwards reports: between two zones that can't reach each
     // other, workers that were redirected to the leader itself lost their leases.
     let heartbeat = NodeHeartbeat {
         claim: 9,
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Starts the decided tasks, as the workers would.
+    /// Starts the placed tasks, as the workers would.
     pub fn start_placed_tasks(&mut self) {
         let machines = self.cluster.machines.values_mut();
         for machine in machines {
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -968,7 +968,7 @@
 
 /// A worker may have begun a new session after the previous leader ended; its lease then lasts
 /// from the answer to a direct call, not from the previous leader's end. A start that was sent
-/// directly into such a session was taken for lost, and its task ran twice (`ran_twice` in the
+/// directly into such a session was considered lost, and its task ran twice (`ran_twice` in the
 /// simulated world).
 #[test]
 fn a_called_worker_is_not_lost_within_a_lease_of_its_answer() {
@@ -987,7 +987,7 @@
         .cluster
         .direct_commands(c.now)
         .pop()
-        .expect("it is called");
+        .expect("commands for the worker");
     c.running.insert("vm-1".into(), Vec::new());
     let report = c.build_report("vm-1", 2, c.cluster.token);
     c.now = Duration::from_secs(104);
