--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -468,7 +468,7 @@
     for number in 0..300 {
         c.add_job(spec(number, Kind::Array, Priority::Normal, 1, 0.5));
         c.pass();
-        let Some((listings, _, changes)) = c.cluster.assignment_index_write(true, 16) else {
+        let Some((shard_writes, _, changes)) = c.cluster.assignment_index_write(true, 16) else {
             continue;
         };
         for change in &changes {
@@ -482,7 +482,7 @@
         }
         revision += 1;
         c.cluster
-            .assignment_index_written(listings, &StateReply::Committed { revision });
+            .assignment_index_written(shard_writes, &StateReply::Committed { revision });
         let certain = c.cluster.machines.values().flat_map(|m| &m.assignment.jobs);
         assert_eq!(certain.cloned().collect::<BTreeSet<_>>(), listed);
     }
@@ -853,13 +853,13 @@
     c.pass();
     // Listed machines get new jobs faster than writes of two shards each can list them.
     for number in 1..4 {
-        let (listings, _, _) = c
+        let (shard_writes, _, _) = c
             .cluster
             .assignment_index_write(true, 16)
             .expect("work to list");
         let revision = 10 + number as u64;
         let reply = StateReply::Committed { revision };
-        c.cluster.assignment_index_written(listings, &reply);
+        c.cluster.assignment_index_written(shard_writes, &reply);
         let job = c.add_job(spec(number, Kind::Array, Priority::Normal, 40, 8.0));
         let machines = c.cluster.machines.values();
         let listed = machines
@@ -905,12 +905,12 @@
     c.add_job(spec(2, Kind::Service, Priority::High, 1, 1.0));
     c.pass();
     assert_eq!(c.cluster.pending_placements().unlisted, 9);
-    let (listings, _, _) = c
+    let (shard_writes, _, _) = c
         .cluster
         .assignment_index_write(true, 16)
         .expect("work to list");
     c.cluster
-        .assignment_index_written(listings, &StateReply::Committed { revision: 20 });
+        .assignment_index_written(shard_writes, &StateReply::Committed { revision: 20 });
     names.iter().for_each(|name| {
         c.report(name);
     });
--- a/tests/scheduling/requeue.rs
+++ b/tests/scheduling/requeue.rs
@@ -44,12 +44,12 @@
     c.add_machine("vm-2");
     c.add_job(spec(0, Kind::Service, Priority::Normal, 1, 8.0));
     tick_and_pass(&mut c);
-    let (listings, _, _) = c
+    let (shard_writes, _, _) = c
         .cluster
         .assignment_index_write(true, 16)
         .expect("work to list");
     let listed = StateReply::Committed { revision: 20 };
-    c.cluster.assignment_index_written(listings, &listed);
+    c.cluster.assignment_index_written(shard_writes, &listed);
     c.now += Duration::from_millis(1_100);
     let late = c.add_job(spec(1, Kind::Service, Priority::Normal, 1, 8.0));
     tick_and_pass(&mut c);
@@ -107,7 +107,7 @@
     c.cluster.add_job(&listed.id, &live, TaskSet::default());
     c.add_machine("vm-4");
     let fits = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, 500.0));
-    let beyond = c.add_job(spec(3, Kind::Array, Priority::Low, 1, 250.0));
+    let over_limit = c.add_job(spec(3, Kind::Array, Priority::Low, 1, 250.0));
     c.add_machine("vm-5");
     tick_and_pass(&mut c);
     assert!(
@@ -116,7 +116,7 @@
     );
     assert_eq!(c.machines_of(&fits).len(), 1, "300 and 500 of 1,000");
     assert!(
-        c.machines_of(&beyond).is_empty(),
+        c.machines_of(&over_limit).is_empty(),
         "300, 500 and 250 of 1,000"
     );
 }
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -144,17 +144,17 @@
         let write = cluster
             .assignment_index_write(urgent, 5)
             .or_else(|| cluster.assignment_index_write(!urgent, 5));
-        let Some((listings, conditions, changes)) = write else {
+        let Some((shard_writes, conditions, changes)) = write else {
             return;
         };
         assert!(changes.len() <= 5);
         self.check();
         match self.rng.random_range(0..10) {
-            0 => self.answer(listings, &StateReply::Rejected),
-            1 => self.unclear(listings, &conditions, &changes),
+            0 => self.answer(shard_writes, &StateReply::Rejected),
+            1 => self.unclear(shard_writes, &conditions, &changes),
             2 => {
                 self.stored.late.push((conditions, changes));
-                self.answer(listings, &StateReply::Unclear);
+                self.answer(shard_writes, &StateReply::Unclear);
             }
             _ => {
                 let reply = match self.stored.apply(&conditions, &changes) {
@@ -163,21 +163,26 @@
                     },
                     false => StateReply::Conflict,
                 };
-                self.answer(listings, &reply);
+                self.answer(shard_writes, &reply);
             }
         }
         self.check();
     }
 
-    fn unclear(&mut self, listings: Vec<ShardWrite>, conditions: &[Condition], changes: &[Change]) {
+    fn unclear(
+        &mut self,
+        shard_writes: Vec<ShardWrite>,
+        conditions: &[Condition],
+        changes: &[Change],
+    ) {
         self.stored.apply(conditions, changes);
-        self.answer(listings, &StateReply::Unclear);
+        self.answer(shard_writes, &StateReply::Unclear);
     }
 
-    fn answer(&mut self, listings: Vec<ShardWrite>, reply: &StateReply) {
+    fn answer(&mut self, shard_writes: Vec<ShardWrite>, reply: &StateReply) {
         self.cluster
             .cluster
-            .assignment_index_written(listings, reply);
+            .assignment_index_written(shard_writes, reply);
         let assignment_index = &mut self.cluster.cluster.assignment_index;
         while let Some(shard) = assignment_index.next_unverified() {
             let read = self.stored.shards.get(&format!("roster/{shard}"));
