--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -35,7 +35,7 @@
     Claim {
         lease: u64,
         sent: Duration,
-        prior: election::PreviousLeader,
+        previous: election::PreviousLeader,
     },
     Probe,
     StoredHeartbeat,
@@ -47,7 +47,7 @@
         request: RequestId,
         spec: Arc<JobSpec>,
         accepted_ms: u64,
-        tries: u8,
+        attempts: u8,
     },
     Cancel {
         request: RequestId,
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -154,13 +154,13 @@
         {
             return;
         }
-        let Some(prior) = self.previous_leader() else {
+        let Some(previous) = self.previous_leader() else {
             return;
         };
         self.election.campaign_in_flight = true;
         match self.election.lease {
             None => self.request_lease(),
-            Some(lease) => self.claim_leadership(lease, prior),
+            Some(lease) => self.claim_leadership(lease, previous),
         }
     }
 
@@ -169,20 +169,27 @@
         self.call(Purpose::Grant, StateRequest::Grant { ttl });
     }
 
-    fn claim_leadership(&mut self, lease: u64, prior: PreviousLeader) {
+    fn claim_leadership(&mut self, lease: u64, previous: PreviousLeader) {
         // By the time of the reply, the leader key may already be the one of this claim.
-        self.election.has_requested_claim |= prior != PreviousLeader::SameNode;
+        self.election.has_requested_claim |= previous != PreviousLeader::SameNode;
         let sent = self.now();
-        let request = self.claim_transaction(lease, prior);
-        self.call(Purpose::Claim { lease, sent, prior }, request);
+        let request = self.claim_transaction(lease, previous);
+        self.call(
+            Purpose::Claim {
+                lease,
+                sent,
+                previous,
+            },
+            request,
+        );
     }
 
     /// Builds the transaction that makes this node the leader.
-    fn claim_transaction(&self, lease: u64, prior: PreviousLeader) -> StateRequest {
+    fn claim_transaction(&self, lease: u64, previous: PreviousLeader) -> StateRequest {
         let version = self.cache.leader.as_ref().map_or(0, |(_, v)| *v);
         let record = LeaderRecord {
             node: self.config.node.clone(),
-            superseded: prior == PreviousLeader::Superseded,
+            superseded: previous == PreviousLeader::Superseded,
         };
         StateRequest::Txn {
             // A process with an outdated generation or an outdated list of partitioned zones can't
@@ -330,14 +337,14 @@
         &mut self,
         lease: u64,
         sent: Duration,
-        prior: PreviousLeader,
+        previous: PreviousLeader,
         reply: StateReply,
     ) {
         self.election.campaign_in_flight = false;
         let now = self.now();
         match reply {
             StateReply::Committed { revision } if self.election.lease == Some(lease) => {
-                self.begin_claim(revision, sent, prior);
+                self.begin_claim(revision, sent, previous);
             }
             StateReply::LeaseGone => {
                 self.election.lease = None;
@@ -350,14 +357,14 @@
     }
 
     /// Starts the failover after the claim was written. This node acts once it is verified.
-    fn begin_claim(&mut self, claim: u64, sent: Duration, prior: PreviousLeader) {
+    fn begin_claim(&mut self, claim: u64, sent: Duration, previous: PreviousLeader) {
         let now = self.now();
-        info!(claim, after = ?(now - sent), ?prior, "claimed the leadership; loading the state");
+        info!(claim, after = ?(now - sent), prior = ?previous, "claimed the leadership; loading the state");
         self.election.claim = Some(claim);
         // The cache may still miss requests that were confirmed before the claim.
         self.election.valid_until = Duration::ZERO;
         self.election.verified_at = sent;
-        self.election.previous_stopped_at = match prior {
+        self.election.previous_stopped_at = match previous {
             PreviousLeader::SameNode => Duration::ZERO,
             PreviousLeader::LeaseExpired | PreviousLeader::Resigned => now,
             PreviousLeader::Superseded => now + self.config.leader_ttl,
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -247,7 +247,7 @@
             return;
         }
         let best_peer = self.membership.nodes.best_peer(now);
-        let has_settled =
+        let have_workers_moved =
             self.membership.leading_for(now) > worker_move_time(self.config.report_interval);
         // Evaluated only if another node reaches machines, as it iterates over all machines.
         let own_machines = || {
@@ -257,7 +257,7 @@
                 .values()
                 .sum::<u32>()
         };
-        let is_peer_better = has_settled
+        let is_peer_better = have_workers_moved
             && best_peer
                 .as_ref()
                 .is_some_and(|(_, machines)| *machines >= 3 && *machines > 2 * own_machines());
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -409,7 +409,11 @@
                 renewal_sent,
                 sent,
             } => self.verification_answered(claim, renewal_sent, sent, reply),
-            Purpose::Claim { lease, sent, prior } => self.claim_answered(lease, sent, prior, reply),
+            Purpose::Claim {
+                lease,
+                sent,
+                previous,
+            } => self.claim_answered(lease, sent, previous, reply),
             Purpose::Probe => self.probe_answered(&reply),
             Purpose::StoredHeartbeat => self.heartbeat_write_answered(),
             Purpose::StoreSettledClaim => self.settled_claim_answered(),
@@ -418,8 +422,8 @@
                 request,
                 spec,
                 accepted_ms,
-                tries,
-            } => self.accepted(request, spec, accepted_ms, tries, reply),
+                attempts,
+            } => self.accepted(request, spec, accepted_ms, attempts, reply),
             Purpose::Cancel {
                 request,
                 id,
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -231,11 +231,11 @@
         };
         if !listed.is_empty() || !unconfirmed.is_empty() || !cluster.start_blocked_zones.is_empty()
         {
-            let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unconfirmed).cloned().collect();
+            let blocked: BTreeSet<Arc<str>> = listed.keys().chain(unconfirmed).cloned().collect();
             // The machines of a zone that is no longer withheld may not have changed, so their
             // reports alone would not return the waiting jobs to the heap.
-            if withheld != cluster.start_blocked_zones {
-                cluster.start_blocked_zones = withheld;
+            if blocked != cluster.start_blocked_zones {
+                cluster.start_blocked_zones = blocked;
                 cluster.requeue();
             }
         }
@@ -283,10 +283,10 @@
     /// or a previous one.
     fn last_answered(&self, zone: &Arc<str>) -> Duration {
         let own_answer = self.partitioned_zones.answered_at.get(zone).copied();
-        let recording = self.partitioned_zones.recording_since.unwrap_or(self.now());
+        let recording_since = self.partitioned_zones.recording_since.unwrap_or(self.now());
         own_answer
             .unwrap_or_default()
-            .max(recording)
+            .max(recording_since)
             .max(self.election.previous_leader_stopped_at())
     }
 
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -53,14 +53,14 @@
         let lag = self.config.list_lag * 2;
         let heard_at = machine.heard_at.unwrap_or(machine.first_seen);
         let has_missed_report = now > heard_at + self.config.report_interval * 5 / 4 + REPORT_GRACE;
-        let (listed_at, list_read) = (
+        let (listed_at, list_requested_at) = (
             machine.listed_at,
             self.provisioning.complete_list_requested_at,
         );
         has_missed_report
             && listed_at
-                .zip(list_read)
-                .is_some_and(|(at, read)| read > at + lag)
+                .zip(list_requested_at)
+                .is_some_and(|(at, requested)| requested > at + lag)
     }
 
     /// Returns the machines to be returned to the cloud so that nothing runs there any more, those
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -226,7 +226,7 @@
 
     /// Stores a job on condition that no record of it exists in any format, and that the
     /// generation is the one this node knows.
-    fn accept(&mut self, request: RequestId, spec: Arc<JobSpec>, tries: u8) {
+    fn accept(&mut self, request: RequestId, spec: Arc<JobSpec>, attempts: u8) {
         let id = spec.id.clone();
         let (cluster, generation) = self.cache.generation;
         let Some(absence) = terminal_states::absence_conditions(&cluster, &id, &self.ranges) else {
@@ -234,7 +234,7 @@
             match self.ranges.get(&range).is_some() {
                 // The range holds a terminal state of this job.
                 true => self.queue_query(request, id, JobQuery::Resubmit(spec, MAX_STORE_ATTEMPTS)),
-                false => self.read_range(request, id, AfterRangeRead::Accept(spec, tries)),
+                false => self.read_range(request, id, AfterRangeRead::Accept(spec, attempts)),
             }
             return;
         };
@@ -253,7 +253,7 @@
                 request,
                 spec,
                 accepted_ms,
-                tries,
+                attempts,
             },
             StateRequest::Txn {
                 conditions,
@@ -288,7 +288,7 @@
             return;
         }
         match then {
-            AfterRangeRead::Accept(spec, tries) => self.accept(request, spec, tries),
+            AfterRangeRead::Accept(spec, attempts) => self.accept(request, spec, attempts),
             AfterRangeRead::Cancel => self.cancel(request, id),
         }
     }
@@ -370,7 +370,7 @@
         request: RequestId,
         spec: Arc<JobSpec>,
         accepted_ms: u64,
-        tries: u8,
+        attempts: u8,
         reply: StateReply,
     ) {
         let id = spec.id.clone();
@@ -385,7 +385,7 @@
             // The job exists already, or the range or the generation has changed.
             StateReply::Conflict => {
                 self.ranges.forget(&JobIdRange::containing(&id).0);
-                self.queue_query(request, id, JobQuery::Resubmit(spec, tries + 1));
+                self.queue_query(request, id, JobQuery::Resubmit(spec, attempts + 1));
             }
             StateReply::Refused { retry_after, .. } => {
                 let retry = retry_after.unwrap_or(CLIENT_RETRY_DELAY);
@@ -532,7 +532,7 @@
             self.queue_query(request, id, JobQuery::Withdraw);
             return;
         };
-        let job = if_version(job_key(&id), job.version);
+        let is_unchanged = if_version(job_key(&id), job.version);
         let (cluster, generation) = self.cache.generation;
         let record = TerminalRecord::cancelled(self.task_counts(&id).0);
         let ended = [(id.clone(), record)];
@@ -541,7 +541,7 @@
             self.read_range(request, id, AfterRangeRead::Cancel);
             return;
         };
-        let mut conditions = vec![job, if_version(GENERATION_KEY, generation)];
+        let mut conditions = vec![is_unchanged, if_version(GENERATION_KEY, generation)];
         conditions.extend(terminal_write.conditions);
         let mut changes = vec![delete(job_key(&id))];
         changes.extend(terminal_write.changes);
@@ -710,8 +710,8 @@
         match read.query {
             JobQuery::Status | JobQuery::Withdraw => self.answer(request, Answer::NotFound),
             JobQuery::Reject(reason) => self.answer(request, Answer::Impossible(reason)),
-            JobQuery::Resubmit(spec, tries) if tries < MAX_STORE_ATTEMPTS => {
-                self.accept(request, spec, tries)
+            JobQuery::Resubmit(spec, attempts) if attempts < MAX_STORE_ATTEMPTS => {
+                self.accept(request, spec, attempts)
             }
             JobQuery::Resubmit(..) | JobQuery::ForDependent(_) => {
                 self.answer(
