--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -23,7 +23,7 @@
 const MAX_LEADER_TTL: Duration = Duration::from_secs(30);
 
 /// Lower bound of the limit on waiting requests: all machines of a fleet may report to one node at
-/// once, even on a small host.
+/// the same time, even on a small host.
 const MIN_WAITING_REQUESTS: usize = 4096;
 /// Limit on the tasks listed in all waiting reports of a node: the larger of a minimum and a number
 /// per socket. The tasks take memory, and a host that allows more sockets has more of it.
@@ -77,7 +77,7 @@
     pub objectives: Vec<crate::settings::Objective>,
     pub report_interval: Duration,
     pub gang_wait: Duration,
-    /// Time after the last answer to a worker by which its lease has certainly expired.
+    /// Time after the last answer to a worker by which its lease has expired in any case.
     pub worker_lease_bound: Duration,
     /// Duration of the leader's own lease.
     pub leader_ttl: Duration,
@@ -86,9 +86,9 @@
     pub renew_interval: Duration,
     /// Time that each machine adds to the pause between two leader rounds.
     pub round_pause_per_machine: Duration,
-    /// Time without a heartbeat after which the leader is considered failed. A restarted process
-    /// is mostly back before that, with more state than any other node. The rest of a worker's
-    /// lease has to suffice for another node to take over and answer the worker.
+    /// Time without a heartbeat after which the leader is considered failed. A restarted process is
+    /// usually back before that, and has more state than any other node. The rest of a worker's
+    /// lease must be long enough for another node to take over and answer the worker.
     pub leader_silence_limit: Duration,
     /// Minimum time between two requests that verify that this node's cache is current.
     pub sync_interval: Duration,
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -31,7 +31,7 @@
     refused_leader: Option<(String, u64)>,
 }
 
-/// Time that a worker waits for the answer to a report.
+/// Time for which a worker waits for the answer to a report.
 const WORKER_ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 /// Delay before a worker tries another node.
 pub const WORKER_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -160,7 +160,7 @@
     /// The job is pending until these jobs are done.
     Waiting(JobId, Vec<JobId>),
     NotFound,
-    /// The request can never succeed, for this reason.
+    /// The request can never succeed, for the given reason.
     Impossible(String),
     /// The request can't be decided now.
     Later {
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -232,7 +232,7 @@
         if !listed.is_empty() || !unconfirmed.is_empty() || !cluster.start_blocked_zones.is_empty()
         {
             let blocked: BTreeSet<Arc<str>> = listed.keys().chain(unconfirmed).cloned().collect();
-            // The machines of a zone that is no longer withheld may not have changed, so their
+            // The machines of a zone that is no longer blocked may not have changed, so their
             // reports alone would not return the waiting jobs to the heap.
             if blocked != cluster.start_blocked_zones {
                 cluster.start_blocked_zones = blocked;
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -25,8 +25,9 @@
 /// All changes of the stored state that this build supports.
 pub const FEATURES: &[Feature] = &[PACKED_TERMINAL_STATES, PARTITIONED_ZONES_FEATURE, DRAINS];
 
-/// Feature name of jobs that depend on others. It has no generation of its own, since the records
-/// of all other jobs keep their form. A build without it can't read such a job and stays a standby.
+/// Feature name of jobs that depend on others. The feature has no generation of its own, since the
+/// records of all other jobs keep their form. A build without it can't read such a job, and a node
+/// with that build does not lead.
 pub const JOB_DEPENDENCIES: &str = "job-dependencies";
 
 /// Operator's request to a node.
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -85,7 +85,8 @@
 const PROGRESS_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
 /// Minimum time between two writes of a range of terminal states. Submissions in the range are
-/// conditional on its key. The protocol allows `done` to be 3 s late.
+/// conditional on its key, so each write may make some of them conflict. The protocol allows
+/// `done` to be 3 s late.
 const RANGE_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Write with its conditions and changes.
