--- a/tests/world/absences.rs
+++ b/tests/world/absences.rs
@@ -1,5 +1,5 @@
-//! Absences: of all controllers, of a zone with its workers and controller, and of all but
-//! one that has handed over and back.
+//! Controllers that are unavailable: all of them, a zone with its workers and controller, or all
+//! but one after a handover in both directions.
 
 use std::time::Duration;
 
@@ -12,28 +12,28 @@
     sim::{Event, LONG, MEDIUM, NODES, SMALL, Sabotage, Scale, World, ms},
 };
 
-/// How far handing over and back, and the end of all nodes, has come.
+/// Progress of a handover to another node and back, after which all nodes stop.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 enum HandingOver {
     #[default]
     None,
-    /// The first leader was asked at this time.
+    /// The first leader was asked to step down at this time.
     Over(Duration),
-    /// The second one was asked as well.
+    /// The second leader was asked to step down as well.
     Back(Duration),
 }
 
 #[derive(Default)]
 pub struct Absences {
     handing_over: HandingOver,
-    /// From the first hand-over to the end of all nodes, each time.
+    /// Time from the first handover to the stop of all nodes, for each run of the fault.
     handed_back: Vec<Duration>,
-    /// Nodes that are gone for so long with the next end of all.
+    /// Downtime of the other nodes after the next stop of all.
     away: Duration,
 }
 
 impl World {
-    /// All processes end and are back later than any lease lasts.
+    /// Stops all processes and restarts them after a time longer than any lease.
     pub fn all_away(&mut self, lasts: Duration) {
         for node in 0..NODES {
             self.push(self.now, Event::End(node));
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The leader hands over, the next one hands over as soon as it has claimed, all end at
-    /// the claim after that, and one is back within a second.
+    /// Makes the leader step down, and the next one as soon as it has claimed; all nodes stop at
+    /// the claim after that, and one restarts within a second.
     pub fn hand_over_and_back(&mut self, away: Duration) {
         self.absences.away = away;
         self.absences.handing_over = HandingOver::Over(self.now);
@@ -59,7 +59,7 @@
             HandingOver::None => {}
             HandingOver::Over(from) => {
                 self.absences.handing_over = HandingOver::Back(from);
-                // It can hand over once it has learned that it leads.
+                // A node can step down only after it has learned that it leads.
                 for again in 1..25 {
                     self.push(self.now + ms(again * 120), Event::StepDown);
                 }
@@ -84,7 +84,7 @@
 
 fn world(scale: Scale, seed: u64, sabotage: Sabotage, troubles: &[(u64, Case, u64)]) -> World {
     let mut world = World::sized(scale, seed, sabotage);
-    // Operators can ask a leader to hand over where rollouts are switched on.
+    // Operators can ask a leader to step down only where rollouts are enabled.
     if troubles.iter().any(|t| t.1 == Case::HandOverAndBack) {
         world = world.rolling("4");
     }
@@ -115,7 +115,7 @@
     assert!(hit, "{sabotage:?} was not caught as {rule}");
 }
 
-/// Beyond a lease of 5 s, a term of about 14 s, and what a cancellation may take.
+/// Longer than a lease of 5 s, a leader term of about 14 s, and `cancel_s`.
 const ALL_AWAY: [(u64, Case, u64); 2] = [
     (18_000, Case::AllAway, 7_000),
     (40_000, Case::AllAway, 22_000),
@@ -130,7 +130,7 @@
     ]);
 }
 
-/// Nothing but the store remembers what was answered.
+/// Answers given before the downtime survive only in the state service.
 #[test]
 fn ends_that_only_processes_remember_are_caught() {
     caught(
@@ -155,8 +155,8 @@
     ]);
 }
 
-/// The cut-off zone's controller does not lead: what it answered would keep leases there
-/// that the leader outside takes to be over.
+/// Guards against a follower that answers reports. The controller in the partitioned zone does not
+/// lead; its answers would renew leases that the leader outside the zone considers expired.
 #[test]
 fn a_follower_that_renews_leases_is_caught() {
     caught(LONG, Sabotage::FollowersRenew, &ZONE_CUT, "ran_twice");
@@ -180,8 +180,8 @@
     }
 }
 
-/// The one that returns alone has the assignment index to tell it what an unresponsive machine may
-/// hold.
+/// The node that restarts alone learns only from the assignment index which jobs an unresponsive
+/// machine may hold.
 #[test]
 fn a_roster_that_names_no_jobs_is_caught_after_handing_over_and_back() {
     let mut troubles = HANDED_BACK.to_vec();
--- a/tests/world/answers.rs
+++ b/tests/world/answers.rs
@@ -1,5 +1,5 @@
-//! What users are told where their requests meet acceptances, ends, cancellations and a
-//! state service that does not answer.
+//! Answers to user requests that coincide with acceptances, completions, cancellations and a state
+//! service that does not answer.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     ..MEDIUM
 };
 
-/// So many long tasks that there are always some to cancel.
+/// Enough long tasks that some can be cancelled at any time.
 const MANY: Scale = Scale { jobs: 100, ..LONG };
 
-/// Cancellations are told in a large part of the world.
+/// Duration of the faults; cancellations are reported during most of it.
 const DURING: Duration = Duration::from_secs(45);
 
 fn world(scale: Scale, seed: u64, sabotage: Sabotage, cases: &[(Case, Duration)]) -> World {
@@ -122,8 +122,9 @@
     caught(Sabotage::UnprovenAnswers, &[LOST], "went_back");
 }
 
-/// Four a second for two minutes, a quarter of them cancelled. A job of low priority may wait
-/// until it pays to rent a machine in its zone; 115 s after the last one came, all are over.
+/// Four jobs per second for two minutes, a quarter of them cancelled. A low-priority job may wait
+/// until it pays to provision a machine in its zone; all jobs are in a terminal state 115 s after
+/// the last submission.
 #[test]
 fn rules_hold_while_small_jobs_come_all_the_time() {
     let scale = Scale {
@@ -135,7 +136,7 @@
         let mut world = World::sized(scale, seed, Sabotage::None).stream(480, ms(250));
         world = world.with(1_000, Case::CloseLooks, Duration::from_secs(150));
         world = world.with(40_000, Case::AskedAtEnd, Duration::from_secs(20));
-        // Users alone make trouble here, so no job may wait beside room at any time.
+        // Users cause the only faults here, so no job may wait while a machine has room for it.
         world.liveness.settled = Some(Duration::from_secs(10));
         world.run();
         let (done, cancelled) = world.ended();
@@ -148,8 +149,8 @@
     }
 }
 
-/// A burst of cancellations in the seconds in which a controller's work changes hands, and
-/// jobs that are cancelled while the leader is refused and then everybody.
+/// Guards against wrong answers when a burst of cancellations arrives in the seconds around a
+/// failover, or while the state service refuses the leader and then all nodes.
 #[test]
 fn rules_hold_where_users_cancel_and_ask_while_work_changes_hands() {
     let hands = [
@@ -177,8 +178,8 @@
     }
 }
 
-/// Cancelled at the very moment at which the leader alone is refused; a second later the
-/// service is away for all, longer than a cancellation may take.
+/// Cancels jobs at the moment the state service starts to refuse the leader alone; one second later
+/// it is unavailable to all nodes, for longer than `cancel_s`.
 fn refused_then_away(seed: u64, sabotage: Sabotage) -> World {
     let mut world = World::sized(LONG, seed, sabotage).with(
         20_000,
--- a/tests/world/between.rs
+++ b/tests/world/between.rs
@@ -1,5 +1,5 @@
-//! Troubles between machines: workers that are heard and not reached, copies that come
-//! late, and a node that loses the state service and its peers, not its workers.
+//! Network faults: workers whose reports arrive but who receive nothing, delayed duplicates of
+//! messages, and a node that loses the state service and its peers but not its workers.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,11 +12,11 @@
 
 #[derive(Default)]
 pub struct Between {
-    /// Nothing reaches these machines until then; what they send arrives.
+    /// Machines that receive nothing until the given time; their own messages arrive.
     deaf: BTreeMap<String, Duration>,
-    /// Until then a part of all messages comes again.
+    /// A quarter of all messages is duplicated until then.
     pub copies_until: Duration,
-    /// These nodes and the others hear nothing of one another until then.
+    /// No messages pass between these nodes and the others until the given times.
     apart: [Duration; NODES],
 }
 
@@ -42,7 +42,8 @@
         apart[from].max(apart[to]) > self.now
     }
 
-    /// When the copy of a message comes, if there is one: seconds to several leases later.
+    /// Returns the receiver and the arrival time of a duplicate, if there is one: seconds to
+    /// several leases later.
     fn copied(&mut self) -> Option<(usize, Duration)> {
         if self.now >= self.between.copies_until || self.rng.random_range(0..4) > 0 {
             return None;
@@ -51,7 +52,8 @@
         Some((self.rng.random_range(0..NODES), at))
     }
 
-    /// At whatever node and process is there by then; nobody waits for the answer.
+    /// Delivers the duplicate to any node, whatever process runs there by then; nobody waits for
+    /// the answer.
     fn again(&mut self, input: impl FnOnce(u64) -> Input) {
         if let Some((node, at)) = self.copied() {
             self.next_request += 1;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// To the service it is one more request, whose answer finds nobody.
+    /// The state service handles the duplicate as a request of its own, and its answer is dropped.
     pub fn copy_state(&mut self, request: &StateRequest) {
         if let (StateRequest::Txn { .. }, Some((node, at))) = (request, self.copied()) {
             self.push(at, Event::AtState(node, 0, 0, request.clone()));
@@ -95,7 +97,7 @@
         }
     }
 
-    /// No job has waiting tasks that nothing will ever look at again.
+    /// Checks that no job has waiting tasks that are in no queue.
     pub fn look_for_lost(&mut self) {
         let nodes = self.nodes.iter().flatten();
         let lost: Vec<_> = nodes.filter_map(|node| node.unqueued_job()).collect();
--- a/tests/world/cases.rs
+++ b/tests/world/cases.rs
@@ -1,4 +1,4 @@
-//! The hard cases of membership and hand-over, each brought about on purpose.
+//! Faults around membership and failover, each injected on purpose.
 
 use std::time::Duration;
 
@@ -8,101 +8,102 @@
 
 use crate::sim::{Cut, Event, NODES, World, ms};
 
-/// One trouble, and for how long.
+/// A fault; how long it lasts is given with it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Case {
-    /// No worker reaches the leader, nor it any worker.
+    /// The leader and all workers cannot reach each other.
     Blind,
-    /// The same for the workers of one zone.
+    /// The leader and the workers of one zone cannot reach each other.
     BlindToZone,
-    /// Two nodes that each hear half of the zones, and neither the other half.
+    /// Two nodes each reach half of the zones, and neither reaches the other half.
     HalfEach,
-    /// Nodes refuse one another's connections.
+    /// Nodes refuse connections from their peers.
     PeersRefuse,
-    /// The leader's process stands still in the middle of a step.
+    /// The leader's process freezes in the middle of a step.
     Stands,
     StateSlow,
-    /// All nodes are restarted, one after the other.
+    /// All nodes are restarted one after another.
     Roll,
-    /// A zone is partitioned from everything, its node from the state service as well.
+    /// A zone is partitioned from everything, its node also from the state service.
     ZoneCut,
     /// The leader's zone is partitioned from everything.
     LeaderZoneCut,
-    /// A fifth of the machines hang and go on within their lease.
+    /// A fifth of the machines hang and resume within their lease.
     Hang,
-    /// The leader's process ends.
+    /// The leader's process crashes.
     LeaderEnds,
-    /// All nodes end at once.
+    /// All nodes crash at once.
     AllEnd,
-    /// All end, and again while they start: each before its first answer, or soon after it.
+    /// All nodes crash, and again during startup: each before or soon after its first answer.
     EndAgain,
-    /// A third of the machines report, and nothing reaches them.
+    /// A third of the machines send reports that arrive, but receive nothing.
     Deaf,
-    /// Reports come again later, and so do requests that were carried out.
+    /// Reports, and requests that were already applied, arrive again later.
     Copies,
-    /// The leader loses the state service and its peers, not its workers and users.
+    /// The leader loses the state service and its peers, but not its workers and users.
     LeaderApart,
-    /// The same with another node as well: only one is left.
+    /// Like `LeaderApart`, for a second node as well: only one node is unaffected.
     TwoApart,
-    /// The leader loses them, and the machines of its zone are on its side alone.
+    /// Like `LeaderApart`, and the machines of the leader's zone reach the leader alone.
     ZoneApart,
-    /// The state service is away.
+    /// The state service is unavailable.
     Outage,
-    /// It refuses the leader alone while users cancel, and then is away for all.
+    /// The state service refuses the leader alone while users cancel, and then all nodes.
     Gap,
-    /// The same, and it goes away just when another node has claimed.
+    /// Like `Gap`, with the outage starting just after another node has claimed the leadership.
     GapAfterClaim,
-    /// A part of all transactions gets no answer and is carried out later, after newer ones.
+    /// A quarter of all transactions gets no answer and is applied later, after newer ones.
     LateWrites,
-    /// Commands that go straight to workers are held up, and so are their answers.
+    /// Direct commands to workers are delayed, and so are their answers.
     HeldCommands,
-    /// All nodes are asked within milliseconds after an acceptance or an end, submissions are
+    /// All nodes are polled within milliseconds of an acceptance or completion, submissions are
     /// repeated, and some jobs are cancelled at once.
     CloseLooks,
-    /// The end of a job's last task meets a cancellation, a question or a submission.
+    /// The completion of a job's last task coincides with a cancellation, a poll or a submission.
     AskedAtEnd,
-    /// Users send jobs that can't run.
+    /// Users submit jobs that can never run.
     OddRequests,
-    /// A part of all transactions is carried out at once, and not answered.
+    /// A quarter of all transactions is applied at once, but its answer is lost.
     AnswersLost,
-    /// Within a fifth of a second users cancel most of the jobs that are not over.
+    /// Users cancel most of the unfinished jobs within 200 ms.
     CancelBurst,
-    /// The same at the very moment at which the state service refuses the leader alone; a
-    /// second later it is away for all.
+    /// Like `CancelBurst`, at the moment the state service starts to refuse the leader alone; one
+    /// second later it is unavailable to all nodes.
     RefusedThenAway,
-    /// Messages between nodes and workers take a large part of a second.
+    /// Messages between nodes and workers take 150 to 700 ms longer.
     SlowLinks,
-    /// Half of the machines end in the zone that has most tasks bound to it.
+    /// Half of the machines are lost in the zone with the most tasks bound to it.
     ZoneLosesMachines,
-    /// The leader's own watch tells nothing while users cancel.
+    /// The leader's own watch returns nothing while users cancel.
     SilentWatch,
-    /// A third of the machines reach no controller; direct commands reach them.
+    /// A third of the machines cannot connect to any controller; direct commands reach them.
     Mute,
-    /// Copies of reports are kept, and reach every node as the next leader begins.
+    /// Copies of reports are kept, and reach every node as the next leader starts.
     KeptCopies,
     /// Reports are held back until a new leader has acted.
     HeldReports,
-    /// Direct commands are carried out 2 to 16 s late and not answered.
+    /// Direct commands are executed 2 to 16 s late and not answered.
     LateCommands,
-    /// Users cancel most of what runs, and machines with it hang for that long.
+    /// Users cancel most running jobs, and machines that hold their tasks hang for the given time.
     CancelAndHang,
-    /// Machines are up within two seconds, and the leader ends as they get work.
+    /// Machines boot within two seconds, and the leader crashes as they get work.
     NewMachines,
-    /// All processes end, and are back after that time.
+    /// All processes stop, and restart after the given time.
     AllAway,
-    /// Hand-over and back, all end, and one returns; the others after that time.
+    /// A handover and a handover back, after which all nodes stop and one restarts; the others
+    /// restart after the given time.
     HandOverAndBack,
-    /// A node that does not lead is started again from the old build.
+    /// A follower is restarted from the old build.
     OldAgain,
-    /// Operators want the old forms back.
+    /// Operators order a downgrade to the old storage format.
     GoBack,
-    /// The leader's claim vanishes while it goes on leading a zone of its own: what an
-    /// unsafe hand-over would do.
+    /// The leader's claim is deleted while the leader goes on leading its zone: the effect of an
+    /// unsafe handover.
     VacatedEarly,
 }
 
 impl World {
-    /// The node that leads by the stored key.
+    /// Returns the node that leads according to the stored key.
     pub fn leading(&mut self) -> usize {
         let key = "live/leader".to_owned();
         let reply = self.state.call(self.now, &StateRequest::Get { key });
@@ -158,7 +159,7 @@
                 }
             }
             Case::LeaderEnds => {
-                // After a planned hand-over it is the one that was asked.
+                // After a planned handover, the node that stepped down crashes.
                 let node = self.roll.asked.filter(|_| self.roll.spare_successor);
                 self.crash(node.unwrap_or(leader));
             }
@@ -242,5 +243,5 @@
     }
 }
 
-/// A time well within a worker's lease at every size.
+/// Well within a worker's lease at every scale.
 pub const WITHIN_LEASE: Duration = ms(3500);
--- a/tests/world/draining.rs
+++ b/tests/world/draining.rs
@@ -1,4 +1,4 @@
-//! Machines that are emptied on purpose, with everything else that can happen.
+//! Drains of machines under other faults.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,11 +13,11 @@
 const S: u64 = 1000;
 const FILE: &str = "[budget]\nmax_down = 1\nfloor = 0.5\nmax_in_s = 10\nmax_tasks = 40\n";
 
-/// The fourth generation from the beginning, and every second of the first machines to be
-/// emptied at 20 s.
+/// Returns a world at the fourth generation from the start, which drains every second one of the
+/// first machines at 20 s.
 fn drained(scale: Scale, seed: u64, machines: usize, sabotage: Sabotage) -> World {
     let mut world = World::sized(scale, seed, sabotage).rolling("1");
-    let config = Config::parse(FILE, 1).expect("a good file");
+    let config = Config::parse(FILE, 1).expect("valid config file");
     world.roll.maintenance = Some(Arc::new(config));
     world.roll.most = [4; NODES];
     for node in 0..NODES {
@@ -36,9 +36,9 @@
     world.run();
     let what = format!("seed {seed}, {troubles:?}");
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.finished > 8, "{what}: finished too little");
+    assert!(world.observer.finished > 8, "{what}: too few jobs finished");
     let (gone, asked) = (world.roll.returned, world.roll.cordoned.len());
-    assert!(asked > 0, "{what}: no machine was there");
+    assert!(asked > 0, "{what}: no machine was cordoned");
     assert!(gone * 10 >= asked * 9, "{what}: {gone} of {asked} returned");
     assert!(world.keys("live/drains") == 1, "{what}");
 }
@@ -75,7 +75,7 @@
     }
 }
 
-/// The observer can fail.
+/// Shows that the observer detects starts on cordoned machines.
 #[test]
 fn a_next_leader_that_forgets_the_cordons_is_caught() {
     let forgets = |seed| {
--- a/tests/world/gap.rs
+++ b/tests/world/gap.rs
@@ -1,5 +1,5 @@
-//! The state service refuses the leader alone, another node confirms cancellations, and then
-//! it is away for all, longer than a cancellation may take.
+//! The state service refuses the leader alone while another node confirms cancellations, and is
+//! then unavailable to all nodes for longer than `cancel_s`.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     world.run();
     assert!(
         world.observer.finished > 8,
-        "{case:?} {seed}: finished too little"
+        "{case:?} {seed}: too few jobs finished"
     );
     world.observer.broken()
 }
@@ -34,14 +34,14 @@
     holds(Case::Gap);
 }
 
-/// A failover that kept leases alive without stopping what is cancelled carried it on for
-/// another term and another lease.
+/// Guards against a failover that keeps leases alive without stopping cancelled tasks, which would
+/// prolong them by another term and another lease.
 #[test]
 fn cancelled_tasks_are_gone_in_time_where_a_gap_meets_a_claim() {
     holds(Case::GapAfterClaim);
 }
 
-/// A term that grew with the claim alone went on without the cancellations.
+/// Guards against a term that grows with the claim alone and goes on without the cancellations.
 #[test]
 fn cancelled_tasks_are_gone_in_time_where_the_leaders_watch_is_silent() {
     holds(Case::SilentWatch);
--- a/tests/world/late.rs
+++ b/tests/world/late.rs
@@ -1,4 +1,5 @@
-//! What is carried out late, after newer ones of the same controller, and what comes again.
+//! Transactions that are applied late, after newer ones of the same controller, and messages that
+//! arrive again.
 
 use std::time::Duration;
 
@@ -32,7 +33,7 @@
             let world = world(seed, Sabotage::None, &[&[LATE], others].concat());
             let what = format!("seed {seed}, {others:?}");
             assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-            assert!(world.observer.finished > 8, "{what}: finished too little");
+            assert!(world.observer.finished > 8, "{what}: too few jobs finished");
         }
     }
 }
@@ -45,13 +46,14 @@
     assert!((0..20).any(hit), "{sabotage:?} was not caught as {rule}");
 }
 
-/// An older set of results in the place of a newer one, whose results workers have forgotten.
+/// An older set of results overwrites a newer one whose results the workers have forgotten.
 #[test]
 fn results_that_are_written_whatever_is_stored_are_caught() {
     caught(Sabotage::ResultsByKeyAlone, &[LATE], "shrank");
 }
 
-/// A claim on an absent key may be applied when another one has come and gone.
+/// A claim that only checks that the key is absent could be applied after another claim has come
+/// and gone.
 #[test]
 fn a_claim_that_is_applied_late_never_stands() {
     let troubles = [(Case::LeaderEnds, 0), (Case::AllEnd, 0)];
@@ -77,7 +79,7 @@
     caught(Sabotage::BelievesCopies, &[(Case::Copies, 40)], "ran_twice");
 }
 
-/// A start that is held up may begin until the worker has seen a higher token or session.
+/// A delayed start command may be executed until the worker has seen a higher token or session.
 #[test]
 fn a_start_that_is_taken_to_be_void_too_early_is_caught() {
     caught(
--- a/tests/world/late_commands.rs
+++ b/tests/world/late_commands.rs
@@ -1,5 +1,5 @@
-//! Direct commands that are held up, unanswered, and carried out once if token and session
-//! still match; and cancellations by the dozen whose machines hang.
+//! Direct commands that are delayed, unanswered, and executed once if token and session still
+//! match; and bursts of cancellations whose machines hang.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
     sim::{Event, LONG, MEDIUM, NODES, Sabotage, Scale, World, ms},
 };
 
-/// Machines of a burst's jobs that hang, at most.
+/// Maximum number of machines with tasks of a burst's jobs that hang.
 const HANGING_MOST: usize = 8;
 
 #[derive(Default)]
 pub struct LateCommands {
-    /// Until then a part of all direct commands is held up.
+    /// A third of all direct commands is delayed until then.
     until: Duration,
-    /// Commands that came when their worker had heard of a later claim.
+    /// Commands that arrived after their worker had seen a later claim.
     pub after_newer_leader: u64,
-    /// Commands that came when their session was over.
+    /// Commands that arrived after their session was over.
     pub after_session: u64,
-    /// Machines that hung with a cancelled task on them, each with how many.
+    /// Machines that hung with a cancelled task on them.
     pub hung_with_cancelled: usize,
 }
 
@@ -31,21 +31,20 @@
         self.late_commands.until = until;
     }
 
-    /// How late a direct command is, if it is late and thus unanswered.
+    /// Returns the delay of a direct command, if it is delayed and thus unanswered.
     pub fn late_command(&mut self) -> Option<Duration> {
         let late = self.now < self.late_commands.until && self.rng.random_range(0..3) == 0;
         late.then(|| ms(self.rng.random_range(2_000..16_000)))
     }
 
-    /// A direct command comes to a worker which has seen this token and session.
+    /// Counts a direct command that arrives at a worker which has seen this token and session.
     pub fn command_arrives(&mut self, token: (u64, u64), session: (u64, u64)) {
         let ((sent, seen), (meant, lives)) = (token, session);
         self.late_commands.after_newer_leader += u64::from(sent >> 16 < seen >> 16);
         self.late_commands.after_session += u64::from(meant < lives);
     }
 
-    /// Users cancel most of what runs, within a fifth of a second, and some machines with
-    /// tasks of it hang.
+    /// Cancels most running jobs within 200 ms, and makes some machines with their tasks hang.
     pub fn cancel_and_hang(&mut self, hang: Duration) {
         let mut cancelled = Vec::new();
         for job in self.running_jobs() {
@@ -68,8 +67,8 @@
     }
 }
 
-/// Commands are late, machines hang beyond their lease or hear of a newer token by no report,
-/// and leaders end or are deposed.
+/// Delays commands while machines hang beyond their lease or learn of a newer token by no report,
+/// and while leaders crash or are deposed.
 fn world(scale: Scale, seed: u64, sabotage: Sabotage) -> World {
     let mut world = World::sized(scale, seed, sabotage).quick();
     for (at, case, seconds) in [
@@ -101,8 +100,14 @@
             over += world.late_commands.after_session;
         }
         assert!(finished > 8, "seed {seed}: {finished} finished");
-        assert!(deposed > 4, "seed {seed}: {deposed} after a newer leader's");
-        assert!(over > 4, "seed {seed}: {over} after their session");
+        assert!(
+            deposed > 4,
+            "seed {seed}: {deposed} commands arrived after a newer leader's"
+        );
+        assert!(
+            over > 4,
+            "seed {seed}: {over} commands arrived after their session"
+        );
     }
 }
 
@@ -122,8 +127,8 @@
     caught(Sabotage::OldTokensCount);
 }
 
-/// Two bursts over long tasks, their machines hanging within their lease and beyond it, and
-/// the leader ends.
+/// Two bursts of cancellations over long tasks, whose machines hang within their lease and beyond
+/// it, and a leader that crashes.
 fn burst(seed: u64, sabotage: Sabotage) -> World {
     let mut world = World::sized(LONG, seed, sabotage).quick();
     for (at, case, hang) in [
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -1,5 +1,5 @@
-//! The state service lowers its limits in the middle of everything: nothing is lost, no rule
-//! is broken, work goes on and there is no storm of requests.
+//! The state service lowers its write limits during a run: nothing is lost, no rule is broken, work
+//! continues, and there is no storm of requests.
 
 use kiteyard::core::store::ASSIGNMENTS_PREFIX;
 
@@ -12,7 +12,7 @@
 
 const S: u64 = 1000;
 
-/// Values as large as a leader of today writes.
+/// Values as large as a leader writes at the default limits.
 const WIDE: Scale = Scale {
     value_kb: 16.0,
     machines: 120,
@@ -30,8 +30,8 @@
 
 const VALUE_BYTES: usize = (NEXT.value_kb * 1024.0) as usize;
 
-/// More requests in a second than this are a storm: the write budget before the fall, and what
-/// 60 workers, three nodes and their users ask for besides.
+/// More requests per second than this are a storm: the write budget before the limits drop, and the
+/// other requests of 60 workers, three nodes and their users.
 const STORM: u32 = 160;
 
 fn falls(world: &mut World, at: u64) {
@@ -43,7 +43,7 @@
     });
 }
 
-/// Runs to the end; work has to start and to end after the fall, too.
+/// Runs to the end; tasks must start and jobs finish after the limits drop, too.
 fn goes_on_after(mut world: World, fall: u64, what: &str) -> World {
     let length = world.scale.length;
     world.scale.length = ms(fall + 5 * S);
@@ -56,9 +56,12 @@
         world.observer.starts - starts,
         world.observer.finished - finished,
     );
-    assert!(more.0 > 10 && more.1 > 2, "{what}: {more:?} after the fall");
+    assert!(
+        more.0 > 10 && more.1 > 2,
+        "{what}: only {more:?} starts and finished jobs after the limits dropped"
+    );
     let busiest = world.state.busiest_second(ms(fall));
-    assert!(busiest < STORM, "{what}: {busiest} requests in a second");
+    assert!(busiest < STORM, "{what}: {busiest} requests in one second");
     world
 }
 
@@ -81,7 +84,7 @@
     }
 }
 
-/// What one version has written in large values is read and split by the next one.
+/// Large values written under the old limits are read and split under the new ones.
 #[test]
 fn large_shards_are_split_once_lower_limits_are_announced() {
     for seed in seeds(4) {
@@ -110,8 +113,7 @@
     }
 }
 
-/// Limits that no settings announce: what is rejected is split, and nothing is repeated as
-/// it was.
+/// Limits that no settings announce: rejected writes are split, and nothing is retried unchanged.
 #[test]
 fn limits_that_nobody_announced_are_learnt() {
     for seed in seeds(4) {
@@ -123,7 +125,10 @@
             let what = format!("seed {seed}, {case:?}");
             let world = goes_on_after(world, fall, &what);
             let rejected = world.state.rejected();
-            assert!((1..100).contains(&rejected), "{what}: {rejected} rejected");
+            assert!(
+                (1..100).contains(&rejected),
+                "{what}: {rejected} rejected writes"
+            );
         }
     }
 }
--- a/tests/world/liveness.rs
+++ b/tests/world/liveness.rs
@@ -1,5 +1,5 @@
-//! No job is left waiting while a machine that fits has room, and teams at their limits
-//! through changes of the leader. Counted from the workers' side.
+//! No job waits while a machine that fits has room, and teams at their limits keep them through a
+//! change of the leader. Measured at the workers.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,24 +11,25 @@
     sim::{CPUS, Job, MEDIUM, Sabotage, Scale, World, ZONES},
 };
 
-/// With a lease of 15 s the protocol's 90 s are six leases.
+/// With a lease of 15 s, the protocol's 90 s are six leases.
 const LEASES: u32 = 6;
-/// The seconds in which troubles are under way where limits bind.
+/// Seconds in which the faults are active, where limits bind.
 const SPELL: std::ops::Range<u64> = 20..40;
 const LOOKS_EVERY: Duration = Duration::from_millis(500);
 
-/// Since when each machine has had room for a waiting task of each job, without a break.
+/// Since when each machine has had room for a waiting task of each job, without interruption.
 #[derive(Default)]
 pub struct Liveness {
-    /// All troubles are over by then; nothing is looked at where it is not set.
+    /// Time by which all faults are over; waiting jobs are not checked where it is not set.
     pub settled: Option<Duration>,
     next_look: Duration,
     room_since: BTreeMap<JobId, BTreeMap<String, Duration>>,
-    /// How often, during the troubles, a team had less left than a waiting task of it needs.
+    /// Number of checks during the faults in which a team had less left than one of its waiting
+    /// tasks needs.
     pub at_limit: BTreeMap<String, u64>,
 }
 
-/// A machine as its worker knows it.
+/// Free capacity of a machine, as its worker knows it.
 struct Room {
     machine: String,
     zone: usize,
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Keeps count of how long the machines have had room, and breaks the rule where enough
-    /// of them had it for too long.
+    /// Records since when the machines have had room, and reports a violation where enough of them
+    /// had it for too long.
     fn left_waiting(&mut self, id: JobId, number: usize, fitting: &[&Room]) {
         let before = self.liveness.room_since.remove(&id).unwrap_or_default();
         let since = |room: &&Room| before.get(&room.machine).copied().unwrap_or(self.now);
@@ -78,8 +79,8 @@
         self.liveness.room_since.insert(id, known);
     }
 
-    /// Accepted, not over, and a task of it is nowhere. A job that fails wherever it runs is
-    /// tried ever more seldom.
+    /// Whether the job is accepted and unfinished, and one of its tasks is on no machine. Excludes
+    /// jobs that fail wherever they run, since they are retried ever less often.
     fn waits(&self, job: &Job) -> bool {
         let called_off = job.withdraw_at.is_some_and(|at| self.now > at);
         if !job.accepted || job.over || job.faulty || called_off {
@@ -98,7 +99,7 @@
         self.results.contains(&TaskId { job, index })
     }
 
-    /// The zones of what is there of a job, whether it has its image or not.
+    /// Zones of the job's tasks on machines, with or without their image.
     fn places(&self, spec: &JobSpec) -> Vec<usize> {
         let held = self.workers.values().flat_map(|worker| {
             let tasks = worker.tasks.iter();
@@ -134,7 +135,8 @@
         let there = self.places(spec);
         let whole = spec.kind == Kind::Gang;
         let least = if whole { spec.tasks } else { 1 };
-        // What is fetching counts against the limit, as does what only just ended.
+        // Tasks that fetch their image count against the limit, as do tasks that have only just
+        // ended.
         let fetching = self.fetching(&spec.team);
         let left = self.observer.left_to(&spec.team) - fetching;
         if f64::from(least) * spec.need.cpus > left || (whole && !there.is_empty()) {
@@ -181,7 +183,7 @@
     }
 }
 
-/// Whether the least that may start of a job has room on these machines together.
+/// Whether the minimum that may start of a job fits on these machines together.
 fn holds_least(spec: &JobSpec, rooms: &[&Room]) -> bool {
     if spec.kind != Kind::Gang {
         return !rooms.is_empty();
@@ -206,13 +208,13 @@
     }
 }
 
-/// Long enough after the last trouble.
+/// Long enough after the last fault.
 const LIVELY: Scale = Scale {
     length: Duration::from_secs(110),
     ..MEDIUM
 };
 
-/// Both teams have less than their jobs ask for.
+/// Both teams have less than their jobs request.
 const BOUND: Scale = Scale {
     team_limit: 16.0,
     second_limit: 12.0,
@@ -221,7 +223,7 @@
     ..LIVELY
 };
 
-/// A world with these troubles, each at its millisecond and for its seconds, played to its end.
+/// Runs a world with these faults, each with its start in milliseconds and its length in seconds.
 pub fn world(scale: Scale, seed: u64, sabotage: Sabotage, troubles: &[(u64, Case, u64)]) -> World {
     let mut world = World::sized(scale, seed, sabotage).quick();
     for (at, case, seconds) in troubles {
@@ -232,17 +234,17 @@
     world
 }
 
-/// The same; no rule is broken and no job left waiting.
+/// Like `world`; asserts that no rule is broken and no job is left waiting.
 pub fn holds(scale: Scale, seed: u64, troubles: &[(u64, Case, u64)]) -> World {
     let world = world(scale, seed, Sabotage::None, troubles);
     let what = format!("seed {seed}, {troubles:?}");
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.starts > 20, "{what}: ran too little");
+    assert!(world.observer.starts > 20, "{what}: too few tasks started");
     world
 }
 
-/// Both teams at their limits, machines that are partitioned, hang or hear nothing, cancelled
-/// services, and a leader that ends meanwhile.
+/// Guards against exceeded team limits after a failover: both teams are at their limits, machines
+/// are partitioned, hang or receive nothing, services are cancelled, and the leader crashes.
 #[test]
 fn teams_at_their_limits_keep_them_through_a_change_of_the_leader() {
     let troubles: [&[(u64, Case, u64)]; 3] = [
@@ -268,13 +270,13 @@
             let bound = |team: &str| world.liveness.at_limit.get(team).is_some_and(|n| *n > 10);
             assert!(
                 bound("red") && bound("blue"),
-                "seed {seed}: limits did not bind"
+                "seed {seed}: team limits did not bind"
             );
         }
     }
 }
 
-/// Ten leaders end, four and a half seconds apart, some of them inside an outage.
+/// Ten leaders crash, 4.5 s apart, some of them during an outage.
 #[test]
 fn leaders_change_ten_times_also_inside_an_outage() {
     let mut troubles: Vec<(u64, Case, u64)> = (0..10)
@@ -296,7 +298,8 @@
     assert!((0..4).any(caught));
 }
 
-/// A start by a leader that takes its machines for empty too early is counted too.
+/// Guards against a leader that considers machines empty too early and does not count a former
+/// leader's tasks.
 #[test]
 fn a_former_leaders_tasks_that_are_not_counted_are_caught() {
     let troubles = [(20_000, Case::Deaf, 14), (21_000, Case::LeaderEnds, 0)];
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -1,6 +1,6 @@
-//! Several cores in a small simulated world: state service, cloud, workers and
-//! users, with late and lost messages, crashes, cuts, outages and drift. An
-//! observer that knows nothing of the cores checks the protocol's rules.
+//! Several controller cores in a small simulated world: state service, cloud, workers and users,
+//! with delayed and lost messages, crashes, partitions, outages and clock drift. An observer that
+//! is independent of the cores checks the rules of the protocol.
 
 mod absences;
 mod answers;
@@ -30,7 +30,7 @@
 use cases::{Case, WITHIN_LEASE};
 use sim::{LARGE, LICENSED, MEDIUM, SMALL, Sabotage, Scale, World};
 
-/// Runs one world and says which rules were broken.
+/// Runs one world and returns the violations.
 fn run(scale: Scale, seed: u64, sabotage: Sabotage) -> Vec<String> {
     let mut world = World::sized(scale, seed, sabotage);
     world.run();
@@ -42,10 +42,13 @@
         let mut world = World::new(seed, Sabotage::None);
         world.run();
         assert_eq!(world.observer.broken(), Vec::<String>::new(), "seed {seed}");
-        assert!(world.observer.starts > 20, "seed {seed} ran too little");
+        assert!(
+            world.observer.starts > 20,
+            "seed {seed}: too few tasks started"
+        );
         assert!(
             world.observer.finished > 3,
-            "seed {seed} finished too little"
+            "seed {seed}: too few jobs finished"
         );
     }
 }
@@ -70,7 +73,7 @@
     assert_eq!(trace(5), trace(5));
 }
 
-/// The observer can fail: a core made unsafe in one way is caught by the rule.
+/// Shows that the observer detects violations: a core made unsafe in one way breaks the rule.
 fn caught(sabotage: Sabotage, rule: &str) {
     caught_in(SMALL, sabotage, rule);
 }
@@ -116,8 +119,8 @@
     caught(Sabotage::UnprovenAnswers, "went_back");
 }
 
-/// The cases of membership: alone, and in pairs where the second finds the service at
-/// its weakest.
+/// Membership faults, run alone and in pairs in which the second fault meets the service while it
+/// recovers.
 const CASES: [(Case, u64); 9] = [
     (Case::Blind, 15),
     (Case::BlindToZone, 15),
@@ -130,7 +133,7 @@
     (Case::Hang, 0),
 ];
 
-/// More than a few seeds of these are run by hand.
+/// Seeds to run; `KITEYARD_WORLD_SEEDS` sets a larger number for manual runs.
 fn seeds(few: u64) -> std::ops::Range<u64> {
     let many = std::env::var("KITEYARD_WORLD_SEEDS").ok();
     0..many.and_then(|text| text.parse().ok()).unwrap_or(few)
@@ -155,8 +158,8 @@
     world.observer.ends(world.now, ANSWERED);
     let what = format!("seed {seed}, {troubles:?}");
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.starts > 40, "{what}: ran too little");
-    assert!(world.observer.finished > 8, "{what}: finished too little");
+    assert!(world.observer.starts > 40, "{what}: too few tasks started");
+    assert!(world.observer.finished > 8, "{what}: too few jobs finished");
 }
 
 #[test]
@@ -189,8 +192,8 @@
     (Case::EndAgain, 0),
 ];
 
-/// Processes that end are back within half a second, while what the one before sent and
-/// was sent is on its way.
+/// Guards against messages of a previous process that reach its successor: processes that crash
+/// restart within 500 ms, while earlier messages are still in flight.
 #[test]
 fn rules_hold_when_processes_are_back_at_once() {
     let quick = |scale, seed| World::sized(scale, seed, Sabotage::None).quick();
@@ -210,7 +213,7 @@
     }
 }
 
-/// Troubles between machines, each by itself and before and after every other one.
+/// Network faults, each alone and before and after every other fault.
 const BETWEEN: [(Case, u64); 5] = [
     (Case::Deaf, 18),
     (Case::Copies, 30),
@@ -219,7 +222,7 @@
     (Case::ZoneApart, 35),
 ];
 
-/// By the end of a world its last trouble has been over for longer.
+/// The last fault of a world ends longer than this before the end of the run.
 const ANSWERED: Duration = Duration::from_secs(20);
 
 fn holds_between(trouble: (Case, u64)) {
@@ -275,7 +278,7 @@
     }
 }
 
-/// A leadership that is given away before its holder has stopped.
+/// Guards against a claim that is released before its holder has stopped.
 #[test]
 fn a_claim_that_vanishes_before_its_leader_has_stopped_is_caught() {
     caught(Sabotage::VacatesEarly, "ran_twice");
@@ -290,7 +293,7 @@
         assert_eq!(world.observer.broken(), Vec::<String>::new(), "seed {seed}");
         assert!(
             world.observer.finished > 2,
-            "seed {seed} finished too little"
+            "seed {seed}: too few jobs finished"
         );
         most = most.max(world.observer.seats_used_most);
     }
@@ -302,7 +305,7 @@
     caught_in(LICENSED, Sabotage::NoWorkerLease, "seats");
 }
 
-/// A counted seat given twice: the core does not know of the limit at all.
+/// Guards against a seat that is assigned twice, by a core that assumes a larger licence.
 #[test]
 fn a_core_that_takes_the_licence_for_larger_is_caught() {
     caught_in(LICENSED, Sabotage::MoreSeats, "seats");
--- a/tests/world/meet.rs
+++ b/tests/world/meet.rs
@@ -1,5 +1,5 @@
-//! Two and three troubles that meet, within a second or two of one another, with processes
-//! that are back after 0 to 500 ms.
+//! Two and three faults within a second or two of one another, with processes that restart after 0
+//! to 500 ms.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     sim::{LONG, MEDIUM, Sabotage, Scale, World},
 };
 
-/// Each trouble, and for how many seconds.
+/// Each fault, and its duration in seconds.
 const TROUBLES: [(Case, u64); 28] = [
     (Case::Blind, 5),
     (Case::LeaderEnds, 0),
@@ -54,11 +54,11 @@
     world.run();
     let what = format!("seed {seed}, {troubles:?}");
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.starts > 40, "{what}: ran too little");
-    assert!(world.observer.finished > 3, "{what}: finished too little");
+    assert!(world.observer.starts > 40, "{what}: too few tasks started");
+    assert!(world.observer.finished > 3, "{what}: too few jobs finished");
 }
 
-/// One world in so many of all pairs and seeds is played here; the rest by hand.
+/// Runs every n-th world of all pairs of faults; the others run with `KITEYARD_WORLD_SEEDS`.
 fn pairs(scale: Scale, part: usize) {
     let many = seeds(0).end;
     let mut number = 0;
@@ -79,7 +79,7 @@
     pairs(MEDIUM, 8);
 }
 
-/// Tasks of one job that end far apart, and machines that hold them through a change.
+/// Tasks of one job that end far apart, on machines that hold them through a change of the leader.
 #[test]
 fn rules_hold_where_two_troubles_meet_over_long_tasks() {
     pairs(LONG, 8);
--- a/tests/world/meetings.rs
+++ b/tests/world/meetings.rs
@@ -1,4 +1,4 @@
-//! Where two troubles meet: each meeting brought about on purpose.
+//! Combinations of two faults at one moment, each injected on purpose.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -19,27 +19,27 @@
 
 #[derive(Default)]
 pub struct Meetings {
-    /// What is stored of results, by key.
+    /// Stored results, by key.
     progress: BTreeMap<String, TaskSet>,
-    /// Watches of these nodes that wait get no answer until then.
+    /// Waiting watches of these nodes get no answer until then.
     silent: [Duration; NODES],
-    /// Users don't ask these nodes until then.
+    /// Users don't poll these nodes until then.
     avoided: [Duration; NODES],
-    /// Until then a part of all transactions gets no answer and is carried out later.
+    /// A quarter of all transactions gets no answer and is applied later, until then.
     late_until: Duration,
-    /// Until then a part of all direct commands and of their answers is held up.
+    /// A third of all direct commands and of their answers is delayed until then.
     held_until: Duration,
-    /// Every claim that a node sent, as it was sent.
+    /// Every claim that a node sent, unchanged.
     claims: Vec<StateRequest>,
-    /// Users whose last question was not answered yet, and the node that was asked.
+    /// Users whose last request has not been answered yet, and the node it was sent to.
     pub unanswered: HashMap<usize, usize>,
-    /// With the next claim the state service goes away for so long.
+    /// Duration of an outage of the state service that starts with the next claim.
     away_with_claim: Option<Duration>,
 }
 
 impl World {
-    /// The state service refuses the leader alone, users cancel services through the other
-    /// nodes, and then it is away for everybody, for longer than a cancellation may take.
+    /// Makes the state service refuse the leader alone while users cancel services through the
+    /// other nodes, and then makes it unavailable to all nodes for longer than `cancel_s`.
     pub fn gap(&mut self, leader: usize, lasts: Duration) {
         let begins = self.now + ms(self.rng.random_range(600..4_000));
         self.refused[leader] = self.now + lasts;
@@ -48,8 +48,8 @@
         self.push(begins + lasts, Event::OutageEnds);
     }
 
-    /// The same, and nobody tells the leader to make way: it acts to the end of its term, and
-    /// the service goes away just when another node has claimed its place.
+    /// Like `gap`, but nobody tells the leader to step down: it acts to the end of its term, and
+    /// the outage starts just after another node has claimed the leadership.
     pub fn gap_after_claim(&mut self, leader: usize, lasts: Duration) {
         self.refused[leader] = self.now + lasts;
         self.peers_apart = self.now + lasts;
@@ -57,17 +57,17 @@
         self.meetings.away_with_claim = Some(lasts);
     }
 
-    /// The leader's own watch tells nothing, while all else is answered and users cancel
-    /// by way of the others.
+    /// Makes the leader's own watch return nothing, while all other requests are answered and users
+    /// cancel through the other nodes.
     pub fn silent_watch(&mut self, leader: usize, lasts: Duration) {
         self.meetings.silent[leader] = self.now + lasts;
         self.meetings.avoided[leader] = self.now + lasts;
         self.withdraw_services(leader, ms(500));
     }
 
-    /// A node that this user asks: the next one after one that left a question unanswered, as
-    /// a load balancer would see to. At random, a user met a node that stands still ten times
-    /// in a row now and then, and its job looked forgotten.
+    /// Node that this user asks: the one after a node that left a request unanswered, as a load
+    /// balancer would choose. With a random choice, a user could reach a frozen node ten times in a
+    /// row, and its job looked forgotten.
     pub fn asked_node(&mut self, user: usize) -> usize {
         let any = self.rng.random_range(0..NODES);
         let silent = self.meetings.unanswered.get(&user);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// When a request that gets no answer is carried out, if it is one of those.
+    /// Time at which a transaction without an answer is applied, if this is one.
     pub fn carried_out_late(&mut self, request: &StateRequest) -> Option<Duration> {
         let StateRequest::Txn { changes, .. } = request else {
             return None;
@@ -90,7 +90,7 @@
         late.then(|| self.now + ms(self.rng.random_range(2_000..12_000)))
     }
 
-    /// How long a command that goes straight to a worker, or its answer, is held up.
+    /// Delay of a direct command to a worker, or of its answer.
     pub fn held_up(&mut self) -> Duration {
         match self.now < self.meetings.held_until && self.rng.random_range(0..3) == 0 {
             true => ms(self.rng.random_range(1_500..40_000)),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Commands are held up while reports and their answers pass, and users cancel.
+    /// Delays commands while reports and their answers pass, and cancels services.
     pub fn hold_commands(&mut self, leader: usize, until: Duration) {
         self.meetings.held_until = until;
         self.withdraw_services(leader, ms(2_000));
@@ -108,7 +108,7 @@
         self.meetings.late_until = until;
     }
 
-    /// Every claim that was ever sent comes once more, late, while nobody leads.
+    /// Replays every claim ever sent while nobody leads; returns whether one is applied.
     pub fn late_claims_stand(&mut self) -> bool {
         let vacate = StateRequest::Txn {
             conditions: Vec::new(),
@@ -117,7 +117,7 @@
             }],
         };
         self.state.call(self.now, &vacate);
-        // Their leases would have to be there still, too.
+        // A replayed claim can only be applied while its lease exists.
         self.state.keep_leases();
         let sent = std::mem::take(&mut self.meetings.claims);
         let mut stand = false;
@@ -131,7 +131,7 @@
         stand
     }
 
-    /// What is stored of a job's results never shrinks while the job is there.
+    /// Checks that the stored results of a job never shrink while the job exists.
     fn look_at_progress(&mut self, changes: &[Change]) {
         for change in changes {
             if let Change::Put { key, value, .. } = change
@@ -139,21 +139,21 @@
                     .strip_prefix(PROGRESS_PREFIX)
                     .and_then(|k| k.split_once('/'))
             {
-                let chunk = chunk.parse().expect("the number of a chunk");
-                let text: String = serde_json::from_str(value.get()).expect("a stored set");
+                let chunk = chunk.parse().expect("chunk number");
+                let text: String = serde_json::from_str(value.get()).expect("valid task set");
                 let mut set = TaskSet::default();
-                assert!(set.decode_chunk(chunk, &text), "a stored set");
+                assert!(set.decode_chunk(chunk, &text), "invalid task set");
                 let before = self.meetings.progress.insert(key.clone(), set.clone());
                 let lost = before.is_some_and(|before| !before.chunks_added_since(&set).is_empty());
                 if lost {
-                    let what = format!("what is stored of {id}");
+                    let what = format!("stored results of {id}");
                     self.observer.breaks(self.now, "shrank", what);
                 }
             }
         }
     }
 
-    /// Whether a watch that does not wait is taken for a proof without what it brings.
+    /// Whether a watch that does not wait counts as a proof without its events.
     pub fn believes(&mut self, node: usize, sabotage: Sabotage) -> bool {
         match sabotage {
             Sabotage::UnprovenAnswers => true,
@@ -168,7 +168,7 @@
         waits && self.meetings.silent[node] > self.now
     }
 
-    /// What a committed request brings about.
+    /// Updates the checks and faults that follow committed transactions.
     pub fn look_at_commit(&mut self, request: &StateRequest, reply: Option<&StateReply>) {
         let (StateRequest::Txn { changes, .. }, Some(StateReply::Committed { revision })) =
             (request, reply)
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Most services are cancelled soon, by way of any node but this one.
+    /// Cancels most services soon, through any node but this one.
     pub fn withdraw_services(&mut self, not_by: usize, after: Duration) {
         for i in self.services() {
             if self.rng.random_bool(0.8) {
--- a/tests/world/mute.rs
+++ b/tests/world/mute.rs
@@ -1,5 +1,5 @@
-//! Mute machines: no connection of theirs to a controller opens, while direct commands and
-//! their answers pass. Their leases are not renewed, though they look alive.
+//! Mute machines: they cannot open a connection to any controller, while direct commands and their
+//! answers pass. They look alive, but their leases are not renewed.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,7 +11,7 @@
 
 #[derive(Default)]
 pub struct Mute {
-    /// From when until when no connection of these machines opens.
+    /// Interval in which these machines cannot connect to a controller.
     machines: BTreeMap<String, (Duration, Duration)>,
     /// Direct commands that reached a mute machine.
     pub commands: u64,
@@ -25,7 +25,7 @@
         self.machines.extend(spells);
     }
 
-    /// How long the machine has been mute, if it is.
+    /// Time for which the machine has been mute, if it is.
     fn lasted(&self, name: &str, now: Duration) -> Option<Duration> {
         let (from, until) = self.machines.get(name)?;
         (*until > now).then(|| now - *from)
@@ -70,12 +70,13 @@
         assert!(finished > 8, "seed {seed}: {finished} finished");
         assert!(
             commands > 10,
-            "seed {seed}: {commands} commands reached them"
+            "seed {seed}: {commands} commands reached mute machines"
         );
     }
 }
 
-/// A machine that answers and is not renewed is lost by its lease, not by its silence.
+/// A machine that answers commands but is not renewed is lost when its lease ends, not when it
+/// falls silent.
 #[test]
 fn a_mute_machine_that_is_lost_before_its_lease_is_over_is_caught() {
     let broken = |seed| {
--- a/tests/world/new_machines.rs
+++ b/tests/world/new_machines.rs
@@ -1,5 +1,5 @@
-//! New machines that are up within two seconds and get work at once, while writes lag and
-//! the leader ends.
+//! New machines that boot within two seconds and get work at once, while writes are delayed and the
+//! leader crashes.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
     sim::{Event, SMALL, Sabotage, Scale, World, ms},
 };
 
-/// A machine is new for so long after it is up.
+/// Time after its boot for which a machine is new.
 const NEW_FOR: Duration = ms(3_000);
-/// Between two ends of the leader.
+/// Minimum time between two crashes of the leader.
 const ENDS_APART: Duration = ms(7_000);
 
 #[derive(Default)]
 pub struct NewMachines {
-    /// Until then machines are up within two seconds, and the leader ends as they get work.
+    /// Machines boot within two seconds until then, and the leader crashes as they get work.
     until: Duration,
     next_end: Duration,
-    /// When each machine that was up so soon was up.
+    /// Boot time of each machine that booted so quickly.
     up: std::collections::BTreeMap<String, Duration>,
-    /// How often a leader ended just as a new machine got work.
+    /// Number of leaders that crashed just as a new machine got work.
     pub met: u64,
 }
 
 impl World {
-    /// What is idle is returned, so that new machines are rented.
+    /// Removes every second machine, so that new ones are provisioned.
     pub fn new_machines(&mut self, until: Duration) {
         self.new_machines.until = until;
         self.late_writes(until);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A start was carried out there: if the machine is new, its leader ends.
+    /// Crashes the leader if the machine on which a start was executed is new.
     pub fn start_on_machine(&mut self, name: &str) {
         let new = self.new_machines.up.get(name);
         let new = new.is_some_and(|up| self.now < *up + NEW_FOR);
@@ -63,7 +63,7 @@
         let leader = self.leading();
         let end = self.now + ms(self.rng.random_range(0..400));
         self.push(end, Event::Crash(leader));
-        // Half of them are not heard by the next leader at once.
+        // The next leader does not hear from half of these machines at once.
         if self.rng.random_bool(0.5) {
             self.hang(name, self.now + ms(4_500));
         }
@@ -97,10 +97,13 @@
         assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
         met += world.new_machines.met;
     }
-    assert!(met >= seeds(6).end, "{met} met");
+    assert!(
+        met >= seeds(6).end,
+        "{met} leaders crashed as a new machine got work"
+    );
 }
 
-/// What a silent new machine may hold is known to the next leader by the assignment index alone.
+/// The next leader knows only from the assignment index which tasks a silent new machine may hold.
 #[test]
 fn a_roster_that_names_no_jobs_is_caught_on_new_machines() {
     let broken = |seed| world(seed, Sabotage::RosterWithoutJobs).observer.broken();
--- a/tests/world/observer.rs
+++ b/tests/world/observer.rs
@@ -1,4 +1,4 @@
-//! Checks the rules from outside: it sees what users are told and what runs where.
+//! Checks the rules from outside: by the answers users get, and by the tasks that run on machines.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -11,7 +11,7 @@
 struct Told {
     state: Option<JobState>,
     withdrawn: bool,
-    /// When a question about it was answered last.
+    /// Time of the last answered request about the job.
     answered: Duration,
     cancelled_at: Option<Duration>,
 }
@@ -31,7 +31,7 @@
     /// Jobs of which a task has started.
     begun: HashSet<JobId>,
     on: BTreeMap<TaskId, Running>,
-    /// Jobs of pipelines: how many tasks each has, and which jobs it needs.
+    /// Jobs of pipelines: the number of tasks, and the jobs each depends on.
     pipelines: HashMap<JobId, (u32, Vec<JobId>)>,
     broken: Vec<String>,
     pub starts: u64,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// One more team has a limit.
+    /// Sets the limit of one more team.
     pub fn limits(&mut self, team: &str, limit: f64) {
         self.limits.insert(team.to_owned(), limit);
     }
 
-    /// What the team may use beside what it uses, counted at the workers.
+    /// CPUs the team may use in addition to its current use, measured at the workers.
     pub fn left_to(&self, team: &str) -> f64 {
         let used = self.on.values().filter(|r| *r.spec.team == *team);
         let used: f64 = used.map(|r| r.spec.need.cpus).sum();
@@ -69,27 +69,27 @@
     }
 
     pub fn breaks(&mut self, now: Duration, rule: &str, what: String) {
-        // A few of each, so that one rule does not hide another.
+        // Records at most five violations per rule, so that one rule does not hide another.
         if self.broken.iter().filter(|b| b.starts_with(rule)).count() < 5 {
             self.broken
                 .push(format!("{rule} at {:.3}: {what}", now.as_secs_f64()));
         }
     }
 
-    /// The job was reported as cancelled longer ago than its tasks may go on.
+    /// Whether the job was reported as cancelled longer ago than its tasks may go on.
     fn cancelled_long_ago(&self, now: Duration, task: &TaskId) -> bool {
         let told = self.told.get(&task.job);
         let at = told.and_then(|told| told.cancelled_at);
         at.is_some_and(|at| now > at + self.cancel_within)
     }
 
-    /// A job that may need others, or be needed.
+    /// Registers a job that may depend on others or be a dependency.
     pub fn knows(&mut self, spec: &JobSpec) {
         let facts = (spec.tasks, spec.needs.clone());
         self.pipelines.insert(spec.id.clone(), facts);
     }
 
-    /// All jobs that a job needs, directly or through others.
+    /// All direct and indirect dependencies of a job.
     fn ancestors(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
         let mut open = vec![id];
@@ -104,26 +104,26 @@
         found
     }
 
-    /// When a user was first told that a job that this one needs is cancelled.
+    /// Time at which a user was first told that a dependency of this job is cancelled.
     fn orphaned_since(&self, id: &JobId) -> Option<Duration> {
         let ancestors = self.ancestors(id);
         let told = ancestors.iter().filter_map(|id| self.told.get(id));
         told.filter_map(|told| told.cancelled_at).min()
     }
 
-    /// Cancelled with a job that it needs for longer than it may still be there.
+    /// Whether a dependency was cancelled longer ago than this job's tasks may go on.
     fn orphaned_long_ago(&self, now: Duration, id: &JobId) -> bool {
         let since = self.orphaned_since(id);
         since.is_some_and(|since| now > since + self.cancel_within)
     }
 
-    /// Nobody cancelled this job itself, and somebody one that it needs.
+    /// Whether nobody cancelled this job itself, but somebody cancelled a dependency.
     pub fn cancelled_with_needs(&self, id: &JobId) -> bool {
         let withdrawn = |id: &JobId| self.told.get(id).is_some_and(|told| told.withdrawn);
         !withdrawn(id) && self.ancestors(id).iter().any(withdrawn)
     }
 
-    /// All tasks of all jobs that it needs are done.
+    /// Whether all tasks of all its dependencies are done.
     pub fn may_start(&self, spec: &JobSpec) -> bool {
         spec.needs.iter().all(|need| {
             let tasks = self.pipelines.get(need).map_or(0, |(tasks, _)| *tasks);
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Time goes on: nothing of a cancelled job may be left after its time.
+    /// Checks that no task of a cancelled job is left after the time allowed.
     pub fn tick(&mut self, now: Duration) {
         let late: Vec<String> = self
             .on
@@ -229,7 +229,7 @@
         self.told.entry(id.clone()).or_default().withdrawn = true;
     }
 
-    /// A user was told of a job's state by an answer to a question sent at `asked`.
+    /// Records a job's state from an answer; `before` is the state known when the request was sent.
     pub fn told(
         &mut self,
         now: Duration,
@@ -261,12 +261,16 @@
             told.state = Some(state);
         }
         if uncalled {
-            self.breaks(now, "went_back", format!("{id} cancelled by nobody"));
+            self.breaks(
+                now,
+                "went_back",
+                format!("{id} cancelled without a request"),
+            );
         }
     }
 
-    /// A job was told as pending or running. Its acceptance alone does not count: a job that
-    /// names a cancelled one is accepted all the same, whenever that is.
+    /// Records that a job was reported as pending or running. An acceptance alone does not count: a
+    /// job that depends on a cancelled one is accepted at any time.
     pub fn told_active(&mut self, now: Duration, id: &JobId, state: JobState) {
         if self.orphaned_long_ago(now, id) {
             self.breaks(now, "orphaned", format!("{id} told as {state:?}"));
@@ -277,13 +281,13 @@
         self.told.entry(id.clone()).or_default().answered = now;
     }
 
-    /// All troubles are over for longer than `within`: whoever asks is answered by then.
+    /// Checks at the end, longer than `within` after all faults, that requests are answered again.
     pub fn ends(&mut self, now: Duration, within: Duration) {
         let unanswered = |told: &Told| !told.withdrawn && now > told.answered + within;
         let told = self.told.iter().filter(|(_, told)| unanswered(told));
         let lost: Vec<JobId> = told.map(|(id, _)| id.clone()).collect();
         for id in lost {
-            self.breaks(now, "forgotten", format!("{id}: no question is answered"));
+            self.breaks(now, "forgotten", format!("{id}: no request is answered"));
         }
     }
 
--- a/tests/world/old_reports.rs
+++ b/tests/world/old_reports.rs
@@ -1,5 +1,5 @@
-//! Old reports: copies that are kept and reach every controller as the next leader begins,
-//! and reports that are held back until a new leader has acted.
+//! Old reports: copies that are kept and reach every controller as the next leader starts, and
+//! reports that are held back until a new leader has acted.
 
 use std::time::Duration;
 
@@ -18,18 +18,18 @@
 
 #[derive(Default)]
 pub struct OldReports {
-    /// Until then a part of all reports is copied, for the next leader.
+    /// A quarter of all reports is copied for the next leader until then.
     kept_until: Duration,
     kept: Vec<WorkerReport>,
-    /// Until then a part of all reports is held back.
+    /// A twelfth of all reports is held back until then.
     held_until: Duration,
-    /// Each with the claim that stood when it was sent.
+    /// Reports held back, each with the claim that was current when it was sent.
     held: Vec<(u64, WorkerReport)>,
-    /// The newest claim that was committed.
+    /// Newest committed claim.
     claim: u64,
-    /// Copies that came to a node within a second after a claim.
+    /// Copies that reached a node within a second after a claim.
     pub met_claim: u64,
-    /// Held reports that came to a leader which had begun to start tasks.
+    /// Held reports that reached a leader which had begun to start tasks.
     pub met_action: u64,
 }
 
@@ -58,7 +58,7 @@
         self.push(at, Event::Line(node, Input::Report { request, report }));
     }
 
-    /// A worker sends a report: says whether it is held back.
+    /// Handles a report that a worker sends; returns whether it is held back.
     pub fn report_sent(&mut self, report: &WorkerReport) -> bool {
         if self.now < self.old_reports.kept_until && self.rng.random_range(0..4) == 0 {
             self.old_reports.kept.push(report.clone());
@@ -71,7 +71,7 @@
         holds
     }
 
-    /// A claim was committed: what was kept reaches every node as the leader begins.
+    /// Delivers the kept copies to every node after a claim, as the leader starts.
     pub fn old_reports_meet_claim(&mut self, changes: &[Change], claim: u64) {
         let claims = |c: &Change| matches!(c, Change::Put { key, .. } if key == LEADER_KEY);
         if !changes.iter().any(claims) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A leader starts tasks: what was held back under a former claim comes to it now.
+    /// Delivers the reports held back under a former claim, once the new leader starts tasks.
     pub fn old_reports_meet_action(&mut self, node: usize, output: &Output) {
         let token = match output {
             Output::Answer {
@@ -109,7 +109,7 @@
     }
 }
 
-/// Leaders change four times, once with all nodes ending, while reports are old.
+/// Leaders change four times, once with a crash of all nodes, while reports are old.
 fn world(scale: Scale, seed: u64, case: Case, sabotage: Sabotage) -> World {
     let mut world = World::sized(scale, seed, sabotage).quick();
     world = world.with(12_000, case, Duration::from_secs(45));
@@ -132,7 +132,11 @@
             let world = world(scale, seed, case, Sabotage::None);
             let what = format!("{case:?}, seed {seed}");
             assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-            assert!(met(&world) > 10, "{what}: {} met", met(&world));
+            assert!(
+                met(&world) > 10,
+                "{what}: {} old reports delivered",
+                met(&world)
+            );
             finished += world.observer.finished;
         }
         assert!(finished > 8, "seed {seed}: {finished} finished");
@@ -160,7 +164,8 @@
     assert!(caught, "{sabotage:?} was not caught with {case:?}");
 }
 
-/// A machine would be taken for empty by what it reported before it was last told to start.
+/// The new leader would consider a machine empty because of a report from before its last start
+/// command.
 #[test]
 fn an_old_report_that_counts_as_fenced_by_the_new_leader_is_caught() {
     caught(Case::KeptCopies, Sabotage::CopiesShowNewToken);
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -1,5 +1,5 @@
-//! Pipelines under troubles: no job starts before those that it needs are done, and none
-//! outlives the cancellation of one of them.
+//! Pipelines under faults: no job starts before its dependencies are done, and none outlives the
+//! cancellation of a dependency.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     sim::{CancelledStage, NODES, SMALL, Sabotage, Scale, World, ms},
 };
 
-/// Pipelines beside a few jobs of other kinds, and time for all of them to end.
+/// Pipelines beside a few jobs of other kinds, with time for all of them to end.
 const PIPELINES: Scale = Scale {
     length: Duration::from_secs(150),
     machines: 14,
@@ -21,11 +21,11 @@
     ..SMALL.quiet(4)
 };
 
-/// How many there are in a world.
+/// Number of pipelines in a world.
 const COUNT: usize = 12;
 const UNKNOWN: usize = 6;
 
-/// Troubles: when, what and for how many milliseconds.
+/// Faults: start in milliseconds, kind, and length in milliseconds.
 type Troubles<'a> = &'a [(u64, Case, u64)];
 
 fn world(seed: u64, sabotage: Sabotage, troubles: Troubles) -> World {
@@ -33,7 +33,7 @@
     run(world, troubles)
 }
 
-/// The same where the terminal states of jobs are stored by ranges of ids.
+/// Like `world`, with the terminal states of jobs stored by ranges of ids.
 fn packed(seed: u64, sabotage: Sabotage, troubles: Troubles) -> World {
     let world = World::sized(PIPELINES, seed, sabotage).quick();
     let mut world = run(world.packs_ends(), troubles);
@@ -50,7 +50,7 @@
     world
 }
 
-/// No rule is broken, and all pipelines are over: done or cancelled.
+/// Asserts that no rule is broken and that all pipelines are done or cancelled.
 fn holds(seed: u64, troubles: Troubles) -> World {
     checked(world(seed, Sabotage::None, troubles), seed, troubles)
 }
@@ -65,7 +65,7 @@
     world
 }
 
-/// Caught in either form of stored ends.
+/// Asserts that the defect is caught with either form of stored terminal states.
 fn caught(sabotage: Sabotage, troubles: Troubles, rule: &str) {
     for build in [world, packed] {
         let hit = |seed| {
@@ -91,7 +91,7 @@
             *count += world.cancelled_at(stage);
         }
         let done = world.pipelines_done();
-        assert!(done > 2, "seed {seed}: {done} are done");
+        assert!(done > 2, "seed {seed}: {done} pipelines are done");
         assert_eq!(world.pipelines.untimed, [], "seed {seed}");
         assert!(world.pipelines.met.timed_ends > 3, "seed {seed}");
     }
@@ -110,7 +110,7 @@
         ];
         met += holds(seed, &ends).pipelines.met.claims_while_waiting;
     }
-    assert!(met > 4, "{met} leaders began while jobs waited");
+    assert!(met > 4, "{met} leaders started while jobs waited");
 }
 
 #[test]
@@ -158,8 +158,8 @@
 
 const REFUSED: [(u64, Case, u64); 1] = [(17_000, Case::RefusedThenAway, 24_000)];
 
-/// What the first jobs of pipelines were told while the leader alone was refused holds for
-/// those that need them.
+/// A cancellation that was reported while the leader alone was refused also holds for the jobs that
+/// depend on the cancelled one.
 #[test]
 fn pipelines_hold_where_users_cancel_as_the_leader_is_refused() {
     let mut confirmed = 0;
@@ -168,7 +168,7 @@
     }
     assert!(
         confirmed > 3,
-        "{confirmed} confirmed while the leader was refused"
+        "{confirmed} cancellations reported while the leader was refused"
     );
 }
 
@@ -190,20 +190,21 @@
     }
 }
 
-/// The end of a needed job is stored whether it is over already or not.
+/// A terminal state of a dependency is stored whether or not the job already has one.
 #[test]
 fn an_end_of_a_needed_job_that_is_stored_over_another_one_is_caught() {
     let at_end = [(1_000, Case::AskedAtEnd, 100_000)];
     caught(Sabotage::EndsWhateverIsStored, &at_end, "went_back");
 }
 
-/// The end of a needed job is read before the watch tells that the job was there at all.
+/// Guards against a start triggered by an older change: the terminal state of a dependency is read
+/// before the watch reports that the job existed.
 #[test]
 fn a_leader_that_reads_an_end_does_not_start_the_job_by_an_older_change() {
     holds(23, &LATE);
 }
 
-/// Each kind of trouble once more where ends are stored by ranges.
+/// Each kind of fault once more, with terminal states stored by ranges.
 #[test]
 fn pipelines_hold_where_ends_are_packed() {
     let lost = [
@@ -219,11 +220,14 @@
             let world = packed(seed, Sabotage::None, troubles);
             timed += checked(world, seed, troubles).pipelines.met.timed_ends;
         }
-        assert!(timed > 8, "seed {seed}: {timed} ends with their time");
+        assert!(
+            timed > 8,
+            "seed {seed}: {timed} terminal states with their time"
+        );
     }
 }
 
-/// Ends are rewritten from one form to the other while pipelines run.
+/// Terminal states are rewritten from one form to the other while pipelines run.
 #[test]
 fn pipelines_hold_while_ends_are_rewritten() {
     for seed in seeds(2) {
@@ -235,12 +239,12 @@
         let mut world = checked(world, seed, &[]);
         assert!(
             world.keys(TERMINAL_RANGES_PREFIX) > 0,
-            "seed {seed}: never switched"
+            "seed {seed}: never switched to packed terminal states"
         );
     }
 }
 
-/// Six troubles drawn at random, with ends of either form.
+/// Six random faults, with terminal states of either form.
 #[test]
 fn pipelines_keep_the_rules_under_mixed_troubles() {
     let scale = Scale {
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -1,4 +1,4 @@
-//! Rollouts of a change of the stored state, with everything else that can happen.
+//! Rollouts of a new storage format under other faults.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     sim::{Event, NODES, SMALL, Sabotage, Scale, World, ms},
 };
 
-/// Many small jobs, so that there are ends to rewrite, and no troubles of its own.
+/// Many small jobs, so that there are terminal states to rewrite, and no random faults.
 const ROLLED: Scale = SMALL.quiet(40);
 
 const NEW: Cluster = Cluster {
@@ -25,7 +25,7 @@
     World::sized(ROLLED, seed, sabotage).rolling("4")
 }
 
-/// All three nodes are replaced, 6 s apart.
+/// Upgrades all three nodes, 6 s apart.
 fn rolled(mut world: World, order: [usize; NODES]) -> World {
     for (turn, node) in order.into_iter().enumerate() {
         world = world.upgrade(30 * S + 6 * S * turn as u64, node, 2);
@@ -36,7 +36,7 @@
 fn run_to(mut world: World, end: Cluster, what: &str) -> World {
     world.run();
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.finished > 6, "{what}: finished too little");
+    assert!(world.observer.finished > 6, "{what}: too few jobs finished");
     assert_eq!(world.cluster(), end, "{what}: {:?}", world.roll.seen);
     let (alone, packed) = (
         world.keys(TERMINAL_STATES_PREFIX),
@@ -71,24 +71,24 @@
     }
 }
 
-/// One node stays old: nothing is switched, whatever the others are able to.
+/// With one node on the old build, the cluster does not switch, whatever the other nodes support.
 #[test]
 fn a_node_that_is_old_or_away_holds_the_switch_until_it_is_forgotten() {
     let two = || {
         let world = world(3, Sabotage::None);
         world.upgrade(20 * S, 0, 2).upgrade(26 * S, 1, 2)
     };
-    run_to(two(), Cluster::default(), "one is old");
+    run_to(two(), Cluster::default(), "one node is old");
     let mut away = two();
     away.roll.on_stage.clear();
     away.push(ms(32 * S), Event::End(2));
-    let mut away = run_to(away, Cluster::default(), "one is away");
+    let mut away = run_to(away, Cluster::default(), "one node is stopped");
     assert!(away.nodes[2].is_none() && away.keys("live/node/") == NODES);
     let mut gone = two().ordered(60 * S, Order::Forget("n2".into()));
     gone.push(ms(32 * S), Event::End(2));
-    // It comes back old after the switch, and is refused.
+    // It restarts with the old build after the switch, and is refused.
     gone.push(ms(100 * S), Event::Restart(2));
-    run_to(gone, NEW, "forgotten, and back old");
+    run_to(gone, NEW, "forgotten, and restarted with the old build");
 }
 
 const STAGES: [Stage; 4] = [
@@ -97,8 +97,7 @@
     Stage::Active,
     Stage::Migrating,
 ];
-/// Troubles at a stage, how long they last, and whether the roll still ends in the new
-/// generation by the end of the run.
+/// Faults at a stage, and their duration in seconds.
 const TROUBLES: [(Case, u64); 11] = [
     (Case::LeaderEnds, 0),
     (Case::AllEnd, 0),
@@ -130,7 +129,7 @@
         world.roll.seen
     );
     assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.finished > 6, "{what}: finished too little");
+    assert!(world.observer.finished > 6, "{what}: too few jobs finished");
     let back = troubles.iter().any(|(case, _)| *case == Case::GoBack);
     let (end, alone) = (world.cluster(), world.keys(TERMINAL_STATES_PREFIX));
     match back {
@@ -165,7 +164,7 @@
     }
 }
 
-/// The leader ends at every write of the new form, just before and just after it.
+/// The leader crashes at every write of the new format, just before and just after it.
 #[test]
 fn a_leader_may_end_at_any_write_of_the_switch() {
     let rolled = || rolled(world(1, Sabotage::None), [0, 1, 2]).ordered(100 * S, Order::Target(1));
@@ -209,7 +208,7 @@
         }
         let world = world.with(30 * S + 900, Case::LeaderEnds, Duration::ZERO);
         let mut world = world;
-        // The one that took over does not end.
+        // The successor does not crash.
         world.roll.spare_successor = planned;
         world.run();
         assert_eq!(world.observer.broken(), Vec::<String>::new(), "seed {seed}");
@@ -222,7 +221,7 @@
     }
 }
 
-/// A core or a process that is unsafe in one way is caught by a rule.
+/// Asserts that a core or process that is unsafe in one way breaks one of the rules.
 fn caught(sabotage: Sabotage, rules: &[&str], arrange: impl Fn(u64) -> World) {
     let breaks = |seed| {
         let mut world = arrange(seed);
@@ -281,7 +280,7 @@
     });
 }
 
-/// 40 machines, with the third generation from the beginning or without it.
+/// 40 machines, with this generation from the start.
 fn zoned(seed: u64, generation: u32, sabotage: Sabotage) -> World {
     let mut world = World::sized(crate::sim::MEDIUM, seed, sabotage).rolling("1");
     world.roll.most = [generation; NODES];
@@ -291,7 +290,8 @@
     world
 }
 
-/// A leader that ends while a zone is partitioned tells its successor since when.
+/// A leader that crashes while a zone is partitioned leaves its successor the time of the
+/// partition.
 #[test]
 fn a_successor_inside_a_cut_does_not_wait_a_whole_lease_again() {
     let waits = |seed, generation| {
@@ -335,7 +335,7 @@
                 world.run();
                 let what = format!("seed {seed}, {case:?}, cut for {cut} ms");
                 assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-                assert!(world.observer.finished > 8, "{what}: finished too little");
+                assert!(world.observer.finished > 8, "{what}: too few jobs finished");
             }
         }
     }
@@ -352,8 +352,8 @@
     });
 }
 
-/// Whatever else happens: all the troubles of the small world while the nodes are rolled
-/// forth, and back again.
+/// All random faults of the small world while the nodes are upgraded and the cluster is downgraded
+/// again.
 #[test]
 fn rules_hold_in_a_roll_under_mixed_troubles() {
     for seed in seeds(8) {
@@ -366,6 +366,6 @@
         world.run();
         let what = format!("seed {seed}: {:?}", world.roll.seen);
         assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-        assert!(world.observer.finished > 3, "{what}: finished too little");
+        assert!(world.observer.finished > 3, "{what}: too few jobs finished");
     }
 }
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -1,5 +1,5 @@
-//! What a rollout adds to the world: nodes of different generations in one run, troubles
-//! that come with a stage, and processes that are unsafe in ways of their own.
+//! Rollouts in the simulated world: nodes of different generations in one run, faults at a stage,
+//! and processes that are unsafe in specific ways.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -27,43 +27,43 @@
     sim::{Event, NODES, Sabotage, World, ms},
 };
 
-/// A trouble that comes once a stage on the way to a generation is reached, and how long
-/// after.
+/// A fault at a stage on the way to a generation, and its delay after the stage is reached.
 pub type OnStage = (u32, Stage, Duration, Case, Duration);
 
-/// The request by which machines are emptied.
+/// Id of the request that drains machines.
 const DRAIN: u64 = u64::MAX - 1;
 
 pub struct Roll {
-    /// The ability that each node's process is started with.
+    /// Highest generation that each node's process supports.
     pub most: [u32; NODES],
     pub config: Option<Arc<Config>>,
     pub on_stage: Vec<OnStage>,
-    /// The stages that were seen, in order.
+    /// Stages that were observed, in order.
     pub seen: Vec<Cluster>,
-    /// Submissions' transactions are now and then held back for so long.
+    /// Delay of some of the transactions that accept jobs.
     pub held_back: Option<Duration>,
-    /// The leader ends at this write of ends or the generation, before or after it.
+    /// Number of the write of terminal states or the generation at which the leader crashes, and
+    /// whether it crashes before the write.
     pub crash_at: Option<(u64, bool)>,
     pub writes: u64,
     crashing: bool,
-    /// A node that can't read every second shard of the assignment index.
+    /// Node that cannot read every second shard of the assignment index.
     pub garbled: Option<usize>,
-    /// A build from before generations: it neither knows nor says anything of them.
+    /// Nodes with a build from before generations, which neither reads nor reports them.
     pub before: [bool; NODES],
-    /// Since when nobody places, and the longest such time from then on.
+    /// Last time at which a node placed tasks, and the longest time without one since `gap_from`.
     placed: Duration,
     pub gap: Duration,
     pub gap_from: Duration,
     pub maintenance: Option<Arc<kiteyard_maintenance::config::Config>>,
-    /// Machines that are being emptied, asked for and answered.
+    /// Machines whose drain was requested, and those whose drain was confirmed.
     wanted: Vec<String>,
     pub cordoned: BTreeMap<String, Duration>,
     pub returned: usize,
-    /// When a leader last had machines whose tasks it did not know.
+    /// Last time at which a leader had machines whose tasks it did not know.
     pub unresolved: Duration,
     last_told: Option<Told>,
-    /// The node that was asked to step down, and that it is the one which ends.
+    /// The node that was asked to step down, and whether that node is the one that crashes.
     pub asked: Option<usize>,
     pub spare_successor: bool,
 }
@@ -110,10 +110,10 @@
 }
 
 impl World {
-    /// All nodes are of the old build, and switch when they can.
+    /// Starts all nodes with the old build, so that they switch when they can.
     pub fn rolling(mut self, soak: &str) -> Self {
         let file = format!("soak_s = {soak}\nmigration_share = 0.3\n");
-        let config = Config::parse(&file, FEATURES).expect("a good file");
+        let config = Config::parse(&file, FEATURES).expect("valid config file");
         self.roll.config = Some(Arc::new(config));
         self.roll.most = [1; NODES];
         for node in 0..NODES {
@@ -144,7 +144,7 @@
                 action: ask,
             },
         );
-        // The answer may be that it can't be taken now: asked again, until it stands.
+        // The order may be refused for now; it is repeated until it is stored.
         if self.orders_lack(&order) {
             self.push(self.now + ms(1000), Event::Order(order));
         }
@@ -170,7 +170,7 @@
         self.stored(GENERATION_KEY).unwrap_or_default()
     }
 
-    /// Keys of a prefix.
+    /// Number of keys with a prefix.
     pub fn keys(&mut self, prefix: &str) -> usize {
         let mut count = 0;
         let mut after = None;
@@ -272,7 +272,7 @@
     }
 
     pub fn drain(&mut self, mut machines: Vec<String>) {
-        // Idle ones may have been returned by then.
+        // Idle machines may have been returned by then.
         machines.retain(|machine| self.workers.contains_key(machine));
         if machines.iter().all(|m| self.roll.cordoned.contains_key(m)) {
             return;
@@ -293,7 +293,8 @@
         self.push(self.now + ms(700), Event::Drain(machines));
     }
 
-    /// No start goes to a machine once its operator was told that it is being emptied.
+    /// Checks that no start command goes to a machine after its operator was told that it is
+    /// drained.
     pub fn look_at_output(&mut self, output: &Output) {
         let starts = |commands: &[Command]| {
             let mut starts = commands.iter();
@@ -323,12 +324,12 @@
         }
     }
 
-    /// A machine that was being emptied is returned with nothing on it.
+    /// Checks that a drained machine is returned with no task on it.
     pub fn look_at_return(&mut self, machine: &str) {
         if !self.roll.cordoned.contains_key(machine) {
             return;
         }
-        // One that nobody hears may be returned with replicas, to prove it empty.
+        // An unreachable machine may be returned with replicas, to prove that it is empty.
         let now = self.now;
         let heard = |w: &crate::sim::Worker| w.hung_until <= now && w.answered_lately(now);
         if self
@@ -341,7 +342,7 @@
         self.roll.returned += 1;
     }
 
-    /// What a process asks for that is unsafe in its way.
+    /// Removes the conditions on the generation for processes that ignore it.
     pub fn tampered_forms(&self, node: usize, mut request: StateRequest) -> StateRequest {
         let blind = self.roll.before[node] || self.sabotage == Sabotage::NoGeneration;
         if let (
@@ -358,7 +359,7 @@
         request
     }
 
-    /// A leader that would remove a zone is told that it did.
+    /// Whether a leader that removes a zone is told so without the write being applied.
     pub fn pretends(&self, request: &StateRequest) -> bool {
         let StateRequest::Txn { changes, .. } = request else {
             return false;
@@ -372,7 +373,7 @@
         self.sabotage == Sabotage::AnswersApart && changes.iter().any(removes)
     }
 
-    /// What a process sees of the answer.
+    /// Changes the answers that unsafe processes see.
     pub fn tamper_reply(&self, node: usize, reply: &mut StateReply) {
         if self.roll.before[node] {
             match reply {
@@ -403,7 +404,7 @@
             }
             for entry in entries.iter_mut().filter(|entry| second(&entry.key)) {
                 let newer = r#"{"form":9}"#.to_owned();
-                entry.value = serde_json::value::RawValue::from_string(newer).expect("JSON");
+                entry.value = serde_json::value::RawValue::from_string(newer).expect("valid JSON");
             }
         }
     }
--- a/tests/world/scarcity.rs
+++ b/tests/world/scarcity.rs
@@ -14,9 +14,9 @@
 
 #[derive(Default)]
 pub struct Scarcity {
-    /// Messages between nodes and workers take a large part of a second until then.
+    /// Messages between nodes and workers take 150 to 700 ms longer until then.
     slow_until: Duration,
-    /// Machines that were lost while a task of a job bound to their zone was on them.
+    /// Machines that were lost while they held a task of a job bound to their zone.
     pub lost_with_bound_tasks: usize,
 }
 
@@ -25,7 +25,7 @@
         self.scarcity.slow_until = until;
     }
 
-    /// What a slow link adds to the delay of a message.
+    /// Additional delay of a message over a slow link.
     pub fn link_delay(&mut self) -> Duration {
         match self.now < self.scarcity.slow_until {
             true => ms(self.rng.random_range(150..700)),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Machines of a zone, those first that have a task which may run in no other.
+    /// Machines of a zone, with those first that hold a task which may run in no other zone.
     fn bound_first(&self, zone: usize) -> Vec<(bool, String)> {
         let mut names: Vec<(bool, String)> = Vec::new();
         for (name, worker) in &self.workers {
@@ -47,7 +47,7 @@
         names
     }
 
-    /// Half of the machines end in the zone with most machines that have bound tasks.
+    /// Removes half of the machines in the zone that has the most machines with bound tasks.
     pub fn lose_machines(&mut self) {
         let zones = (0..ZONES.len()).map(|zone| self.bound_first(zone));
         let bound = |names: &Vec<(bool, String)>| names.iter().filter(|(free, _)| !free).count();
@@ -69,7 +69,7 @@
     ..MEDIUM
 };
 
-/// Room for all, and time enough after the loss.
+/// Room for all jobs, and enough time after the loss.
 const ROOMY: Scale = Scale {
     length: Duration::from_secs(120),
     jobs: 120,
@@ -79,11 +79,11 @@
 fn holds(scale: Scale, seed: u64, troubles: &[(u64, Case, u64)]) -> World {
     let world = liveness::holds(scale, seed, troubles);
     let what = format!("seed {seed}, {troubles:?}");
-    assert!(world.observer.starts > 40, "{what}: ran too little");
+    assert!(world.observer.starts > 40, "{what}: too few tasks started");
     world
 }
 
-/// Of the accepted jobs of one kind of priority, how many have begun, and how many there are.
+/// Number of accepted jobs that have started, and of all accepted jobs, either urgent or not.
 fn begun(world: &World, urgent: bool) -> (usize, usize) {
     let of_kind = world.jobs.iter().filter(|job| {
         let called_off = job.withdraw_at.is_some() && job.spec.kind != Kind::Service;
@@ -94,13 +94,13 @@
     (jobs.iter().filter(|job| begun(job)).count(), jobs.len())
 }
 
-/// Nine of ten urgent jobs have begun.
+/// Whether nine of ten urgent jobs have started.
 fn urgent_begin(world: &World) -> bool {
     let (urgent, of_urgent) = begun(world, true);
     of_urgent > 5 && urgent * 10 >= of_urgent * 9
 }
 
-/// Urgent jobs begin nearly all, and at least half of the others do, too.
+/// Nearly all urgent jobs start, and at least half of the others.
 #[test]
 fn urgent_and_other_jobs_begin_with_more_work_than_room_over_slow_links() {
     for seed in seeds(3) {
@@ -115,7 +115,7 @@
             );
             assert!(
                 other * 2 >= of_others,
-                "seed {seed}: {other} of {of_others}"
+                "seed {seed}: {other} of {of_others} other jobs started"
             );
         }
     }
@@ -140,7 +140,7 @@
     assert!((0..4).any(caught));
 }
 
-/// The zone's jobs are started again in their zone, or wait while it has no room.
+/// The zone's jobs start again in their zone, or wait while it has no room.
 #[test]
 fn jobs_bound_to_a_zone_are_not_left_waiting_after_it_loses_machines() {
     for seed in seeds(4) {
--- a/tests/world/sim/cloud.rs
+++ b/tests/world/sim/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: types, the list of machines, scale-out requests and returns.
+//! The cloud: machine types, the list of machines, scale-out requests and returns.
 
 use std::{sync::Arc, time::Duration};
 
@@ -58,7 +58,7 @@
                 let zone = ZONES
                     .iter()
                     .position(|z| **z == *rental.zone)
-                    .expect("a zone");
+                    .expect("known zone");
                 let mut names = Vec::new();
                 for _ in 0..rental.count {
                     if self.workers.len() + self.booting.len() < self.scale.machines_most {
--- a/tests/world/sim/config.rs
+++ b/tests/world/sim/config.rs
@@ -1,4 +1,4 @@
-//! The settings that the nodes of a world are started with.
+//! Settings of the nodes of a world.
 
 use kiteyard::settings::Settings;
 
@@ -28,5 +28,5 @@
             "resources": {"sockets": 500}, "time_bound_ms": WALL_MOST as f64 / 2.0
         }
     });
-    Settings::parse(&text.to_string()).expect("good settings")
+    Settings::parse(&text.to_string()).expect("valid settings")
 }
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -52,7 +52,7 @@
 pub const NODES: usize = 3;
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 pub const CPUS: f64 = 8.0;
-/// Times of day differ by up to this between nodes, in milliseconds, by steps of the other.
+/// Wall clocks of nodes differ by less than the first value, in steps of the second (milliseconds).
 const WALL_MOST: u64 = 450;
 const WALL_OFF: u64 = 200;
 
@@ -70,47 +70,47 @@
     WorkerTick(String),
     Answered(usize, u64, RequestId, Answer),
     User(usize),
-    /// The same, at this node.
+    /// A poll by a user at the given node.
     UserAt(usize, usize),
-    /// The same, with this question.
+    /// A user request of the given kind at the given node.
     Ask(usize, usize, Asking),
-    /// Users send jobs that can't run.
+    /// Users submit jobs that can never run.
     Odd,
-    /// A job of a pipeline is submitted, if that may be done.
+    /// A job of a pipeline is submitted, if its turn has come.
     Stage(usize),
-    /// A submission that names a job that nobody submitted.
+    /// A submission that depends on a job that was never submitted.
     UnknownNeed(usize),
     Trouble,
     Restart(usize),
-    /// A line between nodes, for whatever process is there by then.
+    /// A message for whatever process runs on the node at that time.
     Line(usize, Input),
-    /// What a process had decided when it was stopped goes out now.
+    /// The outputs that a process had decided on before it froze are sent.
     Outputs(usize, u64, Vec<Output>),
     OutageBegins,
     OutageEnds,
     Crash(usize),
-    /// Processes that start from now on read of these limits.
+    /// Processes that start from now on read these announced limits.
     Announce(Announced),
     Bring(Case, Duration),
-    /// The node's process ends and comes back with that ability.
+    /// The node's process crashes and restarts with support for that generation.
     Upgrade(usize, u32),
     Order(Order),
-    /// The node's process ends, and nobody starts it again.
+    /// The node's process stops, and is not restarted.
     End(usize),
-    /// It ends, and comes back of a build from before generations.
+    /// The node's process restarts with a build from before generations.
     Older(usize),
     /// The leader is asked to hand over.
     StepDown,
-    /// These machines are to be emptied; asked for until it is accepted.
+    /// A drain of these machines is requested until it is accepted.
     Drain(Vec<String>),
 }
 
 enum Asker {
     Worker(String, u64),
     User(usize, Asking, Option<JobState>),
-    /// About a job that can't run, and why it can't.
+    /// A job that can never run, and the number of its reason.
     Odd(usize, JobId),
-    /// About a submission that names a job that nobody submitted.
+    /// A submission that depends on a job that was never submitted.
     UnknownNeed(usize),
 }
 
@@ -124,7 +124,7 @@
     pub steps: u64,
     pub nodes: Vec<Option<Node>>,
     pub epochs: Vec<u64>,
-    /// In how many milliseconds a process that ended is back.
+    /// Restart delay of a crashed process in milliseconds.
     back: std::ops::Range<u64>,
     started: Vec<Duration>,
     paces: Vec<f64>,
@@ -134,16 +134,16 @@
     watches: Vec<(usize, u64, CallId, StateRequest, Duration)>,
     pub outage: bool,
     pub refused: Vec<Duration>,
-    /// Nodes refuse one another's connections until then.
+    /// Nodes refuse connections from their peers until then.
     pub peers_apart: Duration,
     /// The state service answers slowly until then.
     pub slow_until: Duration,
-    /// Nothing from these nodes gets to the state service, until when.
+    /// Nothing from these nodes reaches the state service until the given times.
     pub unreached: Vec<Duration>,
-    /// These nodes stand still, until when; the next step of one ends there.
+    /// These nodes are frozen until the given times.
     frozen: Vec<Duration>,
     pub freezes: Vec<Option<Duration>>,
-    /// No worker reaches these nodes, nor they any worker, until when.
+    /// These nodes and all workers cannot reach each other until the given times.
     pub workers_apart: Vec<Duration>,
     cloud_away: Duration,
     pub workers: BTreeMap<String, Worker>,
@@ -250,13 +250,13 @@
         world
     }
 
-    /// Processes that end are back within a fraction of a second.
+    /// Makes crashed processes restart within 500 ms.
     pub fn quick(mut self) -> Self {
         self.back = 0..500;
         self
     }
 
-    /// Brings about a case at a time.
+    /// Injects a fault at a time in milliseconds.
     pub fn with(mut self, at: u64, case: Case, lasts: Duration) -> Self {
         self.push(ms(at), Event::Bring(case, lasts));
         self
@@ -267,7 +267,7 @@
             if key.0 > self.scale.length {
                 break;
             }
-            let event = self.events.remove(&key).expect("just seen");
+            let event = self.events.remove(&key).expect("event at this key");
             self.now = key.0;
             self.steps += 1;
             self.handle(event);
@@ -285,7 +285,7 @@
         let more = u32::from(self.sabotage == Sabotage::MoreSeats);
         let seats = self.scale.seats * (1 + more);
         let file = format!("[licence.solver]\nseats = {seats}\n");
-        let licences = kiteyard_licences::config::Config::parse(&file).expect("a good file");
+        let licences = kiteyard_licences::config::Config::parse(&file).expect("valid config file");
         let options = Options {
             licences: (seats > 0).then(|| Arc::new(licences)),
             rollout: self.roll.config.clone(),
@@ -327,7 +327,7 @@
         let outputs = core.step(clock, input);
         self.check_starts(node, &outputs);
         if let Some(freeze) = self.freezes[node].take_if(|_| !outputs.is_empty()) {
-            // It stops after it has decided, and goes on as if nothing had happened.
+            // The node freezes after it has decided, and resumes as if nothing had happened.
             let until = self.now + freeze;
             self.frozen[node] = until;
             self.push(until, Event::Outputs(node, epoch, outputs));
@@ -353,7 +353,7 @@
                 request,
                 timeout,
             } => {
-                // Now and then a request is applied long after it was given up.
+                // One in 300 requests is applied long after its sender has given up.
                 let late = self.rng.random_range(0..300) == 0;
                 let at = if let Some(held) = self.held_back(&request) {
                     now + held
@@ -363,7 +363,7 @@
                     now + delay
                 };
                 self.copy_state(&request);
-                // Nobody is told of one that is carried out late.
+                // The sender gets no answer to a request that is applied late.
                 let (at, to) = match self.carried_out_late(&request) {
                     Some(at) => (at, 0),
                     None => (at, epoch),
@@ -390,7 +390,7 @@
                 match zone.and_then(|zone| self.worker_path(node, zone)) {
                     Some(at) => {
                         let late = self.late_command();
-                        // Nobody is told of one that is carried out late.
+                        // The sender gets no answer to a command that is executed late.
                         let to = if late.is_some() { 0 } else { epoch };
                         let at = at + late.unwrap_or_else(|| self.held_up());
                         self.push(
@@ -404,7 +404,7 @@
             }
             Output::Peer { to, message } => {
                 let message = self.tampered_line(node, message);
-                let to: usize = to[1..].parse().expect("a node's name");
+                let to: usize = to[1..].parse().expect("node name");
                 if self.now >= self.peers_apart
                     && !self.loses_peers(node, to)
                     && let Some(at) = self.path(node, to)
--- a/tests/world/sim/network.rs
+++ b/tests/world/sim/network.rs
@@ -1,4 +1,4 @@
-//! Delays and cuts between nodes, zones and workers.
+//! Delays and partitions between nodes, zones and workers.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /// When a message between a node and a zone arrives; none if the connection breaks.
+    /// Arrival time of a message between a node and a zone, or `None` if the connection is reset.
     pub(super) fn path(&mut self, node: usize, zone: usize) -> Option<Duration> {
         let delay = self.delay();
         let now = self.now;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The same between a node and a worker in that zone.
+    /// Arrival time of a message between a node and a worker in that zone.
     pub(super) fn worker_path(&mut self, node: usize, zone: usize) -> Option<Duration> {
         let apart = self.workers_apart[node];
         let at = self.path(node, zone)?;
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -1,5 +1,5 @@
-//! Pipelines: jobs that need others, submitted one after another, some of them cancelled at a
-//! chosen stage; and submissions that name a job that nobody submitted.
+//! Pipelines: jobs with dependencies, submitted one after another, some of them cancelled at a
+//! chosen stage; and submissions that depend on a job that was never submitted.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -21,22 +21,22 @@
 
 use super::{Asker, Event, NODES, Sabotage, World, ms, users::Asking};
 
-/// How soon after those that it needs a job is submitted.
+/// Interval of the checks whether a job's dependencies allow its submission.
 const LOOKS_EVERY: Duration = ms(50);
-/// Submissions that name an unknown job are repeated after this time.
+/// Interval between repeated submissions that depend on an unknown job.
 const UNKNOWN_AGAIN: Duration = ms(1_500);
-/// By then the leader knows of a job that was accepted: no message takes longer.
+/// Time after which the leader knows an accepted job: no message takes longer.
 const LEADER_KNOWS: Duration = Duration::from_secs(6);
-/// Tasks of one job at most.
+/// Maximum number of tasks of one job.
 const TASKS_MOST: u32 = 4;
 
-/// Which job of a pipeline its user cancels.
+/// Job of a pipeline that its user cancels.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CancelledStage {
     First,
     Middle,
     Last,
-    /// The first, at the moment at which the next one is submitted.
+    /// The first, at the moment the next one is submitted.
     DuringSubmission,
 }
 
@@ -49,9 +49,9 @@
     Some(CancelledStage::DuringSubmission),
 ];
 
-/// The jobs of a pipeline in the order of submission, each with those that it needs.
+/// Jobs of a pipeline in the order of submission, each with its dependencies.
 const SHAPES: [&[&[usize]]; 4] = [
-    // A chain, a diamond with a tail, a fan in both directions, a chain with shortcuts.
+    // A chain, a diamond with a tail, a fan-out and fan-in, a chain with shortcuts.
     &[&[], &[0], &[1], &[2]],
     &[&[], &[0], &[0], &[1, 2], &[3]],
     &[&[], &[0], &[0], &[0], &[1, 2, 3]],
@@ -59,48 +59,48 @@
 ];
 
 struct Pipeline {
-    /// Their numbers in the world, in the order of submission.
+    /// Indices of its jobs in `World::jobs`, in the order of submission.
     jobs: Vec<usize>,
     cancelled: Option<(CancelledStage, usize)>,
 }
 
-/// A job that names one that nobody submitted.
+/// A job that depends on one that was never submitted.
 struct UnknownNeed {
     spec: Arc<JobSpec>,
     refused: bool,
 }
 
-/// How often each meeting came about.
+/// Counts of the situations that occurred.
 #[derive(Debug, Default)]
 pub struct PipelinesMet {
-    /// Jobs that were submitted when all that they need were over.
+    /// Jobs that were submitted after all their dependencies had ended.
     pub late: u64,
-    /// Leaders that began while accepted jobs waited for others.
+    /// Leaders that started while accepted jobs waited for their dependencies.
     pub claims_while_waiting: u64,
-    /// Answers that named what a job waits for.
+    /// Answers that named the dependencies a job waits for.
     pub waiting_answers: u64,
-    /// Submissions that were refused as they name an unknown job.
+    /// Submissions that were refused because they depend on an unknown job.
     pub unknown_refused: u64,
-    /// Terminal states of jobs that others waited for, stored with their time.
+    /// Terminal states of awaited dependencies that were stored with their time.
     pub timed_ends: u64,
 }
 
 #[derive(Default)]
 pub struct Pipelines {
     all: Vec<Pipeline>,
-    /// Jobs that wait to be submitted; true: only when those that they need are over.
+    /// Jobs still to be submitted; true if only after their dependencies have ended.
     unsent: BTreeMap<usize, bool>,
     accepted: BTreeMap<usize, Duration>,
     unknown: Vec<UnknownNeed>,
-    /// Jobs whose stored end was seen.
+    /// Jobs whose stored terminal state was observed.
     ended: HashSet<JobId>,
-    /// Jobs that others waited for and whose end was stored without its time.
+    /// Awaited dependencies whose terminal state was stored without its time.
     pub untimed: Vec<JobId>,
     pub met: PipelinesMet,
 }
 
 impl World {
-    /// The terminal states of jobs are stored by ranges of ids from the start.
+    /// Stores the terminal states of jobs by ranges of ids from the start.
     pub fn packs_ends(mut self) -> Self {
         let cluster = Cluster {
             from: 2,
@@ -115,13 +115,13 @@
         self
     }
 
-    /// So many pipelines, which begin within the first 25 s, and plain jobs that some of
-    /// them name as well.
+    /// Adds pipelines that start within the first 25 s, and independent jobs on which some of them
+    /// depend as well.
     pub fn pipelines(mut self, count: usize) -> Self {
         let plain: Vec<usize> = (0..2).map(|_| self.add_stage(Vec::new(), false)).collect();
         for number in 0..count {
             let shape = SHAPES[number % SHAPES.len()];
-            // Each shape meets each plan.
+            // Combines each shape with each plan.
             let plan = PLANS[(number + number / PLANS.len()) % PLANS.len()];
             let mut jobs = Vec::new();
             for (stage, needs) in shape.iter().enumerate() {
@@ -142,7 +142,7 @@
         self
     }
 
-    /// A job that is submitted as soon as those that it needs are accepted, or late.
+    /// Adds a job that is submitted as soon as its dependencies are accepted, or late.
     fn add_stage(&mut self, needs: Vec<usize>, late: bool) -> usize {
         let number = self.jobs.len();
         let mut job = self.make_job(number);
@@ -155,7 +155,7 @@
             spec.kind = Kind::Array;
         }
         spec.tasks = spec.tasks.min(TASKS_MOST);
-        // Any machine will do, so that none waits long for room.
+        // Any machine fits, so that no job waits long for room.
         spec.zone = None;
         spec.one_zone = false;
         spec.spread = false;
@@ -179,10 +179,10 @@
     }
 
     fn number_of(&self, id: &JobId) -> usize {
-        id.as_str()[4..].parse().expect("a number")
+        id.as_str()[4..].parse().expect("job number")
     }
 
-    /// Submits a job of a pipeline once that may be done, at any node.
+    /// Submits a job of a pipeline to any node once its dependencies allow it.
     pub(super) fn stage(&mut self, number: usize) {
         let late = self.pipelines.unsent[&number];
         let needs = self.needs_of(number);
@@ -197,8 +197,8 @@
         self.plan_cancellations(number, &needs);
     }
 
-    /// What is cancelled on account of this submission: the job itself some time later, or
-    /// one that it needs at once.
+    /// Schedules the cancellations that follow this submission: of the job itself some time later,
+    /// or of a dependency at once.
     fn plan_cancellations(&mut self, number: usize, needs: &[usize]) {
         let plans = self.pipelines.all.iter().filter_map(|p| p.cancelled);
         for (stage, cancelled) in plans.collect::<Vec<_>>() {
@@ -214,13 +214,13 @@
         }
     }
 
-    /// A user was told a state of a job.
+    /// Records that a user was told a state of the job.
     pub(super) fn stage_told(&mut self, number: usize) {
         let now = self.now;
         self.pipelines.accepted.entry(number).or_insert(now);
     }
 
-    /// A job of a pipeline, which some node refused.
+    /// Whether the job belongs to a pipeline.
     pub(super) fn is_stage(&self, number: usize) -> bool {
         let pipelines = self.pipelines.all.iter();
         pipelines.flat_map(|p| &p.jobs).any(|job| *job == number)
@@ -235,7 +235,7 @@
         }
     }
 
-    /// A node has claimed the leadership.
+    /// Counts a claim that is made while accepted jobs wait for their dependencies.
     pub(super) fn pipelines_meet_claim(&mut self) {
         let waits = |number: &usize| {
             let job = &self.jobs[*number];
@@ -246,7 +246,7 @@
         self.pipelines.met.claims_while_waiting += u64::from(waiting);
     }
 
-    /// The jobs of pipelines that nobody was told the end of.
+    /// Jobs of pipelines of which nobody was told a terminal state.
     pub fn unfinished_stages(&self) -> Vec<(JobId, Option<JobState>)> {
         let all = self.pipelines.all.iter().flat_map(|p| &p.jobs);
         let left = all.filter(|number| !self.jobs[**number].over);
@@ -257,7 +257,7 @@
         told.collect()
     }
 
-    /// How many pipelines were cancelled at a stage, as planned.
+    /// Number of pipelines that were cancelled at a stage, as planned.
     pub fn cancelled_at(&self, stage: CancelledStage) -> usize {
         let is_cancelled = |number: usize| {
             let id = &self.jobs[number].spec.id;
@@ -268,7 +268,7 @@
         met.count()
     }
 
-    /// How many pipelines were told as done to the last job.
+    /// Number of pipelines whose jobs were all reported as done.
     pub fn pipelines_done(&self) -> usize {
         let done = |number: &usize| {
             let id = &self.jobs[*number].spec.id;
@@ -278,16 +278,16 @@
         pipelines.filter(|p| p.jobs.iter().all(done)).count()
     }
 
-    /// So many submissions that name a job that nobody submitted, some beside known ones.
+    /// Adds submissions that depend on a job that was never submitted, some also on known ones.
     pub fn unknown_needs(mut self, count: usize) -> Self {
         for i in 0..count {
-            let id = JobId::parse(&format!("run-{}", 800_000 + i)).expect("an id");
-            // Some differ only in the last digits from those that are known.
+            let id = JobId::parse(&format!("run-{}", 800_000 + i)).expect("valid job id");
+            // Half of the ids differ from known ones only in the last digits.
             let missing = match i % 2 {
                 0 => format!("run-{}", 810_000 + i),
                 _ => format!("run-{:06}", 90 + i),
             };
-            let missing = JobId::parse(&missing).expect("an id");
+            let missing = JobId::parse(&missing).expect("valid job id");
             let mut spec = JobSpec {
                 id: id.clone(),
                 ..self.make_job(0).spec
@@ -308,7 +308,7 @@
         self
     }
 
-    /// Sends one of these, at any node, until it is refused.
+    /// Sends such a submission to any node, until it is refused.
     pub(super) fn send_unknown_need(&mut self, number: usize) {
         if self.pipelines.unknown[number].refused {
             return;
@@ -343,7 +343,8 @@
         }
     }
 
-    /// TerminalStates that are stored for the first time: one that active jobs waited for has its time.
+    /// Checks terminal states that are stored for the first time: one that active jobs waited for
+    /// must include its time.
     pub(crate) fn look_at_ends(&mut self, changes: &[Change]) {
         for change in changes {
             let Change::Put { key, value, .. } = change else {
@@ -379,8 +380,8 @@
         }
     }
 
-    /// TerminalStates that are read, in one unsafe variant: all of them say that the job is done, those
-    /// that are not there as well.
+    /// With `Sabotage::EndsReadAsDone`, makes every terminal state that is read say done, including
+    /// missing ones.
     pub(super) fn tampered_end(&self, request: &StateRequest, reply: &mut StateReply) {
         let StateRequest::Get { key } = request else {
             return;
@@ -398,7 +399,7 @@
                     true => text.replace('c', "d"),
                     false => text,
                 };
-                entry.value = serde_json::value::RawValue::from_string(text).expect("JSON");
+                entry.value = serde_json::value::RawValue::from_string(text).expect("valid JSON");
             }
             StateReply::Missing if key.starts_with(TERMINAL_STATES_PREFIX) => {
                 let record = TerminalRecord {
@@ -408,7 +409,7 @@
                 };
                 *reply = StateReply::Entry(kiteyard::core::store::Entry {
                     key: key.clone(),
-                    value: serde_json::value::to_raw_value(&record).expect("a record"),
+                    value: serde_json::value::to_raw_value(&record).expect("serializable record"),
                     version: 1,
                 });
             }
@@ -416,14 +417,14 @@
         }
     }
 
-    /// An answer about a job that is cancelled with one that it needs says, in one unsafe
-    /// variant, that it still waits.
+    /// Whether the answer hides, with `Sabotage::IgnoresCancelledNeeds`, that the job is cancelled
+    /// with a dependency and reports it as waiting.
     pub(super) fn underived(&self, id: &JobId) -> bool {
         self.sabotage == Sabotage::IgnoresCancelledNeeds && self.observer.cancelled_with_needs(id)
     }
 }
 
-/// The end of this job, if it is what is stored under this key.
+/// Terminal state of this job, if it is stored under this key.
 fn stored_end(id: &JobId, key: &str, text: &str) -> Option<TerminalRecord> {
     if key.strip_prefix(TERMINAL_STATES_PREFIX) == Some(id.as_str()) {
         return parse_single(text);
@@ -432,27 +433,29 @@
     if range.key() != key {
         return None;
     }
-    let ends: TerminalStates = serde_json::from_str(text).expect("the ends of a range");
+    let ends: TerminalStates =
+        serde_json::from_str(text).expect("valid terminal states of a range");
     ends.get(name)
 }
 
-/// The times of ends are left out of what is stored, in one unsafe variant.
+/// Removes the times of terminal states from a transaction, for `Sabotage::ForgetsEndTimes`.
 pub(super) fn without_end_times(changes: &mut [Change]) {
     for change in changes {
         let Change::Put { key, value, .. } = change else {
             continue;
         };
         let text = if key.starts_with(TERMINAL_STATES_PREFIX) {
-            let mut record: TerminalRecord = serde_json::from_str(value.get()).expect("an end");
+            let mut record: TerminalRecord =
+                serde_json::from_str(value.get()).expect("valid terminal state");
             record.ended_ms = None;
-            serde_json::to_string(&record).expect("an end")
+            serde_json::to_string(&record).expect("valid terminal state")
         } else if key.starts_with(TERMINAL_RANGES_PREFIX) {
-            let text: String = serde_json::from_str(value.get()).expect("ends");
+            let text: String = serde_json::from_str(value.get()).expect("valid terminal states");
             let entries = text.split(',').map(|e| e.split('t').next().unwrap_or(e));
             serde_json::Value::from(entries.collect::<Vec<_>>().join(",")).to_string()
         } else {
             continue;
         };
-        *value = serde_json::value::RawValue::from_string(text).expect("JSON");
+        *value = serde_json::value::RawValue::from_string(text).expect("valid JSON");
     }
 }
--- a/tests/world/sim/random_troubles.rs
+++ b/tests/world/sim/random_troubles.rs
@@ -1,4 +1,4 @@
-//! Troubles drawn at random, for worlds that name none of their own.
+//! Random faults, for worlds that name none of their own.
 
 use rand::RngExt;
 
@@ -38,7 +38,7 @@
                     }
                 }
             }
-            // A process that stands still, mostly in the middle of a step.
+            // A process that freezes, mostly in the middle of a step.
             13 | 14 => {
                 let node = self.rng.random_range(0..NODES);
                 let freeze = ms([900, 3000, 6000, 14_000, 40_000][self.rng.random_range(0..5)]);
@@ -51,7 +51,7 @@
                 let node = self.rng.random_range(0..NODES);
                 self.workers_apart[node] = now + ms(self.rng.random_range(3000..25_000));
             }
-            // Off the network, or without power, for much longer than any lease.
+            // A node without network or power, for much longer than any lease.
             16 => {
                 let node = self.rng.random_range(0..NODES);
                 if self.nodes[node].take().is_some() {
@@ -62,7 +62,7 @@
             }
             10 => self.peers_apart = now + ms(self.rng.random_range(5000..25_000)),
             11 => self.slow_until = now + ms(self.rng.random_range(5000..25_000)),
-            // A zone on its own, or one node that only its zone's workers reach.
+            // A partitioned zone, or a node that only the workers of its zone reach.
             8 | 9 => {
                 let alone = self.rng.random_range(0..NODES);
                 let until = now + ms(self.rng.random_range(3000..25_000));
@@ -81,7 +81,7 @@
             }
             6 | 7 if !names.is_empty() => {
                 let name = &names[self.rng.random_range(0..names.len())];
-                // Just inside and just outside the lease as well.
+                // Also just below and just above the lease of 5 s.
                 let hang = ms([800, 3000, 4700, 5200, 9000][self.rng.random_range(0..5)]);
                 self.workers.get_mut(name).expect("known worker").hung_until = now + hang;
             }
--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -1,6 +1,6 @@
-//! Troubles that users' requests bring: close looks at all nodes, cancellations at the
-//! moment of a job's end, jobs that can't run, transactions that are carried out at once
-//! and not answered; and the checks of what users are told and of what is started after it.
+//! Faults around user requests: polls at all nodes, cancellations at the moment a job completes,
+//! jobs that can never run, and transactions that are applied but not answered; and checks of the
+//! answers and of the starts that follow them.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -22,10 +22,10 @@
 
 use super::{Asker, CPUS, Event, NODES, Sabotage, World, ms, users::Asking};
 
-/// When after a job's acceptance or end all nodes are asked, in milliseconds.
+/// Delays in milliseconds after a job's acceptance or end at which all nodes are polled.
 const LOOKS: [u64; 6] = [0, 1, 3, 8, 20, 60];
 
-/// How often each meeting came about.
+/// Counts of the situations that occurred.
 #[derive(Debug, Default)]
 pub struct Met {
     pub looks: u64,
@@ -33,42 +33,42 @@
     pub at_the_end: u64,
     pub answers_lost: u64,
     pub impossible: u64,
-    /// Jobs that were cancelled in a burst, and cancellations that were told while the
-    /// leader alone was refused.
+    /// Jobs that were cancelled in a burst, and cancellations that were reported while the leader
+    /// alone was refused.
     pub burst: u64,
     pub confirmed_in_gap: u64,
-    /// Start commands for a job that some node had told as cancelled, and the longest time
-    /// after that.
+    /// Start commands for a job that a node had reported as cancelled, and the longest time after
+    /// that report.
     pub late_starts: u64,
     pub latest_start: Duration,
 }
 
 #[derive(Default)]
 pub struct Requests {
-    /// Until then users look closely at what was accepted or is over.
+    /// Users poll all nodes about accepted and ended jobs until then.
     pub close_until: Duration,
-    /// Until then what is asked about a job meets its end.
+    /// Requests about a job are sent as it completes until then.
     pub ends_until: Duration,
-    /// Until then users send jobs that can't run.
+    /// Users submit jobs that can never run until then.
     pub odd_until: Duration,
-    /// Until then a part of all transactions is carried out at once and not answered.
+    /// A quarter of all transactions is applied at once and not answered until then.
     pub unanswered_until: Duration,
     pub met: Met,
-    /// Jobs that were looked at closely, once accepted and once over.
+    /// Jobs that were polled at all nodes, once accepted and once ended.
     looked: HashSet<(JobId, bool)>,
-    /// What each node has told as over.
+    /// Jobs that each node has reported as ended.
     told_over: HashSet<(usize, JobId)>,
-    /// Which node made the claim of each revision.
+    /// Node that made the claim of each revision.
     claims: HashMap<u64, usize>,
-    /// When any node first told a job as cancelled.
+    /// Time at which any node first reported a job as cancelled.
     cancelled: HashMap<JobId, Duration>,
     odd: HashSet<JobId>,
-    /// While the leader alone is refused.
+    /// Start and end of the time in which the leader alone is refused.
     gap: (Duration, Duration),
 }
 
 impl Requests {
-    /// No task of this job may start: it can't run.
+    /// Forbids every start of a task of this job, which can never run.
     pub(super) fn forbid(&mut self, id: JobId) {
         self.odd.insert(id);
     }
@@ -94,8 +94,9 @@
 }
 
 impl World {
-    /// Looks at what a node decided, in order: no node starts what it told as over, and no
-    /// start goes out so late that the lease it may rest on outlives the cancellation.
+    /// Checks a node's outputs in order: no node starts a job that it reported as ended, and no
+    /// start is sent so late that the lease it may rely on outlives the time allowed for the
+    /// cancellation.
     pub(super) fn check_starts(&mut self, node: usize, outputs: &[Output]) {
         for output in outputs {
             if let Output::Answer {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Remembers which node made a claim; its tokens begin with the claim's revision.
+    /// Records which node made a claim; its tokens begin with the claim's revision.
     pub(super) fn note_claim(
         &mut self,
         node: usize,
@@ -146,8 +147,8 @@
         }
     }
 
-    /// An answer that another node decided and this one passes on to a worker. It was looked at
-    /// when that node sent it.
+    /// Whether the node only relays another node's answer to a worker. That answer was checked when
+    /// the other node sent it.
     fn is_relayed(&self, node: usize, output: &Output) -> bool {
         let Output::Answer {
             answer: Answer::Commands { token, .. },
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A job was told as accepted or over: all nodes are asked, and it is submitted again.
+    /// Polls all nodes about a job that was reported as accepted or ended, and submits it again.
     pub(super) fn look_closely(&mut self, i: usize, state: JobState) {
         let id = self.jobs[i].spec.id.clone();
         let over = matches!(state, JobState::Done | JobState::Cancelled);
@@ -204,9 +205,8 @@
         }
     }
 
-    /// Most jobs that are not over are called off within a fifth of a second, at any node,
-    /// and again until it is answered. Those that wait for others are left to be cancelled
-    /// with them.
+    /// Cancels most unfinished jobs within 200 ms, at any node, and repeats the cancellations. Jobs
+    /// that wait for dependencies are left to be cancelled with them.
     pub(crate) fn cancel_burst(&mut self) {
         for i in 0..self.jobs.len() {
             let job = &self.jobs[i];
@@ -228,14 +228,14 @@
         }
     }
 
-    /// Some user was told that this job is over.
+    /// Whether a user was told that this job has ended.
     fn is_over(&self, id: &JobId) -> bool {
         let over = |state| matches!(state, JobState::Done | JobState::Cancelled);
         self.observer.state(id).is_some_and(over)
     }
 
-    /// The state service refuses the leader alone while users cancel, and a second later it
-    /// is away for all.
+    /// Makes the state service refuse the leader alone while users cancel, and makes it unavailable
+    /// to all nodes one second later.
     pub(crate) fn refused_then_away(&mut self, leader: usize, lasts: Duration) {
         let away = self.now + ms(1_000);
         self.refused[leader] = away + lasts;
@@ -245,9 +245,9 @@
         self.push(away + lasts, Event::OutageEnds);
     }
 
-    /// A task has completed: at the end of the last one users cancel, ask and repeat.
+    /// Sends cancellations, polls and submissions when the last task of a job completes.
     pub(super) fn met_end(&mut self, job: &JobId) {
-        let index: usize = job.as_str()[4..].parse().expect("a number");
+        let index: usize = job.as_str()[4..].parse().expect("job number");
         if self.now >= self.requests.ends_until || self.jobs[index].spec.id != *job {
             return;
         }
@@ -258,7 +258,7 @@
         if whole && self.jobs[index].accepted && !self.jobs[index].over {
             self.requests.met.at_the_end += 1;
             let asked = [Asking::Status, Asking::Submit, Asking::Withdraw];
-            // A cancellation alone, a question alone, or all that users can ask.
+            // A cancellation alone, polls and submissions, or all of them.
             let asked = match self.rng.random_range(0..4) {
                 0 => &asked[..2],
                 1 => &asked[2..],
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Jobs that can never run, one for each reason, at a node.
+    /// Submits jobs that can never run, one for each reason, to every node.
     pub(super) fn send_odd(&mut self) {
         if self.now >= self.requests.odd_until {
             return;
@@ -277,7 +277,7 @@
         for node in 0..NODES {
             for reason in 0..ODD {
                 let number = 700_000 + self.requests.odd.len();
-                let id = JobId::parse(&format!("run-{number}")).expect("an id");
+                let id = JobId::parse(&format!("run-{number}")).expect("valid job id");
                 self.requests.odd.insert(id.clone());
                 let spec = Arc::new(self.odd_job(reason, id.clone()));
                 self.next_request += 1;
@@ -323,7 +323,7 @@
                     Kind::Service
                 };
             }
-            _ => unreachable!("no such reason"),
+            _ => unreachable!("unknown reason"),
         }
         spec
     }
@@ -339,7 +339,7 @@
         }
     }
 
-    /// A command about a job that can't run: no worker knows its description.
+    /// Whether the command is about a job that can never run, which no worker knows.
     pub(super) fn is_odd(&self, command: &Command) -> bool {
         let (Command::Start { task, .. }
         | Command::Stop { task, .. }
@@ -347,7 +347,7 @@
         self.requests.odd.contains(&task.job)
     }
 
-    /// Whether the answer to a transaction that was carried out is lost.
+    /// Whether the answer to an applied transaction is lost.
     pub(super) fn answer_lost(&mut self, request: &StateRequest, reply: &StateReply) -> bool {
         let carried_out = matches!(
             (request, reply),
@@ -360,7 +360,8 @@
         lost
     }
 
-    /// A transaction that accepts or ends a job without looking at what is stored of it.
+    /// Removes the conditions on stored jobs and terminal states from a transaction that accepts or
+    /// ends a job.
     pub(super) fn drop_conditions(&self, request: &mut StateRequest) {
         let StateRequest::Txn {
             conditions,
@@ -383,7 +384,7 @@
         }
     }
 
-    /// Events that tell of a job's end tell of the job instead.
+    /// Turns events that delete a job into events that announce it.
     pub(super) fn ends_look_new(&self, events: &mut [store::Event]) {
         for event in events.iter_mut().filter(|event| event.value.is_none()) {
             let id = event.key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse);
@@ -394,13 +395,14 @@
                     accepted_ms: 1,
                 };
                 event.value = serde_json::value::to_raw_value(&record).ok();
-                // Newer than the end: a node passes over what is older than an end of its own.
+                // Must be newer than the end: a node ignores what is older than an end that it
+                // stored.
                 event.revision += 1;
             }
         }
     }
 
-    /// One-task jobs, that many a second, a quarter of them cancelled soon.
+    /// Adds jobs with one task at a fixed interval, a quarter of them cancelled soon.
     pub fn stream(mut self, count: usize, apart: Duration) -> Self {
         for number in 0..count {
             let i = self.jobs.len();
@@ -418,7 +420,7 @@
         self
     }
 
-    /// The jobs that nobody was told the end of, with their teams and states.
+    /// Jobs of which nobody was told a terminal state, with their teams and states.
     pub fn left(&self) -> Vec<(JobId, String, Option<JobState>)> {
         let left = self.jobs.iter().filter(|job| !job.over);
         let told = left.map(|job| {
@@ -428,7 +430,7 @@
         told.collect()
     }
 
-    /// How many jobs were told as done, and as cancelled.
+    /// Number of jobs reported as done, and as cancelled.
     pub fn ended(&self) -> (usize, usize) {
         let told = |state| {
             let jobs = self.jobs.iter();
@@ -439,5 +441,5 @@
     }
 }
 
-/// How many reasons `odd_job` knows.
+/// Number of reasons that `odd_job` knows.
 const ODD: usize = 9;
--- a/tests/world/sim/sabotage.rs
+++ b/tests/world/sim/sabotage.rs
@@ -1,13 +1,13 @@
 //! Unsafe variants of the core and its surroundings, each of which a rule must catch.
 
-/// Ways to make a core unsafe, all at its edges.
+/// Defects of a core, all injected at its edges.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Sabotage {
     None,
     NoWorkerLease,
     NoTeamLimit,
     BlindForPlaces,
-    /// All jobs look as if they had the lowest priority.
+    /// All jobs seem to have the lowest priority.
     BlindForPriorities,
     DeafForCancellations,
     ForgetEnds,
@@ -15,54 +15,54 @@
     UnprovenAnswers,
     VacatesEarly,
     MoreSeats,
-    /// Writes no longer depend on the generation.
+    /// Writes do not depend on the generation.
     NoGeneration,
-    /// What a node can't read is as if it were not there.
+    /// A node treats values that it cannot read as absent.
     UnreadableMeansAbsent,
-    /// The generation moves though an old process runs that knows nothing of it.
+    /// The generation advances although an old process runs that does not know of it.
     Majority,
-    /// A node that was started again from an old build still counts as the new one.
+    /// A node that was restarted from an old build still counts as the new one.
     SoakGoesOn,
-    /// Workers of a zone that is stored as apart are answered all the same.
+    /// Workers of a zone that is stored as partitioned are still answered.
     AnswersApart,
-    /// A next leader does not see which machines are being emptied.
+    /// A new leader does not see which machines are drained.
     ForgetsDrains,
-    /// Questions about the first jobs are left without an answer.
+    /// Requests about the first jobs are not answered.
     PassesOver,
-    /// Results are written whatever is stored of them.
+    /// Results are written whatever is stored.
     ResultsByKeyAlone,
-    /// A claim looks at the leader key alone.
+    /// A claim is conditional on the leader key alone.
     ClaimsByKeyAlone,
     /// A renewal counts from its answer, however late that is.
     BelievesLateRenewals,
-    /// A command that was not answered is taken to be void at once.
+    /// An unanswered command is considered void at once.
     BelievesVoid,
-    /// A report that comes again is taken for a new one.
+    /// A duplicate of a report is accepted as a new report.
     BelievesCopies,
-    /// From a time on, machines without tasks report to nobody.
+    /// Machines without tasks stop reporting after a while.
     HidesRoom,
-    /// An old report shows the new leader's token.
+    /// An old report carries the new leader's token.
     CopiesShowNewToken,
-    /// A worker carries out commands under any token.
+    /// A worker executes commands under any token.
     OldTokensCount,
-    /// A machine that hung is not stopped.
+    /// A machine that hung does not execute stop commands.
     SparesHung,
-    /// A node that does not lead answers reports as if it did.
+    /// A follower answers reports as if it led.
     FollowersRenew,
-    /// A next leader sees no jobs in the assignment index.
+    /// A new leader sees no jobs in the assignment index.
     RosterWithoutJobs,
-    /// The leader's term grows with a renewal and the claim, whatever its copy holds.
+    /// A renewal and the claim extend the leader's term, however old the leader's state cache is.
     RenewalAlone,
     /// A job is accepted whatever is stored of it.
     AcceptsWhateverIsStored,
-    /// A job's end is stored whether it is over already or not.
+    /// A terminal state is stored whether or not the job already has one.
     EndsWhateverIsStored,
-    /// A leader that is told of a job's end takes it for a new job.
+    /// A leader treats the event of a job's end as a new job.
     EndsLookNew,
-    /// A stored end is read as done, also where it says cancelled or there is none.
+    /// A stored terminal state is read as done, even if it says cancelled or is missing.
     EndsReadAsDone,
-    /// Answers about a job don't say that one that it needs is cancelled.
+    /// Answers about a job do not say that a dependency is cancelled.
     IgnoresCancelledNeeds,
-    /// Ends are stored without the time from which those that wait for them count.
+    /// Terminal states are stored without the time from which dependent jobs count.
     ForgetsEndTimes,
 }
--- a/tests/world/sim/scale.rs
+++ b/tests/world/sim/scale.rs
@@ -1,4 +1,4 @@
-//! How large a simulated world is, and how fast its clocks tick.
+//! Size of a simulated world, and its clock intervals.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     pub txn_ops: usize,
 }
 
-/// How large a world is, and how fast its clocks tick.
+/// Size of a world, and its clock intervals.
 #[derive(Debug, Clone, Copy)]
 pub struct Scale {
     pub length: Duration,
@@ -20,24 +20,24 @@
     pub report: Duration,
     pub cancel: Duration,
     pub gang_wait: Duration,
-    /// Machines at the start, and at most.
+    /// Machines at the start, and the maximum.
     pub machines: usize,
     pub machines_most: usize,
     pub jobs: usize,
-    /// How many times as large arrays are.
+    /// Factor on the number of tasks of arrays.
     pub tasks: u32,
-    /// How many times as long tasks run.
+    /// Factor on the run time of tasks.
     pub longer: u64,
     pub team_limit: f64,
-    /// The other team's, or none.
+    /// Limit of the second team, or 0 for none.
     pub second_limit: f64,
-    /// How often a worker looks at what is due.
+    /// Interval at which a worker checks its lease, tasks and reports.
     pub look: Duration,
     pub value_kb: f64,
     /// Limits of the state service that the settings announce.
     pub announced: Option<Announced>,
     pub troubles: usize,
-    /// Seats of the one licence there is, or none.
+    /// Seats of the only licence, or 0 for none.
     pub seats: u32,
 }
 
@@ -62,10 +62,10 @@
     seats: 0,
 };
 
-/// Tasks that share a few seats, under all troubles.
+/// Tasks that share a few seats, under all random faults.
 pub const LICENSED: Scale = Scale { seats: 5, ..SMALL };
 
-/// 40 machines, without troubles of its own.
+/// 40 machines, without random faults.
 pub const MEDIUM: Scale = Scale {
     length: Duration::from_secs(90),
     machines: 40,
@@ -85,7 +85,7 @@
     ..MEDIUM
 };
 
-/// 1,000 machines that report as seldom as a large fleet's do.
+/// 1,000 machines that report as rarely as those of a large fleet.
 pub const LARGE: Scale = Scale {
     length: Duration::from_secs(75),
     lease: Duration::from_secs(15),
@@ -102,7 +102,7 @@
 };
 
 impl Scale {
-    /// The same without troubles, with that many jobs.
+    /// Returns the same scale without random faults, with that many jobs.
     pub const fn quiet(self, jobs: usize) -> Self {
         Self {
             troubles: 0,
--- a/tests/world/sim/state_service.rs
+++ b/tests/world/sim/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service as the nodes meet it: slow, refusing, or not there.
+//! The state service as the nodes see it: slow, refusing, or unreachable.
 
 use kiteyard::core::{
     CallId, Input,
@@ -18,8 +18,8 @@
     ) {
         let now = self.now;
         if self.unreached[node] > now {
-            // The asker has given up by the time; now and then the request still
-            // gets there when the cut is over.
+            // The sender has given up by then; half of the requests still arrive when the partition
+            // is over.
             if self.rng.random_bool(0.5) {
                 let late = self.unreached[node] + ms(self.rng.random_range(1..50));
                 self.push(late, Event::AtState(node, 0, call, request));
@@ -55,7 +55,7 @@
                         revision: *after,
                     })
                 }
-                // It will never be seen in the store.
+                // The write is never applied to the store.
                 _ if self.pretends(&request) => Some(StateReply::Committed {
                     revision: u64::MAX >> 20,
                 }),
@@ -89,14 +89,14 @@
 
     pub fn wake_watches(&mut self) {
         for (node, epoch, call, request, until) in std::mem::take(&mut self.watches) {
-            // What is open when a node is partitioned tells it no more either.
+            // Watches that are open when a node is partitioned return nothing more either.
             if self.now >= until || self.unreached[node] > self.now {
                 continue;
             }
             if self.swallowed(node, &request) {
                 continue;
             }
-            // While a node is refused, its open watches wait as they would in an outage.
+            // While a node is refused, its open watches wait as they would during an outage.
             if self.outage || self.refused[node] > self.now {
                 self.watches.push((node, epoch, call, request, until));
                 continue;
@@ -125,13 +125,13 @@
                 _ => {}
             }
         }
-        // Some answers are lost on their way.
+        // One in 200 answers is lost.
         if self.rng.random_range(0..200) != 0 {
             self.push(at, Event::ToNode(node, epoch, Input::State { call, reply }));
         }
     }
 
-    /// The jobs of machines are left out of the assignment index's shards.
+    /// Removes the jobs of machines from the shards of the assignment index.
     fn tamper_roster(&self, reply: &mut StateReply) {
         let StateReply::Entries { entries, .. } = reply else {
             return;
@@ -143,14 +143,16 @@
             .iter_mut()
             .filter(|e| e.key.starts_with(ASSIGNMENTS_PREFIX))
         {
-            let mut shard: serde_json::Value =
-                serde_json::from_str(entry.value.get()).expect("a shard of the assignment index");
-            let machines = shard["machines"].as_array_mut().expect("its machines");
+            let mut shard: serde_json::Value = serde_json::from_str(entry.value.get())
+                .expect("valid shard of the assignment index");
+            let machines = shard["machines"]
+                .as_array_mut()
+                .expect("machines of the shard");
             for machine in machines {
                 machine[2] = serde_json::json!([]);
             }
             let text = shard.to_string();
-            entry.value = serde_json::value::RawValue::from_string(text).expect("JSON");
+            entry.value = serde_json::value::RawValue::from_string(text).expect("valid JSON");
         }
     }
 
--- a/tests/world/sim/users.rs
+++ b/tests/world/sim/users.rs
@@ -1,4 +1,4 @@
-//! Users: their jobs, what they ask, and what they are told.
+//! Users: their jobs, their requests, and the answers they get.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -47,7 +47,7 @@
             Priority::Production,
         ];
         let spec = JobSpec {
-            id: JobId::parse(&format!("run-{i:06}")).expect("an id"),
+            id: JobId::parse(&format!("run-{i:06}")).expect("valid job id"),
             class: Arc::from("work"),
             team: Arc::from(if rng.random_bool(0.6) { "red" } else { "blue" }),
             kind,
@@ -99,11 +99,11 @@
     }
 
     pub(super) fn job(&self, task: &TaskId) -> &Job {
-        let index: usize = task.job.as_str()[4..].parse().expect("a number");
+        let index: usize = task.job.as_str()[4..].parse().expect("job number");
         &self.jobs[index]
     }
 
-    /// Services that run until somebody cancels them.
+    /// Accepted services, which run until somebody cancels them.
     pub fn services(&self) -> Vec<usize> {
         let running = |job: &Job| job.spec.kind == Kind::Service && job.accepted && !job.over;
         (0..self.jobs.len())
@@ -136,7 +136,7 @@
         self.ask(i, node, asking);
     }
 
-    /// A user asks a node about a job.
+    /// Sends a user's request about a job to a node.
     pub(super) fn ask(&mut self, i: usize, node: usize, asking: Asking) {
         let now = self.now;
         if self.nodes[node].is_none() {
@@ -147,7 +147,7 @@
         let request = self.next_request;
         let id = job.spec.id.clone();
         let input = if asking == Asking::Stranger {
-            let id = JobId::parse(&format!("run-9{i:05}")).expect("an id");
+            let id = JobId::parse(&format!("run-9{i:05}")).expect("valid job id");
             Input::Status { request, id }
         } else if asking == Asking::Submit {
             let mut spec = job.spec.clone();
@@ -220,7 +220,7 @@
                             self.observer.breaks(now, "refused", what);
                         }
                         self.observer.rejected(now, &spec.id);
-                        // A job that can never run is asked for no more.
+                        // Users stop polling a job that can never run.
                         self.jobs[i].over = true;
                         return;
                     }
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -15,7 +15,7 @@
 use super::{Asker, CPUS, Event, NODES, Sabotage, World, ZONES, ms};
 use crate::observer::Running;
 
-/// When machines without tasks stop reporting, for `Sabotage::HidesRoom`.
+/// Time at which machines without tasks stop reporting, for `Sabotage::HidesRoom`.
 const HIDES_AFTER: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 
 pub struct WTask {
     pub phase: TaskPhase,
-    /// When it has its image, ends, or gives up waiting, by its phase.
+    /// End of the current phase: image fetched, task ended, or wait given up.
     pub until: Duration,
 }
 
@@ -43,7 +43,7 @@
     pub next_report: Duration,
     pub last_sent: Duration,
     pub hung_until: Duration,
-    /// How fast its clock goes.
+    /// Rate of the worker's clock relative to real time.
     pub pace: f64,
     pub reports: u64,
     pub notice: Option<Duration>,
@@ -54,14 +54,14 @@
         now < self.lease_from + ms(1500)
     }
 
-    /// A task with its image is here.
+    /// Whether a task here has its image.
     pub fn holds(&self) -> bool {
         self.tasks.values().any(|t| t.phase.has_image())
     }
 }
 
 impl World {
-    /// The worker that waits for an answer.
+    /// The worker that waits for this answer.
     pub fn asker(&self, request: RequestId) -> Option<String> {
         let mut asked = self.asked.iter();
         asked.find_map(|((_, _, asked), asker)| match asker {
@@ -100,7 +100,7 @@
         if !self.workers.contains_key(name) {
             return;
         }
-        // A hanging machine is back within its lease or has lost its tasks.
+        // A hung machine resumes within its lease or loses its tasks.
         self.lease_check(name);
         if self.workers[name].hung_until > now {
             self.push(now + self.scale.look, Event::WorkerTick(name.to_owned()));
@@ -177,7 +177,7 @@
                     Some((TaskPhase::Running, until))
                 }
                 TaskPhase::Waiting if now >= until => {
-                    // Running ones of its gang make it run too.
+                    // Running members of its gang make it run too.
                     Some((TaskPhase::Exited(ExitReason::Incomplete), now))
                 }
                 TaskPhase::Running if faulty => Some((TaskPhase::Exited(ExitReason::Error), now)),
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Jobs that have a task with its image somewhere.
+    /// Jobs that have a task with its image on a machine.
     pub fn running_jobs(&self) -> Vec<usize> {
         (0..self.jobs.len())
             .filter(|job| !self.machines_of(&[*job]).is_empty())
@@ -246,8 +246,9 @@
         holding.map(|(name, _)| name.clone()).collect()
     }
 
-    /// A node that does not lead keeps a lease alive, in one unsafe variant; in another, no
-    /// node derives that a job is cancelled.
+    /// With `Sabotage::FollowersRenew`, turns a follower's redirect into an answer that renews the
+    /// lease; with `Sabotage::IgnoresCancelledNeeds`, hides that a job is cancelled with a
+    /// dependency.
     pub(super) fn tampered_answer(&self, output: Output) -> Output {
         match output {
             Output::Answer {
@@ -286,7 +287,7 @@
         worker.seq += 1;
         WorkerReport {
             machine: Arc::from(name),
-            addr: "127.0.0.1:9".parse().expect("an address"),
+            addr: "127.0.0.1:9".parse().expect("valid address"),
             machine_type: Arc::from("m"),
             zone: Arc::from(ZONES[worker.zone]),
             spot: worker.spot,
@@ -364,7 +365,7 @@
             return;
         }
         if worker.hung_until > now {
-            // A hanging machine gets it when it resumes, before anything else.
+            // A hung machine receives the message when it resumes, before anything else.
             let at = worker.hung_until;
             self.push(at, Event::AtWorker(name, message));
             return;
@@ -393,7 +394,7 @@
                     }
                     Answer::Commands { .. } => {}
                     Answer::Redirect(Some(node)) => {
-                        worker.node = node[1..].parse().expect("a node's name");
+                        worker.node = node[1..].parse().expect("node name");
                         worker.next_report = now + ms(200);
                     }
                     _ => {
@@ -508,16 +509,17 @@
         self.hurry(name);
     }
 
-    /// A next leader trusts the assignment index on which jobs an unresponsive machine may hold.
+    /// Checks that the assignment index lists the job, since a new leader relies on the index for
+    /// the jobs that an unresponsive machine may hold.
     fn check_listed(&mut self, name: &str, task: &TaskId) {
         let holds = |entry: &&Entry| entry.value.get().contains(name);
         let mut shards = self.state.entries(ASSIGNMENTS_PREFIX);
         shards.retain(|entry| holds(&entry));
         let mut listed = false;
         for entry in shards {
-            let record: ShardRecord =
-                serde_json::from_str(entry.value.get()).expect("a shard of the assignment index");
-            // What is read last counts, where several shards name the machine.
+            let record: ShardRecord = serde_json::from_str(entry.value.get())
+                .expect("valid shard of the assignment index");
+            // The shard read last is authoritative where several name the machine.
             if let Some(machine) = record.machines().find(|m| &*m.id == name) {
                 listed = machine.jobs.contains(&task.job);
             }
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -1,11 +1,11 @@
-//! A plain stand-in of the state service, written from the protocol.
+//! A simple stand-in for the state service, implemented from the protocol.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use kiteyard::core::store::{Change, Entry, Event, StateReply, StateRequest};
 use serde_json::value::RawValue;
 
-/// Small pages, so that reading them in turn is tried out.
+/// Page size of lists; small, so that reads of several pages are tested.
 const PAGE: usize = 7;
 
 #[derive(Clone)]
@@ -20,7 +20,7 @@
     ends: Duration,
 }
 
-/// Limits of writes, from a moment on.
+/// Write limits from a given time on.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     pub from: Duration,
@@ -29,7 +29,7 @@
     pub changes_per_s: f64,
 }
 
-/// Changes that may be made now: bursts of one second's worth.
+/// Rate limit of changes, with bursts of one second's worth.
 #[derive(Default)]
 struct Allowance {
     changes: f64,
@@ -45,13 +45,13 @@
     log: Vec<Event>,
     limits: Option<Limits>,
     allowance: Allowance,
-    /// Requests by second, but for watches that wait.
+    /// Requests per second, except for waiting watches.
     requests: BTreeMap<u64, u32>,
     rejected: u32,
 }
 
 impl State {
-    /// The answer, or none where a watch has nothing to tell yet.
+    /// Returns the answer, or `None` where a watch has no events yet.
     pub fn call(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
         self.expire(now);
         if !matches!(request, StateRequest::Watch { wait, .. } if !wait.is_zero()) {
@@ -149,7 +149,7 @@
         })
     }
 
-    /// The answer to a write that is larger, or more, than is taken now.
+    /// Returns the answer to a write that exceeds the limits of size or rate.
     fn over_limits(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
         let limits = self.limits.filter(|limits| now >= limits.from)?;
         let StateRequest::Txn {
@@ -183,33 +183,33 @@
         None
     }
 
-    /// All that is stored under a prefix, in key order.
-    #[allow(dead_code)] // Not asked for on loopback.
+    /// All entries under a prefix, in key order.
+    #[allow(dead_code)] // Unused by the loopback stand-ins.
     pub fn entries(&self, prefix: &str) -> Vec<Entry> {
         let keys = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
         keys.map(|(key, found)| entry(key, found)).collect()
     }
 
-    /// Writes are limited from a moment on.
-    #[allow(dead_code)] // The stand-ins on loopback have limits of their own.
+    /// Limits writes from a given time on.
+    #[allow(dead_code)] // The loopback stand-ins have their own limits.
     pub fn limit(&mut self, limits: Limits) {
         self.limits = Some(limits);
     }
 
-    /// Writes that were rejected for their size.
+    /// Writes that were rejected because of their size.
     #[allow(dead_code)]
     pub fn rejected(&self) -> u32 {
         self.rejected
     }
 
-    /// The most requests in any second from a moment on.
+    /// Highest number of requests in any second from a given time on.
     #[allow(dead_code)]
     pub fn busiest_second(&self, from: Duration) -> u32 {
         let since = self.requests.range(from.as_secs()..);
         since.map(|(_, requests)| *requests).max().unwrap_or(0)
     }
 
-    /// The largest value under a prefix.
+    /// Size of the largest value under a prefix.
     #[allow(dead_code)]
     pub fn largest_value(&self, prefix: &str) -> usize {
         let keys = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -222,15 +222,15 @@
         self.revision
     }
 
-    /// After an outage every lease has its full time again.
-    #[allow(dead_code)] // The stand-ins on loopback have no outages.
+    /// Extends every lease by its full TTL after an outage.
+    #[allow(dead_code)] // The loopback stand-ins have no outages.
     pub fn outage_over(&mut self, now: Duration) {
         for lease in self.leases.values_mut() {
             lease.ends = now + lease.ttl;
         }
     }
 
-    /// No lease ends any more.
+    /// Makes all leases permanent, including expired ones.
     #[allow(dead_code)]
     pub fn keep_leases(&mut self) {
         for id in 1..=self.next_lease {
