--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -18,7 +18,7 @@
 
 #[path = "../world/state.rs"]
 mod state;
-use state::State;
+use state::StateStore;
 
 /// A small client: one request and its answer.
 pub async fn call(
@@ -67,11 +67,11 @@
 
 // State service.
 
-type Shared = Arc<(Mutex<State>, Instant)>;
+type Shared = Arc<(Mutex<StateStore>, Instant)>;
 
 /// Starts a state service and returns where it listens.
 pub async fn state_service() -> SocketAddr {
-    let shared: Shared = Arc::new((Mutex::new(State::default()), Instant::now()));
+    let shared: Shared = Arc::new((Mutex::new(StateStore::default()), Instant::now()));
     serve(poem::endpoint::make(move |request| {
         let shared = shared.clone();
         async move { state_request(shared, request).await }
--- a/tests/world/meetings.rs
+++ b/tests/world/combined_faults.rs
@@ -11,20 +11,20 @@
 };
 use rand::RngExt;
 
-use crate::sim::{Event, NODES, Sabotage, World, ms};
+use crate::sim::{Defect, Event, NODES, World, ms};
 
 fn claims(change: &Change) -> bool {
     matches!(change, Change::Put { key, .. } if key == LEADER_KEY)
 }
 
 #[derive(Default)]
-pub struct Meetings {
+pub struct CombinedFaults {
     /// Stored results, by key.
     progress: BTreeMap<String, TaskSet>,
     /// Waiting watches of these nodes get no answer until then.
-    silent: [Duration; NODES],
+    silent_until: [Duration; NODES],
     /// Users don't poll these nodes until then.
-    avoided: [Duration; NODES],
+    avoided_until: [Duration; NODES],
     /// A quarter of all transactions gets no answer and is applied later, until then.
     late_until: Duration,
     /// A third of all direct commands and of their answers is delayed until then.
@@ -34,65 +34,65 @@
     /// Users whose last request has not been answered yet, and the node it was sent to.
     pub unanswered: HashMap<usize, usize>,
     /// Duration of an outage of the state service that starts with the next claim.
-    away_with_claim: Option<Duration>,
+    outage_at_claim: Option<Duration>,
 }
 
 impl World {
     /// Makes the state service refuse the leader alone while users cancel services through the
     /// other nodes, and then makes it unavailable to all nodes for longer than `cancel_s`.
-    pub fn gap(&mut self, leader: usize, lasts: Duration) {
+    pub fn refusal_then_outage(&mut self, leader: usize, duration: Duration) {
         let begins = self.now + ms(self.rng.random_range(600..4_000));
-        self.refused[leader] = self.now + lasts;
+        self.refused_until[leader] = self.now + duration;
         self.withdraw_services(leader, ms(300));
-        self.push(begins, Event::OutageBegins);
-        self.push(begins + lasts, Event::OutageEnds);
+        self.push(begins, Event::OutageStarted);
+        self.push(begins + duration, Event::OutageEnded);
     }
 
-    /// Like `gap`, but nobody tells the leader to step down: it acts to the end of its term, and
+    /// Like `refusal_then_outage`, but nobody tells the leader to step down: it acts to the end of its term, and
     /// the outage starts just after another node has claimed the leadership.
-    pub fn gap_after_claim(&mut self, leader: usize, lasts: Duration) {
-        self.refused[leader] = self.now + lasts;
-        self.peers_apart = self.now + lasts;
+    pub fn outage_after_claim(&mut self, leader: usize, duration: Duration) {
+        self.refused_until[leader] = self.now + duration;
+        self.peers_refuse_until = self.now + duration;
         self.withdraw_services(leader, ms(300));
-        self.meetings.away_with_claim = Some(lasts);
+        self.combined_faults.outage_at_claim = Some(duration);
     }
 
     /// Makes the leader's own watch return nothing, while all other requests are answered and users
     /// cancel through the other nodes.
-    pub fn silent_watch(&mut self, leader: usize, lasts: Duration) {
-        self.meetings.silent[leader] = self.now + lasts;
-        self.meetings.avoided[leader] = self.now + lasts;
+    pub fn silent_watch(&mut self, leader: usize, duration: Duration) {
+        self.combined_faults.silent_until[leader] = self.now + duration;
+        self.combined_faults.avoided_until[leader] = self.now + duration;
         self.withdraw_services(leader, ms(500));
     }
 
     /// Node that this user asks: the one after a node that left a request unanswered, as a load
     /// balancer would choose. With a random choice, a user could reach a frozen node ten times in a
     /// row, and its job looked forgotten.
-    pub fn asked_node(&mut self, user: usize) -> usize {
+    pub fn choose_node(&mut self, user: usize) -> usize {
         let any = self.rng.random_range(0..NODES);
-        let silent = self.meetings.unanswered.get(&user);
+        let silent = self.combined_faults.unanswered.get(&user);
         let node = silent.map_or(any, |node| (node + 1) % NODES);
-        match self.meetings.avoided[node] > self.now {
+        match self.combined_faults.avoided_until[node] > self.now {
             true => (node + 1) % NODES,
             false => node,
         }
     }
 
     /// Time at which a transaction without an answer is applied, if this is one.
-    pub fn carried_out_late(&mut self, request: &StateRequest) -> Option<Duration> {
+    pub fn late_apply_time(&mut self, request: &StateRequest) -> Option<Duration> {
         let StateRequest::Txn { changes, .. } = request else {
             return None;
         };
         if changes.iter().any(claims) {
-            self.meetings.claims.push(request.clone());
+            self.combined_faults.claims.push(request.clone());
         }
-        let late = self.now < self.meetings.late_until && self.rng.random_range(0..4) == 0;
+        let late = self.now < self.combined_faults.late_until && self.rng.random_range(0..4) == 0;
         late.then(|| self.now + ms(self.rng.random_range(2_000..12_000)))
     }
 
     /// Delay of a direct command to a worker, or of its answer.
-    pub fn held_up(&mut self) -> Duration {
-        match self.now < self.meetings.held_until && self.rng.random_range(0..3) == 0 {
+    pub fn command_delay(&mut self) -> Duration {
+        match self.now < self.combined_faults.held_until && self.rng.random_range(0..3) == 0 {
             true => ms(self.rng.random_range(1_500..40_000)),
             false => Duration::ZERO,
         }
@@ -100,16 +100,16 @@
 
     /// Delays commands while reports and their answers pass, and cancels services.
     pub fn hold_commands(&mut self, leader: usize, until: Duration) {
-        self.meetings.held_until = until;
+        self.combined_faults.held_until = until;
         self.withdraw_services(leader, ms(2_000));
     }
 
     pub fn late_writes(&mut self, until: Duration) {
-        self.meetings.late_until = until;
+        self.combined_faults.late_until = until;
     }
 
     /// Replays every claim ever sent while nobody leads; returns whether one is applied.
-    pub fn late_claims_stand(&mut self) -> bool {
+    pub fn replays_late_claims(&mut self) -> bool {
         let vacate = StateRequest::Txn {
             conditions: Vec::new(),
             changes: vec![Change::Delete {
@@ -118,21 +118,21 @@
         };
         self.state.call(self.now, &vacate);
         // A replayed claim can only be applied while its lease exists.
-        self.state.keep_leases();
-        let sent = std::mem::take(&mut self.meetings.claims);
-        let mut stand = false;
+        self.state.make_leases_permanent();
+        let sent = std::mem::take(&mut self.combined_faults.claims);
+        let mut applied = false;
         for claim in sent {
-            let claim = self.tampered(claim);
-            stand |= matches!(
+            let claim = self.tampered_request(claim);
+            applied |= matches!(
                 self.state.call(self.now, &claim),
                 Some(StateReply::Committed { .. })
             );
         }
-        stand
+        applied
     }
 
     /// Checks that the stored results of a job never shrink while the job exists.
-    fn look_at_progress(&mut self, changes: &[Change]) {
+    fn check_progress(&mut self, changes: &[Change]) {
         for change in changes {
             if let Change::Put { key, value, .. } = change
                 && let Some((id, chunk)) = key
@@ -143,48 +143,51 @@
                 let text: String = serde_json::from_str(value.get()).expect("valid task set");
                 let mut set = TaskSet::default();
                 assert!(set.decode_chunk(chunk, &text), "invalid task set");
-                let before = self.meetings.progress.insert(key.clone(), set.clone());
+                let before = self
+                    .combined_faults
+                    .progress
+                    .insert(key.clone(), set.clone());
                 let lost = before.is_some_and(|before| !before.chunks_added_since(&set).is_empty());
                 if lost {
-                    let what = format!("stored results of {id}");
-                    self.observer.breaks(self.now, "shrank", what);
+                    let detail = format!("stored results of {id}");
+                    self.observer.report_violation(self.now, "shrank", detail);
                 }
             }
         }
     }
 
     /// Whether a watch that does not wait counts as a proof without its events.
-    pub fn believes(&mut self, node: usize, sabotage: Sabotage) -> bool {
-        match sabotage {
-            Sabotage::UnprovenAnswers => true,
-            Sabotage::RenewalAlone => self.leading() == node,
+    pub fn skips_watch_proof(&mut self, node: usize, defect: Defect) -> bool {
+        match defect {
+            Defect::UnverifiedAnswers => true,
+            Defect::RenewalExtendsTerm => self.leading() == node,
             _ => false,
         }
     }
 
     /// Whether a request is left without an answer.
-    pub fn swallowed(&self, node: usize, request: &StateRequest) -> bool {
+    pub fn drops_watch(&self, node: usize, request: &StateRequest) -> bool {
         let waits = matches!(request, StateRequest::Watch { wait, .. } if !wait.is_zero());
-        waits && self.meetings.silent[node] > self.now
+        waits && self.combined_faults.silent_until[node] > self.now
     }
 
     /// Updates the checks and faults that follow committed transactions.
-    pub fn look_at_commit(&mut self, request: &StateRequest, reply: Option<&StateReply>) {
+    pub fn observe_commit(&mut self, request: &StateRequest, reply: Option<&StateReply>) {
         let (StateRequest::Txn { changes, .. }, Some(StateReply::Committed { revision })) =
             (request, reply)
         else {
             return;
         };
-        self.look_at_progress(changes);
-        self.look_at_ends(changes);
-        self.absences_meet_claim(changes);
-        self.old_reports_meet_claim(changes, *revision);
+        self.check_progress(changes);
+        self.check_terminal_states(changes);
+        self.advance_handover(changes);
+        self.deliver_kept_reports(changes, *revision);
         if changes.iter().any(claims)
-            && let Some(lasts) = self.meetings.away_with_claim.take()
+            && let Some(duration) = self.combined_faults.outage_at_claim.take()
         {
             let begins = self.now + ms(self.rng.random_range(1..90));
-            self.push(begins, Event::OutageBegins);
-            self.push(begins + lasts, Event::OutageEnds);
+            self.push(begins, Event::OutageStarted);
+            self.push(begins + duration, Event::OutageEnded);
         }
     }
 
@@ -196,7 +199,7 @@
                 let node = (not_by + 1 + self.rng.random_range(0..NODES - 1)) % NODES;
                 for again in [100, 900, 1_700] {
                     let at = self.now + after + ms(again + self.rng.random_range(0..400));
-                    self.push(at, Event::UserAt(i, node));
+                    self.push(at, Event::UserPollAt(i, node));
                 }
             }
         }
--- a/tests/world/cases.rs
+++ b/tests/world/faults.rs
@@ -6,70 +6,70 @@
 
 use kiteyard::core::store::{Change, StateReply, StateRequest};
 
-use crate::sim::{Cut, Event, NODES, World, ms};
+use crate::sim::{Event, LinkPartition, NODES, World, ms};
 
 /// A fault; how long it lasts is given with it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Case {
+pub enum Fault {
     /// The leader and all workers cannot reach each other.
-    Blind,
+    LeaderLosesWorkers,
     /// The leader and the workers of one zone cannot reach each other.
-    BlindToZone,
+    LeaderLosesZone,
     /// Two nodes each reach half of the zones, and neither reaches the other half.
-    HalfEach,
+    SplitZones,
     /// Nodes refuse connections from their peers.
     PeersRefuse,
     /// The leader's process freezes in the middle of a step.
-    Stands,
+    LeaderFreezes,
     StateSlow,
     /// All nodes are restarted one after another.
-    Roll,
+    RollingRestart,
     /// A zone is partitioned from everything, its node also from the state service.
     ZoneCut,
     /// The leader's zone is partitioned from everything.
     LeaderZoneCut,
     /// A fifth of the machines hang and resume within their lease.
-    Hang,
+    MachinesHang,
     /// The leader's process crashes.
-    LeaderEnds,
+    LeaderCrash,
     /// All nodes crash at once.
-    AllEnd,
+    AllCrash,
     /// All nodes crash, and again during startup: each before or soon after its first answer.
-    EndAgain,
+    RepeatedCrashes,
     /// A third of the machines send reports that arrive, but receive nothing.
-    Deaf,
+    DeliveryBlocked,
     /// Reports, and requests that were already applied, arrive again later.
-    Copies,
+    Duplicates,
     /// The leader loses the state service and its peers, but not its workers and users.
-    LeaderApart,
-    /// Like `LeaderApart`, for a second node as well: only one node is unaffected.
-    TwoApart,
-    /// Like `LeaderApart`, and the machines of the leader's zone reach the leader alone.
-    ZoneApart,
+    LeaderIsolated,
+    /// Like `LeaderIsolated`, for a second node as well: only one node is unaffected.
+    TwoIsolated,
+    /// Like `LeaderIsolated`, and the machines of the leader's zone reach the leader alone.
+    LeaderIsolatedWithZone,
     /// The state service is unavailable.
-    Outage,
+    StateOutage,
     /// The state service refuses the leader alone while users cancel, and then all nodes.
-    Gap,
-    /// Like `Gap`, with the outage starting just after another node has claimed the leadership.
-    GapAfterClaim,
+    RefusalThenOutage,
+    /// Like `RefusalThenOutage`, with the outage starting just after another node has claimed the leadership.
+    OutageAfterClaim,
     /// A quarter of all transactions gets no answer and is applied later, after newer ones.
     LateWrites,
     /// Direct commands to workers are delayed, and so are their answers.
     HeldCommands,
     /// All nodes are polled within milliseconds of an acceptance or completion, submissions are
     /// repeated, and some jobs are cancelled at once.
-    CloseLooks,
+    ImmediatePolls,
     /// The completion of a job's last task coincides with a cancellation, a poll or a submission.
-    AskedAtEnd,
+    RequestsAtCompletion,
     /// Users submit jobs that can never run.
-    OddRequests,
+    UnrunnableJobs,
     /// A quarter of all transactions is applied at once, but its answer is lost.
     AnswersLost,
     /// Users cancel most of the unfinished jobs within 200 ms.
     CancelBurst,
     /// Like `CancelBurst`, at the moment the state service starts to refuse the leader alone; one
     /// second later it is unavailable to all nodes.
-    RefusedThenAway,
+    CancelBurstAtRefusal,
     /// Messages between nodes and workers take 150 to 700 ms longer.
     SlowLinks,
     /// Half of the machines are lost in the zone with the most tasks bound to it.
@@ -77,9 +77,9 @@
     /// The leader's own watch returns nothing while users cancel.
     SilentWatch,
     /// A third of the machines cannot connect to any controller; direct commands reach them.
-    Mute,
+    ReportsBlocked,
     /// Copies of reports are kept, and reach every node as the next leader starts.
-    KeptCopies,
+    ReplayedReports,
     /// Reports are held back until a new leader has acted.
     HeldReports,
     /// Direct commands are executed 2 to 16 s late and not answered.
@@ -89,17 +89,17 @@
     /// Machines boot within two seconds, and the leader crashes as they get work.
     NewMachines,
     /// All processes stop, and restart after the given time.
-    AllAway,
+    AllDown,
     /// A handover and a handover back, after which all nodes stop and one restarts; the others
     /// restart after the given time.
     HandOverAndBack,
     /// A follower is restarted from the old build.
-    OldAgain,
+    OldBuildReturns,
     /// Operators order a downgrade to the old storage format.
-    GoBack,
+    Downgrade,
     /// The leader's claim is deleted while the leader goes on leading its zone: the effect of an
     /// unsafe handover.
-    VacatedEarly,
+    ClaimDeletedEarly,
 }
 
 impl World {
@@ -115,8 +115,8 @@
         }
     }
 
-    fn cut(&mut self, node: usize, zone: usize, until: Duration) {
-        self.cuts.push(Cut {
+    fn partition_link(&mut self, node: usize, zone: usize, until: Duration) {
+        self.partitions.push(LinkPartition {
             node,
             zone,
             until,
@@ -124,47 +124,50 @@
         });
     }
 
-    fn zone_off(&mut self, zone: usize, until: Duration) {
-        self.unreached[zone] = until;
+    fn partition_zone(&mut self, zone: usize, until: Duration) {
+        self.state_unreachable_until[zone] = until;
         for other in (0..NODES).filter(|other| *other != zone) {
-            self.cut(zone, other, until);
-            self.cut(other, zone, until);
+            self.partition_link(zone, other, until);
+            self.partition_link(other, zone, until);
         }
     }
 
-    pub fn bring(&mut self, case: Case, lasts: Duration) {
+    pub fn inject_fault(&mut self, fault: Fault, duration: Duration) {
         let leader = self.leading();
-        let until = self.now + lasts;
-        match case {
-            Case::Blind => self.workers_apart[leader] = until,
-            Case::BlindToZone => self.cut(leader, (leader + 1) % NODES, until),
-            Case::HalfEach => {
+        let until = self.now + duration;
+        match fault {
+            Fault::LeaderLosesWorkers => self.workers_unreachable_until[leader] = until,
+            Fault::LeaderLosesZone => self.partition_link(leader, (leader + 1) % NODES, until),
+            Fault::SplitZones => {
                 let other = (leader + 1) % NODES;
-                self.cut(leader, other, until);
-                self.cut(other, leader, until);
+                self.partition_link(leader, other, until);
+                self.partition_link(other, leader, until);
             }
-            Case::PeersRefuse => self.peers_apart = until,
-            Case::Stands => self.freezes[leader] = Some(lasts),
-            Case::StateSlow => self.slow_until = until,
-            Case::Roll => {
+            Fault::PeersRefuse => self.peers_refuse_until = until,
+            Fault::LeaderFreezes => self.pending_freezes[leader] = Some(duration),
+            Fault::StateSlow => self.state_slow_until = until,
+            Fault::RollingRestart => {
                 for node in 0..NODES {
-                    self.push(self.now + lasts * node as u32, Event::Crash(node));
+                    self.push(self.now + duration * node as u32, Event::Crash(node));
                 }
             }
-            Case::ZoneCut => self.zone_off((leader + 1) % NODES, until),
-            Case::LeaderZoneCut => self.zone_off(leader, until),
-            Case::Hang => {
+            Fault::ZoneCut => self.partition_zone((leader + 1) % NODES, until),
+            Fault::LeaderZoneCut => self.partition_zone(leader, until),
+            Fault::MachinesHang => {
                 for worker in self.workers.values_mut().step_by(5) {
                     worker.hung_until = until;
                 }
             }
-            Case::LeaderEnds => {
+            Fault::LeaderCrash => {
                 // After a planned handover, the node that stepped down crashes.
-                let node = self.roll.asked.filter(|_| self.roll.spare_successor);
+                let node = self
+                    .rollout
+                    .step_down_node
+                    .filter(|_| self.rollout.spare_successor);
                 self.crash(node.unwrap_or(leader));
             }
-            Case::AllEnd => (0..NODES).for_each(|node| self.crash(node)),
-            Case::EndAgain => {
+            Fault::AllCrash => (0..NODES).for_each(|node| self.crash(node)),
+            Fault::RepeatedCrashes => {
                 for again in [0, 60, 350, 700, 1200] {
                     for node in 0..NODES {
                         let at = ms(again + 90 * node as u64);
@@ -172,62 +175,62 @@
                     }
                 }
             }
-            Case::Deaf => {
+            Fault::DeliveryBlocked => {
                 let names = self.workers.keys().step_by(3).cloned();
-                self.between.deafen(names.collect(), until);
+                self.network_faults.block_delivery(names.collect(), until);
             }
-            Case::Mute => {
+            Fault::ReportsBlocked => {
                 let names = self.workers.keys().step_by(3).cloned().collect();
-                self.mute.silence(names, self.now, until);
+                self.blocked_reports.block(names, self.now, until);
             }
-            Case::SlowLinks => self.slow_links(until),
-            Case::ZoneLosesMachines => self.lose_machines(),
-            Case::KeptCopies => self.keep_copies(until),
-            Case::HeldReports => self.hold_reports(until),
-            Case::LateCommands => self.delay_commands(until),
-            Case::CancelAndHang => self.cancel_and_hang(lasts),
-            Case::NewMachines => self.new_machines(until),
-            Case::AllAway => self.all_away(lasts),
-            Case::HandOverAndBack => self.hand_over_and_back(lasts),
-            Case::Copies => self.between.copies_until = until,
-            Case::LeaderApart => self.node_apart(leader, until),
-            Case::ZoneApart => {
-                self.node_apart(leader, until);
+            Fault::SlowLinks => self.slow_links(until),
+            Fault::ZoneLosesMachines => self.lose_machines(),
+            Fault::ReplayedReports => self.keep_reports(until),
+            Fault::HeldReports => self.hold_reports(until),
+            Fault::LateCommands => self.delay_commands(until),
+            Fault::CancelAndHang => self.cancel_and_hang(duration),
+            Fault::NewMachines => self.boot_new_machines(until),
+            Fault::AllDown => self.stop_all(duration),
+            Fault::HandOverAndBack => self.hand_over_and_back(duration),
+            Fault::Duplicates => self.network_faults.duplicates_until = until,
+            Fault::LeaderIsolated => self.isolate_node(leader, until),
+            Fault::LeaderIsolatedWithZone => {
+                self.isolate_node(leader, until);
                 for other in (0..NODES).filter(|other| *other != leader) {
-                    self.cut(other, leader, until);
+                    self.partition_link(other, leader, until);
                 }
             }
-            Case::TwoApart => {
-                self.node_apart(leader, until);
-                self.node_apart((leader + 1) % NODES, until);
+            Fault::TwoIsolated => {
+                self.isolate_node(leader, until);
+                self.isolate_node((leader + 1) % NODES, until);
             }
-            Case::HeldCommands => self.hold_commands(leader, until),
-            Case::LateWrites => self.late_writes(until),
-            Case::Gap => self.gap(leader, lasts),
-            Case::GapAfterClaim => self.gap_after_claim(leader, lasts),
-            Case::SilentWatch => self.silent_watch(leader, lasts),
-            Case::CancelBurst => self.cancel_burst(),
-            Case::RefusedThenAway => self.refused_then_away(leader, lasts),
-            Case::CloseLooks => self.requests.close_until = until,
-            Case::AskedAtEnd => self.requests.ends_until = until,
-            Case::OddRequests => {
-                self.requests.odd_until = until;
-                self.push(self.now, Event::Odd);
+            Fault::HeldCommands => self.hold_commands(leader, until),
+            Fault::LateWrites => self.late_writes(until),
+            Fault::RefusalThenOutage => self.refusal_then_outage(leader, duration),
+            Fault::OutageAfterClaim => self.outage_after_claim(leader, duration),
+            Fault::SilentWatch => self.silent_watch(leader, duration),
+            Fault::CancelBurst => self.cancel_burst(),
+            Fault::CancelBurstAtRefusal => self.cancel_burst_at_refusal(leader, duration),
+            Fault::ImmediatePolls => self.requests.polls_until = until,
+            Fault::RequestsAtCompletion => self.requests.completions_until = until,
+            Fault::UnrunnableJobs => {
+                self.requests.unrunnable_until = until;
+                self.push(self.now, Event::UnrunnableJobs);
             }
-            Case::AnswersLost => self.requests.unanswered_until = until,
-            Case::Outage => {
+            Fault::AnswersLost => self.requests.unanswered_until = until,
+            Fault::StateOutage => {
                 self.outage = true;
-                self.push(until, Event::OutageEnds);
+                self.push(until, Event::OutageEnded);
             }
-            Case::OldAgain => {
+            Fault::OldBuildReturns => {
                 let node = (leader + 1) % NODES;
-                let was = self.roll.most[node];
+                let previous = self.rollout.supported_generation[node];
                 self.push(self.now, Event::Upgrade(node, 1));
-                self.push(until, Event::Upgrade(node, was));
+                self.push(until, Event::Upgrade(node, previous));
             }
-            Case::GoBack => self.push(self.now, Event::Order(Order::Target(1))),
-            Case::VacatedEarly => {
-                self.zone_off(leader, until);
+            Fault::Downgrade => self.push(self.now, Event::RolloutOrder(Order::Target(1))),
+            Fault::ClaimDeletedEarly => {
+                self.partition_zone(leader, until);
                 let changes = vec![Change::Delete {
                     key: "live/leader".to_owned(),
                 }];
--- a/tests/world/late_commands.rs
+++ b/tests/world/late_commands.rs
@@ -6,13 +6,13 @@
 use rand::RngExt;
 
 use crate::{
-    cases::Case,
+    faults::Fault,
     seeds,
-    sim::{Event, LONG, MEDIUM, NODES, Sabotage, Scale, World, ms},
+    sim::{Defect, Event, LONG, MEDIUM, NODES, Scale, World, ms},
 };
 
 /// Maximum number of machines with tasks of a burst's jobs that hang.
-const HANGING_MOST: usize = 8;
+const MAX_HUNG_MACHINES: usize = 8;
 
 #[derive(Default)]
 pub struct LateCommands {
@@ -32,13 +32,13 @@
     }
 
     /// Returns the delay of a direct command, if it is delayed and thus unanswered.
-    pub fn late_command(&mut self) -> Option<Duration> {
+    pub fn late_command_delay(&mut self) -> Option<Duration> {
         let late = self.now < self.late_commands.until && self.rng.random_range(0..3) == 0;
         late.then(|| ms(self.rng.random_range(2_000..16_000)))
     }
 
     /// Counts a direct command that arrives at a worker which has seen this token and session.
-    pub fn command_arrives(&mut self, token: (u64, u64), session: (u64, u64)) {
+    pub fn count_late_command(&mut self, token: (u64, u64), session: (u64, u64)) {
         let ((sent, seen), (meant, lives)) = (token, session);
         self.late_commands.after_newer_leader += u64::from(sent >> 16 < seen >> 16);
         self.late_commands.after_session += u64::from(meant < lives);
@@ -53,14 +53,14 @@
                 self.withdraw(job, self.now);
                 for again in [0, 300, 1_200] {
                     let node = self.rng.random_range(0..NODES);
-                    self.push(at + ms(again), Event::UserAt(job, node));
+                    self.push(at + ms(again), Event::UserPollAt(job, node));
                 }
                 cancelled.push(job);
             }
         }
         let until = self.now + hang;
         let names = self.machines_of(&cancelled);
-        for name in names.into_iter().take(HANGING_MOST) {
+        for name in names.into_iter().take(MAX_HUNG_MACHINES) {
             self.hang(&name, until);
             self.late_commands.hung_with_cancelled += 1;
         }
@@ -69,32 +69,36 @@
 
 /// Delays commands while machines hang beyond their lease or learn of a newer token by no report,
 /// and while leaders crash or are deposed.
-fn world(scale: Scale, seed: u64, sabotage: Sabotage) -> World {
-    let mut world = World::sized(scale, seed, sabotage).quick();
-    for (at, case, seconds) in [
-        (12_000, Case::LateCommands, 50),
-        (14_000, Case::Mute, 25),
-        (16_000, Case::LeaderEnds, 0),
-        (20_000, Case::Hang, 6),
-        (24_000, Case::Stands, 9),
-        (38_000, Case::LeaderApart, 8),
-        (40_000, Case::Hang, 4),
-        (50_000, Case::AllEnd, 0),
+fn world(scale: Scale, seed: u64, defect: Defect) -> World {
+    let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
+    for (at, fault, seconds) in [
+        (12_000, Fault::LateCommands, 50),
+        (14_000, Fault::ReportsBlocked, 25),
+        (16_000, Fault::LeaderCrash, 0),
+        (20_000, Fault::MachinesHang, 6),
+        (24_000, Fault::LeaderFreezes, 9),
+        (38_000, Fault::LeaderIsolated, 8),
+        (40_000, Fault::MachinesHang, 4),
+        (50_000, Fault::AllCrash, 0),
     ] {
-        world = world.with(at, case, Duration::from_secs(seconds));
+        world = world.with_fault(at, fault, Duration::from_secs(seconds));
     }
     world.run();
     world
 }
 
 #[test]
-fn rules_hold_where_commands_come_after_a_newer_leaders_or_their_session() {
+fn rules_hold_when_commands_arrive_after_a_newer_leaders_or_their_session() {
     for seed in seeds(2) {
         let (mut deposed, mut over, mut finished) = (0, 0, 0);
         for scale in [MEDIUM, LONG] {
-            let world = world(scale, seed, Sabotage::None);
-            let what = format!("seed {seed}");
-            assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
+            let world = world(scale, seed, Defect::None);
+            let context = format!("seed {seed}");
+            assert_eq!(
+                world.observer.violations(),
+                Vec::<String>::new(),
+                "{context}"
+            );
             finished += world.observer.finished;
             deposed += world.late_commands.after_newer_leader;
             over += world.late_commands.after_session;
@@ -111,32 +115,32 @@
     }
 }
 
-fn caught(sabotage: Sabotage) {
-    let broken = |scale, seed| world(scale, seed, sabotage).observer.broken();
+fn assert_caught(defect: Defect) {
+    let violations = |scale, seed| world(scale, seed, defect).observer.violations();
     let twice = |scale, seed| {
-        broken(scale, seed)
+        violations(scale, seed)
             .iter()
             .any(|b| b.starts_with("ran_twice"))
     };
     let caught = (0..8).any(|seed| twice(MEDIUM, seed) || twice(LONG, seed));
-    assert!(caught, "{sabotage:?} was not caught");
+    assert!(caught, "{defect:?} was not caught");
 }
 
 #[test]
-fn a_command_of_a_former_leader_that_is_carried_out_is_caught() {
-    caught(Sabotage::OldTokensCount);
+fn a_command_of_a_former_leader_that_is_executed_is_caught() {
+    assert_caught(Defect::AcceptsOldTokens);
 }
 
 /// Two bursts of cancellations over long tasks, whose machines hang within their lease and beyond
 /// it, and a leader that crashes.
-fn burst(seed: u64, sabotage: Sabotage) -> World {
-    let mut world = World::sized(LONG, seed, sabotage).quick();
-    for (at, case, hang) in [
-        (20_000, Case::CancelAndHang, 4_000),
-        (21_000, Case::LeaderEnds, 0),
-        (40_000, Case::CancelAndHang, 9_000),
+fn burst(seed: u64, defect: Defect) -> World {
+    let mut world = World::with_scale(LONG, seed, defect).with_quick_restarts();
+    for (at, fault, hang) in [
+        (20_000, Fault::CancelAndHang, 4_000),
+        (21_000, Fault::LeaderCrash, 0),
+        (40_000, Fault::CancelAndHang, 9_000),
     ] {
-        world = world.with(at, case, ms(hang));
+        world = world.with_fault(at, fault, ms(hang));
     }
     world.run();
     let hung = world.late_commands.hung_with_cancelled;
@@ -145,18 +149,20 @@
 }
 
 #[test]
-fn cancelled_tasks_are_gone_in_time_where_their_machines_hang() {
+fn cancelled_tasks_stop_in_time_when_their_machines_hang() {
     for seed in seeds(4) {
-        let broken = burst(seed, Sabotage::None).observer.broken();
-        assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
+        let violations = burst(seed, Defect::None).observer.violations();
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
 #[test]
 fn a_cancelled_task_that_goes_on_after_its_machine_hung_is_caught() {
     let caught = |seed| {
-        let broken = burst(seed, Sabotage::SparesHung).observer.broken();
-        broken.iter().any(|b| b.starts_with("ran_cancelled"))
+        let violations = burst(seed, Defect::HungMachinesIgnoreStop)
+            .observer
+            .violations();
+        violations.iter().any(|b| b.starts_with("ran_cancelled"))
     };
     assert!((0..6).any(caught));
 }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -4,82 +4,89 @@
 use kiteyard::core::store::ASSIGNMENTS_PREFIX;
 
 use crate::{
-    cases::{Case, WITHIN_LEASE},
+    faults::{Fault, WITHIN_LEASE},
     seeds,
-    sim::{Announced, Event, MEDIUM, NODES, Sabotage, Scale, World, ms},
-    state::Limits,
+    sim::{AnnouncedLimits, Defect, Event, MEDIUM, NODES, Scale, World, ms},
+    state::WriteLimits,
 };
 
-const S: u64 = 1000;
+const SECOND_MS: u64 = 1000;
 
 /// Values as large as a leader writes at the default limits.
-const WIDE: Scale = Scale {
+const LARGE_VALUES: Scale = Scale {
     value_kb: 16.0,
     machines: 120,
-    machines_most: 140,
+    max_machines: 140,
     jobs: 90,
     team_limit: 400.0,
     ..MEDIUM
 };
 
-const NEXT: Announced = Announced {
+const NEXT_LIMITS: AnnouncedLimits = AnnouncedLimits {
     write_rps: 40.0,
     value_kb: 1.0,
     txn_ops: 5,
 };
 
-const VALUE_BYTES: usize = (NEXT.value_kb * 1024.0) as usize;
+const VALUE_BYTES: usize = (NEXT_LIMITS.value_kb * 1024.0) as usize;
 
 /// More requests per second than this are a storm: the write budget before the limits drop, and the
 /// other requests of 60 workers, three nodes and their users.
-const STORM: u32 = 160;
+const MAX_REQUESTS_PER_SECOND: u32 = 160;
 
-fn falls(world: &mut World, at: u64) {
-    world.state.limit(Limits {
+fn drop_limits_at(world: &mut World, at: u64) {
+    world.state.set_limits(WriteLimits {
         from: ms(at),
         value_bytes: VALUE_BYTES,
-        txn_ops: NEXT.txn_ops,
-        changes_per_s: NEXT.write_rps,
+        txn_ops: NEXT_LIMITS.txn_ops,
+        changes_per_s: NEXT_LIMITS.write_rps,
     });
 }
 
 /// Runs to the end; tasks must start and jobs finish after the limits drop, too.
-fn goes_on_after(mut world: World, fall: u64, what: &str) -> World {
-    let length = world.scale.length;
-    world.scale.length = ms(fall + 5 * S);
+fn assert_work_continues(mut world: World, dropped_at: u64, context: &str) -> World {
+    let duration = world.scale.duration;
+    world.scale.duration = ms(dropped_at + 5 * SECOND_MS);
     world.run();
     let (starts, finished) = (world.observer.starts, world.observer.finished);
-    world.scale.length = length;
+    world.scale.duration = duration;
     world.run();
-    assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
+    assert_eq!(
+        world.observer.violations(),
+        Vec::<String>::new(),
+        "{context}"
+    );
     let more = (
         world.observer.starts - starts,
         world.observer.finished - finished,
     );
     assert!(
         more.0 > 10 && more.1 > 2,
-        "{what}: only {more:?} starts and finished jobs after the limits dropped"
+        "{context}: only {more:?} starts and finished jobs after the limits dropped"
+    );
+    let busiest = world.state.max_requests_per_second(ms(dropped_at));
+    assert!(
+        busiest < MAX_REQUESTS_PER_SECOND,
+        "{context}: {busiest} requests in one second"
     );
-    let busiest = world.state.busiest_second(ms(fall));
-    assert!(busiest < STORM, "{what}: {busiest} requests in one second");
     world
 }
 
 #[test]
-fn announced_limits_may_fall_at_any_moment() {
+fn announced_limits_may_drop_at_any_time() {
     for seed in seeds(4) {
         let scale = Scale {
-            announced: Some(NEXT),
-            ..WIDE
+            announced: Some(NEXT_LIMITS),
+            ..LARGE_VALUES
         };
-        let fall = 15 * S + seed % 7 * 4 * S;
-        for case in [Case::LeaderEnds, Case::LateWrites, Case::AllEnd] {
-            let mut world = World::sized(scale, seed, Sabotage::None).quick();
-            falls(&mut world, fall);
-            let world = world.with(fall + S, case, WITHIN_LEASE);
-            let what = format!("seed {seed}, {case:?}");
-            let world = goes_on_after(world, fall, &what);
-            assert_eq!(world.state.rejected(), 0, "{what}");
+        let dropped_at = 15 * SECOND_MS + seed % 7 * 4 * SECOND_MS;
+        for fault in [Fault::LeaderCrash, Fault::LateWrites, Fault::AllCrash] {
+            let mut world = World::with_scale(scale, seed, Defect::None).with_quick_restarts();
+            drop_limits_at(&mut world, dropped_at);
+            let world = world.with_fault(dropped_at + SECOND_MS, fault, WITHIN_LEASE);
+            let context = format!("seed {seed}, {fault:?}");
+            let world = assert_work_continues(world, dropped_at, &context);
+            assert_eq!(world.state.rejected(), 0, "{context}");
         }
     }
 }
@@ -88,46 +95,51 @@
 #[test]
 fn large_shards_are_split_once_lower_limits_are_announced() {
     for seed in seeds(4) {
-        let fall = 50 * S;
-        for case in [Case::LeaderEnds, Case::LateWrites, Case::AllEnd] {
-            let mut world = World::sized(WIDE, seed, Sabotage::None).quick();
-            falls(&mut world, fall);
-            world.push(ms(20 * S), Event::Announce(NEXT));
+        let dropped_at = 50 * SECOND_MS;
+        for fault in [Fault::LeaderCrash, Fault::LateWrites, Fault::AllCrash] {
+            let mut world =
+                World::with_scale(LARGE_VALUES, seed, Defect::None).with_quick_restarts();
+            drop_limits_at(&mut world, dropped_at);
+            world.push(ms(20 * SECOND_MS), Event::AnnounceLimits(NEXT_LIMITS));
             for node in 0..NODES {
-                world.push(ms((21 + 5 * node as u64) * S), Event::Crash(node));
+                world.push(ms((21 + 5 * node as u64) * SECOND_MS), Event::Crash(node));
             }
-            for at in [22 * S, 28 * S, 33 * S] {
-                world = world.with(at, case, WITHIN_LEASE);
+            for at in [22 * SECOND_MS, 28 * SECOND_MS, 33 * SECOND_MS] {
+                world = world.with_fault(at, fault, WITHIN_LEASE);
             }
-            let what = format!("seed {seed}, {case:?}");
-            let length = std::mem::replace(&mut world.scale.length, ms(20 * S));
+            let context = format!("seed {seed}, {fault:?}");
+            let duration = std::mem::replace(&mut world.scale.duration, ms(20 * SECOND_MS));
             world.run();
             let before = world.state.largest_value(ASSIGNMENTS_PREFIX);
-            assert!(before > VALUE_BYTES, "{what}: only {before} bytes");
-            world.scale.length = length;
-            let world = goes_on_after(world, fall, &what);
+            assert!(before > VALUE_BYTES, "{context}: only {before} bytes");
+            world.scale.duration = duration;
+            let world = assert_work_continues(world, dropped_at, &context);
             let largest = world.state.largest_value(ASSIGNMENTS_PREFIX);
-            assert!(largest <= VALUE_BYTES, "{what}: a shard of {largest} bytes");
-            assert_eq!(world.state.rejected(), 0, "{what}");
+            assert!(
+                largest <= VALUE_BYTES,
+                "{context}: a shard of {largest} bytes"
+            );
+            assert_eq!(world.state.rejected(), 0, "{context}");
         }
     }
 }
 
 /// Limits that no settings announce: rejected writes are split, and nothing is retried unchanged.
 #[test]
-fn limits_that_nobody_announced_are_learnt() {
+fn unannounced_limits_are_learnt() {
     for seed in seeds(4) {
-        let fall = 25 * S;
-        for case in [Case::LeaderEnds, Case::LateWrites] {
-            let mut world = World::sized(WIDE, seed, Sabotage::None).quick();
-            falls(&mut world, fall);
-            let world = world.with(fall + 3 * S, case, WITHIN_LEASE);
-            let what = format!("seed {seed}, {case:?}");
-            let world = goes_on_after(world, fall, &what);
+        let dropped_at = 25 * SECOND_MS;
+        for fault in [Fault::LeaderCrash, Fault::LateWrites] {
+            let mut world =
+                World::with_scale(LARGE_VALUES, seed, Defect::None).with_quick_restarts();
+            drop_limits_at(&mut world, dropped_at);
+            let world = world.with_fault(dropped_at + 3 * SECOND_MS, fault, WITHIN_LEASE);
+            let context = format!("seed {seed}, {fault:?}");
+            let world = assert_work_continues(world, dropped_at, &context);
             let rejected = world.state.rejected();
             assert!(
                 (1..100).contains(&rejected),
-                "{what}: {rejected} rejected writes"
+                "{context}: {rejected} rejected writes"
             );
         }
     }
--- a/tests/world/liveness.rs
+++ b/tests/world/liveness.rs
@@ -6,23 +6,23 @@
 use kiteyard::core::job::{JobId, JobSpec, Kind, TaskId};
 
 use crate::{
-    cases::Case,
+    faults::Fault,
     seeds,
-    sim::{CPUS, Job, MEDIUM, Sabotage, Scale, World, ZONES},
+    sim::{CPUS, Defect, Job, MEDIUM, Scale, World, ZONES},
 };
 
 /// With a lease of 15 s, the protocol's 90 s are six leases.
-const LEASES: u32 = 6;
+const MAX_WAIT_LEASES: u32 = 6;
 /// Seconds in which the faults are active, where limits bind.
-const SPELL: std::ops::Range<u64> = 20..40;
-const LOOKS_EVERY: Duration = Duration::from_millis(500);
+const FAULT_SECONDS: std::ops::Range<u64> = 20..40;
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Since when each machine has had room for a waiting task of each job, without interruption.
 #[derive(Default)]
 pub struct Liveness {
     /// Time by which all faults are over; waiting jobs are not checked where it is not set.
-    pub settled: Option<Duration>,
-    next_look: Duration,
+    pub check_from: Option<Duration>,
+    next_check: Duration,
     room_since: BTreeMap<JobId, BTreeMap<String, Duration>>,
     /// Number of checks during the faults in which a team had less left than one of its waiting
     /// tasks needs.
@@ -30,7 +30,7 @@
 }
 
 /// Free capacity of a machine, as its worker knows it.
-struct Room {
+struct FreeCapacity {
     machine: String,
     zone: usize,
     spot: bool,
@@ -38,69 +38,70 @@
 }
 
 impl World {
-    pub fn look_for_waiting(&mut self) {
-        let settled = self.liveness.settled.unwrap_or(Duration::MAX);
-        if self.now < self.liveness.next_look {
+    pub fn check_waiting_jobs(&mut self) {
+        let check_from = self.liveness.check_from.unwrap_or(Duration::MAX);
+        if self.now < self.liveness.next_check {
             return;
         }
-        self.liveness.next_look = self.now + LOOKS_EVERY;
-        self.count_limits();
-        if self.now < settled {
+        self.liveness.next_check = self.now + CHECK_INTERVAL;
+        self.count_teams_at_limit();
+        if self.now < check_from {
             return;
         }
-        let rooms = self.rooms();
+        let rooms = self.free_capacity();
         for number in 0..self.jobs.len() {
             let id = self.jobs[number].spec.id.clone();
-            let fitting = match self.waits(&self.jobs[number]) {
-                true => self.fitting(&self.jobs[number].spec, &rooms),
+            let fitting = match self.has_waiting_task(&self.jobs[number]) {
+                true => self.fitting_machines(&self.jobs[number].spec, &rooms),
                 false => Vec::new(),
             };
-            self.left_waiting(id, number, &fitting);
+            self.check_left_waiting(id, number, &fitting);
         }
     }
 
     /// Records since when the machines have had room, and reports a violation where enough of them
     /// had it for too long.
-    fn left_waiting(&mut self, id: JobId, number: usize, fitting: &[&Room]) {
+    fn check_left_waiting(&mut self, id: JobId, number: usize, fitting: &[&FreeCapacity]) {
         let before = self.liveness.room_since.remove(&id).unwrap_or_default();
-        let since = |room: &&Room| before.get(&room.machine).copied().unwrap_or(self.now);
+        let since = |room: &&FreeCapacity| before.get(&room.machine).copied().unwrap_or(self.now);
         let known: BTreeMap<String, Duration> = fitting
             .iter()
             .map(|r| (r.machine.clone(), since(r)))
             .collect();
-        let long = self.scale.lease * LEASES;
+        let long = self.scale.lease * MAX_WAIT_LEASES;
         let aged = fitting.iter().filter(|r| self.now > since(r) + long);
-        let aged: Vec<&Room> = aged.copied().collect();
+        let aged: Vec<&FreeCapacity> = aged.copied().collect();
         let spec = &self.jobs[number].spec;
-        if holds_least(spec, &aged) {
-            let what = format!("{id} {:?} could run on {}", spec.kind, aged[0].machine);
-            self.observer.breaks(self.now, "left_waiting", what);
+        if fits_minimum(spec, &aged) {
+            let detail = format!("{id} {:?} could run on {}", spec.kind, aged[0].machine);
+            self.observer
+                .report_violation(self.now, "left_waiting", detail);
         }
         self.liveness.room_since.insert(id, known);
     }
 
     /// Whether the job is accepted and unfinished, and one of its tasks is on no machine. Excludes
     /// jobs that fail wherever they run, since they are retried ever less often.
-    fn waits(&self, job: &Job) -> bool {
-        let called_off = job.withdraw_at.is_some_and(|at| self.now > at);
-        if !job.accepted || job.over || job.faulty || called_off {
+    fn has_waiting_task(&self, job: &Job) -> bool {
+        let is_cancelled = job.withdraw_at.is_some_and(|at| self.now > at);
+        if !job.accepted || job.ended || job.faulty || is_cancelled {
             return false;
         }
         if !self.observer.may_start(&job.spec) {
             return false;
         }
-        let there = self.places(&job.spec).len();
+        let there = self.task_zones(&job.spec).len();
         let done = (0..job.spec.tasks).filter(|index| self.has_result(&job.spec, *index));
         there + done.count() < job.spec.tasks as usize
     }
 
     fn has_result(&self, spec: &JobSpec, index: u32) -> bool {
         let job = spec.id.clone();
-        self.results.contains(&TaskId { job, index })
+        self.completed_tasks.contains(&TaskId { job, index })
     }
 
     /// Zones of the job's tasks on machines, with or without their image.
-    fn places(&self, spec: &JobSpec) -> Vec<usize> {
+    fn task_zones(&self, spec: &JobSpec) -> Vec<usize> {
         let held = self.workers.values().flat_map(|worker| {
             let tasks = worker.tasks.iter();
             let live = tasks.filter(|((task, _), t)| task.job == spec.id && !t.phase.exited());
@@ -109,13 +110,13 @@
         held.collect()
     }
 
-    fn rooms(&self) -> Vec<Room> {
+    fn free_capacity(&self) -> Vec<FreeCapacity> {
         let answers = |w: &&crate::sim::Worker| w.hung_until < self.now && w.notice.is_none();
         let workers = self.workers.iter().filter(|(_, w)| answers(w));
         let rooms = workers.map(|(machine, worker)| {
             let live = worker.tasks.iter().filter(|(_, t)| !t.phase.exited());
             let used: f64 = live.map(|((task, _), _)| self.cpus_of(task)).sum();
-            Room {
+            FreeCapacity {
                 machine: machine.clone(),
                 zone: worker.zone,
                 spot: worker.spot,
@@ -131,18 +132,22 @@
     }
 
     /// Machines where the next task of the job may start, given its team and its other tasks.
-    fn fitting<'a>(&self, spec: &JobSpec, rooms: &'a [Room]) -> Vec<&'a Room> {
-        let there = self.places(spec);
+    fn fitting_machines<'a>(
+        &self,
+        spec: &JobSpec,
+        rooms: &'a [FreeCapacity],
+    ) -> Vec<&'a FreeCapacity> {
+        let there = self.task_zones(spec);
         let whole = spec.kind == Kind::Gang;
         let least = if whole { spec.tasks } else { 1 };
         // Tasks that fetch their image count against the limit, as do tasks that have only just
         // ended.
-        let fetching = self.fetching(&spec.team);
-        let left = self.observer.left_to(&spec.team) - fetching;
+        let fetching = self.fetching_cpus(&spec.team);
+        let left = self.observer.available_to(&spec.team) - fetching;
         if f64::from(least) * spec.need.cpus > left || (whole && !there.is_empty()) {
             return Vec::new();
         }
-        let allowed = |room: &&Room| {
+        let allowed = |room: &&FreeCapacity| {
             let in_zone = there.iter().filter(|zone| **zone == room.zone).count() as u32;
             spec.need.cpus <= room.free + 1e-6
                 && (spec.spot || !room.spot)
@@ -156,7 +161,7 @@
         rooms.iter().filter(allowed).collect()
     }
 
-    fn fetching(&self, team: &str) -> f64 {
+    fn fetching_cpus(&self, team: &str) -> f64 {
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
         let fetching = tasks.filter(|(_, t)| !t.phase.exited() && !t.phase.has_image());
         let team_of = |task: &TaskId| self.jobs.iter().find(|job| job.spec.id == task.job);
@@ -165,14 +170,19 @@
         of_team.map(|((task, _), _)| self.cpus_of(task)).sum()
     }
 
-    fn count_limits(&mut self) {
-        if !SPELL.contains(&self.now.as_secs()) {
+    fn count_teams_at_limit(&mut self) {
+        if !FAULT_SECONDS.contains(&self.now.as_secs()) {
             return;
         }
-        let waiting: Vec<&Job> = self.jobs.iter().filter(|job| self.waits(job)).collect();
+        let waiting: Vec<&Job> = self
+            .jobs
+            .iter()
+            .filter(|job| self.has_waiting_task(job))
+            .collect();
         let mut binds = std::collections::BTreeSet::new();
         for job in waiting {
-            let left = self.observer.left_to(&job.spec.team) - self.fetching(&job.spec.team);
+            let left =
+                self.observer.available_to(&job.spec.team) - self.fetching_cpus(&job.spec.team);
             if job.spec.need.cpus > left {
                 binds.insert(job.spec.team.to_string());
             }
@@ -184,11 +194,11 @@
 }
 
 /// Whether the minimum that may start of a job fits on these machines together.
-fn holds_least(spec: &JobSpec, rooms: &[&Room]) -> bool {
+fn fits_minimum(spec: &JobSpec, rooms: &[&FreeCapacity]) -> bool {
     if spec.kind != Kind::Gang {
         return !rooms.is_empty();
     }
-    let times = |room: &&&Room| ((room.free + 1e-6) / spec.need.cpus).floor() as u32;
+    let times = |room: &&&FreeCapacity| ((room.free + 1e-6) / spec.need.cpus).floor() as u32;
     let by_zone: Vec<u32> = (0..ZONES.len())
         .map(|zone| {
             rooms
@@ -209,37 +219,44 @@
 }
 
 /// Long enough after the last fault.
-const LIVELY: Scale = Scale {
-    length: Duration::from_secs(110),
+const LONG_SETTLING: Scale = Scale {
+    duration: Duration::from_secs(110),
     ..MEDIUM
 };
 
 /// Both teams have less than their jobs request.
-const BOUND: Scale = Scale {
+const AT_LIMIT: Scale = Scale {
     team_limit: 16.0,
-    second_limit: 12.0,
-    longer: 3,
+    second_team_limit: 12.0,
+    duration_factor: 3,
     jobs: 140,
-    ..LIVELY
+    ..LONG_SETTLING
 };
 
 /// Runs a world with these faults, each with its start in milliseconds and its length in seconds.
-pub fn world(scale: Scale, seed: u64, sabotage: Sabotage, troubles: &[(u64, Case, u64)]) -> World {
-    let mut world = World::sized(scale, seed, sabotage).quick();
-    for (at, case, seconds) in troubles {
-        world = world.with(*at, *case, Duration::from_secs(*seconds));
+pub fn world(scale: Scale, seed: u64, defect: Defect, faults: &[(u64, Fault, u64)]) -> World {
+    let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
+    for (at, fault, seconds) in faults {
+        world = world.with_fault(*at, *fault, Duration::from_secs(*seconds));
     }
-    world.liveness.settled = Some(Duration::from_secs(65));
+    world.liveness.check_from = Some(Duration::from_secs(65));
     world.run();
     world
 }
 
 /// Like `world`; asserts that no rule is broken and no job is left waiting.
-pub fn holds(scale: Scale, seed: u64, troubles: &[(u64, Case, u64)]) -> World {
-    let world = world(scale, seed, Sabotage::None, troubles);
-    let what = format!("seed {seed}, {troubles:?}");
-    assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.starts > 20, "{what}: too few tasks started");
+pub fn assert_rules_hold(scale: Scale, seed: u64, faults: &[(u64, Fault, u64)]) -> World {
+    let world = world(scale, seed, Defect::None, faults);
+    let context = format!("seed {seed}, {faults:?}");
+    assert_eq!(
+        world.observer.violations(),
+        Vec::<String>::new(),
+        "{context}"
+    );
+    assert!(
+        world.observer.starts > 20,
+        "{context}: too few tasks started"
+    );
     world
 }
 
@@ -247,26 +264,26 @@
 /// are partitioned, hang or receive nothing, services are cancelled, and the leader crashes.
 #[test]
 fn teams_at_their_limits_keep_them_through_a_change_of_the_leader() {
-    let troubles: [&[(u64, Case, u64)]; 3] = [
+    let faults: [&[(u64, Fault, u64)]; 3] = [
         &[
-            (20_000, Case::ZoneCut, 14),
-            (21_000, Case::HeldCommands, 20),
-            (22_000, Case::LeaderEnds, 0),
+            (20_000, Fault::ZoneCut, 14),
+            (21_000, Fault::HeldCommands, 20),
+            (22_000, Fault::LeaderCrash, 0),
         ],
         &[
-            (20_000, Case::Hang, 4),
-            (20_500, Case::HeldCommands, 20),
-            (21_000, Case::LeaderEnds, 0),
+            (20_000, Fault::MachinesHang, 4),
+            (20_500, Fault::HeldCommands, 20),
+            (21_000, Fault::LeaderCrash, 0),
         ],
         &[
-            (20_000, Case::Deaf, 14),
-            (23_000, Case::HeldCommands, 20),
-            (22_000, Case::LeaderEnds, 0),
+            (20_000, Fault::DeliveryBlocked, 14),
+            (23_000, Fault::HeldCommands, 20),
+            (22_000, Fault::LeaderCrash, 0),
         ],
     ];
     for seed in seeds(2) {
-        for troubles in troubles {
-            let world = holds(BOUND, seed, troubles);
+        for faults in faults {
+            let world = assert_rules_hold(AT_LIMIT, seed, faults);
             let bound = |team: &str| world.liveness.at_limit.get(team).is_some_and(|n| *n > 10);
             assert!(
                 bound("red") && bound("blue"),
@@ -278,22 +295,22 @@
 
 /// Ten leaders crash, 4.5 s apart, some of them during an outage.
 #[test]
-fn leaders_change_ten_times_also_inside_an_outage() {
-    let mut troubles: Vec<(u64, Case, u64)> = (0..10)
-        .map(|n| (15_000 + 4_500 * n, Case::LeaderEnds, 0))
+fn leaders_change_ten_times_also_during_an_outage() {
+    let mut faults: Vec<(u64, Fault, u64)> = (0..10)
+        .map(|n| (15_000 + 4_500 * n, Fault::LeaderCrash, 0))
         .collect();
-    troubles.push((26_000, Case::Outage, 9));
+    faults.push((26_000, Fault::StateOutage, 9));
     for seed in seeds(2) {
-        holds(LIVELY, seed, &troubles);
+        assert_rules_hold(LONG_SETTLING, seed, &faults);
     }
 }
 
 #[test]
-fn room_that_nobody_hears_of_is_caught() {
+fn free_machines_that_do_not_report_are_caught() {
     let caught = |seed| {
-        let world = world(LIVELY, seed, Sabotage::HidesRoom, &[]);
-        let broken = world.observer.broken();
-        broken.iter().any(|b| b.starts_with("left_waiting"))
+        let world = world(LONG_SETTLING, seed, Defect::IdleMachinesSilent, &[]);
+        let violations = world.observer.violations();
+        violations.iter().any(|b| b.starts_with("left_waiting"))
     };
     assert!((0..4).any(caught));
 }
@@ -302,12 +319,15 @@
 /// leader's tasks.
 #[test]
 fn a_former_leaders_tasks_that_are_not_counted_are_caught() {
-    let troubles = [(20_000, Case::Deaf, 14), (21_000, Case::LeaderEnds, 0)];
+    let faults = [
+        (20_000, Fault::DeliveryBlocked, 14),
+        (21_000, Fault::LeaderCrash, 0),
+    ];
     let caught = |seed| {
-        let world = world(BOUND, seed, Sabotage::NoWorkerLease, &troubles);
+        let world = world(AT_LIMIT, seed, Defect::IgnoresWorkerLeases, &faults);
         world
             .observer
-            .broken()
+            .violations()
             .iter()
             .any(|b| b.starts_with("quota"))
     };
--- a/tests/world/new_machines.rs
+++ b/tests/world/new_machines.rs
@@ -6,30 +6,30 @@
 use rand::RngExt;
 
 use crate::{
-    cases::Case,
+    faults::Fault,
     seeds,
-    sim::{Event, SMALL, Sabotage, Scale, World, ms},
+    sim::{Defect, Event, SMALL, Scale, World, ms},
 };
 
 /// Time after its boot for which a machine is new.
-const NEW_FOR: Duration = ms(3_000);
+const MAX_NEW_MACHINE_AGE: Duration = ms(3_000);
 /// Minimum time between two crashes of the leader.
-const ENDS_APART: Duration = ms(7_000);
+const MIN_CRASH_INTERVAL: Duration = ms(7_000);
 
 #[derive(Default)]
 pub struct NewMachines {
     /// Machines boot within two seconds until then, and the leader crashes as they get work.
     until: Duration,
-    next_end: Duration,
+    next_crash: Duration,
     /// Boot time of each machine that booted so quickly.
-    up: std::collections::BTreeMap<String, Duration>,
+    booted: std::collections::BTreeMap<String, Duration>,
     /// Number of leaders that crashed just as a new machine got work.
-    pub met: u64,
+    pub leader_crashes: u64,
 }
 
 impl World {
     /// Removes every second machine, so that new ones are provisioned.
-    pub fn new_machines(&mut self, until: Duration) {
+    pub fn boot_new_machines(&mut self, until: Duration) {
         self.new_machines.until = until;
         self.late_writes(until);
         let names: Vec<String> = self.workers.keys().step_by(2).cloned().collect();
@@ -45,21 +45,21 @@
         }
     }
 
-    pub fn machine_up(&mut self, name: &str) {
+    pub fn record_boot(&mut self, name: &str) {
         if self.now < self.new_machines.until {
-            self.new_machines.up.insert(name.to_owned(), self.now);
+            self.new_machines.booted.insert(name.to_owned(), self.now);
         }
     }
 
     /// Crashes the leader if the machine on which a start was executed is new.
-    pub fn start_on_machine(&mut self, name: &str) {
-        let new = self.new_machines.up.get(name);
-        let new = new.is_some_and(|up| self.now < *up + NEW_FOR);
-        if !new || self.now < self.new_machines.next_end {
+    pub fn crash_leader_on_start(&mut self, name: &str) {
+        let new = self.new_machines.booted.get(name);
+        let new = new.is_some_and(|up| self.now < *up + MAX_NEW_MACHINE_AGE);
+        if !new || self.now < self.new_machines.next_crash {
             return;
         }
-        self.new_machines.next_end = self.now + ENDS_APART;
-        self.new_machines.met += 1;
+        self.new_machines.next_crash = self.now + MIN_CRASH_INTERVAL;
+        self.new_machines.leader_crashes += 1;
         let leader = self.leading();
         let end = self.now + ms(self.rng.random_range(0..400));
         self.push(end, Event::Crash(leader));
@@ -70,43 +70,47 @@
     }
 }
 
-const FEW: Scale = Scale {
+const FEW_MACHINES: Scale = Scale {
     machines: 8,
-    machines_most: 16,
+    max_machines: 16,
     jobs: 40,
-    longer: 4,
+    duration_factor: 4,
     ..SMALL.quiet(40)
 };
 
-fn world(seed: u64, sabotage: Sabotage) -> World {
-    let mut world = World::sized(FEW, seed, sabotage).quick();
+fn world(seed: u64, defect: Defect) -> World {
+    let mut world = World::with_scale(FEW_MACHINES, seed, defect).with_quick_restarts();
     for at in [20_000, 45_000, 70_000] {
-        world = world.with(at, Case::NewMachines, Duration::from_secs(18));
-        world = world.with(at, Case::StateSlow, Duration::from_secs(12));
+        world = world.with_fault(at, Fault::NewMachines, Duration::from_secs(18));
+        world = world.with_fault(at, Fault::StateSlow, Duration::from_secs(12));
     }
     world.run();
     world
 }
 
 #[test]
-fn rules_hold_where_new_machines_get_work_while_writes_lag_and_leaders_end() {
-    let mut met = 0;
+fn rules_hold_when_new_machines_get_work_while_writes_lag_and_leaders_crash() {
+    let mut crashes = 0;
     for seed in seeds(6) {
-        let world = world(seed, Sabotage::None);
-        let broken = world.observer.broken();
-        assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
-        met += world.new_machines.met;
+        let world = world(seed, Defect::None);
+        let violations = world.observer.violations();
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
+        crashes += world.new_machines.leader_crashes;
     }
     assert!(
-        met >= seeds(6).end,
-        "{met} leaders crashed as a new machine got work"
+        crashes >= seeds(6).end,
+        "{crashes} leaders crashed as a new machine got work"
     );
 }
 
 /// The next leader knows only from the assignment index which tasks a silent new machine may hold.
 #[test]
-fn a_roster_that_names_no_jobs_is_caught_on_new_machines() {
-    let broken = |seed| world(seed, Sabotage::RosterWithoutJobs).observer.broken();
-    let caught = |seed| broken(seed).iter().any(|b| b.starts_with("ran_twice"));
+fn an_assignment_index_without_jobs_is_caught_on_new_machines() {
+    let violations = |seed| {
+        world(seed, Defect::AssignmentsWithoutJobs)
+            .observer
+            .violations()
+    };
+    let caught = |seed| violations(seed).iter().any(|b| b.starts_with("ran_twice"));
     assert!((0..12).any(caught));
 }
--- a/tests/world/old_reports.rs
+++ b/tests/world/old_reports.rs
@@ -11,9 +11,9 @@
 use rand::RngExt;
 
 use crate::{
-    cases::Case,
+    faults::Fault,
     seeds,
-    sim::{Event, LONG, MEDIUM, NODES, Sabotage, Scale, World, ms},
+    sim::{Defect, Event, LONG, MEDIUM, NODES, Scale, World, ms},
 };
 
 #[derive(Default)]
@@ -28,9 +28,9 @@
     /// Newest committed claim.
     claim: u64,
     /// Copies that reached a node within a second after a claim.
-    pub met_claim: u64,
+    pub copies_after_claim: u64,
     /// Held reports that reached a leader which had begun to start tasks.
-    pub met_action: u64,
+    pub held_after_action: u64,
 }
 
 fn starts(commands: &[Command]) -> bool {
@@ -39,7 +39,7 @@
 }
 
 impl World {
-    pub fn keep_copies(&mut self, until: Duration) {
+    pub fn keep_reports(&mut self, until: Duration) {
         self.old_reports.kept_until = until;
     }
 
@@ -48,31 +48,32 @@
     }
 
     fn old_report(&mut self, node: usize, at: Duration, mut report: WorkerReport) {
-        match self.sabotage {
-            Sabotage::BelievesCopies => report.seq += 20,
-            Sabotage::CopiesShowNewToken => report.token = self.old_reports.claim << 16,
+        match self.defect {
+            Defect::AcceptsDuplicateReports => report.seq += 20,
+            Defect::OldReportsCarryNewToken => report.token = self.old_reports.claim << 16,
             _ => {}
         }
         self.next_request += 1;
         let request = self.next_request;
-        self.push(at, Event::Line(node, Input::Report { request, report }));
+        self.push(at, Event::Message(node, Input::Report { request, report }));
     }
 
     /// Handles a report that a worker sends; returns whether it is held back.
-    pub fn report_sent(&mut self, report: &WorkerReport) -> bool {
+    pub fn intercept_report(&mut self, report: &WorkerReport) -> bool {
         if self.now < self.old_reports.kept_until && self.rng.random_range(0..4) == 0 {
             self.old_reports.kept.push(report.clone());
         }
-        let holds = self.now < self.old_reports.held_until && self.rng.random_range(0..12) == 0;
-        if holds {
+        let assert_rules_hold =
+            self.now < self.old_reports.held_until && self.rng.random_range(0..12) == 0;
+        if assert_rules_hold {
             let claim = self.old_reports.claim;
             self.old_reports.held.push((claim, report.clone()));
         }
-        holds
+        assert_rules_hold
     }
 
     /// Delivers the kept copies to every node after a claim, as the leader starts.
-    pub fn old_reports_meet_claim(&mut self, changes: &[Change], claim: u64) {
+    pub fn deliver_kept_reports(&mut self, changes: &[Change], claim: u64) {
         let claims = |c: &Change| matches!(c, Change::Put { key, .. } if key == LEADER_KEY);
         if !changes.iter().any(claims) {
             return;
@@ -82,13 +83,13 @@
             for node in 0..NODES {
                 let at = self.now + ms(self.rng.random_range(1..900));
                 self.old_report(node, at, report.clone());
-                self.old_reports.met_claim += 1;
+                self.old_reports.copies_after_claim += 1;
             }
         }
     }
 
     /// Delivers the reports held back under a former claim, once the new leader starts tasks.
-    pub fn old_reports_meet_action(&mut self, node: usize, output: &Output) {
+    pub fn deliver_held_reports(&mut self, node: usize, output: &Output) {
         let token = match output {
             Output::Answer {
                 answer: Answer::Commands { token, commands },
@@ -104,38 +105,42 @@
         for (_, report) in due {
             let at = self.now + ms(self.rng.random_range(20..2_000));
             self.old_report(node, at, report);
-            self.old_reports.met_action += 1;
+            self.old_reports.held_after_action += 1;
         }
     }
 }
 
 /// Leaders change four times, once with a crash of all nodes, while reports are old.
-fn world(scale: Scale, seed: u64, case: Case, sabotage: Sabotage) -> World {
-    let mut world = World::sized(scale, seed, sabotage).quick();
-    world = world.with(12_000, case, Duration::from_secs(45));
+fn world(scale: Scale, seed: u64, fault: Fault, defect: Defect) -> World {
+    let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
+    world = world.with_fault(12_000, fault, Duration::from_secs(45));
     for (at, ends) in [
-        (18_000, Case::LeaderEnds),
-        (27_000, Case::Stands),
-        (41_000, Case::AllEnd),
-        (50_000, Case::LeaderEnds),
+        (18_000, Fault::LeaderCrash),
+        (27_000, Fault::LeaderFreezes),
+        (41_000, Fault::AllCrash),
+        (50_000, Fault::LeaderCrash),
     ] {
-        world = world.with(at, ends, Duration::from_secs(9));
+        world = world.with_fault(at, ends, Duration::from_secs(9));
     }
     world.run();
     world
 }
 
-fn holds(case: Case, met: fn(&World) -> u64) {
+fn assert_rules_hold(fault: Fault, delivered: fn(&World) -> u64) {
     for seed in seeds(2) {
         let mut finished = 0;
         for scale in [MEDIUM, LONG] {
-            let world = world(scale, seed, case, Sabotage::None);
-            let what = format!("{case:?}, seed {seed}");
-            assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
+            let world = world(scale, seed, fault, Defect::None);
+            let context = format!("{fault:?}, seed {seed}");
+            assert_eq!(
+                world.observer.violations(),
+                Vec::<String>::new(),
+                "{context}"
+            );
             assert!(
-                met(&world) > 10,
-                "{what}: {} old reports delivered",
-                met(&world)
+                delivered(&world) > 10,
+                "{context}: {} old reports delivered",
+                delivered(&world)
             );
             finished += world.observer.finished;
         }
@@ -144,36 +149,40 @@
 }
 
 #[test]
-fn rules_hold_where_copies_reach_every_node_as_a_leader_begins() {
-    holds(Case::KeptCopies, |world| world.old_reports.met_claim);
+fn rules_hold_when_old_reports_reach_every_node_as_a_leader_starts() {
+    assert_rules_hold(Fault::ReplayedReports, |world| {
+        world.old_reports.copies_after_claim
+    });
 }
 
 #[test]
-fn rules_hold_where_reports_come_after_a_new_leader_has_acted() {
-    holds(Case::HeldReports, |world| world.old_reports.met_action);
+fn rules_hold_when_reports_arrive_after_a_new_leader_has_acted() {
+    assert_rules_hold(Fault::HeldReports, |world| {
+        world.old_reports.held_after_action
+    });
 }
 
-fn caught(case: Case, sabotage: Sabotage) {
-    let broken = |scale, seed| world(scale, seed, case, sabotage).observer.broken();
+fn assert_caught(fault: Fault, defect: Defect) {
+    let violations = |scale, seed| world(scale, seed, fault, defect).observer.violations();
     let twice = |scale, seed| {
-        broken(scale, seed)
+        violations(scale, seed)
             .iter()
             .any(|b| b.starts_with("ran_twice"))
     };
     let caught = (0..8).any(|seed| twice(MEDIUM, seed) || twice(LONG, seed));
-    assert!(caught, "{sabotage:?} was not caught with {case:?}");
+    assert!(caught, "{defect:?} was not caught with {fault:?}");
 }
 
 /// The new leader would consider a machine empty because of a report from before its last start
 /// command.
 #[test]
 fn an_old_report_that_counts_as_fenced_by_the_new_leader_is_caught() {
-    caught(Case::KeptCopies, Sabotage::CopiesShowNewToken);
-    caught(Case::HeldReports, Sabotage::CopiesShowNewToken);
+    assert_caught(Fault::ReplayedReports, Defect::OldReportsCarryNewToken);
+    assert_caught(Fault::HeldReports, Defect::OldReportsCarryNewToken);
 }
 
 #[test]
 fn an_old_report_that_counts_as_the_newest_is_caught() {
-    caught(Case::KeptCopies, Sabotage::BelievesCopies);
-    caught(Case::HeldReports, Sabotage::BelievesCopies);
+    assert_caught(Fault::ReplayedReports, Defect::AcceptsDuplicateReports);
+    assert_caught(Fault::HeldReports, Defect::AcceptsDuplicateReports);
 }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -6,78 +6,87 @@
 use kiteyard::core::store::TERMINAL_RANGES_PREFIX;
 
 use crate::{
-    cases::Case,
+    faults::Fault,
     seeds,
-    sim::{CancelledStage, NODES, SMALL, Sabotage, Scale, World, ms},
+    sim::{CancelledStage, Defect, NODES, SMALL, Scale, World, ms},
 };
 
 /// Pipelines beside a few jobs of other kinds, with time for all of them to end.
 const PIPELINES: Scale = Scale {
-    length: Duration::from_secs(150),
+    duration: Duration::from_secs(150),
     machines: 14,
-    machines_most: 24,
+    max_machines: 24,
     team_limit: 60.0,
     value_kb: 4.0,
     ..SMALL.quiet(4)
 };
 
 /// Number of pipelines in a world.
-const COUNT: usize = 12;
-const UNKNOWN: usize = 6;
+const PIPELINE_COUNT: usize = 12;
+const UNKNOWN_COUNT: usize = 6;
 
 /// Faults: start in milliseconds, kind, and length in milliseconds.
-type Troubles<'a> = &'a [(u64, Case, u64)];
+type Faults<'a> = &'a [(u64, Fault, u64)];
 
-fn world(seed: u64, sabotage: Sabotage, troubles: Troubles) -> World {
-    let world = World::sized(PIPELINES, seed, sabotage).quick();
-    run(world, troubles)
+fn world(seed: u64, defect: Defect, faults: Faults) -> World {
+    let world = World::with_scale(PIPELINES, seed, defect).with_quick_restarts();
+    run(world, faults)
 }
 
 /// Like `world`, with the terminal states of jobs stored by ranges of ids.
-fn packed(seed: u64, sabotage: Sabotage, troubles: Troubles) -> World {
-    let world = World::sized(PIPELINES, seed, sabotage).quick();
-    let mut world = run(world.packs_ends(), troubles);
-    assert!(sabotage != Sabotage::None || world.keys(TERMINAL_RANGES_PREFIX) > 0);
+fn packed(seed: u64, defect: Defect, faults: Faults) -> World {
+    let world = World::with_scale(PIPELINES, seed, defect).with_quick_restarts();
+    let mut world = run(world.with_packed_terminal_states(), faults);
+    assert!(defect != Defect::None || world.count_keys(TERMINAL_RANGES_PREFIX) > 0);
     world
 }
 
-fn run(world: World, troubles: Troubles) -> World {
-    let mut world = world.pipelines(COUNT).unknown_needs(UNKNOWN);
-    for (at, case, lasts) in troubles {
-        world = world.with(*at, *case, ms(*lasts));
+fn run(world: World, faults: Faults) -> World {
+    let mut world = world
+        .with_pipelines(PIPELINE_COUNT)
+        .with_unknown_dependencies(UNKNOWN_COUNT);
+    for (at, fault, duration) in faults {
+        world = world.with_fault(*at, *fault, ms(*duration));
     }
     world.run();
     world
 }
 
 /// Asserts that no rule is broken and that all pipelines are done or cancelled.
-fn holds(seed: u64, troubles: Troubles) -> World {
-    checked(world(seed, Sabotage::None, troubles), seed, troubles)
+fn assert_rules_hold(seed: u64, faults: Faults) -> World {
+    checked(world(seed, Defect::None, faults), seed, faults)
 }
 
-fn checked(world: World, seed: u64, troubles: Troubles) -> World {
-    let met = &world.pipelines.met;
-    let what = format!("seed {seed}, {troubles:?}, {met:?}");
-    assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert_eq!(world.unfinished_stages(), [], "{what}");
-    assert_eq!(met.unknown_refused, UNKNOWN as u64, "{what}");
-    assert!(met.late > 1 && met.waiting_answers > 4, "{what}");
+fn checked(world: World, seed: u64, faults: Faults) -> World {
+    let counts = &world.pipelines.counts;
+    let context = format!("seed {seed}, {faults:?}, {counts:?}");
+    assert_eq!(
+        world.observer.violations(),
+        Vec::<String>::new(),
+        "{context}"
+    );
+    assert_eq!(world.unfinished_stages(), [], "{context}");
+    assert_eq!(counts.unknown_refused, UNKNOWN_COUNT as u64, "{context}");
+    assert!(
+        counts.submitted_late > 1 && counts.waiting_answers > 4,
+        "{context}"
+    );
     world
 }
 
 /// Asserts that the defect is caught with either form of stored terminal states.
-fn caught(sabotage: Sabotage, troubles: Troubles, rule: &str) {
+fn assert_caught(defect: Defect, faults: Faults, rule: &str) {
     for build in [world, packed] {
         let hit = |seed| {
-            let broken = build(seed, sabotage, troubles).observer.broken();
-            broken.iter().any(|b| b.starts_with(rule))
+            let violations = build(seed, defect, faults).observer.violations();
+            violations.iter().any(|b| b.starts_with(rule))
         };
-        assert!((0..10).any(hit), "{sabotage:?} was not caught as {rule}");
+        assert!((0..10).any(hit), "{defect:?} was not caught as {rule}");
     }
 }
 
 #[test]
-fn pipelines_end_as_their_users_want() {
+fn pipelines_end_as_requested() {
     let stages = [
         CancelledStage::First,
         CancelledStage::Middle,
@@ -86,85 +95,94 @@
     ];
     let mut cancelled = [0; 4];
     for seed in seeds(3) {
-        let world = holds(seed, &[]);
+        let world = assert_rules_hold(seed, &[]);
         for (count, stage) in cancelled.iter_mut().zip(stages) {
             *count += world.cancelled_at(stage);
         }
         let done = world.pipelines_done();
         assert!(done > 2, "seed {seed}: {done} pipelines are done");
-        assert_eq!(world.pipelines.untimed, [], "seed {seed}");
-        assert!(world.pipelines.met.timed_ends > 3, "seed {seed}");
+        assert_eq!(world.pipelines.without_time, [], "seed {seed}");
+        assert!(
+            world.pipelines.counts.timed_terminal_states > 3,
+            "seed {seed}"
+        );
     }
     assert!(cancelled.iter().all(|count| *count > 0), "{cancelled:?}");
 }
 
 #[test]
-fn pipelines_hold_where_leaders_end() {
-    let mut met = 0;
+fn pipelines_keep_the_rules_when_leaders_crash() {
+    let mut claims = 0;
     for seed in seeds(2) {
         let ends = [
-            (9_000, Case::LeaderEnds, 0),
-            (16_000, Case::AllEnd, 0),
-            (23_000, Case::LeaderEnds, 0),
-            (30_000, Case::EndAgain, 0),
+            (9_000, Fault::LeaderCrash, 0),
+            (16_000, Fault::AllCrash, 0),
+            (23_000, Fault::LeaderCrash, 0),
+            (30_000, Fault::RepeatedCrashes, 0),
         ];
-        met += holds(seed, &ends).pipelines.met.claims_while_waiting;
+        claims += assert_rules_hold(seed, &ends)
+            .pipelines
+            .counts
+            .claims_while_waiting;
     }
-    assert!(met > 4, "{met} leaders started while jobs waited");
+    assert!(claims > 4, "{claims} leaders started while jobs waited");
 }
 
 #[test]
-fn pipelines_hold_where_the_state_service_is_away_or_slow() {
+fn pipelines_keep_the_rules_when_the_state_service_is_unavailable_or_slow() {
     for seed in seeds(2) {
         let away = [
-            (8_000, Case::Outage, 6_000),
-            (20_000, Case::StateSlow, 10_000),
-            (33_000, Case::Outage, 22_000),
+            (8_000, Fault::StateOutage, 6_000),
+            (20_000, Fault::StateSlow, 10_000),
+            (33_000, Fault::StateOutage, 22_000),
         ];
-        holds(seed, &away);
+        assert_rules_hold(seed, &away);
     }
 }
 
-const LATE: [(u64, Case, u64); 4] = [
-    (4_000, Case::Copies, 50_000),
-    (6_000, Case::SlowLinks, 12_000),
-    (20_000, Case::LateWrites, 15_000),
-    (36_000, Case::ZoneCut, 9_000),
+const LATE_MESSAGES: [(u64, Fault, u64); 4] = [
+    (4_000, Fault::Duplicates, 50_000),
+    (6_000, Fault::SlowLinks, 12_000),
+    (20_000, Fault::LateWrites, 15_000),
+    (36_000, Fault::ZoneCut, 9_000),
 ];
 
 #[test]
-fn pipelines_hold_where_messages_are_late_or_lost() {
+fn pipelines_keep_the_rules_when_messages_are_late_or_lost() {
     for seed in seeds(2) {
-        holds(seed, &LATE);
+        assert_rules_hold(seed, &LATE_MESSAGES);
     }
 }
 
 #[test]
-fn pipelines_hold_where_transactions_are_not_answered() {
+fn pipelines_keep_the_rules_when_transactions_are_not_answered() {
     for seed in seeds(2) {
         let lost = [
-            (1_000, Case::AnswersLost, 60_000),
-            (1_000, Case::CloseLooks, 60_000),
-            (1_000, Case::AskedAtEnd, 60_000),
+            (1_000, Fault::AnswersLost, 60_000),
+            (1_000, Fault::ImmediatePolls, 60_000),
+            (1_000, Fault::RequestsAtCompletion, 60_000),
         ];
-        let world = holds(seed, &lost);
-        let met = &world.requests.met;
+        let world = assert_rules_hold(seed, &lost);
+        let counts = &world.requests.counts;
         assert!(
-            met.answers_lost > 10 && met.looks > 20,
-            "seed {seed}, {met:?}"
+            counts.answers_lost > 10 && counts.polled_jobs > 20,
+            "seed {seed}, {counts:?}"
         );
     }
 }
 
-const REFUSED: [(u64, Case, u64); 1] = [(17_000, Case::RefusedThenAway, 24_000)];
+const REFUSAL: [(u64, Fault, u64); 1] = [(17_000, Fault::CancelBurstAtRefusal, 24_000)];
 
 /// A cancellation that was reported while the leader alone was refused also holds for the jobs that
 /// depend on the cancelled one.
 #[test]
-fn pipelines_hold_where_users_cancel_as_the_leader_is_refused() {
+fn pipelines_keep_the_rules_when_users_cancel_as_the_leader_is_refused() {
     let mut confirmed = 0;
     for seed in seeds(3) {
-        confirmed += holds(seed, &REFUSED).requests.met.confirmed_in_gap;
+        confirmed += assert_rules_hold(seed, &REFUSAL)
+            .requests
+            .counts
+            .confirmed_during_refusal;
     }
     assert!(
         confirmed > 3,
@@ -173,52 +191,55 @@
 }
 
 #[test]
-fn an_end_that_is_read_as_done_without_evidence_is_caught() {
-    caught(Sabotage::EndsReadAsDone, &[], "too_early");
+fn a_terminal_state_read_as_done_without_evidence_is_caught() {
+    assert_caught(Defect::TerminalStatesReadAsDone, &[], "too_early");
 }
 
 #[test]
-fn answers_that_ignore_a_cancelled_need_are_caught() {
-    caught(Sabotage::IgnoresCancelledNeeds, &[], "orphaned");
+fn answers_that_ignore_a_cancelled_dependency_are_caught() {
+    assert_caught(Defect::IgnoresCancelledDependencies, &[], "orphaned");
 }
 
 #[test]
-fn ends_that_are_stored_without_their_time_are_caught() {
+fn terminal_states_without_their_time_are_caught() {
     for build in [world, packed] {
-        let world = build(0, Sabotage::ForgetsEndTimes, &[]);
-        assert!(!world.pipelines.untimed.is_empty());
+        let world = build(0, Defect::LosesTerminalTimes, &[]);
+        assert!(!world.pipelines.without_time.is_empty());
     }
 }
 
 /// A terminal state of a dependency is stored whether or not the job already has one.
 #[test]
-fn an_end_of_a_needed_job_that_is_stored_over_another_one_is_caught() {
-    let at_end = [(1_000, Case::AskedAtEnd, 100_000)];
-    caught(Sabotage::EndsWhateverIsStored, &at_end, "went_back");
+fn an_overwritten_terminal_state_of_a_dependency_is_caught() {
+    let at_end = [(1_000, Fault::RequestsAtCompletion, 100_000)];
+    assert_caught(Defect::UnconditionalTerminalStates, &at_end, "went_back");
 }
 
 /// Guards against a start triggered by an older change: the terminal state of a dependency is read
 /// before the watch reports that the job existed.
 #[test]
-fn a_leader_that_reads_an_end_does_not_start_the_job_by_an_older_change() {
-    holds(23, &LATE);
+fn a_leader_that_reads_a_terminal_state_does_not_start_the_job_by_an_older_change() {
+    assert_rules_hold(23, &LATE_MESSAGES);
 }
 
 /// Each kind of fault once more, with terminal states stored by ranges.
 #[test]
-fn pipelines_hold_where_ends_are_packed() {
+fn pipelines_keep_the_rules_with_packed_terminal_states() {
     let lost = [
-        (1_000, Case::AnswersLost, 60_000),
-        (1_000, Case::AskedAtEnd, 60_000),
-        (14_000, Case::LeaderEnds, 0),
-        (33_000, Case::Outage, 15_000),
+        (1_000, Fault::AnswersLost, 60_000),
+        (1_000, Fault::RequestsAtCompletion, 60_000),
+        (14_000, Fault::LeaderCrash, 0),
+        (33_000, Fault::StateOutage, 15_000),
     ];
-    let all: [Troubles; 4] = [&[], &LATE, &REFUSED, &lost];
+    let all: [Faults; 4] = [&[], &LATE_MESSAGES, &REFUSAL, &lost];
     for seed in seeds(1) {
         let mut timed = 0;
-        for troubles in all {
-            let world = packed(seed, Sabotage::None, troubles);
-            timed += checked(world, seed, troubles).pipelines.met.timed_ends;
+        for faults in all {
+            let world = packed(seed, Defect::None, faults);
+            timed += checked(world, seed, faults)
+                .pipelines
+                .counts
+                .timed_terminal_states;
         }
         assert!(
             timed > 8,
@@ -229,16 +250,16 @@
 
 /// Terminal states are rewritten from one form to the other while pipelines run.
 #[test]
-fn pipelines_hold_while_ends_are_rewritten() {
+fn pipelines_keep_the_rules_while_terminal_states_are_rewritten() {
     for seed in seeds(2) {
-        let mut world = World::sized(PIPELINES, seed, Sabotage::None).rolling("4");
+        let mut world = World::with_scale(PIPELINES, seed, Defect::None).with_rollout("4");
         for node in 0..NODES {
-            world = world.upgrade(14_000 + 5_000 * node as u64, node, 2);
+            world = world.with_upgrade(14_000 + 5_000 * node as u64, node, 2);
         }
         let world = run(world, &[]);
         let mut world = checked(world, seed, &[]);
         assert!(
-            world.keys(TERMINAL_RANGES_PREFIX) > 0,
+            world.count_keys(TERMINAL_RANGES_PREFIX) > 0,
             "seed {seed}: never switched to packed terminal states"
         );
     }
@@ -246,18 +267,22 @@
 
 /// Six random faults, with terminal states of either form.
 #[test]
-fn pipelines_keep_the_rules_under_mixed_troubles() {
+fn pipelines_keep_the_rules_under_mixed_faults() {
     let scale = Scale {
-        troubles: 6,
+        random_faults: 6,
         ..PIPELINES
     };
     for seed in seeds(2) {
-        let world = || World::sized(scale, seed, Sabotage::None);
-        for world in [world(), world().packs_ends()] {
-            let world = run(world, &[(30_000, Case::CancelBurst, 0)]);
-            let met = &world.pipelines.met;
-            let what = format!("seed {seed}, {met:?}");
-            assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
+        let world = || World::with_scale(scale, seed, Defect::None);
+        for world in [world(), world().with_packed_terminal_states()] {
+            let world = run(world, &[(30_000, Fault::CancelBurst, 0)]);
+            let counts = &world.pipelines.counts;
+            let context = format!("seed {seed}, {counts:?}");
+            assert_eq!(
+                world.observer.violations(),
+                Vec::<String>::new(),
+                "{context}"
+            );
         }
     }
 }
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -6,50 +6,62 @@
 use kiteyard_rollout::generation::{Cluster, Order, Stage};
 
 use crate::{
-    cases::Case,
+    faults::Fault,
     seeds,
-    sim::{Event, NODES, SMALL, Sabotage, Scale, World, ms},
+    sim::{Defect, Event, NODES, SMALL, Scale, World, ms},
 };
 
 /// Many small jobs, so that there are terminal states to rewrite, and no random faults.
-const ROLLED: Scale = SMALL.quiet(40);
+const ROLLOUT_SCALE: Scale = SMALL.quiet(40);
 
-const NEW: Cluster = Cluster {
+const NEW_GENERATION: Cluster = Cluster {
     from: 2,
     to: 2,
     stage: Stage::Settled,
 };
-const S: u64 = 1000;
+const SECOND_MS: u64 = 1000;
 
-fn world(seed: u64, sabotage: Sabotage) -> World {
-    World::sized(ROLLED, seed, sabotage).rolling("4")
+fn world(seed: u64, defect: Defect) -> World {
+    World::with_scale(ROLLOUT_SCALE, seed, defect).with_rollout("4")
 }
 
 /// Upgrades all three nodes, 6 s apart.
-fn rolled(mut world: World, order: [usize; NODES]) -> World {
+fn upgraded(mut world: World, order: [usize; NODES]) -> World {
     for (turn, node) in order.into_iter().enumerate() {
-        world = world.upgrade(30 * S + 6 * S * turn as u64, node, 2);
+        world = world.with_upgrade(30 * SECOND_MS + 6 * SECOND_MS * turn as u64, node, 2);
     }
     world
 }
 
-fn run_to(mut world: World, end: Cluster, what: &str) -> World {
+fn run_to(mut world: World, end: Cluster, context: &str) -> World {
     world.run();
-    assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.finished > 6, "{what}: too few jobs finished");
-    assert_eq!(world.cluster(), end, "{what}: {:?}", world.roll.seen);
+    assert_eq!(
+        world.observer.violations(),
+        Vec::<String>::new(),
+        "{context}"
+    );
+    assert!(
+        world.observer.finished > 6,
+        "{context}: too few jobs finished"
+    );
+    assert_eq!(
+        world.cluster(),
+        end,
+        "{context}: {:?}",
+        world.rollout.seen_stages
+    );
     let (alone, packed) = (
-        world.keys(TERMINAL_STATES_PREFIX),
-        world.keys(TERMINAL_RANGES_PREFIX),
+        world.count_keys(TERMINAL_STATES_PREFIX),
+        world.count_keys(TERMINAL_RANGES_PREFIX),
     );
     match end.from {
-        1 => assert_eq!((packed, alone > 6), (0, true), "{what}"),
-        _ => assert_eq!((alone, packed > 0), (0, true), "{what}"),
+        1 => assert_eq!((packed, alone > 6), (0, true), "{context}"),
+        _ => assert_eq!((alone, packed > 0), (0, true), "{context}"),
     }
     world
 }
 
-const ORDERS: [[usize; NODES]; 6] = [
+const NODE_ORDERS: [[usize; NODES]; 6] = [
     [0, 1, 2],
     [0, 2, 1],
     [1, 0, 2],
@@ -59,36 +71,46 @@
 ];
 
 #[test]
-fn a_roll_in_any_order_of_nodes_ends_settled_and_so_does_the_way_back() {
+fn an_upgrade_in_any_node_order_and_its_downgrade_end_settled() {
     for seed in seeds(1) {
-        for order in ORDERS {
-            let what = format!("seed {seed}, {order:?}");
-            run_to(rolled(world(seed, Sabotage::None), order), NEW, &what);
-            let back = rolled(world(seed, Sabotage::None), order);
-            let back = back.ordered(90 * S, Order::Target(1));
-            run_to(back, Cluster::default(), &format!("{what} and back"));
+        for order in NODE_ORDERS {
+            let context = format!("seed {seed}, {order:?}");
+            run_to(
+                upgraded(world(seed, Defect::None), order),
+                NEW_GENERATION,
+                &context,
+            );
+            let back = upgraded(world(seed, Defect::None), order);
+            let back = back.with_order(90 * SECOND_MS, Order::Target(1));
+            run_to(back, Cluster::default(), &format!("{context} and back"));
         }
     }
 }
 
 /// With one node on the old build, the cluster does not switch, whatever the other nodes support.
 #[test]
-fn a_node_that_is_old_or_away_holds_the_switch_until_it_is_forgotten() {
+fn an_old_or_stopped_node_blocks_the_switch_until_it_is_forgotten() {
     let two = || {
-        let world = world(3, Sabotage::None);
-        world.upgrade(20 * S, 0, 2).upgrade(26 * S, 1, 2)
+        let world = world(3, Defect::None);
+        world
+            .with_upgrade(20 * SECOND_MS, 0, 2)
+            .with_upgrade(26 * SECOND_MS, 1, 2)
     };
     run_to(two(), Cluster::default(), "one node is old");
     let mut away = two();
-    away.roll.on_stage.clear();
-    away.push(ms(32 * S), Event::End(2));
+    away.rollout.stage_faults.clear();
+    away.push(ms(32 * SECOND_MS), Event::Stop(2));
     let mut away = run_to(away, Cluster::default(), "one node is stopped");
-    assert!(away.nodes[2].is_none() && away.keys("live/node/") == NODES);
-    let mut gone = two().ordered(60 * S, Order::Forget("n2".into()));
-    gone.push(ms(32 * S), Event::End(2));
+    assert!(away.nodes[2].is_none() && away.count_keys("live/node/") == NODES);
+    let mut gone = two().with_order(60 * SECOND_MS, Order::Forget("n2".into()));
+    gone.push(ms(32 * SECOND_MS), Event::Stop(2));
     // It restarts with the old build after the switch, and is refused.
-    gone.push(ms(100 * S), Event::Restart(2));
-    run_to(gone, NEW, "forgotten, and restarted with the old build");
+    gone.push(ms(100 * SECOND_MS), Event::Restart(2));
+    run_to(
+        gone,
+        NEW_GENERATION,
+        "forgotten, and restarted with the old build",
+    );
 }
 
 const STAGES: [Stage; 4] = [
@@ -98,53 +120,63 @@
     Stage::Migrating,
 ];
 /// Faults at a stage, and their duration in seconds.
-const TROUBLES: [(Case, u64); 11] = [
-    (Case::LeaderEnds, 0),
-    (Case::AllEnd, 0),
-    (Case::ZoneCut, 15),
-    (Case::Outage, 12),
-    (Case::StateSlow, 15),
-    (Case::Stands, 9),
-    (Case::Stands, 40),
-    (Case::PeersRefuse, 15),
-    (Case::OldAgain, 12),
-    (Case::GoBack, 0),
-    (Case::Roll, 4),
+const FAULTS: [(Fault, u64); 11] = [
+    (Fault::LeaderCrash, 0),
+    (Fault::AllCrash, 0),
+    (Fault::ZoneCut, 15),
+    (Fault::StateOutage, 12),
+    (Fault::StateSlow, 15),
+    (Fault::LeaderFreezes, 9),
+    (Fault::LeaderFreezes, 40),
+    (Fault::PeersRefuse, 15),
+    (Fault::OldBuildReturns, 12),
+    (Fault::Downgrade, 0),
+    (Fault::RollingRestart, 4),
 ];
 
-fn troubled(seed: u64, to: u32, stage: Stage, troubles: &[(Case, u64)]) {
-    let mut world = world(seed, Sabotage::None);
+fn run_with_faults(seed: u64, to: u32, stage: Stage, faults: &[(Fault, u64)]) {
+    let mut world = world(seed, Defect::None);
     for (turn, node) in [2, 0, 1].into_iter().enumerate() {
-        world = world.upgrade(30 * S + 6 * S * turn as u64, node, to);
+        world = world.with_upgrade(30 * SECOND_MS + 6 * SECOND_MS * turn as u64, node, to);
     }
-    world.roll.held_back = Some(Duration::from_secs(25));
-    for (number, (case, seconds)) in troubles.iter().enumerate() {
+    world.rollout.acceptance_delay = Some(Duration::from_secs(25));
+    for (number, (fault, seconds)) in faults.iter().enumerate() {
         let after = ms(20 + 3000 * number as u64);
-        let lasts = Duration::from_secs(*seconds);
-        world.roll.on_stage.push((to, stage, after, *case, lasts));
+        let duration = Duration::from_secs(*seconds);
+        world
+            .rollout
+            .stage_faults
+            .push((to, stage, after, *fault, duration));
     }
     world.run();
-    let what = format!(
-        "seed {seed}, to {to}, {stage}, {troubles:?}: {:?}",
-        world.roll.seen
+    let context = format!(
+        "seed {seed}, to {to}, {stage}, {faults:?}: {:?}",
+        world.rollout.seen_stages
+    );
+    assert_eq!(
+        world.observer.violations(),
+        Vec::<String>::new(),
+        "{context}"
     );
-    assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-    assert!(world.observer.finished > 6, "{what}: too few jobs finished");
-    let back = troubles.iter().any(|(case, _)| *case == Case::GoBack);
-    let (end, alone) = (world.cluster(), world.keys(TERMINAL_STATES_PREFIX));
+    assert!(
+        world.observer.finished > 6,
+        "{context}: too few jobs finished"
+    );
+    let back = faults.iter().any(|(fault, _)| *fault == Fault::Downgrade);
+    let (end, alone) = (world.cluster(), world.count_keys(TERMINAL_STATES_PREFIX));
     match back {
-        true => assert!(end.to == 1, "{what}: {end:?}"),
-        false => assert_eq!((end, alone), (Cluster::settled(to), 0), "{what}"),
+        true => assert!(end.to == 1, "{context}: {end:?}"),
+        false => assert_eq!((end, alone), (Cluster::settled(to), 0), "{context}"),
     }
 }
 
 #[test]
-fn rules_hold_with_a_trouble_at_each_stage() {
+fn rules_hold_with_a_fault_at_each_stage() {
     for seed in seeds(1) {
         for stage in STAGES {
-            for trouble in TROUBLES {
+            for fault in FAULTS {
                 for to in [2, 3] {
-                    troubled(seed, to, stage, &[trouble]);
+                    run_with_faults(seed, to, stage, &[fault]);
                 }
             }
         }
@@ -152,12 +184,12 @@
 }
 
 #[test]
-fn rules_hold_with_two_troubles_at_each_stage() {
+fn rules_hold_with_two_faults_at_each_stage() {
     for seed in seeds(1) {
         for stage in STAGES {
-            for (at, first) in TROUBLES.iter().enumerate() {
-                for second in &TROUBLES[at + 1..] {
-                    troubled(seed, 2, stage, &[*first, *second]);
+            for (at, first) in FAULTS.iter().enumerate() {
+                for second in &FAULTS[at + 1..] {
+                    run_with_faults(seed, 2, stage, &[*first, *second]);
                 }
             }
         }
@@ -166,53 +198,76 @@
 
 /// The leader crashes at every write of the new format, just before and just after it.
 #[test]
-fn a_leader_may_end_at_any_write_of_the_switch() {
-    let rolled = || rolled(world(1, Sabotage::None), [0, 1, 2]).ordered(100 * S, Order::Target(1));
-    let mut whole = rolled();
-    whole.roll.crash_at = Some((u64::MAX, true));
-    let writes = run_to(whole, Cluster::default(), "undisturbed").roll.writes;
+fn a_leader_may_crash_at_any_write_of_the_switch() {
+    let upgraded = || {
+        upgraded(world(1, Defect::None), [0, 1, 2]).with_order(100 * SECOND_MS, Order::Target(1))
+    };
+    let mut whole = upgraded();
+    whole.rollout.crash_at_write = Some((u64::MAX, true));
+    let writes = run_to(whole, Cluster::default(), "undisturbed")
+        .rollout
+        .write_count;
     assert!(writes > 20, "only {writes} writes");
     for at in 1..=writes {
         for before in [true, false] {
-            let mut world = rolled();
-            world.roll.crash_at = Some((at, before));
+            let mut world = upgraded();
+            world.rollout.crash_at_write = Some((at, before));
             world.run();
-            let what = format!("write {at}, before {before}: {:?}", world.roll.seen);
-            assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-            assert_eq!(world.cluster().to, 1, "{what}");
+            let context = format!(
+                "write {at}, before {before}: {:?}",
+                world.rollout.seen_stages
+            );
+            assert_eq!(
+                world.observer.violations(),
+                Vec::<String>::new(),
+                "{context}"
+            );
+            assert_eq!(world.cluster().to, 1, "{context}");
         }
     }
 }
 
 #[test]
-fn a_node_that_cannot_read_the_roster_takes_nothing_over() {
+fn a_node_that_cannot_read_the_assignment_index_does_not_take_over() {
     for seed in seeds(2) {
-        let mut world = World::sized(crate::sim::MEDIUM, seed, Sabotage::None);
-        world.roll.garbled = Some(0);
-        let world = world.with(20 * S, Case::Roll, Duration::from_secs(5));
-        let mut world = world.with(45 * S, Case::AllEnd, Duration::ZERO);
+        let mut world = World::with_scale(crate::sim::MEDIUM, seed, Defect::None);
+        world.rollout.unreadable_shards_node = Some(0);
+        let world = world.with_fault(
+            20 * SECOND_MS,
+            Fault::RollingRestart,
+            Duration::from_secs(5),
+        );
+        let mut world = world.with_fault(45 * SECOND_MS, Fault::AllCrash, Duration::ZERO);
         world.run();
-        assert_eq!(world.observer.broken(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            world.observer.violations(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         assert!(world.observer.finished > 8, "seed {seed}");
     }
 }
 
 /// A leader that is about to be restarted hands over first.
 #[test]
-fn a_planned_restart_leaves_a_second_without_placement_at_most() {
+fn a_planned_restart_interrupts_placement_for_less_than_a_second() {
     let gap = |planned: bool, seed| {
-        let mut world = world(seed, Sabotage::None);
-        world.roll.gap_from = ms(29_500);
+        let mut world = world(seed, Defect::None);
+        world.rollout.measure_gap_from = ms(29_500);
         if planned {
-            world.push(ms(30 * S), Event::StepDown);
+            world.push(ms(30 * SECOND_MS), Event::StepDown);
         }
-        let world = world.with(30 * S + 900, Case::LeaderEnds, Duration::ZERO);
+        let world = world.with_fault(30 * SECOND_MS + 900, Fault::LeaderCrash, Duration::ZERO);
         let mut world = world;
         // The successor does not crash.
-        world.roll.spare_successor = planned;
+        world.rollout.spare_successor = planned;
         world.run();
-        assert_eq!(world.observer.broken(), Vec::<String>::new(), "seed {seed}");
-        world.roll.gap
+        assert_eq!(
+            world.observer.violations(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
+        world.rollout.placement_gap
     };
     for seed in seeds(4) {
         let (planned, unplanned) = (gap(true, seed), gap(false, seed));
@@ -222,68 +277,72 @@
 }
 
 /// Asserts that a core or process that is unsafe in one way breaks one of the rules.
-fn caught(sabotage: Sabotage, rules: &[&str], arrange: impl Fn(u64) -> World) {
-    let breaks = |seed| {
+fn assert_caught(defect: Defect, rules: &[&str], arrange: impl Fn(u64) -> World) {
+    let violations_of = |seed| {
         let mut world = arrange(seed);
         world.run();
-        world.observer.broken()
+        world.observer.violations()
     };
-    let hit = |broken: Vec<String>| {
-        broken
+    let hit = |violations: Vec<String>| {
+        violations
             .iter()
             .any(|b| rules.iter().any(|r| b.starts_with(r)))
     };
-    let found = (0..30).position(|seed| hit(breaks(seed)));
-    assert!(found.is_some(), "{sabotage:?} was not caught as {rules:?}");
+    let found = (0..30).position(|seed| hit(violations_of(seed)));
+    assert!(found.is_some(), "{defect:?} was not caught as {rules:?}");
 }
 
-const LOST: [&str; 3] = ["forgotten", "went_back", "ran_twice"];
+const LOSS_RULES: [&str; 3] = ["forgotten", "went_back", "ran_twice"];
 
 #[test]
 fn a_write_that_does_not_depend_on_the_generation_is_caught() {
-    caught(Sabotage::NoGeneration, &LOST, |seed| {
-        let mut world = rolled(world(seed, Sabotage::NoGeneration), [0, 1, 2]);
-        world.roll.held_back = Some(Duration::from_secs(25));
+    assert_caught(Defect::IgnoresGeneration, &LOSS_RULES, |seed| {
+        let mut world = upgraded(world(seed, Defect::IgnoresGeneration), [0, 1, 2]);
+        world.rollout.acceptance_delay = Some(Duration::from_secs(25));
         world
     });
 }
 
 #[test]
 fn a_switch_by_majority_is_caught() {
-    caught(Sabotage::Majority, &LOST, |seed| {
-        let mut world = rolled(world(seed, Sabotage::Majority), [0, 1, 2]);
-        world.roll.before[2] = true;
-        world.push(ms(20 * S), Event::End(2));
-        let mut world = world.ordered(50 * S, Order::Forget("n2".into()));
-        world.push(ms(60 * S), Event::Restart(2));
+    assert_caught(Defect::SwitchesByMajority, &LOSS_RULES, |seed| {
+        let mut world = upgraded(world(seed, Defect::SwitchesByMajority), [0, 1, 2]);
+        world.rollout.old_build[2] = true;
+        world.push(ms(20 * SECOND_MS), Event::Stop(2));
+        let mut world = world.with_order(50 * SECOND_MS, Order::Forget("n2".into()));
+        world.push(ms(60 * SECOND_MS), Event::Restart(2));
         world
     });
 }
 
 #[test]
-fn a_soak_that_is_not_begun_again_is_caught() {
-    caught(Sabotage::SoakGoesOn, &LOST, |seed| {
-        let mut world = rolled(world(seed, Sabotage::SoakGoesOn), [0, 1, 2]);
-        world.push(ms(48 * S), Event::Older(2));
+fn a_soak_that_is_not_restarted_is_caught() {
+    assert_caught(Defect::SoakNotRestarted, &LOSS_RULES, |seed| {
+        let mut world = upgraded(world(seed, Defect::SoakNotRestarted), [0, 1, 2]);
+        world.push(ms(48 * SECOND_MS), Event::RestartOldBuild(2));
         world
     });
 }
 
 #[test]
-fn what_cannot_be_read_taken_for_absent_is_caught() {
-    caught(Sabotage::UnreadableMeansAbsent, &["ran_twice"], |seed| {
-        let mut world = World::sized(crate::sim::MEDIUM, seed, Sabotage::UnreadableMeansAbsent);
-        world.roll.garbled = Some(seed as usize % NODES);
-        let blind = (Case::Blind, Duration::from_secs(15));
-        let world = world.with(20 * S, blind.0, blind.1);
-        world.with(24 * S, Case::BlindToZone, Duration::from_secs(15))
+fn unreadable_values_treated_as_absent_are_caught() {
+    assert_caught(Defect::UnreadableMeansAbsent, &["ran_twice"], |seed| {
+        let mut world = World::with_scale(crate::sim::MEDIUM, seed, Defect::UnreadableMeansAbsent);
+        world.rollout.unreadable_shards_node = Some(seed as usize % NODES);
+        let blind = (Fault::LeaderLosesWorkers, Duration::from_secs(15));
+        let world = world.with_fault(20 * SECOND_MS, blind.0, blind.1);
+        world.with_fault(
+            24 * SECOND_MS,
+            Fault::LeaderLosesZone,
+            Duration::from_secs(15),
+        )
     });
 }
 
 /// 40 machines, with this generation from the start.
-fn zoned(seed: u64, generation: u32, sabotage: Sabotage) -> World {
-    let mut world = World::sized(crate::sim::MEDIUM, seed, sabotage).rolling("1");
-    world.roll.most = [generation; NODES];
+fn world_with_generation(seed: u64, generation: u32, defect: Defect) -> World {
+    let mut world = World::with_scale(crate::sim::MEDIUM, seed, defect).with_rollout("1");
+    world.rollout.supported_generation = [generation; NODES];
     for node in 0..NODES {
         world.restart(node);
     }
@@ -293,15 +352,19 @@
 /// A leader that crashes while a zone is partitioned leaves its successor the time of the
 /// partition.
 #[test]
-fn a_successor_inside_a_cut_does_not_wait_a_whole_lease_again() {
+fn a_successor_during_a_partition_does_not_wait_a_whole_lease_again() {
     let waits = |seed, generation| {
-        let world = zoned(seed, generation, Sabotage::None);
-        let world = world.with(30 * S, Case::ZoneCut, Duration::from_secs(20));
-        let mut world = world.with(33 * S + 500, Case::LeaderEnds, Duration::ZERO);
+        let world = world_with_generation(seed, generation, Defect::None);
+        let world = world.with_fault(30 * SECOND_MS, Fault::ZoneCut, Duration::from_secs(20));
+        let mut world = world.with_fault(33 * SECOND_MS + 500, Fault::LeaderCrash, Duration::ZERO);
         world.run();
-        assert_eq!(world.observer.broken(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            world.observer.violations(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         assert!(world.observer.finished > 8, "seed {seed}");
-        world.roll.unresolved
+        world.rollout.last_unresolved
     };
     let (mut before, mut after) = (Duration::ZERO, Duration::ZERO);
     for seed in seeds(6) {
@@ -313,59 +376,76 @@
 }
 
 #[test]
-fn rules_hold_when_zones_that_were_stored_as_apart_come_back() {
+fn rules_hold_when_zones_stored_as_partitioned_return() {
     let comes_back = [
-        (Case::LeaderEnds, 0),
-        (Case::AllEnd, 0),
-        (Case::Outage, 6),
-        (Case::Stands, 4),
-        (Case::Blind, 6),
-        (Case::BlindToZone, 6),
-        (Case::PeersRefuse, 10),
-        (Case::GoBack, 0),
+        (Fault::LeaderCrash, 0),
+        (Fault::AllCrash, 0),
+        (Fault::StateOutage, 6),
+        (Fault::LeaderFreezes, 4),
+        (Fault::LeaderLosesWorkers, 6),
+        (Fault::LeaderLosesZone, 6),
+        (Fault::PeersRefuse, 10),
+        (Fault::Downgrade, 0),
     ];
     for seed in seeds(2) {
-        for (case, seconds) in comes_back {
+        for (fault, seconds) in comes_back {
             // Within a worker's lease, at its end, and long after it.
             for cut in [2600, 4500, 12_000] {
-                let world = zoned(seed, 3, Sabotage::None);
-                let world = world.with(30 * S, Case::BlindToZone, ms(cut));
-                let lasts = Duration::from_secs(seconds);
-                let mut world = world.with(32 * S + 300, case, lasts);
+                let world = world_with_generation(seed, 3, Defect::None);
+                let world = world.with_fault(30 * SECOND_MS, Fault::LeaderLosesZone, ms(cut));
+                let duration = Duration::from_secs(seconds);
+                let mut world = world.with_fault(32 * SECOND_MS + 300, fault, duration);
                 world.run();
-                let what = format!("seed {seed}, {case:?}, cut for {cut} ms");
-                assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-                assert!(world.observer.finished > 8, "{what}: too few jobs finished");
+                let context = format!("seed {seed}, {fault:?}, cut for {cut} ms");
+                assert_eq!(
+                    world.observer.violations(),
+                    Vec::<String>::new(),
+                    "{context}"
+                );
+                assert!(
+                    world.observer.finished > 8,
+                    "{context}: too few jobs finished"
+                );
             }
         }
     }
 }
 
 #[test]
-fn a_leader_that_answers_a_zone_that_is_stored_as_apart_is_caught() {
-    caught(Sabotage::AnswersApart, &["ran_twice"], |seed| {
-        let world = zoned(seed, 3, Sabotage::AnswersApart);
-        let world = world.with(30 * S, Case::BlindToZone, ms(4000));
+fn a_leader_that_answers_a_zone_stored_as_partitioned_is_caught() {
+    assert_caught(Defect::AnswersPartitionedZones, &["ran_twice"], |seed| {
+        let world = world_with_generation(seed, 3, Defect::AnswersPartitionedZones);
+        let world = world.with_fault(30 * SECOND_MS, Fault::LeaderLosesZone, ms(4000));
         // The zone is answered again, and then partitioned from the next leader too.
-        let world = world.with(37 * S, Case::ZoneCut, Duration::from_secs(20));
-        world.with(37 * S + 200, Case::LeaderEnds, Duration::ZERO)
+        let world = world.with_fault(37 * SECOND_MS, Fault::ZoneCut, Duration::from_secs(20));
+        world.with_fault(37 * SECOND_MS + 200, Fault::LeaderCrash, Duration::ZERO)
     });
 }
 
 /// All random faults of the small world while the nodes are upgraded and the cluster is downgraded
 /// again.
 #[test]
-fn rules_hold_in_a_roll_under_mixed_troubles() {
+fn rules_hold_during_an_upgrade_under_mixed_faults() {
     for seed in seeds(8) {
-        let mut world = World::sized(SMALL, 5000 + seed, Sabotage::None).rolling("4");
-        for (turn, node) in ORDERS[seed as usize % ORDERS.len()].into_iter().enumerate() {
-            world = world.upgrade(20 * S + 6 * S * turn as u64, node, 4);
+        let mut world = World::with_scale(SMALL, 5000 + seed, Defect::None).with_rollout("4");
+        for (turn, node) in NODE_ORDERS[seed as usize % NODE_ORDERS.len()]
+            .into_iter()
+            .enumerate()
+        {
+            world = world.with_upgrade(20 * SECOND_MS + 6 * SECOND_MS * turn as u64, node, 4);
         }
-        let mut world = world.ordered(100 * S, Order::Target(1));
-        world.roll.held_back = Some(Duration::from_secs(25));
+        let mut world = world.with_order(100 * SECOND_MS, Order::Target(1));
+        world.rollout.acceptance_delay = Some(Duration::from_secs(25));
         world.run();
-        let what = format!("seed {seed}: {:?}", world.roll.seen);
-        assert_eq!(world.observer.broken(), Vec::<String>::new(), "{what}");
-        assert!(world.observer.finished > 3, "{what}: too few jobs finished");
+        let context = format!("seed {seed}: {:?}", world.rollout.seen_stages);
+        assert_eq!(
+            world.observer.violations(),
+            Vec::<String>::new(),
+            "{context}"
+        );
+        assert!(
+            world.observer.finished > 3,
+            "{context}: too few jobs finished"
+        );
     }
 }
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -23,80 +23,80 @@
 use rand::RngExt;
 
 use crate::{
-    cases::Case,
-    sim::{Event, NODES, Sabotage, World, ms},
+    faults::Fault,
+    sim::{Defect, Event, NODES, World, ms},
 };
 
 /// A fault at a stage on the way to a generation, and its delay after the stage is reached.
-pub type OnStage = (u32, Stage, Duration, Case, Duration);
+pub type StageFault = (u32, Stage, Duration, Fault, Duration);
 
 /// Id of the request that drains machines.
-const DRAIN: u64 = u64::MAX - 1;
+const DRAIN_REQUEST: u64 = u64::MAX - 1;
 
-pub struct Roll {
+pub struct RolloutState {
     /// Highest generation that each node's process supports.
-    pub most: [u32; NODES],
+    pub supported_generation: [u32; NODES],
     pub config: Option<Arc<Config>>,
-    pub on_stage: Vec<OnStage>,
+    pub stage_faults: Vec<StageFault>,
     /// Stages that were observed, in order.
-    pub seen: Vec<Cluster>,
+    pub seen_stages: Vec<Cluster>,
     /// Delay of some of the transactions that accept jobs.
-    pub held_back: Option<Duration>,
+    pub acceptance_delay: Option<Duration>,
     /// Number of the write of terminal states or the generation at which the leader crashes, and
     /// whether it crashes before the write.
-    pub crash_at: Option<(u64, bool)>,
-    pub writes: u64,
-    crashing: bool,
+    pub crash_at_write: Option<(u64, bool)>,
+    pub write_count: u64,
+    crash_after_write: bool,
     /// Node that cannot read every second shard of the assignment index.
-    pub garbled: Option<usize>,
+    pub unreadable_shards_node: Option<usize>,
     /// Nodes with a build from before generations, which neither reads nor reports them.
-    pub before: [bool; NODES],
-    /// Last time at which a node placed tasks, and the longest time without one since `gap_from`.
-    placed: Duration,
-    pub gap: Duration,
-    pub gap_from: Duration,
+    pub old_build: [bool; NODES],
+    /// Last time at which a node placed tasks, and the longest time without one since `measure_gap_from`.
+    last_placement: Duration,
+    pub placement_gap: Duration,
+    pub measure_gap_from: Duration,
     pub maintenance: Option<Arc<kiteyard_maintenance::config::Config>>,
     /// Machines whose drain was requested, and those whose drain was confirmed.
-    wanted: Vec<String>,
+    requested_drains: Vec<String>,
     pub cordoned: BTreeMap<String, Duration>,
     pub returned: usize,
     /// Last time at which a leader had machines whose tasks it did not know.
-    pub unresolved: Duration,
+    pub last_unresolved: Duration,
     last_told: Option<Told>,
     /// The node that was asked to step down, and whether that node is the one that crashes.
-    pub asked: Option<usize>,
+    pub step_down_node: Option<usize>,
     pub spare_successor: bool,
 }
 
-impl Default for Roll {
+impl Default for RolloutState {
     fn default() -> Self {
         Self {
-            most: [3; NODES],
+            supported_generation: [3; NODES],
             config: None,
-            on_stage: Vec::new(),
-            seen: Vec::new(),
-            held_back: None,
-            crash_at: None,
-            writes: 0,
-            crashing: false,
-            garbled: None,
-            before: [false; NODES],
-            placed: Duration::ZERO,
-            gap: Duration::ZERO,
-            gap_from: Duration::MAX,
-            unresolved: Duration::ZERO,
+            stage_faults: Vec::new(),
+            seen_stages: Vec::new(),
+            acceptance_delay: None,
+            crash_at_write: None,
+            write_count: 0,
+            crash_after_write: false,
+            unreadable_shards_node: None,
+            old_build: [false; NODES],
+            last_placement: Duration::ZERO,
+            placement_gap: Duration::ZERO,
+            measure_gap_from: Duration::MAX,
+            last_unresolved: Duration::ZERO,
             maintenance: None,
-            wanted: Vec::new(),
+            requested_drains: Vec::new(),
             cordoned: BTreeMap::new(),
             returned: 0,
             last_told: None,
-            asked: None,
+            step_down_node: None,
             spare_successor: false,
         }
     }
 }
 
-fn writes_forms(request: &StateRequest) -> bool {
+fn writes_generation_data(request: &StateRequest) -> bool {
     let StateRequest::Txn { changes, .. } = request else {
         return false;
     };
@@ -111,46 +111,40 @@
 
 impl World {
     /// Starts all nodes with the old build, so that they switch when they can.
-    pub fn rolling(mut self, soak: &str) -> Self {
+    pub fn with_rollout(mut self, soak: &str) -> Self {
         let file = format!("soak_s = {soak}\nmigration_share = 0.3\n");
         let config = Config::parse(&file, FEATURES).expect("valid config file");
-        self.roll.config = Some(Arc::new(config));
-        self.roll.most = [1; NODES];
+        self.rollout.config = Some(Arc::new(config));
+        self.rollout.supported_generation = [1; NODES];
         for node in 0..NODES {
             self.restart(node);
         }
         self
     }
 
-    pub fn upgrade(mut self, at: u64, node: usize, most: u32) -> Self {
-        self.push(ms(at), Event::Upgrade(node, most));
+    pub fn with_upgrade(mut self, at: u64, node: usize, supported: u32) -> Self {
+        self.push(ms(at), Event::Upgrade(node, supported));
         self
     }
 
-    pub fn ordered(mut self, at: u64, order: Order) -> Self {
-        self.push(ms(at), Event::Order(order));
+    pub fn with_order(mut self, at: u64, order: Order) -> Self {
+        self.push(ms(at), Event::RolloutOrder(order));
         self
     }
 
-    pub fn order(&mut self, order: Order) {
+    pub fn send_order(&mut self, order: Order) {
         let node = self.rng.random_range(0..NODES);
         self.next_request += 1;
         let request = self.next_request;
-        let ask = RolloutAction::Order(order.clone());
-        self.step(
-            node,
-            Input::Rollout {
-                request,
-                action: ask,
-            },
-        );
+        let action = RolloutAction::Order(order.clone());
+        self.step(node, Input::Rollout { request, action });
         // The order may be refused for now; it is repeated until it is stored.
-        if self.orders_lack(&order) {
-            self.push(self.now + ms(1000), Event::Order(order));
+        if self.is_order_missing(&order) {
+            self.push(self.now + ms(1000), Event::RolloutOrder(order));
         }
     }
 
-    fn orders_lack(&mut self, order: &Order) -> bool {
+    fn is_order_missing(&mut self, order: &Order) -> bool {
         let mut orders = self.stored("live/orders").unwrap_or_default();
         let before: kiteyard_rollout::generation::Orders = orders;
         orders = before.clone();
@@ -171,7 +165,7 @@
     }
 
     /// Number of keys with a prefix.
-    pub fn keys(&mut self, prefix: &str) -> usize {
+    pub fn count_keys(&mut self, prefix: &str) -> usize {
         let mut count = 0;
         let mut after = None;
         loop {
@@ -192,48 +186,55 @@
         }
     }
 
-    pub fn look_at_stage(&mut self) {
-        if self.roll.config.is_none() {
+    pub fn track_stage(&mut self) {
+        if self.rollout.config.is_none() {
             return;
         }
         let cluster = self.cluster();
-        if self.roll.seen.last() == Some(&cluster) {
+        if self.rollout.seen_stages.last() == Some(&cluster) {
             return;
         }
         let at = (cluster.to, cluster.stage);
-        let first = !self.roll.seen.iter().any(|c| (c.to, c.stage) == at);
-        self.roll.seen.push(cluster);
+        let first = !self
+            .rollout
+            .seen_stages
+            .iter()
+            .any(|c| (c.to, c.stage) == at);
+        self.rollout.seen_stages.push(cluster);
         if first {
-            for (to, stage, after, case, lasts) in self.roll.on_stage.clone() {
+            for (to, stage, after, fault, duration) in self.rollout.stage_faults.clone() {
                 if (to, stage) == at {
-                    self.push(self.now + after, Event::Bring(case, lasts));
+                    self.push(self.now + after, Event::InjectFault(fault, duration));
                 }
             }
         }
     }
 
-    pub fn look_at_placement(&mut self) {
+    pub fn track_placement(&mut self) {
         let places = self
             .nodes
             .iter()
             .flatten()
             .any(|node| node.has_taken_over());
-        if !places && self.now > self.roll.gap_from {
-            let since = self.roll.placed.max(self.roll.gap_from);
-            self.roll.gap = self.roll.gap.max(self.now - since);
+        if !places && self.now > self.rollout.measure_gap_from {
+            let since = self
+                .rollout
+                .last_placement
+                .max(self.rollout.measure_gap_from);
+            self.rollout.placement_gap = self.rollout.placement_gap.max(self.now - since);
         }
         if places {
-            self.roll.placed = self.now;
+            self.rollout.last_placement = self.now;
         }
         let unresolved =
             |node: &kiteyard::core::Node| node.has_taken_over() && node.has_unresolved_machines();
         if self.nodes.iter().flatten().any(unresolved) {
-            self.roll.unresolved = self.now;
+            self.rollout.last_unresolved = self.now;
         }
     }
 
-    pub fn held_back(&mut self, request: &StateRequest) -> Option<Duration> {
-        let held = self.roll.held_back?;
+    pub fn acceptance_delay(&mut self, request: &StateRequest) -> Option<Duration> {
+        let held = self.rollout.acceptance_delay?;
         let StateRequest::Txn { changes, .. } = request else {
             return None;
         };
@@ -242,29 +243,33 @@
         (accepts && self.rng.random_bool(0.15)).then_some(held)
     }
 
-    fn leader_writes(&mut self, request: &StateRequest) -> Option<u64> {
-        if self.roll.crash_at.is_none() || !writes_forms(request) {
+    fn count_write(&mut self, request: &StateRequest) -> Option<u64> {
+        if self.rollout.crash_at_write.is_none() || !writes_generation_data(request) {
             return None;
         }
-        self.roll.writes += 1;
-        Some(self.roll.writes)
+        self.rollout.write_count += 1;
+        Some(self.rollout.write_count)
     }
 
     pub fn crashes_before(&mut self, node: usize, request: &StateRequest) -> bool {
-        let at = self.leader_writes(request);
-        let Some((due, before)) = self.roll.crash_at.filter(|(due, _)| Some(*due) == at) else {
+        let at = self.count_write(request);
+        let Some((due, before)) = self
+            .rollout
+            .crash_at_write
+            .filter(|(due, _)| Some(*due) == at)
+        else {
             return false;
         };
-        self.roll.crash_at = Some((due, before));
+        self.rollout.crash_at_write = Some((due, before));
         if before {
             self.crash(node);
         }
-        self.roll.crashing = !before;
+        self.rollout.crash_after_write = !before;
         before
     }
 
     pub fn crashes_after(&mut self, node: usize) -> bool {
-        let crashes = std::mem::take(&mut self.roll.crashing);
+        let crashes = std::mem::take(&mut self.rollout.crash_after_write);
         if crashes {
             self.crash(node);
         }
@@ -274,20 +279,23 @@
     pub fn drain(&mut self, mut machines: Vec<String>) {
         // Idle machines may have been returned by then.
         machines.retain(|machine| self.workers.contains_key(machine));
-        if machines.iter().all(|m| self.roll.cordoned.contains_key(m)) {
+        if machines
+            .iter()
+            .all(|m| self.rollout.cordoned.contains_key(m))
+        {
             return;
         }
-        self.roll.wanted = machines.clone();
+        self.rollout.requested_drains = machines.clone();
         let node = self.leading();
-        let ask = maintenance::MaintenanceRequest::Start {
+        let action = maintenance::MaintenanceRequest::Start {
             machines: machines.clone(),
             by: Some(Duration::from_secs(10)),
         };
         self.step(
             node,
             Input::Maintenance {
-                request: DRAIN,
-                action: ask,
+                request: DRAIN_REQUEST,
+                action,
             },
         );
         self.push(self.now + ms(700), Event::Drain(machines));
@@ -295,56 +303,62 @@
 
     /// Checks that no start command goes to a machine after its operator was told that it is
     /// drained.
-    pub fn look_at_output(&mut self, output: &Output) {
+    pub fn check_cordons(&mut self, output: &Output) {
         let starts = |commands: &[Command]| {
             let mut starts = commands.iter();
             starts.any(|command| matches!(command, Command::Start { .. }))
         };
         let machine = match output {
             Output::Answer {
-                request: DRAIN,
+                request: DRAIN_REQUEST,
                 answer: Answer::Drains(_),
             } => {
-                for machine in std::mem::take(&mut self.roll.wanted) {
-                    self.roll.cordoned.insert(machine, self.now);
+                for machine in std::mem::take(&mut self.rollout.requested_drains) {
+                    self.rollout.cordoned.insert(machine, self.now);
                 }
                 return;
             }
             Output::Answer {
                 request,
                 answer: Answer::Commands { commands, .. },
-            } if starts(commands) => self.asker(*request),
+            } if starts(commands) => self.requesting_worker(*request),
             Output::Direct { direct, .. } if starts(&direct.commands) => {
                 Some(direct.machine.to_string())
             }
             _ => None,
         };
-        if let Some(machine) = machine.filter(|m| self.roll.cordoned.contains_key(m)) {
-            self.observer.breaks(self.now, "cordoned", machine);
+        if let Some(machine) = machine.filter(|m| self.rollout.cordoned.contains_key(m)) {
+            self.observer
+                .report_violation(self.now, "cordoned", machine);
         }
     }
 
     /// Checks that a drained machine is returned with no task on it.
-    pub fn look_at_return(&mut self, machine: &str) {
-        if !self.roll.cordoned.contains_key(machine) {
+    pub fn check_return(&mut self, machine: &str) {
+        if !self.rollout.cordoned.contains_key(machine) {
             return;
         }
         // An unreachable machine may be returned with replicas, to prove that it is empty.
         let now = self.now;
-        let heard = |w: &crate::sim::Worker| w.hung_until <= now && w.answered_lately(now);
+        let heard = |w: &crate::sim::Worker| w.hung_until <= now && w.has_recent_answer(now);
         if self
             .workers
             .get(machine)
-            .is_some_and(|w| w.holds() && heard(w))
+            .is_some_and(|w| w.has_started_task() && heard(w))
         {
-            self.observer.breaks(now, "returned_busy", machine.into());
+            self.observer
+                .report_violation(now, "returned_busy", machine.into());
         }
-        self.roll.returned += 1;
+        self.rollout.returned += 1;
     }
 
     /// Removes the conditions on the generation for processes that ignore it.
-    pub fn tampered_forms(&self, node: usize, mut request: StateRequest) -> StateRequest {
-        let blind = self.roll.before[node] || self.sabotage == Sabotage::NoGeneration;
+    pub fn without_generation_conditions(
+        &self,
+        node: usize,
+        mut request: StateRequest,
+    ) -> StateRequest {
+        let blind = self.rollout.old_build[node] || self.defect == Defect::IgnoresGeneration;
         if let (
             true,
             StateRequest::Txn {
@@ -360,7 +374,7 @@
     }
 
     /// Whether a leader that removes a zone is told so without the write being applied.
-    pub fn pretends(&self, request: &StateRequest) -> bool {
+    pub fn fakes_zone_removal(&self, request: &StateRequest) -> bool {
         let StateRequest::Txn { changes, .. } = request else {
             return false;
         };
@@ -370,19 +384,19 @@
             }
             Change::Delete { .. } => false,
         };
-        self.sabotage == Sabotage::AnswersApart && changes.iter().any(removes)
+        self.defect == Defect::AnswersPartitionedZones && changes.iter().any(removes)
     }
 
     /// Changes the answers that unsafe processes see.
     pub fn tamper_reply(&self, node: usize, reply: &mut StateReply) {
-        if self.roll.before[node] {
+        if self.rollout.old_build[node] {
             match reply {
                 StateReply::Entries { entries, .. } => entries.retain(|e| e.key != GENERATION_KEY),
                 StateReply::Events { events, .. } => events.retain(|e| e.key != GENERATION_KEY),
                 _ => {}
             }
         }
-        if self.sabotage == Sabotage::ForgetsDrains {
+        if self.defect == Defect::ForgetsDrains {
             match reply {
                 StateReply::Entries { entries, .. } => entries.retain(|e| e.key != DRAINS_KEY),
                 StateReply::Events { events, .. } => events.retain(|e| e.key != DRAINS_KEY),
@@ -392,14 +406,14 @@
         let StateReply::Entries { entries, .. } = reply else {
             return;
         };
-        if self.roll.garbled == Some(node) {
+        if self.rollout.unreadable_shards_node == Some(node) {
             let second = |key: &str| {
                 let shard = key
                     .strip_prefix(ASSIGNMENTS_PREFIX)
                     .and_then(|s| s.parse::<u32>().ok());
                 shard.is_some_and(|shard| shard % 2 == 1)
             };
-            if self.sabotage == Sabotage::UnreadableMeansAbsent {
+            if self.defect == Defect::UnreadableMeansAbsent {
                 entries.retain(|entry| !second(&entry.key));
             }
             for entry in entries.iter_mut().filter(|entry| second(&entry.key)) {
@@ -409,13 +423,13 @@
         }
     }
 
-    pub fn tampered_line(&mut self, node: usize, mut message: PeerMessage) -> PeerMessage {
+    pub fn tampered_peer_message(&mut self, node: usize, mut message: PeerMessage) -> PeerMessage {
         let PeerMessage::Heartbeat(heartbeat) = &mut message else {
             return message;
         };
-        if !self.roll.before[node] {
+        if !self.rollout.old_build[node] {
             if node == 2 && heartbeat.told.is_some() {
-                self.roll.last_told = heartbeat.told;
+                self.rollout.last_told = heartbeat.told;
             }
             return message;
         }
@@ -425,8 +439,8 @@
             Some(StateReply::Entry(entry)) => entry.version,
             _ => 0,
         };
-        let forged = self.sabotage == Sabotage::SoakGoesOn;
-        let told = self.roll.last_told.filter(|_| forged);
+        let forged = self.defect == Defect::SoakNotRestarted;
+        let told = self.rollout.last_told.filter(|_| forged);
         heartbeat.told = told.map(|told| Told { knows, ..told });
         message
     }
--- a/tests/world/scarcity.rs
+++ b/tests/world/scarcity.rs
@@ -6,28 +6,28 @@
 use rand::RngExt;
 
 use crate::{
-    cases::Case,
+    faults::Fault,
     liveness::{self, world},
     seeds,
-    sim::{MEDIUM, Sabotage, Scale, World, ZONES, ms},
+    sim::{Defect, MEDIUM, Scale, World, ZONES, ms},
 };
 
 #[derive(Default)]
 pub struct Scarcity {
     /// Messages between nodes and workers take 150 to 700 ms longer until then.
-    slow_until: Duration,
+    links_slow_until: Duration,
     /// Machines that were lost while they held a task of a job bound to their zone.
     pub lost_with_bound_tasks: usize,
 }
 
 impl World {
     pub fn slow_links(&mut self, until: Duration) {
-        self.scarcity.slow_until = until;
+        self.scarcity.links_slow_until = until;
     }
 
     /// Additional delay of a message over a slow link.
     pub fn link_delay(&mut self) -> Duration {
-        match self.now < self.scarcity.slow_until {
+        match self.now < self.scarcity.links_slow_until {
             true => ms(self.rng.random_range(150..700)),
             false => Duration::ZERO,
         }
@@ -62,56 +62,62 @@
 
 /// Far more work than room for most of the time.
 const CROWDED: Scale = Scale {
-    length: Duration::from_secs(120),
+    duration: Duration::from_secs(120),
     machines: 16,
-    machines_most: 18,
+    max_machines: 18,
     jobs: 110,
     ..MEDIUM
 };
 
 /// Room for all jobs, and enough time after the loss.
 const ROOMY: Scale = Scale {
-    length: Duration::from_secs(120),
+    duration: Duration::from_secs(120),
     jobs: 120,
     ..MEDIUM
 };
 
-fn holds(scale: Scale, seed: u64, troubles: &[(u64, Case, u64)]) -> World {
-    let world = liveness::holds(scale, seed, troubles);
-    let what = format!("seed {seed}, {troubles:?}");
-    assert!(world.observer.starts > 40, "{what}: too few tasks started");
+fn assert_rules_hold(scale: Scale, seed: u64, faults: &[(u64, Fault, u64)]) -> World {
+    let world = liveness::assert_rules_hold(scale, seed, faults);
+    let context = format!("seed {seed}, {faults:?}");
+    assert!(
+        world.observer.starts > 40,
+        "{context}: too few tasks started"
+    );
     world
 }
 
 /// Number of accepted jobs that have started, and of all accepted jobs, either urgent or not.
-fn begun(world: &World, urgent: bool) -> (usize, usize) {
+fn started_jobs(world: &World, urgent: bool) -> (usize, usize) {
     let of_kind = world.jobs.iter().filter(|job| {
-        let called_off = job.withdraw_at.is_some() && job.spec.kind != Kind::Service;
-        job.accepted && !called_off && (job.spec.priority == Priority::Production) == urgent
+        let is_cancelled = job.withdraw_at.is_some() && job.spec.kind != Kind::Service;
+        job.accepted && !is_cancelled && (job.spec.priority == Priority::Production) == urgent
     });
-    let begun = |job: &&crate::sim::Job| world.observer.has_begun(&job.spec.id);
+    let has_started = |job: &&crate::sim::Job| world.observer.has_started(&job.spec.id);
     let jobs: Vec<_> = of_kind.collect();
-    (jobs.iter().filter(|job| begun(job)).count(), jobs.len())
+    (
+        jobs.iter().filter(|job| has_started(job)).count(),
+        jobs.len(),
+    )
 }
 
 /// Whether nine of ten urgent jobs have started.
-fn urgent_begin(world: &World) -> bool {
-    let (urgent, of_urgent) = begun(world, true);
+fn most_urgent_started(world: &World) -> bool {
+    let (urgent, of_urgent) = started_jobs(world, true);
     of_urgent > 5 && urgent * 10 >= of_urgent * 9
 }
 
 /// Nearly all urgent jobs start, and at least half of the others.
 #[test]
-fn urgent_and_other_jobs_begin_with_more_work_than_room_over_slow_links() {
+fn urgent_and_other_jobs_start_with_more_work_than_room_over_slow_links() {
     for seed in seeds(3) {
-        for others in [&[][..], &[(30_000, Case::LeaderEnds, 0)]] {
-            let troubles = [&[(10_000, Case::SlowLinks, 50)], others].concat();
-            let world = holds(CROWDED, seed, &troubles);
-            let (other, of_others) = begun(&world, false);
+        for others in [&[][..], &[(30_000, Fault::LeaderCrash, 0)]] {
+            let faults = [&[(10_000, Fault::SlowLinks, 50)], others].concat();
+            let world = assert_rules_hold(CROWDED, seed, &faults);
+            let (other, of_others) = started_jobs(&world, false);
             assert!(
-                urgent_begin(&world),
+                most_urgent_started(&world),
                 "seed {seed}: {:?}",
-                begun(&world, true)
+                started_jobs(&world, true)
             );
             assert!(
                 other * 2 >= of_others,
@@ -122,20 +128,20 @@
 }
 
 #[test]
-fn a_core_blind_for_priorities_is_caught() {
-    let troubles = [(10_000, Case::SlowLinks, 50)];
-    let variant = Sabotage::BlindForPriorities;
-    let late = |seed| !urgent_begin(&world(CROWDED, seed, variant, &troubles));
+fn a_core_that_ignores_priorities_is_caught() {
+    let faults = [(10_000, Fault::SlowLinks, 50)];
+    let variant = Defect::IgnoresPriorities;
+    let late = |seed| !most_urgent_started(&world(CROWDED, seed, variant, &faults));
     assert!((0..6).any(late));
 }
 
 #[test]
-fn a_core_that_moves_bound_jobs_to_other_zones_is_caught() {
-    let troubles = [(18_000, Case::ZoneLosesMachines, 0)];
+fn a_core_that_moves_zone_bound_jobs_is_caught() {
+    let faults = [(18_000, Fault::ZoneLosesMachines, 0)];
     let caught = |seed| {
-        let world = world(ROOMY, seed, Sabotage::BlindForPlaces, &troubles);
-        let broken = world.observer.broken();
-        broken.iter().any(|b| b.starts_with("wrong_place"))
+        let world = world(ROOMY, seed, Defect::IgnoresPlacement, &faults);
+        let violations = world.observer.violations();
+        violations.iter().any(|b| b.starts_with("wrong_place"))
     };
     assert!((0..4).any(caught));
 }
@@ -144,13 +150,13 @@
 #[test]
 fn jobs_bound_to_a_zone_are_not_left_waiting_after_it_loses_machines() {
     for seed in seeds(4) {
-        let troubles = [
-            (18_000, Case::ZoneLosesMachines, 0),
-            (24_000, Case::LeaderEnds, 0),
-            (30_000, Case::ZoneLosesMachines, 0),
-            (42_000, Case::ZoneLosesMachines, 0),
+        let faults = [
+            (18_000, Fault::ZoneLosesMachines, 0),
+            (24_000, Fault::LeaderCrash, 0),
+            (30_000, Fault::ZoneLosesMachines, 0),
+            (42_000, Fault::ZoneLosesMachines, 0),
         ];
-        let world = holds(ROOMY, seed, &troubles);
+        let world = assert_rules_hold(ROOMY, seed, &faults);
         let lost = world.scarcity.lost_with_bound_tasks;
         assert!(lost > 0, "seed {seed}: no bound task lost its machine");
     }
--- a/tests/world/sim/cloud.rs
+++ b/tests/world/sim/cloud.rs
@@ -12,7 +12,7 @@
 
 impl World {
     pub(super) fn cloud(&mut self, request: CloudRequest) -> CloudReply {
-        if self.now < self.cloud_away {
+        if self.now < self.cloud_unavailable_until {
             return CloudReply::Refused;
         }
         match request {
@@ -51,30 +51,34 @@
                     more: false,
                 }
             }
-            CloudRequest::Provision(rental) => {
-                if let Some(names) = self.rentals.get(&rental.id) {
+            CloudRequest::Provision(provision) => {
+                if let Some(names) = self.provisioned.get(&provision.id) {
                     return CloudReply::Provisioned(names.clone());
                 }
                 let zone = ZONES
                     .iter()
-                    .position(|z| **z == *rental.zone)
+                    .position(|z| **z == *provision.zone)
                     .expect("known zone");
                 let mut names = Vec::new();
-                for _ in 0..rental.count {
-                    if self.workers.len() + self.booting.len() < self.scale.machines_most {
+                for _ in 0..provision.count {
+                    if self.workers.len() + self.booting.len() < self.scale.max_machines {
                         let boot = self.boot_time();
-                        names.push(Arc::from(self.rent(zone, rental.spot, boot)));
+                        names.push(Arc::from(self.provision_machine(
+                            zone,
+                            provision.spot,
+                            boot,
+                        )));
                     }
                 }
                 if names.is_empty() {
                     return CloudReply::NoCapacity;
                 }
-                self.rentals.insert(rental.id, names.clone());
+                self.provisioned.insert(provision.id, names.clone());
                 CloudReply::Provisioned(names)
             }
             CloudRequest::Release { machines } => {
                 for id in machines {
-                    self.look_at_return(&id);
+                    self.check_return(&id);
                     self.booting.remove(&*id);
                     self.remove_worker(&id);
                 }
@@ -83,7 +87,7 @@
         }
     }
 
-    pub(super) fn rent(&mut self, zone: usize, spot: bool, boot: Duration) -> String {
+    pub(super) fn provision_machine(&mut self, zone: usize, spot: bool, boot: Duration) -> String {
         self.next_machine += 1;
         let name = format!("vm-{:06}", self.next_machine);
         self.booting
@@ -100,7 +104,7 @@
         if let Some(worker) = self.workers.remove(name) {
             for ((task, _), t) in worker.tasks {
                 if t.phase.has_image() {
-                    self.observer.gone(&task, name, false);
+                    self.observer.task_ended(&task, name, false);
                 }
             }
         }
--- a/tests/world/sim/config.rs
+++ b/tests/world/sim/config.rs
@@ -2,7 +2,7 @@
 
 use kiteyard::settings::Settings;
 
-use super::{NODES, Scale, WALL_MOST, ZONES};
+use super::{MAX_CLOCK_SKEW_MS, NODES, Scale, ZONES};
 
 pub(super) fn settings(node: usize, scale: &Scale) -> Settings {
     let peers: Vec<_> = (0..NODES)
@@ -19,13 +19,13 @@
         "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
         "params": {
             "zones": ZONES,
-            "teams": [{"name": "red", "cpus": 8.0, "cpus_max": scale.team_limit}, {"name": "blue", "cpus_max": scale.second_limit}],
+            "teams": [{"name": "red", "cpus": 8.0, "cpus_max": scale.team_limit}, {"name": "blue", "cpus_max": scale.second_team_limit}],
             "workers": {"report_s": scale.report.as_secs_f64(), "lease_s": scale.lease.as_secs_f64(),
                 "gang_wait_s": scale.gang_wait.as_secs_f64(), "gang_peer_s": 3.0, "cancel_s": scale.cancel.as_secs_f64()},
             "state": {"rps": 200.0, "write_rps": 100.0, "value_kb": scale.value_kb, "txn_ops": 16,
                 "next": next},
             "cloud": {"rps": 10.0, "list_lag_s": 3.0},
-            "resources": {"sockets": 500}, "time_bound_ms": WALL_MOST as f64 / 2.0
+            "resources": {"sockets": 500}, "time_bound_ms": MAX_CLOCK_SKEW_MS as f64 / 2.0
         }
     });
     Settings::parse(&text.to_string()).expect("valid settings")
--- a/tests/world/sim/sabotage.rs
+++ b/tests/world/sim/defects.rs
@@ -2,67 +2,67 @@
 
 /// Defects of a core, all injected at its edges.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Sabotage {
+pub enum Defect {
     None,
-    NoWorkerLease,
-    NoTeamLimit,
-    BlindForPlaces,
+    IgnoresWorkerLeases,
+    IgnoresTeamLimits,
+    IgnoresPlacement,
     /// All jobs seem to have the lowest priority.
-    BlindForPriorities,
-    DeafForCancellations,
-    ForgetEnds,
-    BelieveRunning,
-    UnprovenAnswers,
-    VacatesEarly,
+    IgnoresPriorities,
+    MissesCancellations,
+    LosesTerminalStates,
+    RunningReportedDone,
+    UnverifiedAnswers,
+    DeletesClaimEarly,
     MoreSeats,
     /// Writes do not depend on the generation.
-    NoGeneration,
+    IgnoresGeneration,
     /// A node treats values that it cannot read as absent.
     UnreadableMeansAbsent,
     /// The generation advances although an old process runs that does not know of it.
-    Majority,
+    SwitchesByMajority,
     /// A node that was restarted from an old build still counts as the new one.
-    SoakGoesOn,
+    SoakNotRestarted,
     /// Workers of a zone that is stored as partitioned are still answered.
-    AnswersApart,
+    AnswersPartitionedZones,
     /// A new leader does not see which machines are drained.
     ForgetsDrains,
     /// Requests about the first jobs are not answered.
-    PassesOver,
+    IgnoresRequests,
     /// Results are written whatever is stored.
-    ResultsByKeyAlone,
+    UnconditionalResults,
     /// A claim is conditional on the leader key alone.
-    ClaimsByKeyAlone,
+    ClaimChecksKeyAlone,
     /// A renewal counts from its answer, however late that is.
-    BelievesLateRenewals,
+    CountsRenewalFromAnswer,
     /// An unanswered command is considered void at once.
-    BelievesVoid,
+    AssumesUnansweredVoid,
     /// A duplicate of a report is accepted as a new report.
-    BelievesCopies,
+    AcceptsDuplicateReports,
     /// Machines without tasks stop reporting after a while.
-    HidesRoom,
+    IdleMachinesSilent,
     /// An old report carries the new leader's token.
-    CopiesShowNewToken,
+    OldReportsCarryNewToken,
     /// A worker executes commands under any token.
-    OldTokensCount,
+    AcceptsOldTokens,
     /// A machine that hung does not execute stop commands.
-    SparesHung,
+    HungMachinesIgnoreStop,
     /// A follower answers reports as if it led.
     FollowersRenew,
     /// A new leader sees no jobs in the assignment index.
-    RosterWithoutJobs,
+    AssignmentsWithoutJobs,
     /// A renewal and the claim extend the leader's term, however old the leader's state cache is.
-    RenewalAlone,
+    RenewalExtendsTerm,
     /// A job is accepted whatever is stored of it.
-    AcceptsWhateverIsStored,
+    UnconditionalAcceptance,
     /// A terminal state is stored whether or not the job already has one.
-    EndsWhateverIsStored,
+    UnconditionalTerminalStates,
     /// A leader treats the event of a job's end as a new job.
-    EndsLookNew,
+    EndedJobsLookNew,
     /// A stored terminal state is read as done, even if it says cancelled or is missing.
-    EndsReadAsDone,
+    TerminalStatesReadAsDone,
     /// Answers about a job do not say that a dependency is cancelled.
-    IgnoresCancelledNeeds,
+    IgnoresCancelledDependencies,
     /// Terminal states are stored without the time from which dependent jobs count.
-    ForgetsEndTimes,
+    LosesTerminalTimes,
 }
--- a/tests/world/sim/network.rs
+++ b/tests/world/sim/network.rs
@@ -6,7 +6,7 @@
 
 use super::{World, ms};
 
-pub struct Cut {
+pub struct LinkPartition {
     pub node: usize,
     pub zone: usize,
     pub until: Duration,
@@ -26,7 +26,7 @@
         let delay = self.delay();
         let now = self.now;
         match self
-            .cuts
+            .partitions
             .iter()
             .find(|c| c.node == node && c.zone == zone && c.until > now)
         {
@@ -38,7 +38,7 @@
 
     /// Arrival time of a message between a node and a worker in that zone.
     pub(super) fn worker_path(&mut self, node: usize, zone: usize) -> Option<Duration> {
-        let apart = self.workers_apart[node];
+        let apart = self.workers_unreachable_until[node];
         let at = self.path(node, zone)?;
         Some(at.max(apart) + self.link_delay())
     }
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -19,16 +19,16 @@
 use kiteyard_rollout::generation::{Cluster, Stage};
 use rand::RngExt;
 
-use super::{Asker, Event, NODES, Sabotage, World, ms, users::Asking};
+use super::{Defect, Event, NODES, Requester, World, ms, users::UserAction};
 
 /// Interval of the checks whether a job's dependencies allow its submission.
-const LOOKS_EVERY: Duration = ms(50);
+const CHECK_INTERVAL: Duration = ms(50);
 /// Interval between repeated submissions that depend on an unknown job.
-const UNKNOWN_AGAIN: Duration = ms(1_500);
+const UNKNOWN_RETRY_INTERVAL: Duration = ms(1_500);
 /// Time after which the leader knows an accepted job: no message takes longer.
-const LEADER_KNOWS: Duration = Duration::from_secs(6);
+const MAX_ACCEPTANCE_DELAY: Duration = Duration::from_secs(6);
 /// Maximum number of tasks of one job.
-const TASKS_MOST: u32 = 4;
+const MAX_TASKS: u32 = 4;
 
 /// Job of a pipeline that its user cancels.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -65,16 +65,16 @@
 }
 
 /// A job that depends on one that was never submitted.
-struct UnknownNeed {
+struct UnknownDependency {
     spec: Arc<JobSpec>,
     refused: bool,
 }
 
 /// Counts of the situations that occurred.
 #[derive(Debug, Default)]
-pub struct PipelinesMet {
+pub struct PipelineCounts {
     /// Jobs that were submitted after all their dependencies had ended.
-    pub late: u64,
+    pub submitted_late: u64,
     /// Leaders that started while accepted jobs waited for their dependencies.
     pub claims_while_waiting: u64,
     /// Answers that named the dependencies a job waits for.
@@ -82,26 +82,26 @@
     /// Submissions that were refused because they depend on an unknown job.
     pub unknown_refused: u64,
     /// Terminal states of awaited dependencies that were stored with their time.
-    pub timed_ends: u64,
+    pub timed_terminal_states: u64,
 }
 
 #[derive(Default)]
 pub struct Pipelines {
     all: Vec<Pipeline>,
     /// Jobs still to be submitted; true if only after their dependencies have ended.
-    unsent: BTreeMap<usize, bool>,
+    unsubmitted: BTreeMap<usize, bool>,
     accepted: BTreeMap<usize, Duration>,
-    unknown: Vec<UnknownNeed>,
+    unknown: Vec<UnknownDependency>,
     /// Jobs whose stored terminal state was observed.
     ended: HashSet<JobId>,
     /// Awaited dependencies whose terminal state was stored without its time.
-    pub untimed: Vec<JobId>,
-    pub met: PipelinesMet,
+    pub without_time: Vec<JobId>,
+    pub counts: PipelineCounts,
 }
 
 impl World {
     /// Stores the terminal states of jobs by ranges of ids from the start.
-    pub fn packs_ends(mut self) -> Self {
+    pub fn with_packed_terminal_states(mut self) -> Self {
         let cluster = Cluster {
             from: 2,
             to: 2,
@@ -117,8 +117,10 @@
 
     /// Adds pipelines that start within the first 25 s, and independent jobs on which some of them
     /// depend as well.
-    pub fn pipelines(mut self, count: usize) -> Self {
-        let plain: Vec<usize> = (0..2).map(|_| self.add_stage(Vec::new(), false)).collect();
+    pub fn with_pipelines(mut self, count: usize) -> Self {
+        let plain: Vec<usize> = (0..2)
+            .map(|_| self.add_pipeline_job(Vec::new(), false))
+            .collect();
         for number in 0..count {
             let shape = SHAPES[number % SHAPES.len()];
             // Combines each shape with each plan.
@@ -130,7 +132,7 @@
                     needs.push(plain[number % plain.len()]);
                 }
                 let last = stage + 1 == shape.len();
-                jobs.push(self.add_stage(needs, last && number % 3 == 0));
+                jobs.push(self.add_pipeline_job(needs, last && number % 3 == 0));
             }
             let cancelled = plan.map(|stage| match stage {
                 CancelledStage::First | CancelledStage::DuringSubmission => (stage, jobs[0]),
@@ -143,7 +145,7 @@
     }
 
     /// Adds a job that is submitted as soon as its dependencies are accepted, or late.
-    fn add_stage(&mut self, needs: Vec<usize>, late: bool) -> usize {
+    fn add_pipeline_job(&mut self, needs: Vec<usize>, late: bool) -> usize {
         let number = self.jobs.len();
         let mut job = self.make_job(number);
         let begins = match needs.is_empty() {
@@ -154,7 +156,7 @@
         if spec.kind == Kind::Service {
             spec.kind = Kind::Array;
         }
-        spec.tasks = spec.tasks.min(TASKS_MOST);
+        spec.tasks = spec.tasks.min(MAX_TASKS);
         // Any machine fits, so that no job waits long for room.
         spec.zone = None;
         spec.one_zone = false;
@@ -166,34 +168,34 @@
             .collect();
         job.faulty = false;
         job.withdraw_at = None;
-        self.observer.knows(&job.spec);
+        self.observer.register_pipeline_job(&job.spec);
         self.jobs.push(job);
-        self.pipelines.unsent.insert(number, late);
-        self.push(begins, Event::Stage(number));
+        self.pipelines.unsubmitted.insert(number, late);
+        self.push(begins, Event::SubmitStage(number));
         number
     }
 
-    fn needs_of(&self, number: usize) -> Vec<usize> {
+    fn dependencies_of(&self, number: usize) -> Vec<usize> {
         let needs = self.jobs[number].spec.needs.iter();
-        needs.map(|id| self.number_of(id)).collect()
+        needs.map(|id| self.job_index(id)).collect()
     }
 
-    fn number_of(&self, id: &JobId) -> usize {
+    fn job_index(&self, id: &JobId) -> usize {
         id.as_str()[4..].parse().expect("job number")
     }
 
     /// Submits a job of a pipeline to any node once its dependencies allow it.
-    pub(super) fn stage(&mut self, number: usize) {
-        let late = self.pipelines.unsent[&number];
-        let needs = self.needs_of(number);
-        let sent = |i: &usize| self.jobs[*i].accepted && (!late || self.jobs[*i].over);
-        if !needs.iter().all(sent) {
-            self.push(self.now + LOOKS_EVERY, Event::Stage(number));
+    pub(super) fn submit_stage(&mut self, number: usize) {
+        let late = self.pipelines.unsubmitted[&number];
+        let needs = self.dependencies_of(number);
+        let submittable = |i: &usize| self.jobs[*i].accepted && (!late || self.jobs[*i].ended);
+        if !needs.iter().all(submittable) {
+            self.push(self.now + CHECK_INTERVAL, Event::SubmitStage(number));
             return;
         }
-        self.pipelines.unsent.remove(&number);
-        self.pipelines.met.late += u64::from(late);
-        self.push(self.now, Event::User(number));
+        self.pipelines.unsubmitted.remove(&number);
+        self.pipelines.counts.submitted_late += u64::from(late);
+        self.push(self.now, Event::UserPoll(number));
         self.plan_cancellations(number, &needs);
     }
 
@@ -206,7 +208,10 @@
                 let node = self.rng.random_range(0..NODES);
                 let at = self.now + ms(self.rng.random_range(0..30));
                 self.jobs[cancelled].withdraw_at = Some(self.now);
-                self.push(at, Event::Ask(cancelled, node, Asking::Withdraw));
+                self.push(
+                    at,
+                    Event::UserRequest(cancelled, node, UserAction::Withdraw),
+                );
             } else if stage != CancelledStage::DuringSubmission && cancelled == number {
                 let after = ms(self.rng.random_range(200..4_000));
                 self.jobs[number].withdraw_at = Some(self.now + after);
@@ -215,41 +220,41 @@
     }
 
     /// Records that a user was told a state of the job.
-    pub(super) fn stage_told(&mut self, number: usize) {
+    pub(super) fn record_stage_answer(&mut self, number: usize) {
         let now = self.now;
         self.pipelines.accepted.entry(number).or_insert(now);
     }
 
     /// Whether the job belongs to a pipeline.
-    pub(super) fn is_stage(&self, number: usize) -> bool {
+    pub(super) fn in_pipeline(&self, number: usize) -> bool {
         let pipelines = self.pipelines.all.iter();
         pipelines.flat_map(|p| &p.jobs).any(|job| *job == number)
     }
 
-    pub(super) fn told_waiting(&mut self, number: usize, on: &[JobId]) {
-        self.pipelines.met.waiting_answers += 1;
+    pub(super) fn check_waiting_answer(&mut self, number: usize, on: &[JobId]) {
+        self.pipelines.counts.waiting_answers += 1;
         let spec = &self.jobs[number].spec;
         if on.is_empty() || !on.iter().all(|id| spec.needs.contains(id)) {
-            let what = format!("{} waits for {on:?}", spec.id);
-            self.observer.breaks(self.now, "waits_on", what);
+            let detail = format!("{} waits for {on:?}", spec.id);
+            self.observer.report_violation(self.now, "waits_on", detail);
         }
     }
 
     /// Counts a claim that is made while accepted jobs wait for their dependencies.
-    pub(super) fn pipelines_meet_claim(&mut self) {
+    pub(super) fn count_claim_while_waiting(&mut self) {
         let waits = |number: &usize| {
             let job = &self.jobs[*number];
-            let needs = self.needs_of(*number);
-            !job.over && needs.iter().any(|need| !self.jobs[*need].over)
+            let needs = self.dependencies_of(*number);
+            !job.ended && needs.iter().any(|need| !self.jobs[*need].ended)
         };
         let waiting = self.pipelines.accepted.keys().any(waits);
-        self.pipelines.met.claims_while_waiting += u64::from(waiting);
+        self.pipelines.counts.claims_while_waiting += u64::from(waiting);
     }
 
     /// Jobs of pipelines of which nobody was told a terminal state.
     pub fn unfinished_stages(&self) -> Vec<(JobId, Option<JobState>)> {
         let all = self.pipelines.all.iter().flat_map(|p| &p.jobs);
-        let left = all.filter(|number| !self.jobs[**number].over);
+        let left = all.filter(|number| !self.jobs[**number].ended);
         let told = left.map(|number| {
             let id = &self.jobs[*number].spec.id;
             (id.clone(), self.observer.state(id))
@@ -264,8 +269,8 @@
             self.observer.state(id) == Some(JobState::Cancelled)
         };
         let planned = self.pipelines.all.iter().filter_map(|p| p.cancelled);
-        let met = planned.filter(|(at, number)| *at == stage && is_cancelled(*number));
-        met.count()
+        let counts = planned.filter(|(at, number)| *at == stage && is_cancelled(*number));
+        counts.count()
     }
 
     /// Number of pipelines whose jobs were all reported as done.
@@ -279,7 +284,7 @@
     }
 
     /// Adds submissions that depend on a job that was never submitted, some also on known ones.
-    pub fn unknown_needs(mut self, count: usize) -> Self {
+    pub fn with_unknown_dependencies(mut self, count: usize) -> Self {
         for i in 0..count {
             let id = JobId::parse(&format!("run-{}", 800_000 + i)).expect("valid job id");
             // Half of the ids differ from known ones only in the last digits.
@@ -301,19 +306,24 @@
             self.requests.forbid(id);
             let spec = Arc::new(spec);
             let refused = false;
-            self.pipelines.unknown.push(UnknownNeed { spec, refused });
+            self.pipelines
+                .unknown
+                .push(UnknownDependency { spec, refused });
             let at = ms(self.rng.random_range(26_000..60_000));
-            self.push(at, Event::UnknownNeed(i));
+            self.push(at, Event::SubmitUnknownDependency(i));
         }
         self
     }
 
     /// Sends such a submission to any node, until it is refused.
-    pub(super) fn send_unknown_need(&mut self, number: usize) {
+    pub(super) fn submit_unknown_dependency(&mut self, number: usize) {
         if self.pipelines.unknown[number].refused {
             return;
         }
-        self.push(self.now + UNKNOWN_AGAIN, Event::UnknownNeed(number));
+        self.push(
+            self.now + UNKNOWN_RETRY_INTERVAL,
+            Event::SubmitUnknownDependency(number),
+        );
         let node = self.rng.random_range(0..NODES);
         if self.nodes[node].is_none() {
             return;
@@ -321,31 +331,31 @@
         let spec = self.pipelines.unknown[number].spec.clone();
         self.next_request += 1;
         let (request, epoch) = (self.next_request, self.epochs[node]);
-        self.asked
-            .insert((node, epoch, request), Asker::UnknownNeed(number));
+        self.pending_requests
+            .insert((node, epoch, request), Requester::UnknownDependency(number));
         let at = self.now + self.delay();
         let input = Input::Submit { request, spec };
-        self.push(at, Event::ToNode(node, epoch, input));
+        self.push(at, Event::NodeInput(node, epoch, input));
     }
 
-    pub(super) fn unknown_need_answered(&mut self, number: usize, answer: &Answer) {
+    pub(super) fn unknown_dependency_answered(&mut self, number: usize, answer: &Answer) {
         let unknown = &mut self.pipelines.unknown[number];
         match answer {
             Answer::Impossible(_) => {
-                self.pipelines.met.unknown_refused += u64::from(!unknown.refused);
+                self.pipelines.counts.unknown_refused += u64::from(!unknown.refused);
                 unknown.refused = true;
             }
             Answer::Later { .. } => {}
             other => {
-                let what = format!("{}: {other:?}", unknown.spec.id);
-                self.observer.breaks(self.now, "invented", what);
+                let detail = format!("{}: {other:?}", unknown.spec.id);
+                self.observer.report_violation(self.now, "invented", detail);
             }
         }
     }
 
     /// Checks terminal states that are stored for the first time: one that active jobs waited for
     /// must include its time.
-    pub(crate) fn look_at_ends(&mut self, changes: &[Change]) {
+    pub(crate) fn check_terminal_states(&mut self, changes: &[Change]) {
         for change in changes {
             let Change::Put { key, value, .. } = change else {
                 continue;
@@ -354,39 +364,39 @@
                 key.starts_with(TERMINAL_STATES_PREFIX) || key.starts_with(TERMINAL_RANGES_PREFIX);
             for number in 0..self.jobs.len() * usize::from(is_end) {
                 let id = self.jobs[number].spec.id.clone();
-                if let Some(record) = stored_end(&id, key, value.get())
+                if let Some(record) = stored_terminal_state(&id, key, value.get())
                     && self.pipelines.ended.insert(id)
                 {
-                    self.look_at_end(number, record);
+                    self.check_terminal_state(number, record);
                 }
             }
         }
     }
 
-    fn look_at_end(&mut self, number: usize, record: TerminalRecord) {
+    fn check_terminal_state(&mut self, number: usize, record: TerminalRecord) {
         let (id, now) = (&self.jobs[number].spec.id, self.now);
         let mut accepted = self.pipelines.accepted.iter();
         let waited_for = accepted.any(|(dependent, at)| {
             let spec = &self.jobs[*dependent].spec;
             let active = !self.pipelines.ended.contains(&spec.id);
-            active && spec.needs.contains(id) && *at + LEADER_KNOWS < now
+            active && spec.needs.contains(id) && *at + MAX_ACCEPTANCE_DELAY < now
         });
         if record.state != JobState::Done || !waited_for {
             return;
         }
         match record.ended_ms {
-            Some(_) => self.pipelines.met.timed_ends += 1,
-            None => self.pipelines.untimed.push(id.clone()),
+            Some(_) => self.pipelines.counts.timed_terminal_states += 1,
+            None => self.pipelines.without_time.push(id.clone()),
         }
     }
 
-    /// With `Sabotage::EndsReadAsDone`, makes every terminal state that is read say done, including
+    /// With `Defect::TerminalStatesReadAsDone`, makes every terminal state that is read say done, including
     /// missing ones.
-    pub(super) fn tampered_end(&self, request: &StateRequest, reply: &mut StateReply) {
+    pub(super) fn tamper_terminal_state(&self, request: &StateRequest, reply: &mut StateReply) {
         let StateRequest::Get { key } = request else {
             return;
         };
-        if self.sabotage != Sabotage::EndsReadAsDone {
+        if self.defect != Defect::TerminalStatesReadAsDone {
             return;
         }
         match reply {
@@ -417,15 +427,16 @@
         }
     }
 
-    /// Whether the answer hides, with `Sabotage::IgnoresCancelledNeeds`, that the job is cancelled
+    /// Whether the answer hides, with `Defect::IgnoresCancelledDependencies`, that the job is cancelled
     /// with a dependency and reports it as waiting.
-    pub(super) fn underived(&self, id: &JobId) -> bool {
-        self.sabotage == Sabotage::IgnoresCancelledNeeds && self.observer.cancelled_with_needs(id)
+    pub(super) fn hides_derived_cancellation(&self, id: &JobId) -> bool {
+        self.defect == Defect::IgnoresCancelledDependencies
+            && self.observer.cancelled_with_dependency(id)
     }
 }
 
 /// Terminal state of this job, if it is stored under this key.
-fn stored_end(id: &JobId, key: &str, text: &str) -> Option<TerminalRecord> {
+fn stored_terminal_state(id: &JobId, key: &str, text: &str) -> Option<TerminalRecord> {
     if key.strip_prefix(TERMINAL_STATES_PREFIX) == Some(id.as_str()) {
         return parse_single(text);
     }
@@ -438,8 +449,8 @@
     ends.get(name)
 }
 
-/// Removes the times of terminal states from a transaction, for `Sabotage::ForgetsEndTimes`.
-pub(super) fn without_end_times(changes: &mut [Change]) {
+/// Removes the times of terminal states from a transaction, for `Defect::LosesTerminalTimes`.
+pub(super) fn remove_terminal_times(changes: &mut [Change]) {
     for change in changes {
         let Change::Put { key, value, .. } = change else {
             continue;
--- a/tests/world/sim/random_troubles.rs
+++ b/tests/world/sim/random_faults.rs
@@ -2,10 +2,10 @@
 
 use rand::RngExt;
 
-use super::{Cut, Event, NODES, World, ms};
+use super::{Event, LinkPartition, NODES, World, ms};
 
 impl World {
-    pub(super) fn trouble(&mut self) {
+    pub(super) fn inject_random_fault(&mut self) {
         let now = self.now;
         let names: Vec<String> = self.workers.keys().cloned().collect();
         match self.rng.random_range(0..17) {
@@ -17,11 +17,11 @@
             3 => {
                 self.outage = true;
                 let until = now + ms(self.rng.random_range(1000..15_000));
-                self.push(until, Event::OutageEnds);
+                self.push(until, Event::OutageEnded);
             }
             4 => {
                 let node = self.rng.random_range(0..NODES);
-                self.refused[node] = now + ms(self.rng.random_range(5000..25_000));
+                self.refused_until[node] = now + ms(self.rng.random_range(5000..25_000));
             }
             5 => {
                 let reset = self.rng.random_bool(0.5);
@@ -29,7 +29,7 @@
                 let until = now + ms(self.rng.random_range(2000..14_000));
                 for node in 0..NODES {
                     if node != zone && self.rng.random_bool(0.6) {
-                        self.cuts.push(Cut {
+                        self.partitions.push(LinkPartition {
                             node,
                             zone,
                             until,
@@ -43,13 +43,14 @@
                 let node = self.rng.random_range(0..NODES);
                 let freeze = ms([900, 3000, 6000, 14_000, 40_000][self.rng.random_range(0..5)]);
                 match self.rng.random_bool(0.7) {
-                    true => self.freezes[node] = Some(freeze),
-                    false => self.frozen[node] = now + freeze,
+                    true => self.pending_freezes[node] = Some(freeze),
+                    false => self.frozen_until[node] = now + freeze,
                 }
             }
             15 => {
                 let node = self.rng.random_range(0..NODES);
-                self.workers_apart[node] = now + ms(self.rng.random_range(3000..25_000));
+                self.workers_unreachable_until[node] =
+                    now + ms(self.rng.random_range(3000..25_000));
             }
             // A node without network or power, for much longer than any lease.
             16 => {
@@ -60,17 +61,17 @@
                     self.push(back, Event::Restart(node));
                 }
             }
-            10 => self.peers_apart = now + ms(self.rng.random_range(5000..25_000)),
-            11 => self.slow_until = now + ms(self.rng.random_range(5000..25_000)),
+            10 => self.peers_refuse_until = now + ms(self.rng.random_range(5000..25_000)),
+            11 => self.state_slow_until = now + ms(self.rng.random_range(5000..25_000)),
             // A partitioned zone, or a node that only the workers of its zone reach.
             8 | 9 => {
                 let alone = self.rng.random_range(0..NODES);
                 let until = now + ms(self.rng.random_range(3000..25_000));
                 let reset = self.rng.random_bool(0.5);
-                self.unreached[alone] = until;
+                self.state_unreachable_until[alone] = until;
                 for other in (0..NODES).filter(|other| *other != alone) {
                     for (node, zone) in [(alone, other), (other, alone)] {
-                        self.cuts.push(Cut {
+                        self.partitions.push(LinkPartition {
                             node,
                             zone,
                             until,
@@ -88,7 +89,7 @@
             _ if !names.is_empty() => {
                 let name = names[self.rng.random_range(0..names.len())].clone();
                 self.remove_worker(&name);
-                self.cloud_away = now + ms(self.rng.random_range(0..10_000));
+                self.cloud_unavailable_until = now + ms(self.rng.random_range(0..10_000));
             }
             _ => {}
         }
--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -20,23 +20,23 @@
 };
 use rand::RngExt;
 
-use super::{Asker, CPUS, Event, NODES, Sabotage, World, ms, users::Asking};
+use super::{CPUS, Defect, Event, NODES, Requester, World, ms, users::UserAction};
 
 /// Delays in milliseconds after a job's acceptance or end at which all nodes are polled.
-const LOOKS: [u64; 6] = [0, 1, 3, 8, 20, 60];
+const POLL_DELAYS_MS: [u64; 6] = [0, 1, 3, 8, 20, 60];
 
 /// Counts of the situations that occurred.
 #[derive(Debug, Default)]
-pub struct Met {
-    pub looks: u64,
+pub struct RequestCounts {
+    pub polled_jobs: u64,
     pub cancelled_at_once: u64,
-    pub at_the_end: u64,
+    pub at_completion: u64,
     pub answers_lost: u64,
     pub impossible: u64,
     /// Jobs that were cancelled in a burst, and cancellations that were reported while the leader
     /// alone was refused.
-    pub burst: u64,
-    pub confirmed_in_gap: u64,
+    pub burst_cancellations: u64,
+    pub confirmed_during_refusal: u64,
     /// Start commands for a job that a node had reported as cancelled, and the longest time after
     /// that report.
     pub late_starts: u64,
@@ -46,35 +46,35 @@
 #[derive(Default)]
 pub struct Requests {
     /// Users poll all nodes about accepted and ended jobs until then.
-    pub close_until: Duration,
+    pub polls_until: Duration,
     /// Requests about a job are sent as it completes until then.
-    pub ends_until: Duration,
+    pub completions_until: Duration,
     /// Users submit jobs that can never run until then.
-    pub odd_until: Duration,
+    pub unrunnable_until: Duration,
     /// A quarter of all transactions is applied at once and not answered until then.
     pub unanswered_until: Duration,
-    pub met: Met,
+    pub counts: RequestCounts,
     /// Jobs that were polled at all nodes, once accepted and once ended.
-    looked: HashSet<(JobId, bool)>,
+    polled: HashSet<(JobId, bool)>,
     /// Jobs that each node has reported as ended.
-    told_over: HashSet<(usize, JobId)>,
+    reported_ended: HashSet<(usize, JobId)>,
     /// Node that made the claim of each revision.
     claims: HashMap<u64, usize>,
     /// Time at which any node first reported a job as cancelled.
     cancelled: HashMap<JobId, Duration>,
-    odd: HashSet<JobId>,
+    unrunnable: HashSet<JobId>,
     /// Start and end of the time in which the leader alone is refused.
-    gap: (Duration, Duration),
+    refusal_window: (Duration, Duration),
 }
 
 impl Requests {
     /// Forbids every start of a task of this job, which can never run.
     pub(super) fn forbid(&mut self, id: JobId) {
-        self.odd.insert(id);
+        self.unrunnable.insert(id);
     }
 }
 
-fn started(output: &Output) -> &[Command] {
+fn commands_of(output: &Output) -> &[Command] {
     match output {
         Output::Answer {
             answer: Answer::Commands { commands, .. },
@@ -105,13 +105,13 @@
             } = output
             {
                 if matches!(state, JobState::Done | JobState::Cancelled) {
-                    self.requests.told_over.insert((node, id.clone()));
+                    self.requests.reported_ended.insert((node, id.clone()));
                 }
                 if *state == JobState::Cancelled {
-                    let (begins, ends) = self.requests.gap;
+                    let (begins, ends) = self.requests.refusal_window;
                     let first = !self.requests.cancelled.contains_key(id);
-                    let in_gap = first && begins <= self.now && self.now < ends;
-                    self.requests.met.confirmed_in_gap += u64::from(in_gap);
+                    let during_refusal = first && begins <= self.now && self.now < ends;
+                    self.requests.counts.confirmed_during_refusal += u64::from(during_refusal);
                     let cancelled = &mut self.requests.cancelled;
                     cancelled.entry(id.clone()).or_insert(self.now);
                 }
@@ -119,7 +119,7 @@
             if self.is_relayed(node, output) {
                 continue;
             }
-            for command in started(output) {
+            for command in commands_of(output) {
                 if let Command::Start { task, .. } = command {
                     self.check_start(node, task);
                 }
@@ -128,7 +128,7 @@
     }
 
     /// Records which node made a claim; its tokens begin with the claim's revision.
-    pub(super) fn note_claim(
+    pub(super) fn record_claim(
         &mut self,
         node: usize,
         request: &StateRequest,
@@ -143,7 +143,7 @@
             |change: &Change| matches!(change, Change::Put { key, .. } if key == LEADER_KEY);
         if changes.iter().any(claims) {
             self.requests.claims.insert(*revision, node);
-            self.pipelines_meet_claim();
+            self.count_claim_while_waiting();
         }
     }
 
@@ -162,44 +162,53 @@
     }
 
     fn check_start(&mut self, node: usize, task: &TaskId) {
-        let what = format!("n{node} starts {task}");
-        if self.requests.told_over.contains(&(node, task.job.clone())) {
-            self.observer.breaks(self.now, "started_over", what.clone());
+        let detail = format!("n{node} starts {task}");
+        if self
+            .requests
+            .reported_ended
+            .contains(&(node, task.job.clone()))
+        {
+            self.observer
+                .report_violation(self.now, "started_over", detail.clone());
         }
         let Some(at) = self.requests.cancelled.get(&task.job) else {
             return;
         };
         let after = self.now - *at;
-        self.requests.met.late_starts += 1;
-        self.requests.met.latest_start = self.requests.met.latest_start.max(after);
+        self.requests.counts.late_starts += 1;
+        self.requests.counts.latest_start = self.requests.counts.latest_start.max(after);
         if after + self.scale.lease > self.scale.cancel {
-            self.observer.breaks(self.now, "started_cancelled", what);
+            self.observer
+                .report_violation(self.now, "started_cancelled", detail);
         }
     }
 
     /// Polls all nodes about a job that was reported as accepted or ended, and submits it again.
-    pub(super) fn look_closely(&mut self, i: usize, state: JobState) {
+    pub(super) fn poll_all_nodes(&mut self, i: usize, state: JobState) {
         let id = self.jobs[i].spec.id.clone();
-        let over = matches!(state, JobState::Done | JobState::Cancelled);
-        if self.now >= self.requests.close_until || !self.requests.looked.insert((id, over)) {
+        let ended = matches!(state, JobState::Done | JobState::Cancelled);
+        if self.now >= self.requests.polls_until || !self.requests.polled.insert((id, ended)) {
             return;
         }
-        if !over && self.rng.random_range(0..4) == 0 {
-            self.requests.met.cancelled_at_once += 1;
+        if !ended && self.rng.random_range(0..4) == 0 {
+            self.requests.counts.cancelled_at_once += 1;
             let (node, at) = (self.rng.random_range(0..NODES), self.now);
             self.jobs[i].withdraw_at = Some(at);
-            self.push(at + ms(2), Event::Ask(i, node, Asking::Withdraw));
+            self.push(
+                at + ms(2),
+                Event::UserRequest(i, node, UserAction::Withdraw),
+            );
         }
-        self.ask_all(i, &[Asking::Status, Asking::Submit]);
-        self.requests.met.looks += 1;
+        self.schedule_requests(i, &[UserAction::Status, UserAction::Submit]);
+        self.requests.counts.polled_jobs += 1;
     }
 
-    fn ask_all(&mut self, i: usize, asked: &[Asking]) {
-        for after in LOOKS {
+    fn schedule_requests(&mut self, i: usize, actions: &[UserAction]) {
+        for after in POLL_DELAYS_MS {
             for node in 0..NODES {
-                for asking in asked {
+                for action in actions {
                     let at = self.now + ms(after + self.rng.random_range(0..3));
-                    self.push(at, Event::Ask(i, node, *asking));
+                    self.push(at, Event::UserRequest(i, node, *action));
                 }
             }
         }
@@ -211,88 +220,88 @@
         for i in 0..self.jobs.len() {
             let job = &self.jobs[i];
             let needs = &job.spec.needs;
-            if needs.iter().any(|need| !self.is_over(need)) {
+            if needs.iter().any(|need| !self.has_ended(need)) {
                 continue;
             }
-            if !job.accepted || job.over || self.rng.random_range(0..5) == 0 {
+            if !job.accepted || job.ended || self.rng.random_range(0..5) == 0 {
                 continue;
             }
-            self.requests.met.burst += 1;
+            self.requests.counts.burst_cancellations += 1;
             self.jobs[i].withdraw_at = Some(self.now);
             let node = self.rng.random_range(0..NODES);
             for (again, after) in [0, 300, 700].into_iter().enumerate() {
                 let at = self.now + ms(after + self.rng.random_range(0..200));
                 let node = (node + again) % NODES;
-                self.push(at, Event::Ask(i, node, Asking::Withdraw));
+                self.push(at, Event::UserRequest(i, node, UserAction::Withdraw));
             }
         }
     }
 
     /// Whether a user was told that this job has ended.
-    fn is_over(&self, id: &JobId) -> bool {
-        let over = |state| matches!(state, JobState::Done | JobState::Cancelled);
-        self.observer.state(id).is_some_and(over)
+    fn has_ended(&self, id: &JobId) -> bool {
+        let ended = |state| matches!(state, JobState::Done | JobState::Cancelled);
+        self.observer.state(id).is_some_and(ended)
     }
 
     /// Makes the state service refuse the leader alone while users cancel, and makes it unavailable
     /// to all nodes one second later.
-    pub(crate) fn refused_then_away(&mut self, leader: usize, lasts: Duration) {
+    pub(crate) fn cancel_burst_at_refusal(&mut self, leader: usize, duration: Duration) {
         let away = self.now + ms(1_000);
-        self.refused[leader] = away + lasts;
-        self.requests.gap = (self.now, away);
+        self.refused_until[leader] = away + duration;
+        self.requests.refusal_window = (self.now, away);
         self.cancel_burst();
-        self.push(away, Event::OutageBegins);
-        self.push(away + lasts, Event::OutageEnds);
+        self.push(away, Event::OutageStarted);
+        self.push(away + duration, Event::OutageEnded);
     }
 
     /// Sends cancellations, polls and submissions when the last task of a job completes.
-    pub(super) fn met_end(&mut self, job: &JobId) {
+    pub(super) fn on_task_done(&mut self, job: &JobId) {
         let index: usize = job.as_str()[4..].parse().expect("job number");
-        if self.now >= self.requests.ends_until || self.jobs[index].spec.id != *job {
+        if self.now >= self.requests.completions_until || self.jobs[index].spec.id != *job {
             return;
         }
-        let whole = (0..self.jobs[index].spec.tasks).all(|task| {
+        let complete = (0..self.jobs[index].spec.tasks).all(|task| {
             let job = job.clone();
-            self.results.contains(&TaskId { job, index: task })
+            self.completed_tasks.contains(&TaskId { job, index: task })
         });
-        if whole && self.jobs[index].accepted && !self.jobs[index].over {
-            self.requests.met.at_the_end += 1;
-            let asked = [Asking::Status, Asking::Submit, Asking::Withdraw];
+        if complete && self.jobs[index].accepted && !self.jobs[index].ended {
+            self.requests.counts.at_completion += 1;
+            let actions = [UserAction::Status, UserAction::Submit, UserAction::Withdraw];
             // A cancellation alone, polls and submissions, or all of them.
-            let asked = match self.rng.random_range(0..4) {
-                0 => &asked[..2],
-                1 => &asked[2..],
-                _ => &asked[..],
+            let actions = match self.rng.random_range(0..4) {
+                0 => &actions[..2],
+                1 => &actions[2..],
+                _ => &actions[..],
             };
-            self.ask_all(index, asked);
+            self.schedule_requests(index, actions);
         }
     }
 
     /// Submits jobs that can never run, one for each reason, to every node.
-    pub(super) fn send_odd(&mut self) {
-        if self.now >= self.requests.odd_until {
+    pub(super) fn submit_unrunnable_jobs(&mut self) {
+        if self.now >= self.requests.unrunnable_until {
             return;
         }
-        self.push(self.now + ms(700), Event::Odd);
+        self.push(self.now + ms(700), Event::UnrunnableJobs);
         for node in 0..NODES {
-            for reason in 0..ODD {
-                let number = 700_000 + self.requests.odd.len();
+            for reason in 0..UNRUNNABLE_REASONS {
+                let number = 700_000 + self.requests.unrunnable.len();
                 let id = JobId::parse(&format!("run-{number}")).expect("valid job id");
-                self.requests.odd.insert(id.clone());
-                let spec = Arc::new(self.odd_job(reason, id.clone()));
+                self.requests.unrunnable.insert(id.clone());
+                let spec = Arc::new(self.unrunnable_job(reason, id.clone()));
                 self.next_request += 1;
                 let request = self.next_request;
                 let epoch = self.epochs[node];
-                self.asked
-                    .insert((node, epoch, request), Asker::Odd(reason, id));
+                self.pending_requests
+                    .insert((node, epoch, request), Requester::Unrunnable(reason, id));
                 let at = self.now + self.delay();
                 let input = Input::Submit { request, spec };
-                self.push(at, Event::ToNode(node, epoch, input));
+                self.push(at, Event::NodeInput(node, epoch, input));
             }
         }
     }
 
-    fn odd_job(&mut self, reason: usize, id: JobId) -> JobSpec {
+    fn unrunnable_job(&mut self, reason: usize, id: JobId) -> JobSpec {
         let mut spec = self.make_job(0).spec;
         spec = JobSpec {
             id,
@@ -305,7 +314,7 @@
         };
         spec.licences.clear();
         spec.need.cpus = 1.0;
-        let more_than_the_limit = (self.scale.team_limit / CPUS) as u32 + 1;
+        let tasks_over_limit = (self.scale.team_limit / CPUS) as u32 + 1;
         match reason {
             0 => spec.team = Arc::from("nobody"),
             1 => spec.need.cpus = CPUS + 1.0,
@@ -316,7 +325,7 @@
             6 => spec.zone = Some("nowhere".into()),
             7 | 8 => {
                 spec.need.cpus = CPUS;
-                spec.tasks = more_than_the_limit;
+                spec.tasks = tasks_over_limit;
                 spec.kind = if reason == 7 {
                     Kind::Gang
                 } else {
@@ -328,27 +337,34 @@
         spec
     }
 
-    pub(super) fn odd_answered(&mut self, node: usize, reason: usize, id: &JobId, answer: &Answer) {
+    pub(super) fn unrunnable_answered(
+        &mut self,
+        node: usize,
+        reason: usize,
+        id: &JobId,
+        answer: &Answer,
+    ) {
         match answer {
-            Answer::Impossible(_) => self.requests.met.impossible += 1,
+            Answer::Impossible(_) => self.requests.counts.impossible += 1,
             Answer::Later { .. } => {}
             other => {
-                let what = format!("n{node}, reason {reason}, {id}: {other:?}");
-                self.observer.breaks(self.now, "accepted_unrunnable", what);
+                let detail = format!("n{node}, reason {reason}, {id}: {other:?}");
+                self.observer
+                    .report_violation(self.now, "accepted_unrunnable", detail);
             }
         }
     }
 
     /// Whether the command is about a job that can never run, which no worker knows.
-    pub(super) fn is_odd(&self, command: &Command) -> bool {
+    pub(super) fn targets_unrunnable_job(&self, command: &Command) -> bool {
         let (Command::Start { task, .. }
         | Command::Stop { task, .. }
         | Command::Forget { task, .. }) = command;
-        self.requests.odd.contains(&task.job)
+        self.requests.unrunnable.contains(&task.job)
     }
 
     /// Whether the answer to an applied transaction is lost.
-    pub(super) fn answer_lost(&mut self, request: &StateRequest, reply: &StateReply) -> bool {
+    pub(super) fn loses_answer(&mut self, request: &StateRequest, reply: &StateReply) -> bool {
         let carried_out = matches!(
             (request, reply),
             (StateRequest::Txn { .. }, StateReply::Committed { .. })
@@ -356,7 +372,7 @@
         let lost = carried_out
             && self.now < self.requests.unanswered_until
             && self.rng.random_range(0..4) == 0;
-        self.requests.met.answers_lost += u64::from(lost);
+        self.requests.counts.answers_lost += u64::from(lost);
         lost
     }
 
@@ -373,19 +389,21 @@
         let ends = changes
             .iter()
             .any(|change| matches!(change, Change::Put { key, .. } if key.starts_with(TERMINAL_STATES_PREFIX) || key.starts_with(TERMINAL_RANGES_PREFIX)));
-        let about =
+        let is_job_key =
             |key: &str| key.starts_with(JOBS_PREFIX) || key.starts_with(TERMINAL_STATES_PREFIX);
-        match self.sabotage {
-            Sabotage::AcceptsWhateverIsStored => {
-                conditions.retain(|c| c.version > 0 || !about(&c.key));
+        match self.defect {
+            Defect::UnconditionalAcceptance => {
+                conditions.retain(|c| c.version > 0 || !is_job_key(&c.key));
+            }
+            Defect::UnconditionalTerminalStates if ends => {
+                conditions.retain(|c| !is_job_key(&c.key))
             }
-            Sabotage::EndsWhateverIsStored if ends => conditions.retain(|c| !about(&c.key)),
             _ => {}
         }
     }
 
     /// Turns events that delete a job into events that announce it.
-    pub(super) fn ends_look_new(&self, events: &mut [store::Event]) {
+    pub(super) fn announce_ended_jobs(&self, events: &mut [store::Event]) {
         for event in events.iter_mut().filter(|event| event.value.is_none()) {
             let id = event.key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse);
             let job = id.and_then(|id| self.jobs.iter().find(|job| job.spec.id == id));
@@ -403,7 +421,7 @@
     }
 
     /// Adds jobs with one task at a fixed interval, a quarter of them cancelled soon.
-    pub fn stream(mut self, count: usize, apart: Duration) -> Self {
+    pub fn with_job_stream(mut self, count: usize, apart: Duration) -> Self {
         for number in 0..count {
             let i = self.jobs.len();
             let mut job = self.make_job(i);
@@ -415,14 +433,14 @@
             let soon = ms(self.rng.random_range(0..6_000));
             job.withdraw_at = (number % 4 == 0).then_some(at + soon);
             self.jobs.push(job);
-            self.push(at, Event::User(i));
+            self.push(at, Event::UserPoll(i));
         }
         self
     }
 
     /// Jobs of which nobody was told a terminal state, with their teams and states.
-    pub fn left(&self) -> Vec<(JobId, String, Option<JobState>)> {
-        let left = self.jobs.iter().filter(|job| !job.over);
+    pub fn unfinished_jobs(&self) -> Vec<(JobId, String, Option<JobState>)> {
+        let left = self.jobs.iter().filter(|job| !job.ended);
         let told = left.map(|job| {
             let (id, team) = (&job.spec.id, job.spec.team.to_string());
             (id.clone(), team, self.observer.state(id))
@@ -431,7 +449,7 @@
     }
 
     /// Number of jobs reported as done, and as cancelled.
-    pub fn ended(&self) -> (usize, usize) {
+    pub fn ended_counts(&self) -> (usize, usize) {
         let told = |state| {
             let jobs = self.jobs.iter();
             jobs.filter(|job| self.observer.state(&job.spec.id) == Some(state))
@@ -441,5 +459,5 @@
     }
 }
 
-/// Number of reasons that `odd_job` knows.
-const ODD: usize = 9;
+/// Number of reasons that `unrunnable_job` knows.
+const UNRUNNABLE_REASONS: usize = 9;
--- a/tests/world/sim/state_service.rs
+++ b/tests/world/sim/state_service.rs
@@ -6,10 +6,10 @@
 };
 use rand::RngExt;
 
-use super::{Event, Sabotage, World, ms, pipelines::without_end_times};
+use super::{Defect, Event, World, ms, pipelines::remove_terminal_times};
 
 impl World {
-    pub(super) fn at_state(
+    pub(super) fn handle_state_call(
         &mut self,
         node: usize,
         epoch: u64,
@@ -17,38 +17,39 @@
         request: StateRequest,
     ) {
         let now = self.now;
-        if self.unreached[node] > now {
+        if self.state_unreachable_until[node] > now {
             // The sender has given up by then; half of the requests still arrive when the partition
             // is over.
             if self.rng.random_bool(0.5) {
-                let late = self.unreached[node] + ms(self.rng.random_range(1..50));
-                self.push(late, Event::AtState(node, 0, call, request));
+                let late = self.state_unreachable_until[node] + ms(self.rng.random_range(1..50));
+                self.push(late, Event::StateCall(node, 0, call, request));
             }
             let unclear = Input::State {
                 call,
                 reply: StateReply::Unclear,
             };
-            self.push(now + ms(1500), Event::ToNode(node, epoch, unclear));
+            self.push(now + ms(1500), Event::NodeInput(node, epoch, unclear));
             return;
         }
-        let reply = if self.outage || self.refused[node] > now {
+        let reply = if self.outage || self.refused_until[node] > now {
             StateReply::Refused {
                 retry_after: None,
                 rate_limited: false,
             }
         } else {
-            let mut request = self.tampered_forms(node, self.tampered(request));
+            let mut request =
+                self.without_generation_conditions(node, self.tampered_request(request));
             self.drop_conditions(&mut request);
             if self.crashes_before(node, &request) {
                 return;
             }
-            if self.swallowed(node, &request) {
+            if self.drops_watch(node, &request) {
                 return;
             }
             let before = self.state.revision();
-            let reply = match (&request, self.sabotage) {
-                (StateRequest::Watch { after, wait, .. }, sabotage)
-                    if wait.is_zero() && self.believes(node, sabotage) =>
+            let reply = match (&request, self.defect) {
+                (StateRequest::Watch { after, wait, .. }, defect)
+                    if wait.is_zero() && self.skips_watch_proof(node, defect) =>
                 {
                     Some(StateReply::Events {
                         events: Vec::new(),
@@ -56,26 +57,26 @@
                     })
                 }
                 // The write is never applied to the store.
-                _ if self.pretends(&request) => Some(StateReply::Committed {
+                _ if self.fakes_zone_removal(&request) => Some(StateReply::Committed {
                     revision: u64::MAX >> 20,
                 }),
                 _ => self.state.call(now, &request),
             };
             let reply = reply.map(|mut reply| {
-                self.tampered_end(&request, &mut reply);
+                self.tamper_terminal_state(&request, &mut reply);
                 reply
             });
-            self.look_at_commit(&request, reply.as_ref());
-            self.note_claim(node, &request, reply.as_ref());
+            self.observe_commit(&request, reply.as_ref());
+            self.record_claim(node, &request, reply.as_ref());
             if self.state.revision() != before {
                 self.wake_watches();
-                self.look_at_stage();
+                self.track_stage();
             }
             if self.crashes_after(node) {
                 return;
             }
             match reply {
-                Some(reply) if self.answer_lost(&request, &reply) => return,
+                Some(reply) if self.loses_answer(&request, &reply) => return,
                 Some(reply) => reply,
                 None => {
                     self.watches
@@ -90,14 +91,14 @@
     pub fn wake_watches(&mut self) {
         for (node, epoch, call, request, until) in std::mem::take(&mut self.watches) {
             // Watches that are open when a node is partitioned return nothing more either.
-            if self.now >= until || self.unreached[node] > self.now {
+            if self.now >= until || self.state_unreachable_until[node] > self.now {
                 continue;
             }
-            if self.swallowed(node, &request) {
+            if self.drops_watch(node, &request) {
                 continue;
             }
             // While a node is refused, its open watches wait as they would during an outage.
-            if self.outage || self.refused[node] > self.now {
+            if self.outage || self.refused_until[node] > self.now {
                 self.watches.push((node, epoch, call, request, until));
                 continue;
             }
@@ -110,33 +111,36 @@
 
     fn reply_state(&mut self, node: usize, epoch: u64, call: CallId, mut reply: StateReply) {
         self.tamper_reply(node, &mut reply);
-        self.tamper_roster(&mut reply);
+        self.tamper_assignments(&mut reply);
         let mut at = self.now + self.delay();
-        if self.now < self.slow_until {
+        if self.now < self.state_slow_until {
             at += ms(self.rng.random_range(50..500));
         }
         if let StateReply::Events { events, .. } = &mut reply {
-            match self.sabotage {
-                Sabotage::DeafForCancellations => {
+            match self.defect {
+                Defect::MissesCancellations => {
                     events.retain(|e| e.value.is_some() || !e.key.starts_with("live/job"));
                 }
-                Sabotage::EndsLookNew => self.ends_look_new(events),
-                Sabotage::UnprovenAnswers if !events.is_empty() => at += ms(6000),
+                Defect::EndedJobsLookNew => self.announce_ended_jobs(events),
+                Defect::UnverifiedAnswers if !events.is_empty() => at += ms(6000),
                 _ => {}
             }
         }
         // One in 200 answers is lost.
         if self.rng.random_range(0..200) != 0 {
-            self.push(at, Event::ToNode(node, epoch, Input::State { call, reply }));
+            self.push(
+                at,
+                Event::NodeInput(node, epoch, Input::State { call, reply }),
+            );
         }
     }
 
     /// Removes the jobs of machines from the shards of the assignment index.
-    fn tamper_roster(&self, reply: &mut StateReply) {
+    fn tamper_assignments(&self, reply: &mut StateReply) {
         let StateReply::Entries { entries, .. } = reply else {
             return;
         };
-        if self.sabotage != Sabotage::RosterWithoutJobs {
+        if self.defect != Defect::AssignmentsWithoutJobs {
             return;
         }
         for entry in entries
@@ -156,20 +160,20 @@
         }
     }
 
-    pub fn tampered(&self, mut request: StateRequest) -> StateRequest {
-        if let (Sabotage::ForgetEnds, StateRequest::Txn { changes, .. }) =
-            (self.sabotage, &mut request)
+    pub fn tampered_request(&self, mut request: StateRequest) -> StateRequest {
+        if let (Defect::LosesTerminalStates, StateRequest::Txn { changes, .. }) =
+            (self.defect, &mut request)
         {
             changes.retain(|c| !matches!(c, Change::Put { key, .. } if key.starts_with("final/")));
         }
-        if let (Sabotage::ForgetsEndTimes, StateRequest::Txn { changes, .. }) =
-            (self.sabotage, &mut request)
+        if let (Defect::LosesTerminalTimes, StateRequest::Txn { changes, .. }) =
+            (self.defect, &mut request)
         {
-            without_end_times(changes);
+            remove_terminal_times(changes);
         }
-        let dropped = match self.sabotage {
-            Sabotage::ResultsByKeyAlone => PROGRESS_PREFIX,
-            Sabotage::ClaimsByKeyAlone => CLAIMS_KEY,
+        let dropped = match self.defect {
+            Defect::UnconditionalResults => PROGRESS_PREFIX,
+            Defect::ClaimChecksKeyAlone => CLAIMS_KEY,
             _ => return request,
         };
         if let StateRequest::Txn { conditions, .. } = &mut request {
