--- a/tests/world/sim/users.rs
+++ b/tests/world/sim/users.rs
@@ -8,21 +8,21 @@
 };
 use rand::RngExt;
 
-use super::{Asker, Event, Sabotage, World, ZONES, ms, workers::ToWorker};
+use super::{Defect, Event, Requester, World, ZONES, ms, workers::WorkerMessage};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Asking {
+pub enum UserAction {
     Submit,
     Status,
     Withdraw,
-    Stranger,
+    UnknownJob,
 }
 
 pub struct Job {
     pub spec: JobSpec,
     pub accepted: bool,
     pub withdraw_at: Option<Duration>,
-    pub over: bool,
+    pub ended: bool,
     pub faulty: bool,
 }
 
@@ -36,7 +36,7 @@
             _ => Kind::Gang,
         };
         let tasks = match kind {
-            Kind::Array => rng.random_range(1..12) * scale.tasks,
+            Kind::Array => rng.random_range(1..12) * scale.array_factor,
             Kind::Service => rng.random_range(1..4),
             Kind::Gang => rng.random_range(2..4),
         };
@@ -88,7 +88,7 @@
         Job {
             withdraw_at: withdraw.then(|| ms(rng.random_range(3_000..130_000))),
             accepted: false,
-            over: false,
+            ended: false,
             faulty: rng.random_bool(0.05),
             spec,
         }
@@ -105,7 +105,7 @@
 
     /// Accepted services, which run until somebody cancels them.
     pub fn services(&self) -> Vec<usize> {
-        let running = |job: &Job| job.spec.kind == Kind::Service && job.accepted && !job.over;
+        let running = |job: &Job| job.spec.kind == Kind::Service && job.accepted && !job.ended;
         (0..self.jobs.len())
             .filter(|i| running(&self.jobs[*i]))
             .collect()
@@ -115,29 +115,29 @@
         self.jobs[i].withdraw_at = Some(at);
     }
 
-    pub(super) fn user(&mut self, i: usize, node: usize) {
+    pub(super) fn poll_job(&mut self, i: usize, node: usize) {
         let now = self.now;
         if self.nodes[node].is_none() {
             return;
         }
         let job = &self.jobs[i];
-        let withdraw = job.accepted && !job.over && job.withdraw_at.is_some_and(|at| now > at);
-        let stranger = self.rng.random_range(0..40) == 0;
+        let withdraw = job.accepted && !job.ended && job.withdraw_at.is_some_and(|at| now > at);
+        let unknown_job = self.rng.random_range(0..40) == 0;
         let repeat = self.rng.random_range(0..25) == 0;
-        let asking = if stranger {
-            Asking::Stranger
+        let action = if unknown_job {
+            UserAction::UnknownJob
         } else if !job.accepted || repeat {
-            Asking::Submit
+            UserAction::Submit
         } else if withdraw {
-            Asking::Withdraw
+            UserAction::Withdraw
         } else {
-            Asking::Status
+            UserAction::Status
         };
-        self.ask(i, node, asking);
+        self.send_user_request(i, node, action);
     }
 
     /// Sends a user's request about a job to a node.
-    pub(super) fn ask(&mut self, i: usize, node: usize, asking: Asking) {
+    pub(super) fn send_user_request(&mut self, i: usize, node: usize, action: UserAction) {
         let now = self.now;
         if self.nodes[node].is_none() {
             return;
@@ -146,100 +146,109 @@
         self.next_request += 1;
         let request = self.next_request;
         let id = job.spec.id.clone();
-        let input = if asking == Asking::Stranger {
+        let input = if action == UserAction::UnknownJob {
             let id = JobId::parse(&format!("run-9{i:05}")).expect("valid job id");
             Input::Status { request, id }
-        } else if asking == Asking::Submit {
+        } else if action == UserAction::Submit {
             let mut spec = job.spec.clone();
-            if self.sabotage == Sabotage::BlindForPriorities {
+            if self.defect == Defect::IgnoresPriorities {
                 spec.priority = Priority::Low;
             }
-            if self.sabotage == Sabotage::BlindForPlaces {
+            if self.defect == Defect::IgnoresPlacement {
                 spec.zone = None;
                 spec.one_zone = false;
                 spec.spot = true;
             }
             let spec = Arc::new(spec);
             Input::Submit { request, spec }
-        } else if asking == Asking::Withdraw {
-            self.observer.withdrawn(&id);
+        } else if action == UserAction::Withdraw {
+            self.observer.record_withdrawal(&id);
             Input::Withdraw { request, id }
         } else {
             Input::Status { request, id }
         };
         let before = self.observer.state(&self.jobs[i].spec.id);
         let epoch = self.epochs[node];
-        self.meetings.unanswered.insert(i, node);
-        self.asked
-            .insert((node, epoch, request), Asker::User(i, asking, before));
+        self.combined_faults.unanswered.insert(i, node);
+        self.pending_requests
+            .insert((node, epoch, request), Requester::User(i, action, before));
         let at = now + self.delay();
-        self.copy_user(&input);
-        if self.sabotage == Sabotage::PassesOver && i < 3 && asking == Asking::Status {
+        self.duplicate_user_request(&input);
+        if self.defect == Defect::IgnoresRequests && i < 3 && action == UserAction::Status {
             return;
         }
-        self.push(at, Event::ToNode(node, epoch, input));
+        self.push(at, Event::NodeInput(node, epoch, input));
     }
 
-    pub(super) fn answered(&mut self, node: usize, asker: Asker, answer: Answer) {
+    pub(super) fn handle_answer(&mut self, node: usize, requester: Requester, answer: Answer) {
         let now = self.now;
-        match asker {
-            Asker::Worker(name, id) => {
+        match requester {
+            Requester::Worker(name, id) => {
                 let Some(zone) = self.workers.get(&name).map(|w| w.zone) else {
                     return;
                 };
                 if let Some(at) = self.worker_path(node, zone) {
-                    self.push(at, Event::AtWorker(name, ToWorker::Answer(id, answer)));
+                    self.push(
+                        at,
+                        Event::WorkerMessage(name, WorkerMessage::Answer(id, answer)),
+                    );
                 }
             }
-            Asker::Odd(reason, id) => self.odd_answered(node, reason, &id, &answer),
-            Asker::UnknownNeed(number) => self.unknown_need_answered(number, &answer),
-            Asker::User(i, asking, before) => {
-                self.meetings.unanswered.remove(&i);
+            Requester::Unrunnable(reason, id) => {
+                self.unrunnable_answered(node, reason, &id, &answer)
+            }
+            Requester::UnknownDependency(number) => {
+                self.unknown_dependency_answered(number, &answer)
+            }
+            Requester::User(i, action, before) => {
+                self.combined_faults.unanswered.remove(&i);
                 let spec = self.jobs[i].spec.clone();
                 let state = match &answer {
                     Answer::Accepted(id) => {
                         if before.is_some() {
-                            self.observer.breaks(now, "accepted_again", id.to_string());
+                            self.observer
+                                .report_violation(now, "accepted_again", id.to_string());
                         }
                         JobState::Pending
                     }
                     Answer::Known(_, state) | Answer::Status(_, state, _, _) => *state,
                     Answer::Waiting(_, on) => {
-                        self.told_waiting(i, on);
+                        self.check_waiting_answer(i, on);
                         JobState::Pending
                     }
                     Answer::NotFound => {
-                        if asking != Asking::Stranger {
-                            self.observer.not_found(now, &spec.id, before.is_some());
+                        if action != UserAction::UnknownJob {
+                            self.observer
+                                .check_not_found(now, &spec.id, before.is_some());
                         }
                         return;
                     }
                     Answer::Impossible(reason) => {
-                        if self.is_stage(i) {
-                            let what = format!("{}: {reason}", spec.id);
-                            self.observer.breaks(now, "refused", what);
+                        if self.in_pipeline(i) {
+                            let detail = format!("{}: {reason}", spec.id);
+                            self.observer.report_violation(now, "refused", detail);
                         }
-                        self.observer.rejected(now, &spec.id);
+                        self.observer.check_rejected(now, &spec.id);
                         // Users stop polling a job that can never run.
-                        self.jobs[i].over = true;
+                        self.jobs[i].ended = true;
                         return;
                     }
                     _ => return,
                 };
-                if asking == Asking::Stranger {
+                if action == UserAction::UnknownJob {
                     self.observer.known_without_submission(now, &spec.id);
                     return;
                 }
                 self.jobs[i].accepted = true;
-                self.jobs[i].over |= matches!(state, JobState::Done | JobState::Cancelled);
-                self.observer.told(now, &spec, state, before);
+                self.jobs[i].ended |= matches!(state, JobState::Done | JobState::Cancelled);
+                self.observer.record_state(now, &spec, state, before);
                 let accepted = matches!(answer, Answer::Accepted(_));
                 if !accepted && matches!(state, JobState::Pending | JobState::Running) {
-                    self.observer.told_active(now, &spec.id, state);
+                    self.observer.record_active(now, &spec.id, state);
                 }
-                self.observer.answered(now, &spec.id);
-                self.stage_told(i);
-                self.look_closely(i, state);
+                self.observer.record_answer(now, &spec.id);
+                self.record_stage_answer(i);
+                self.poll_all_nodes(i, state);
             }
         }
     }
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -12,19 +12,19 @@
 };
 use rand::RngExt;
 
-use super::{Asker, CPUS, Event, NODES, Sabotage, World, ZONES, ms};
+use super::{CPUS, Defect, Event, NODES, Requester, World, ZONES, ms};
 use crate::observer::Running;
 
-/// Time at which machines without tasks stop reporting, for `Sabotage::HidesRoom`.
-const HIDES_AFTER: Duration = Duration::from_secs(20);
+/// Time at which machines without tasks stop reporting, for `Defect::IdleMachinesSilent`.
+const IDLE_REPORTS_UNTIL: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
-pub enum ToWorker {
+pub enum WorkerMessage {
     Answer(u64, Answer),
     Do(usize, u64, CallId, DirectCommands),
 }
 
-pub struct WTask {
+pub struct WorkerTask {
     pub phase: TaskPhase,
     /// End of the current phase: image fetched, task ended, or wait given up.
     pub until: Duration,
@@ -36,36 +36,36 @@
     pub session: u64,
     pub seq: u64,
     pub token: u64,
-    pub tasks: BTreeMap<(TaskId, u64), WTask>,
-    pub lease_from: Duration,
+    pub tasks: BTreeMap<(TaskId, u64), WorkerTask>,
+    pub lease_started: Duration,
     pub node: usize,
     pub in_flight: Option<(u64, Duration)>,
     pub next_report: Duration,
     pub last_sent: Duration,
     pub hung_until: Duration,
     /// Rate of the worker's clock relative to real time.
-    pub pace: f64,
+    pub clock_rate: f64,
     pub reports: u64,
     pub notice: Option<Duration>,
 }
 
 impl Worker {
-    pub fn answered_lately(&self, now: Duration) -> bool {
-        now < self.lease_from + ms(1500)
+    pub fn has_recent_answer(&self, now: Duration) -> bool {
+        now < self.lease_started + ms(1500)
     }
 
     /// Whether a task here has its image.
-    pub fn holds(&self) -> bool {
+    pub fn has_started_task(&self) -> bool {
         self.tasks.values().any(|t| t.phase.has_image())
     }
 }
 
 impl World {
     /// The worker that waits for this answer.
-    pub fn asker(&self, request: RequestId) -> Option<String> {
-        let mut asked = self.asked.iter();
-        asked.find_map(|((_, _, asked), asker)| match asker {
-            Asker::Worker(name, _) if *asked == request => Some(name.clone()),
+    pub fn requesting_worker(&self, request: RequestId) -> Option<String> {
+        let mut pending = self.pending_requests.iter();
+        pending.find_map(|((_, _, pending), requester)| match requester {
+            Requester::Worker(name, _) if *pending == request => Some(name.clone()),
             _ => None,
         })
     }
@@ -73,7 +73,7 @@
     pub(super) fn worker_tick(&mut self, name: &str) {
         let now = self.now;
         if let Some((zone, spot, _)) = self.booting.remove(name) {
-            let pace = 1.0 - 5e-4 + self.rng.random_range(0..10) as f64 * 1e-4;
+            let clock_rate = 1.0 - 5e-4 + self.rng.random_range(0..10) as f64 * 1e-4;
             let node = self.rng.random_range(0..NODES);
             self.workers.insert(
                 name.to_owned(),
@@ -84,46 +84,52 @@
                     seq: 0,
                     token: 0,
                     tasks: BTreeMap::new(),
-                    lease_from: now,
+                    lease_started: now,
                     node,
                     in_flight: None,
                     next_report: now,
                     last_sent: Duration::ZERO,
                     hung_until: Duration::ZERO,
-                    pace,
+                    clock_rate,
                     reports: 0,
                     notice: None,
                 },
             );
-            self.machine_up(name);
+            self.record_boot(name);
         }
         if !self.workers.contains_key(name) {
             return;
         }
         // A hung machine resumes within its lease or loses its tasks.
-        self.lease_check(name);
+        self.check_lease(name);
         if self.workers[name].hung_until > now {
-            self.push(now + self.scale.look, Event::WorkerTick(name.to_owned()));
+            self.push(
+                now + self.scale.worker_interval,
+                Event::WorkerTick(name.to_owned()),
+            );
             return;
         }
         self.run_tasks(name);
         self.maybe_report(name);
-        self.push(now + self.scale.look, Event::WorkerTick(name.to_owned()));
+        self.push(
+            now + self.scale.worker_interval,
+            Event::WorkerTick(name.to_owned()),
+        );
     }
 
-    fn lease_check(&mut self, name: &str) {
+    fn check_lease(&mut self, name: &str) {
         let now = self.now;
         let worker = self.workers.get_mut(name).expect("known worker");
-        if (now - worker.lease_from).mul_f64(worker.pace) <= self.scale.lease {
+        if (now - worker.lease_started).mul_f64(worker.clock_rate) <= self.scale.lease {
             return;
         }
         worker.session += 1;
-        worker.lease_from = now;
+        worker.lease_started = now;
         worker.in_flight = None;
         worker.next_report = now;
         for ((task, _), t) in std::mem::take(&mut worker.tasks) {
             if t.phase.has_image() {
-                self.observer.gone(&task, name, false);
+                self.observer.task_ended(&task, name, false);
             }
         }
     }
@@ -139,8 +145,8 @@
                 let t = &self.workers[name].tasks[&key];
                 (t.phase, t.until)
             };
-            let whole = || {
-                let with = |w: &Worker| {
+            let is_complete = || {
+                let members_on = |w: &Worker| {
                     w.tasks
                         .iter()
                         .filter(|((t, a), x)| {
@@ -148,11 +154,13 @@
                         })
                         .count()
                 };
-                self.workers.values().map(with).sum::<usize>() == spec.tasks as usize
+                self.workers.values().map(members_on).sum::<usize>() == spec.tasks as usize
             };
             let runs_until = match spec.kind {
-                Kind::Service => self.scale.length * 2,
-                _ => now + ms((1500 + u64::from(key.0.index % 7) * 700) * self.scale.longer),
+                Kind::Service => self.scale.duration * 2,
+                _ => {
+                    now + ms((1500 + u64::from(key.0.index % 7) * 700) * self.scale.duration_factor)
+                }
             };
             let next = match phase {
                 TaskPhase::Fetching if now >= until => {
@@ -163,8 +171,8 @@
                         zone: ZONES[zone].to_owned(),
                         spot,
                     };
-                    self.observer.started(now, &key.0, running);
-                    if self.results.contains(&key.0) {
+                    self.observer.record_start(now, &key.0, running);
+                    if self.completed_tasks.contains(&key.0) {
                         Some((TaskPhase::Exited(ExitReason::Done), now))
                     } else if spec.kind == Kind::Gang {
                         Some((TaskPhase::Waiting, now + self.scale.gang_wait))
@@ -172,8 +180,8 @@
                         Some((TaskPhase::Running, runs_until))
                     }
                 }
-                TaskPhase::Waiting if whole() => {
-                    let until = now + ms(4000) * self.scale.longer as u32;
+                TaskPhase::Waiting if is_complete() => {
+                    let until = now + ms(4000) * self.scale.duration_factor as u32;
                     Some((TaskPhase::Running, until))
                 }
                 TaskPhase::Waiting if now >= until => {
@@ -181,7 +189,7 @@
                     Some((TaskPhase::Exited(ExitReason::Incomplete), now))
                 }
                 TaskPhase::Running if faulty => Some((TaskPhase::Exited(ExitReason::Error), now)),
-                TaskPhase::Running if spec.kind == Kind::Gang && !whole() && now < until => {
+                TaskPhase::Running if spec.kind == Kind::Gang && !is_complete() && now < until => {
                     Some((TaskPhase::Exited(ExitReason::Peers), now))
                 }
                 TaskPhase::Running if now >= until => {
@@ -208,18 +216,18 @@
                             job: key.0.job.clone(),
                             index,
                         };
-                        self.results.insert(task.clone());
-                        self.observer.gone(&task, "", true);
+                        self.completed_tasks.insert(task.clone());
+                        self.observer.task_ended(&task, "", true);
                     }
-                    self.met_end(&key.0.job);
+                    self.on_task_done(&key.0.job);
                 }
-                self.observer.gone(&key.0, name, done);
+                self.observer.task_ended(&key.0, name, done);
             }
             let worker = self.workers.get_mut(name).expect("known worker");
-            worker.tasks.insert(key, WTask { phase, until });
+            worker.tasks.insert(key, WorkerTask { phase, until });
         }
         if changed {
-            self.hurry(name);
+            self.report_soon(name);
         }
     }
 
@@ -246,16 +254,16 @@
         holding.map(|(name, _)| name.clone()).collect()
     }
 
-    /// With `Sabotage::FollowersRenew`, turns a follower's redirect into an answer that renews the
-    /// lease; with `Sabotage::IgnoresCancelledNeeds`, hides that a job is cancelled with a
+    /// With `Defect::FollowersRenew`, turns a follower's redirect into an answer that renews the
+    /// lease; with `Defect::IgnoresCancelledDependencies`, hides that a job is cancelled with a
     /// dependency.
     pub(super) fn tampered_answer(&self, output: Output) -> Output {
         match output {
             Output::Answer {
                 request,
                 answer: Answer::Redirect(_),
-            } if self.sabotage == Sabotage::FollowersRenew
-                && let Some(name) = self.asker(request)
+            } if self.defect == Defect::FollowersRenew
+                && let Some(name) = self.requesting_worker(request)
                 && let Some(worker) = self.workers.get(&name) =>
             {
                 let (token, commands) = (worker.token, Vec::new());
@@ -266,7 +274,7 @@
                 request,
                 answer:
                     Answer::Known(id, JobState::Cancelled) | Answer::Status(id, JobState::Cancelled, ..),
-            } if self.underived(&id) => Output::Answer {
+            } if self.hides_derived_cancellation(&id) => Output::Answer {
                 request,
                 answer: Answer::Status(id, JobState::Pending, 0, 0),
             },
@@ -274,15 +282,15 @@
         }
     }
 
-    fn hurry(&mut self, name: &str) {
+    fn report_soon(&mut self, name: &str) {
         let worker = self.workers.get_mut(name).expect("known worker");
         worker.next_report = worker.next_report.min(worker.last_sent + ms(500));
     }
 
     fn report(&mut self, name: &str) -> WorkerReport {
         let now = self.now;
-        let believe = self.sabotage == Sabotage::BelieveRunning;
-        let void = u64::from(self.sabotage == Sabotage::BelievesVoid) * 0xff;
+        let reports_done = self.defect == Defect::RunningReportedDone;
+        let void_token_bits = u64::from(self.defect == Defect::AssumesUnansweredVoid) * 0xff;
         let worker = self.workers.get_mut(name).expect("known worker");
         worker.seq += 1;
         WorkerReport {
@@ -293,7 +301,7 @@
             spot: worker.spot,
             session: worker.session,
             seq: worker.seq,
-            token: worker.token | void,
+            token: worker.token | void_token_bits,
             notice_s: worker.notice.map(|at| at.saturating_sub(now).as_secs_f64()),
             tasks: worker
                 .tasks
@@ -302,7 +310,7 @@
                     task: task.clone(),
                     attempt: *attempt,
                     phase: match t.phase {
-                        TaskPhase::Running if believe => TaskPhase::Exited(ExitReason::Done),
+                        TaskPhase::Running if reports_done => TaskPhase::Exited(ExitReason::Done),
                         phase => phase,
                     },
                 })
@@ -321,8 +329,8 @@
             worker.node = (worker.node + 1) % NODES;
             worker.next_report = now + ms(1000);
         }
-        let hides = self.sabotage == Sabotage::HidesRoom && now > HIDES_AFTER;
-        if now < worker.next_report || (hides && worker.tasks.is_empty()) {
+        let hides_idle = self.defect == Defect::IdleMachinesSilent && now > IDLE_REPORTS_UNTIL;
+        if now < worker.next_report || (hides_idle && worker.tasks.is_empty()) {
             return;
         }
         worker.reports += 1;
@@ -332,7 +340,11 @@
         let (node, zone) = (worker.node, worker.zone);
         let report = self.report(name);
         let at = match self.worker_path(node, zone) {
-            Some(at) if self.nodes[node].is_some() && !self.mute.is_mute(name, now) => at,
+            Some(at)
+                if self.nodes[node].is_some() && !self.blocked_reports.is_blocked(name, now) =>
+            {
+                at
+            }
             _ => {
                 let worker = self.workers.get_mut(name).expect("known worker");
                 worker.in_flight = None;
@@ -344,35 +356,37 @@
         self.next_request += 1;
         let request = self.next_request;
         let epoch = self.epochs[node];
-        self.asked
-            .insert((node, epoch, request), Asker::Worker(name.to_owned(), id));
-        if self.report_sent(&report) {
+        self.pending_requests.insert(
+            (node, epoch, request),
+            Requester::Worker(name.to_owned(), id),
+        );
+        if self.intercept_report(&report) {
             return;
         }
-        self.copy_report(&report);
+        self.duplicate_report(&report);
         self.push(
             at,
-            Event::ToNode(node, epoch, Input::Report { request, report }),
+            Event::NodeInput(node, epoch, Input::Report { request, report }),
         );
     }
 
-    pub(super) fn at_worker(&mut self, name: String, message: ToWorker) {
+    pub(super) fn handle_worker_message(&mut self, name: String, message: WorkerMessage) {
         let now = self.now;
         let Some(worker) = self.workers.get(&name) else {
             return;
         };
-        if self.between.deaf(&name, now) {
+        if self.network_faults.is_delivery_blocked(&name, now) {
             return;
         }
         if worker.hung_until > now {
             // A hung machine receives the message when it resumes, before anything else.
             let at = worker.hung_until;
-            self.push(at, Event::AtWorker(name, message));
+            self.push(at, Event::WorkerMessage(name, message));
             return;
         }
-        self.lease_check(&name);
+        self.check_lease(&name);
         match message {
-            ToWorker::Answer(id, answer) => {
+            WorkerMessage::Answer(id, answer) => {
                 let worker = self.workers.get_mut(&name).expect("known worker");
                 let Some((in_flight, sent)) = worker.in_flight else {
                     return;
@@ -384,12 +398,12 @@
                 worker.next_report = now + self.scale.report;
                 match answer {
                     Answer::Commands { token, commands } if token >= worker.token => {
-                        let news = token > worker.token;
+                        let is_newer = token > worker.token;
                         worker.token = token;
-                        worker.lease_from = sent;
+                        worker.lease_started = sent;
                         self.execute(&name, &commands);
-                        if news {
-                            self.hurry(&name);
+                        if is_newer {
+                            self.report_soon(&name);
                         }
                     }
                     Answer::Commands { .. } => {}
@@ -403,31 +417,31 @@
                     }
                 }
             }
-            ToWorker::Do(node, epoch, call, mut direct) => {
+            WorkerMessage::Do(node, epoch, call, mut direct) => {
                 let worker = self.workers.get_mut(&name).expect("known worker");
                 let zone = worker.zone;
                 let (token, session) = (worker.token, worker.session);
-                self.mute.commanded(&name, now);
-                self.command_arrives((direct.token, token), (direct.session, session));
-                if self.sabotage == Sabotage::OldTokensCount {
+                self.blocked_reports.count_command(&name, now);
+                self.count_late_command((direct.token, token), (direct.session, session));
+                if self.defect == Defect::AcceptsOldTokens {
                     direct.token = direct.token.max(token);
                 }
                 let worker = self.workers.get_mut(&name).expect("known worker");
-                let good = direct.token >= token && direct.session == session;
-                if good {
+                let is_current = direct.token >= token && direct.session == session;
+                if is_current {
                     worker.token = direct.token;
                     self.execute(&name, &direct.commands);
                 }
                 let report = self.report(&name);
-                let reply = match good {
+                let reply = match is_current {
                     true => DirectReply::Executed(report),
                     false => DirectReply::Refused(report),
                 };
                 if let Some(at) = self.worker_path(node, zone) {
-                    let at = at + self.held_up();
+                    let at = at + self.command_delay();
                     self.push(
                         at,
-                        Event::ToNode(node, epoch, Input::Direct { call, reply }),
+                        Event::NodeInput(node, epoch, Input::Direct { call, reply }),
                     );
                 }
             }
@@ -437,12 +451,12 @@
     fn execute(&mut self, name: &str, commands: &[Command]) {
         let now = self.now;
         for command in commands {
-            if self.is_odd(command) {
+            if self.targets_unrunnable_job(command) {
                 continue;
             }
             match command {
                 Command::Start { task, attempt } => {
-                    self.check_listed(name, task);
+                    self.check_assignment_index(name, task);
                     let spec = self.spec(task).clone();
                     let fetch = ms(self.rng.random_range(100..2500));
                     let used: f64 = self.workers[name]
@@ -464,9 +478,10 @@
                         TaskPhase::Fetching
                     };
                     let until = now + fetch;
-                    worker.tasks.insert(key, WTask { phase, until });
-                    self.mute.start_executed(name, now, self.scale.lease);
-                    self.start_on_machine(name);
+                    worker.tasks.insert(key, WorkerTask { phase, until });
+                    self.blocked_reports
+                        .count_start(name, now, self.scale.lease);
+                    self.crash_leader_on_start(name);
                 }
                 Command::Stop {
                     task,
@@ -475,7 +490,8 @@
                 } => {
                     let spec = self.spec(task).clone();
                     let worker = self.workers.get_mut(name).expect("known worker");
-                    if self.sabotage == Sabotage::SparesHung && !worker.hung_until.is_zero() {
+                    if self.defect == Defect::HungMachinesIgnoreStop && !worker.hung_until.is_zero()
+                    {
                         continue;
                     }
                     let Some(t) = worker.tasks.get_mut(&(task.clone(), *attempt)) else {
@@ -494,7 +510,7 @@
                         _ => t.phase = TaskPhase::Exited(ExitReason::Stopped { saved: false }),
                     }
                     if had_image {
-                        self.observer.gone(task, name, false);
+                        self.observer.task_ended(task, name, false);
                     }
                 }
                 Command::Forget { task, attempt } => {
@@ -506,12 +522,12 @@
                 }
             }
         }
-        self.hurry(name);
+        self.report_soon(name);
     }
 
     /// Checks that the assignment index lists the job, since a new leader relies on the index for
     /// the jobs that an unresponsive machine may hold.
-    fn check_listed(&mut self, name: &str, task: &TaskId) {
+    fn check_assignment_index(&mut self, name: &str, task: &TaskId) {
         let holds = |entry: &&Entry| entry.value.get().contains(name);
         let mut shards = self.state.entries(ASSIGNMENTS_PREFIX);
         shards.retain(|entry| holds(&entry));
@@ -525,7 +541,7 @@
             }
         }
         if !listed {
-            self.observer.unlisted(self.now, task, name);
+            self.observer.report_unlisted(self.now, task, name);
         }
     }
 }
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -6,10 +6,10 @@
 use serde_json::value::RawValue;
 
 /// Page size of lists; small, so that reads of several pages are tested.
-const PAGE: usize = 7;
+const PAGE_SIZE: usize = 7;
 
 #[derive(Clone)]
-struct Key {
+struct StoredValue {
     value: Box<RawValue>,
     version: u64,
     lease: Option<u64>,
@@ -17,12 +17,12 @@
 
 struct Lease {
     ttl: Duration,
-    ends: Duration,
+    expires: Duration,
 }
 
 /// Write limits from a given time on.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct WriteLimits {
     pub from: Duration,
     pub value_bytes: usize,
     pub txn_ops: usize,
@@ -37,27 +37,27 @@
 }
 
 #[derive(Default)]
-pub struct State {
+pub struct StateStore {
     revision: u64,
-    keys: BTreeMap<String, Key>,
+    keys: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
     log: Vec<Event>,
-    limits: Option<Limits>,
+    limits: Option<WriteLimits>,
     allowance: Allowance,
     /// Requests per second, except for waiting watches.
     requests: BTreeMap<u64, u32>,
     rejected: u32,
 }
 
-impl State {
+impl StateStore {
     /// Returns the answer, or `None` where a watch has no events yet.
     pub fn call(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
-        self.expire(now);
+        self.expire_leases(now);
         if !matches!(request, StateRequest::Watch { wait, .. } if !wait.is_zero()) {
             *self.requests.entry(now.as_secs()).or_default() += 1;
         }
-        if let Some(reply) = self.over_limits(now, request) {
+        if let Some(reply) = self.check_limits(now, request) {
             return Some(reply);
         }
         Some(match request {
@@ -73,9 +73,9 @@
                     .filter(|(key, _)| after.as_ref().is_none_or(|after| *key > after))
                     .map(|(key, found)| entry(key, found))
                     .collect();
-                let more = all.len() > PAGE;
+                let more = all.len() > PAGE_SIZE;
                 StateReply::Entries {
-                    entries: all.into_iter().take(PAGE).collect(),
+                    entries: all.into_iter().take(PAGE_SIZE).collect(),
                     more,
                     revision: self.revision,
                 }
@@ -113,7 +113,7 @@
                     self.next_lease,
                     Lease {
                         ttl: *ttl,
-                        ends: now + *ttl,
+                        expires: now + *ttl,
                     },
                 );
                 StateReply::Granted {
@@ -122,7 +122,7 @@
             }
             StateRequest::Renew { lease } => match self.leases.get_mut(lease) {
                 Some(lease) => {
-                    lease.ends = now + lease.ttl;
+                    lease.expires = now + lease.ttl;
                     StateReply::Renewed
                 }
                 None => StateReply::LeaseGone,
@@ -150,7 +150,7 @@
     }
 
     /// Returns the answer to a write that exceeds the limits of size or rate.
-    fn over_limits(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
+    fn check_limits(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
         let limits = self.limits.filter(|limits| now >= limits.from)?;
         let StateRequest::Txn {
             conditions,
@@ -192,7 +192,7 @@
 
     /// Limits writes from a given time on.
     #[allow(dead_code)] // The loopback stand-ins have their own limits.
-    pub fn limit(&mut self, limits: Limits) {
+    pub fn set_limits(&mut self, limits: WriteLimits) {
         self.limits = Some(limits);
     }
 
@@ -204,7 +204,7 @@
 
     /// Highest number of requests in any second from a given time on.
     #[allow(dead_code)]
-    pub fn busiest_second(&self, from: Duration) -> u32 {
+    pub fn max_requests_per_second(&self, from: Duration) -> u32 {
         let since = self.requests.range(from.as_secs()..);
         since.map(|(_, requests)| *requests).max().unwrap_or(0)
     }
@@ -224,26 +224,26 @@
 
     /// Extends every lease by its full TTL after an outage.
     #[allow(dead_code)] // The loopback stand-ins have no outages.
-    pub fn outage_over(&mut self, now: Duration) {
+    pub fn extend_leases(&mut self, now: Duration) {
         for lease in self.leases.values_mut() {
-            lease.ends = now + lease.ttl;
+            lease.expires = now + lease.ttl;
         }
     }
 
     /// Makes all leases permanent, including expired ones.
     #[allow(dead_code)]
-    pub fn keep_leases(&mut self) {
+    pub fn make_leases_permanent(&mut self) {
         for id in 1..=self.next_lease {
-            let (ttl, ends) = (Duration::MAX, Duration::MAX);
-            self.leases.insert(id, Lease { ttl, ends });
+            let (ttl, expires) = (Duration::MAX, Duration::MAX);
+            self.leases.insert(id, Lease { ttl, expires });
         }
     }
 
-    pub fn expire(&mut self, now: Duration) {
+    pub fn expire_leases(&mut self, now: Duration) {
         let over: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.ends <= now)
+            .filter(|(_, lease)| lease.expires <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
@@ -266,7 +266,7 @@
     fn apply(&mut self, change: &Change) {
         let (key, value) = match change {
             Change::Put { key, value, lease } => {
-                let entry = Key {
+                let entry = StoredValue {
                     value: value.clone(),
                     version: self.revision,
                     lease: *lease,
@@ -289,7 +289,7 @@
     }
 }
 
-fn entry(key: &str, found: &Key) -> Entry {
+fn entry(key: &str, found: &StoredValue) -> Entry {
     Entry {
         key: key.to_owned(),
         value: found.value.clone(),
