--- a/tests/world/answers.rs
+++ b/tests/world/answers.rs
@@ -163,7 +163,7 @@
 /// failover, or while the state service refuses the leader and then all nodes.
 #[test]
 fn rules_hold_when_users_cancel_and_poll_during_failovers() {
-    let hands = [
+    let failovers = [
         (Fault::LeaderCrash, 0),
         (Fault::LeaderFreezes, 9),
         (Fault::LeaderZoneCut, 14),
@@ -171,7 +171,7 @@
         (Fault::RefusalThenOutage, 24),
     ];
     for seed in seeds(2) {
-        for (fault, duration) in hands {
+        for (fault, duration) in failovers {
             for before in [0, 400, 1_500] {
                 let mut world =
                     World::with_scale(MANY_JOBS, seed, Defect::None).with_quick_restarts();
--- a/tests/world/draining.rs
+++ b/tests/world/draining.rs
@@ -45,11 +45,11 @@
         world.observer.finished > 8,
         "{context}: too few jobs finished"
     );
-    let (gone, asked) = (world.rollout.returned, world.rollout.cordoned.len());
-    assert!(asked > 0, "{context}: no machine was cordoned");
+    let (returned, cordoned) = (world.rollout.returned, world.rollout.cordoned.len());
+    assert!(cordoned > 0, "{context}: no machine was cordoned");
     assert!(
-        gone * 10 >= asked * 9,
-        "{context}: {gone} of {asked} returned"
+        returned * 10 >= cordoned * 9,
+        "{context}: {returned} of {cordoned} returned"
     );
     assert!(world.count_keys("live/drains") == 1, "{context}");
 }
@@ -89,13 +89,13 @@
 /// Shows that the observer detects starts on cordoned machines.
 #[test]
 fn a_new_leader_that_forgets_cordons_is_caught() {
-    let forgets = |seed| {
+    let violations = |seed| {
         let world = drained_world(MEDIUM, seed, 16, Defect::ForgetsDrains);
         let mut world = world.with_fault(20_400, Fault::LeaderCrash, Duration::ZERO);
         world.run();
         world.observer.violations()
     };
-    let hit = |seed| forgets(seed).iter().any(|b| b.starts_with("cordoned"));
+    let hit = |seed| violations(seed).iter().any(|b| b.starts_with("cordoned"));
     assert!(
         (0..10).any(hit),
         "starts on cordoned machines were not caught"
--- a/tests/world/late_commands.rs
+++ b/tests/world/late_commands.rs
@@ -117,12 +117,12 @@
 
 fn assert_caught(defect: Defect) {
     let violations = |scale, seed| world(scale, seed, defect).observer.violations();
-    let twice = |scale, seed| {
+    let ran_twice = |scale, seed| {
         violations(scale, seed)
             .iter()
             .any(|b| b.starts_with("ran_twice"))
     };
-    let caught = (0..8).any(|seed| twice(MEDIUM, seed) || twice(LONG, seed));
+    let caught = (0..8).any(|seed| ran_twice(MEDIUM, seed) || ran_twice(LONG, seed));
     assert!(caught, "{defect:?} was not caught");
 }
 
--- a/tests/world/liveness.rs
+++ b/tests/world/liveness.rs
@@ -48,36 +48,44 @@
         if self.now < check_from {
             return;
         }
-        let rooms = self.free_capacity();
+        let capacities = self.free_capacity();
         for number in 0..self.jobs.len() {
             let id = self.jobs[number].spec.id.clone();
-            let fitting = match self.has_waiting_task(&self.jobs[number]) {
-                true => self.fitting_machines(&self.jobs[number].spec, &rooms),
+            let fitting_capacities = match self.has_waiting_task(&self.jobs[number]) {
+                true => self.fitting_machines(&self.jobs[number].spec, &capacities),
                 false => Vec::new(),
             };
-            self.check_left_waiting(id, number, &fitting);
+            self.check_left_waiting(id, number, &fitting_capacities);
         }
     }
 
     /// Records since when the machines have had room, and reports a violation where enough of them
     /// had it for too long.
-    fn check_left_waiting(&mut self, id: JobId, number: usize, fitting: &[&FreeCapacity]) {
+    fn check_left_waiting(
+        &mut self,
+        id: JobId,
+        number: usize,
+        fitting_capacities: &[&FreeCapacity],
+    ) {
         let before = self.liveness.room_since.remove(&id).unwrap_or_default();
-        let since = |room: &&FreeCapacity| before.get(&room.machine).copied().unwrap_or(self.now);
-        let known: BTreeMap<String, Duration> = fitting
+        let since =
+            |capacity: &&FreeCapacity| before.get(&capacity.machine).copied().unwrap_or(self.now);
+        let updated: BTreeMap<String, Duration> = fitting_capacities
             .iter()
             .map(|r| (r.machine.clone(), since(r)))
             .collect();
-        let long = self.scale.lease * MAX_WAIT_LEASES;
-        let aged = fitting.iter().filter(|r| self.now > since(r) + long);
-        let aged: Vec<&FreeCapacity> = aged.copied().collect();
+        let max_wait = self.scale.lease * MAX_WAIT_LEASES;
+        let overdue = fitting_capacities
+            .iter()
+            .filter(|r| self.now > since(r) + max_wait);
+        let overdue: Vec<&FreeCapacity> = overdue.copied().collect();
         let spec = &self.jobs[number].spec;
-        if fits_minimum(spec, &aged) {
-            let detail = format!("{id} {:?} could run on {}", spec.kind, aged[0].machine);
+        if fits_minimum(spec, &overdue) {
+            let detail = format!("{id} {:?} could run on {}", spec.kind, overdue[0].machine);
             self.observer
                 .report_violation(self.now, "left_waiting", detail);
         }
-        self.liveness.room_since.insert(id, known);
+        self.liveness.room_since.insert(id, updated);
     }
 
     /// Whether the job is accepted and unfinished, and one of its tasks is on no machine. Excludes
@@ -90,9 +98,9 @@
         if !self.observer.may_start(&job.spec) {
             return false;
         }
-        let there = self.task_zones(&job.spec).len();
+        let placed_zones = self.task_zones(&job.spec).len();
         let done = (0..job.spec.tasks).filter(|index| self.has_result(&job.spec, *index));
-        there + done.count() < job.spec.tasks as usize
+        placed_zones + done.count() < job.spec.tasks as usize
     }
 
     fn has_result(&self, spec: &JobSpec, index: u32) -> bool {
@@ -113,7 +121,7 @@
     fn free_capacity(&self) -> Vec<FreeCapacity> {
         let answers = |w: &&crate::sim::Worker| w.hung_until < self.now && w.notice.is_none();
         let workers = self.workers.iter().filter(|(_, w)| answers(w));
-        let rooms = workers.map(|(machine, worker)| {
+        let capacities = workers.map(|(machine, worker)| {
             let live = worker.tasks.iter().filter(|(_, t)| !t.phase.exited());
             let used: f64 = live.map(|((task, _), _)| self.cpus_of(task)).sum();
             FreeCapacity {
@@ -123,7 +131,7 @@
                 free: CPUS - used,
             }
         });
-        rooms.collect()
+        capacities.collect()
     }
 
     fn cpus_of(&self, task: &TaskId) -> f64 {
@@ -135,30 +143,33 @@
     fn fitting_machines<'a>(
         &self,
         spec: &JobSpec,
-        rooms: &'a [FreeCapacity],
+        capacities: &'a [FreeCapacity],
     ) -> Vec<&'a FreeCapacity> {
-        let there = self.task_zones(spec);
-        let whole = spec.kind == Kind::Gang;
-        let least = if whole { spec.tasks } else { 1 };
+        let placed_zones = self.task_zones(spec);
+        let is_gang = spec.kind == Kind::Gang;
+        let min_tasks = if is_gang { spec.tasks } else { 1 };
         // Tasks that fetch their image count against the limit, as do tasks that have only just
         // ended.
         let fetching = self.fetching_cpus(&spec.team);
         let left = self.observer.available_to(&spec.team) - fetching;
-        if f64::from(least) * spec.need.cpus > left || (whole && !there.is_empty()) {
+        if f64::from(min_tasks) * spec.need.cpus > left || (is_gang && !placed_zones.is_empty()) {
             return Vec::new();
         }
-        let allowed = |room: &&FreeCapacity| {
-            let in_zone = there.iter().filter(|zone| **zone == room.zone).count() as u32;
-            spec.need.cpus <= room.free + 1e-6
-                && (spec.spot || !room.spot)
+        let allowed = |capacity: &&FreeCapacity| {
+            let in_zone = placed_zones
+                .iter()
+                .filter(|zone| **zone == capacity.zone)
+                .count() as u32;
+            spec.need.cpus <= capacity.free + 1e-6
+                && (spec.spot || !capacity.spot)
                 && spec
                     .zone
                     .as_ref()
-                    .is_none_or(|zone| zone == ZONES[room.zone])
-                && !(spec.one_zone && there.iter().any(|zone| *zone != room.zone))
+                    .is_none_or(|zone| zone == ZONES[capacity.zone])
+                && !(spec.one_zone && placed_zones.iter().any(|zone| *zone != capacity.zone))
                 && !(spec.spread && in_zone + 1 > spec.tasks.div_ceil(2))
         };
-        rooms.iter().filter(allowed).collect()
+        capacities.iter().filter(allowed).collect()
     }
 
     fn fetching_cpus(&self, team: &str) -> f64 {
@@ -179,29 +190,30 @@
             .iter()
             .filter(|job| self.has_waiting_task(job))
             .collect();
-        let mut binds = std::collections::BTreeSet::new();
+        let mut teams_at_limit = std::collections::BTreeSet::new();
         for job in waiting {
             let left =
                 self.observer.available_to(&job.spec.team) - self.fetching_cpus(&job.spec.team);
             if job.spec.need.cpus > left {
-                binds.insert(job.spec.team.to_string());
+                teams_at_limit.insert(job.spec.team.to_string());
             }
         }
-        for team in binds {
+        for team in teams_at_limit {
             *self.liveness.at_limit.entry(team).or_default() += 1;
         }
     }
 }
 
 /// Whether the minimum that may start of a job fits on these machines together.
-fn fits_minimum(spec: &JobSpec, rooms: &[&FreeCapacity]) -> bool {
+fn fits_minimum(spec: &JobSpec, capacities: &[&FreeCapacity]) -> bool {
     if spec.kind != Kind::Gang {
-        return !rooms.is_empty();
+        return !capacities.is_empty();
     }
-    let times = |room: &&&FreeCapacity| ((room.free + 1e-6) / spec.need.cpus).floor() as u32;
+    let times =
+        |capacity: &&&FreeCapacity| ((capacity.free + 1e-6) / spec.need.cpus).floor() as u32;
     let by_zone: Vec<u32> = (0..ZONES.len())
         .map(|zone| {
-            rooms
+            capacities
                 .iter()
                 .filter(|r| r.zone == zone)
                 .map(|r| times(&r))
@@ -211,8 +223,12 @@
     match (spec.one_zone, spec.spread) {
         (true, _) => by_zone.iter().any(|slots| *slots >= spec.tasks),
         (_, true) => {
-            let most = spec.tasks.div_ceil(2);
-            by_zone.iter().map(|slots| (*slots).min(most)).sum::<u32>() >= spec.tasks
+            let max_per_zone = spec.tasks.div_ceil(2);
+            by_zone
+                .iter()
+                .map(|slots| (*slots).min(max_per_zone))
+                .sum::<u32>()
+                >= spec.tasks
         }
         _ => by_zone.iter().sum::<u32>() >= spec.tasks,
     }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -186,9 +186,9 @@
         for fault in MEMBERSHIP_FAULTS {
             assert_rules_hold(MEDIUM, seed, &[fault]);
         }
-        let leader_stands = [1, 2, 5, 20, 40, 70].map(|s| (Fault::LeaderFreezes, s));
-        for stands in leader_stands {
-            assert_rules_hold(MEDIUM, seed, &[stands]);
+        let leader_freezes = [1, 2, 5, 20, 40, 70].map(|s| (Fault::LeaderFreezes, s));
+        for freeze in leader_freezes {
+            assert_rules_hold(MEDIUM, seed, &[freeze]);
         }
     }
 }
@@ -300,8 +300,8 @@
 #[test]
 fn rules_hold_with_a_thousand_machines() {
     for seed in seeds(1) {
-        let blind = [(Fault::PeersRefuse, 12), (Fault::LeaderLosesWorkers, 20)];
-        assert_rules_hold(LARGE, seed, &blind);
+        let partition = [(Fault::PeersRefuse, 12), (Fault::LeaderLosesWorkers, 20)];
+        assert_rules_hold(LARGE, seed, &partition);
     }
 }
 
--- a/tests/world/observer.rs
+++ b/tests/world/observer.rs
@@ -91,19 +91,19 @@
 
     /// Registers a job that may depend on others or be a dependency.
     pub fn register_pipeline_job(&mut self, spec: &JobSpec) {
-        let dependencies = (spec.tasks, spec.needs.clone());
-        self.pipelines.insert(spec.id.clone(), dependencies);
+        let entry = (spec.tasks, spec.needs.clone());
+        self.pipelines.insert(spec.id.clone(), entry);
     }
 
     /// All direct and indirect dependencies of a job.
     fn ancestors(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
-        let mut open = vec![id];
-        while let Some(id) = open.pop() {
+        let mut unvisited = vec![id];
+        while let Some(id) = unvisited.pop() {
             let needs = self.pipelines.get(id).map(|(_, needs)| needs);
             for need in needs.into_iter().flatten() {
                 if found.insert(need.clone()) {
-                    open.push(need);
+                    unvisited.push(need);
                 }
             }
         }
@@ -113,8 +113,8 @@
     /// Time at which a user was first told that a dependency of this job is cancelled.
     fn orphaned_since(&self, id: &JobId) -> Option<Duration> {
         let ancestors = self.ancestors(id);
-        let report = ancestors.iter().filter_map(|id| self.reports.get(id));
-        report.filter_map(|report| report.cancelled_at).min()
+        let reports = ancestors.iter().filter_map(|id| self.reports.get(id));
+        reports.filter_map(|report| report.cancelled_at).min()
     }
 
     /// Whether a dependency was cancelled longer ago than this job's tasks may go on.
@@ -161,16 +161,16 @@
             self.report_violation(now, "ran_twice", detail);
         }
         let spec = running.spec.clone();
-        let same: Vec<&Running> = self
+        let same_job: Vec<&Running> = self
             .running
             .iter()
             .filter(|(t, _)| t.job == spec.id)
             .map(|(_, r)| r)
             .collect();
-        let in_zone = same.iter().filter(|r| r.zone == running.zone).count() as u32;
+        let in_zone = same_job.iter().filter(|r| r.zone == running.zone).count() as u32;
         let wrong = (running.spot && !spec.spot)
             || spec.zone.as_ref().is_some_and(|zone| *zone != running.zone)
-            || (spec.one_zone && same.iter().any(|r| r.zone != running.zone))
+            || (spec.one_zone && same_job.iter().any(|r| r.zone != running.zone))
             || (spec.spread && in_zone + 1 > spec.tasks.div_ceil(2));
         if wrong {
             self.report_violation(now, "wrong_place", format!("{task} in {}", running.zone));
@@ -254,9 +254,9 @@
         {
             self.report_violation(now, "went_back", format!("{id} {before:?} to {state:?}"));
         }
-        let with_needs = self.cancelled_with_dependency(id);
+        let with_dependency = self.cancelled_with_dependency(id);
         let report = self.reports.entry(id.clone()).or_default();
-        let unrequested = state == JobState::Cancelled && !report.withdrawn && !with_needs;
+        let unrequested = state == JobState::Cancelled && !report.withdrawn && !with_dependency;
         if state == JobState::Done && !report.state.is_some_and(over) {
             self.finished += 1;
         }
@@ -291,8 +291,8 @@
     pub fn check_answered(&mut self, now: Duration, within: Duration) {
         let unanswered =
             |report: &JobReport| !report.withdrawn && now > report.last_answer + within;
-        let report = self.reports.iter().filter(|(_, report)| unanswered(report));
-        let lost: Vec<JobId> = report.map(|(id, _)| id.clone()).collect();
+        let reports = self.reports.iter().filter(|(_, report)| unanswered(report));
+        let lost: Vec<JobId> = reports.map(|(id, _)| id.clone()).collect();
         for id in lost {
             self.report_violation(now, "forgotten", format!("{id}: no request is answered"));
         }
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -50,13 +50,13 @@
         "{context}: {:?}",
         world.rollout.seen_stages
     );
-    let (alone, packed) = (
+    let (single, packed) = (
         world.count_keys(TERMINAL_STATES_PREFIX),
         world.count_keys(TERMINAL_RANGES_PREFIX),
     );
     match end.from {
-        1 => assert_eq!((packed, alone > 6), (0, true), "{context}"),
-        _ => assert_eq!((alone, packed > 0), (0, true), "{context}"),
+        1 => assert_eq!((packed, single > 6), (0, true), "{context}"),
+        _ => assert_eq!((single, packed > 0), (0, true), "{context}"),
     }
     world
 }
@@ -90,24 +90,24 @@
 /// With one node on the old build, the cluster does not switch, whatever the other nodes support.
 #[test]
 fn an_old_or_stopped_node_blocks_the_switch_until_it_is_forgotten() {
-    let two = || {
+    let two_upgraded = || {
         let world = world(3, Defect::None);
         world
             .with_upgrade(20 * SECOND_MS, 0, 2)
             .with_upgrade(26 * SECOND_MS, 1, 2)
     };
-    run_to(two(), Cluster::default(), "one node is old");
-    let mut away = two();
-    away.rollout.stage_faults.clear();
-    away.push(ms(32 * SECOND_MS), Event::Stop(2));
-    let mut away = run_to(away, Cluster::default(), "one node is stopped");
-    assert!(away.nodes[2].is_none() && away.count_keys("live/node/") == NODES);
-    let mut gone = two().with_order(60 * SECOND_MS, Order::Forget("n2".into()));
-    gone.push(ms(32 * SECOND_MS), Event::Stop(2));
+    run_to(two_upgraded(), Cluster::default(), "one node is old");
+    let mut one_stopped = two_upgraded();
+    one_stopped.rollout.stage_faults.clear();
+    one_stopped.push(ms(32 * SECOND_MS), Event::Stop(2));
+    let mut one_stopped = run_to(one_stopped, Cluster::default(), "one node is stopped");
+    assert!(one_stopped.nodes[2].is_none() && one_stopped.count_keys("live/node/") == NODES);
+    let mut one_forgotten = two_upgraded().with_order(60 * SECOND_MS, Order::Forget("n2".into()));
+    one_forgotten.push(ms(32 * SECOND_MS), Event::Stop(2));
     // It restarts with the old build after the switch, and is refused.
-    gone.push(ms(100 * SECOND_MS), Event::Restart(2));
+    one_forgotten.push(ms(100 * SECOND_MS), Event::Restart(2));
     run_to(
-        gone,
+        one_forgotten,
         NEW_GENERATION,
         "forgotten, and restarted with the old build",
     );
@@ -163,10 +163,10 @@
         "{context}: too few jobs finished"
     );
     let back = faults.iter().any(|(fault, _)| *fault == Fault::Downgrade);
-    let (end, alone) = (world.cluster(), world.count_keys(TERMINAL_STATES_PREFIX));
+    let (end, single) = (world.cluster(), world.count_keys(TERMINAL_STATES_PREFIX));
     match back {
         true => assert!(end.to == 1, "{context}: {end:?}"),
-        false => assert_eq!((end, alone), (Cluster::settled(to), 0), "{context}"),
+        false => assert_eq!((end, single), (Cluster::settled(to), 0), "{context}"),
     }
 }
 
@@ -329,8 +329,8 @@
     assert_caught(Defect::UnreadableMeansAbsent, &["ran_twice"], |seed| {
         let mut world = World::with_scale(crate::sim::MEDIUM, seed, Defect::UnreadableMeansAbsent);
         world.rollout.unreadable_shards_node = Some(seed as usize % NODES);
-        let blind = (Fault::LeaderLosesWorkers, Duration::from_secs(15));
-        let world = world.with_fault(20 * SECOND_MS, blind.0, blind.1);
+        let partition = (Fault::LeaderLosesWorkers, Duration::from_secs(15));
+        let world = world.with_fault(20 * SECOND_MS, partition.0, partition.1);
         world.with_fault(
             24 * SECOND_MS,
             Fault::LeaderLosesZone,
@@ -377,7 +377,7 @@
 
 #[test]
 fn rules_hold_when_zones_stored_as_partitioned_return() {
-    let comes_back = [
+    let faults_on_return = [
         (Fault::LeaderCrash, 0),
         (Fault::AllCrash, 0),
         (Fault::StateOutage, 6),
@@ -388,7 +388,7 @@
         (Fault::Downgrade, 0),
     ];
     for seed in seeds(2) {
-        for (fault, seconds) in comes_back {
+        for (fault, seconds) in faults_on_return {
             // Within a worker's lease, at its end, and long after it.
             for cut in [2600, 4500, 12_000] {
                 let world = world_with_generation(seed, 3, Defect::None);
--- a/tests/world/scarcity.rs
+++ b/tests/world/scarcity.rs
@@ -130,8 +130,8 @@
 #[test]
 fn a_core_that_ignores_priorities_is_caught() {
     let faults = [(10_000, Fault::SlowLinks, 50)];
-    let variant = Defect::IgnoresPriorities;
-    let late = |seed| !most_urgent_started(&world(CROWDED, seed, variant, &faults));
+    let defect = Defect::IgnoresPriorities;
+    let late = |seed| !most_urgent_started(&world(CROWDED, seed, defect, &faults));
     assert!((0..6).any(late));
 }
 
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -255,11 +255,11 @@
     pub fn unfinished_stages(&self) -> Vec<(JobId, Option<JobState>)> {
         let all = self.pipelines.all.iter().flat_map(|p| &p.jobs);
         let left = all.filter(|number| !self.jobs[**number].ended);
-        let told = left.map(|number| {
+        let reported = left.map(|number| {
             let id = &self.jobs[*number].spec.id;
             (id.clone(), self.observer.state(id))
         });
-        told.collect()
+        reported.collect()
     }
 
     /// Number of pipelines that were cancelled at a stage, as planned.
--- a/tests/world/sim/random_faults.rs
+++ b/tests/world/sim/random_faults.rs
@@ -65,12 +65,12 @@
             11 => self.state_slow_until = now + ms(self.rng.random_range(5000..25_000)),
             // A partitioned zone, or a node that only the workers of its zone reach.
             8 | 9 => {
-                let alone = self.rng.random_range(0..NODES);
+                let isolated = self.rng.random_range(0..NODES);
                 let until = now + ms(self.rng.random_range(3000..25_000));
                 let reset = self.rng.random_bool(0.5);
-                self.state_unreachable_until[alone] = until;
-                for other in (0..NODES).filter(|other| *other != alone) {
-                    for (node, zone) in [(alone, other), (other, alone)] {
+                self.state_unreachable_until[isolated] = until;
+                for other in (0..NODES).filter(|other| *other != isolated) {
+                    for (node, zone) in [(isolated, other), (other, isolated)] {
                         self.partitions.push(LinkPartition {
                             node,
                             zone,
--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -421,7 +421,7 @@
     }
 
     /// Adds jobs with one task at a fixed interval, a quarter of them cancelled soon.
-    pub fn with_job_stream(mut self, count: usize, apart: Duration) -> Self {
+    pub fn with_job_stream(mut self, count: usize, interval: Duration) -> Self {
         for number in 0..count {
             let i = self.jobs.len();
             let mut job = self.make_job(i);
@@ -429,7 +429,7 @@
             job.spec.tasks = 1;
             job.spec.spread = false;
             job.faulty = false;
-            let at = ms(5_000) + apart * number as u32;
+            let at = ms(5_000) + interval * number as u32;
             let soon = ms(self.rng.random_range(0..6_000));
             job.withdraw_at = (number % 4 == 0).then_some(at + soon);
             self.jobs.push(job);
@@ -441,21 +441,21 @@
     /// Jobs of which nobody was told a terminal state, with their teams and states.
     pub fn unfinished_jobs(&self) -> Vec<(JobId, String, Option<JobState>)> {
         let left = self.jobs.iter().filter(|job| !job.ended);
-        let told = left.map(|job| {
+        let reported = left.map(|job| {
             let (id, team) = (&job.spec.id, job.spec.team.to_string());
             (id.clone(), team, self.observer.state(id))
         });
-        told.collect()
+        reported.collect()
     }
 
     /// Number of jobs reported as done, and as cancelled.
     pub fn ended_counts(&self) -> (usize, usize) {
-        let told = |state| {
+        let reported = |state| {
             let jobs = self.jobs.iter();
             jobs.filter(|job| self.observer.state(&job.spec.id) == Some(state))
                 .count()
         };
-        (told(JobState::Done), told(JobState::Cancelled))
+        (reported(JobState::Done), reported(JobState::Cancelled))
     }
 }
 
