--- a/tests/world/blocked_reports.rs
+++ b/tests/world/blocked_reports.rs
@@ -1,5 +1,5 @@
-//! Mute machines: they cannot open a connection to any controller, while direct commands and their
-//! answers pass. They look alive, but their leases are not renewed.
+//! Machines with blocked reports: they cannot open a connection to any controller, while direct
+//! commands and their answers pass. They look alive, but their leases are not renewed.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,9 +13,9 @@
 pub struct BlockedReports {
     /// Interval in which these machines cannot connect to a controller.
     machines: BTreeMap<String, (Duration, Duration)>,
-    /// Direct commands that reached a mute machine.
+    /// Direct commands that reached a machine with blocked reports.
     pub commands: u64,
-    /// Starts on machines that had been mute for longer than their lease.
+    /// Starts on machines whose reports had been blocked for longer than their lease.
     pub starts_after_lease: u64,
 }
 
@@ -25,7 +25,7 @@
         self.machines.extend(intervals);
     }
 
-    /// Time for which the machine has been mute, if it is.
+    /// Time for which the machine's reports have been blocked, if they are.
     fn blocked_for(&self, name: &str, now: Duration) -> Option<Duration> {
         let (from, until) = self.machines.get(name)?;
         (*until > now).then(|| now - *from)
@@ -47,7 +47,7 @@
     }
 }
 
-/// A third of the machines is mute for eight leases, and leaders change within each lease.
+/// A third of the machines cannot report for eight leases, and leaders change within each lease.
 fn blocked_world(scale: Scale, seed: u64, defect: Defect) -> World {
     let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
     world = world.with_fault(15_000, Fault::ReportsBlocked, Duration::from_secs(40));
@@ -76,7 +76,7 @@
         assert!(finished > 8, "seed {seed}: {finished} finished");
         assert!(
             commands > 10,
-            "seed {seed}: {commands} commands reached mute machines"
+            "seed {seed}: {commands} commands reached machines with blocked reports"
         );
     }
 }
--- a/tests/world/combined_faults.rs
+++ b/tests/world/combined_faults.rs
@@ -48,8 +48,8 @@
         self.push(begins + duration, Event::OutageEnded);
     }
 
-    /// Like `refusal_then_outage`, but nobody tells the leader to step down: it acts to the end of its term, and
-    /// the outage starts just after another node has claimed the leadership.
+    /// Like `refusal_then_outage`, but nobody tells the leader to step down: it acts to the end of
+    /// its term, and the outage starts just after another node has claimed the leadership.
     pub fn outage_after_claim(&mut self, leader: usize, duration: Duration) {
         self.refused_until[leader] = self.now + duration;
         self.peers_refuse_until = self.now + duration;
@@ -65,9 +65,9 @@
         self.withdraw_services(leader, ms(500));
     }
 
-    /// Node that this user asks: the one after a node that left a request unanswered, as a load
-    /// balancer would choose. With a random choice, a user could reach a frozen node ten times in a
-    /// row, and its job looked forgotten.
+    /// Returns the node that this user polls: the one after a node that left a request unanswered,
+    /// as a load balancer would choose. With a random choice, a user could reach a frozen node ten
+    /// times in a row, and its job looked forgotten.
     pub fn choose_node(&mut self, user: usize) -> usize {
         let any = self.rng.random_range(0..NODES);
         let silent = self.combined_faults.unanswered.get(&user);
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Whether a request is left without an answer.
+    /// Whether a waiting watch is left without an answer.
     pub fn drops_watch(&self, node: usize, request: &StateRequest) -> bool {
         let waits = matches!(request, StateRequest::Watch { wait, .. } if !wait.is_zero());
         waits && self.combined_faults.silent_until[node] > self.now
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -8,7 +8,7 @@
 
 use crate::sim::{Event, LinkPartition, NODES, World, ms};
 
-/// A fault; how long it lasts is given with it.
+/// A fault to inject; its duration is given separately.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// The leader and all workers cannot reach each other.
@@ -50,7 +50,8 @@
     StateOutage,
     /// The state service refuses the leader alone while users cancel, and then all nodes.
     RefusalThenOutage,
-    /// Like `RefusalThenOutage`, with the outage starting just after another node has claimed the leadership.
+    /// Like `RefusalThenOutage`, with the outage starting just after another node has claimed the
+    /// leadership.
     OutageAfterClaim,
     /// A quarter of all transactions gets no answer and is applied later, after newer ones.
     LateWrites,
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -77,7 +77,8 @@
     assert_eq!(trace(5), trace(5));
 }
 
-/// Shows that the observer detects violations: a core made unsafe in one way breaks the rule.
+/// Asserts that a core made unsafe in one way breaks the rule, so that the observer is known to
+/// detect it.
 fn assert_caught(defect: Defect, rule: &str) {
     assert_caught_in(SMALL, defect, rule);
 }
@@ -137,7 +138,7 @@
     (Fault::MachinesHang, 0),
 ];
 
-/// Seeds to run; `KITEYARD_WORLD_SEEDS` sets a larger number for manual runs.
+/// Seeds to run; `KITEYARD_WORLD_SEEDS` overrides their number for manual runs.
 fn seeds(few: u64) -> std::ops::Range<u64> {
     let many = std::env::var("KITEYARD_WORLD_SEEDS").ok();
     0..many.and_then(|text| text.parse().ok()).unwrap_or(few)
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -51,7 +51,8 @@
     pub unreadable_shards_node: Option<usize>,
     /// Nodes with a build from before generations, which neither reads nor reports them.
     pub old_build: [bool; NODES],
-    /// Last time at which a node placed tasks, and the longest time without one since `measure_gap_from`.
+    /// Last time at which a node placed tasks, and the longest time without one since
+    /// `measure_gap_from`.
     last_placement: Duration,
     pub placement_gap: Duration,
     pub measure_gap_from: Duration,
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -390,8 +390,8 @@
         }
     }
 
-    /// With `Defect::TerminalStatesReadAsDone`, makes every terminal state that is read say done, including
-    /// missing ones.
+    /// With `Defect::TerminalStatesReadAsDone`, makes every terminal state that is read say done,
+    /// including missing ones.
     pub(super) fn tamper_terminal_state(&self, request: &StateRequest, reply: &mut StateReply) {
         let StateRequest::Get { key } = request else {
             return;
@@ -427,8 +427,8 @@
         }
     }
 
-    /// Whether the answer hides, with `Defect::IgnoresCancelledDependencies`, that the job is cancelled
-    /// with a dependency and reports it as waiting.
+    /// Whether `Defect::IgnoresCancelledDependencies` makes answers hide that the job is cancelled
+    /// with a dependency, and report it as pending.
     pub(super) fn hides_derived_cancellation(&self, id: &JobId) -> bool {
         self.defect == Defect::IgnoresCancelledDependencies
             && self.observer.cancelled_with_dependency(id)
