--- a/tests/world/combined_faults.rs
+++ b/tests/world/combined_faults.rs
@@ -70,8 +70,8 @@
     /// times in a row, and its job looked forgotten.
     pub fn choose_node(&mut self, user: usize) -> usize {
         let any = self.rng.random_range(0..NODES);
-        let silent = self.combined_faults.unanswered.get(&user);
-        let node = silent.map_or(any, |node| (node + 1) % NODES);
+        let unanswered_node = self.combined_faults.unanswered.get(&user);
+        let node = unanswered_node.map_or(any, |node| (node + 1) % NODES);
         match self.combined_faults.avoided_until[node] > self.now {
             true => (node + 1) % NODES,
             false => node,
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -139,9 +139,9 @@
 ];
 
 /// Seeds to run; `KITEYARD_WORLD_SEEDS` overrides their number for manual runs.
-fn seeds(few: u64) -> std::ops::Range<u64> {
-    let many = std::env::var("KITEYARD_WORLD_SEEDS").ok();
-    0..many.and_then(|text| text.parse().ok()).unwrap_or(few)
+fn seeds(default: u64) -> std::ops::Range<u64> {
+    let number = std::env::var("KITEYARD_WORLD_SEEDS").ok();
+    0..number.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 fn fault_duration((fault, seconds): (Fault, u64)) -> Duration {
@@ -218,11 +218,11 @@
     let quick_world =
         |scale, seed| World::with_scale(scale, seed, Defect::None).with_quick_restarts();
     for seed in seeds(1) {
-        for ends in CRASHES {
-            assert_rules_hold_in(quick_world(MEDIUM, seed), seed, &[ends]);
+        for crash in CRASHES {
+            assert_rules_hold_in(quick_world(MEDIUM, seed), seed, &[crash]);
             for fault in MEMBERSHIP_FAULTS {
-                assert_rules_hold_in(quick_world(MEDIUM, seed), seed, &[fault, ends]);
-                assert_rules_hold_in(quick_world(MEDIUM, seed), seed, &[ends, fault]);
+                assert_rules_hold_in(quick_world(MEDIUM, seed), seed, &[fault, crash]);
+                assert_rules_hold_in(quick_world(MEDIUM, seed), seed, &[crash, fault]);
             }
         }
     }
--- a/tests/world/old_reports.rs
+++ b/tests/world/old_reports.rs
@@ -114,13 +114,13 @@
 fn world(scale: Scale, seed: u64, fault: Fault, defect: Defect) -> World {
     let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
     world = world.with_fault(12_000, fault, Duration::from_secs(45));
-    for (at, ends) in [
+    for (at, leader_fault) in [
         (18_000, Fault::LeaderCrash),
         (27_000, Fault::LeaderFreezes),
         (41_000, Fault::AllCrash),
         (50_000, Fault::LeaderCrash),
     ] {
-        world = world.with_fault(at, ends, Duration::from_secs(9));
+        world = world.with_fault(at, leader_fault, Duration::from_secs(9));
     }
     world.run();
     world
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -235,13 +235,13 @@
     }
 
     pub fn acceptance_delay(&mut self, request: &StateRequest) -> Option<Duration> {
-        let held = self.rollout.acceptance_delay?;
+        let delay = self.rollout.acceptance_delay?;
         let StateRequest::Txn { changes, .. } = request else {
             return None;
         };
         let accepts =
             matches!(&changes[..], [Change::Put { key, .. }] if key.starts_with(JOBS_PREFIX));
-        (accepts && self.rng.random_bool(0.15)).then_some(held)
+        (accepts && self.rng.random_bool(0.15)).then_some(delay)
     }
 
     fn count_write(&mut self, request: &StateRequest) -> Option<u64> {
@@ -341,11 +341,11 @@
         }
         // An unreachable machine may be returned with replicas, to prove that it is empty.
         let now = self.now;
-        let heard = |w: &crate::sim::Worker| w.hung_until <= now && w.has_recent_answer(now);
+        let is_reachable = |w: &crate::sim::Worker| w.hung_until <= now && w.has_recent_answer(now);
         if self
             .workers
             .get(machine)
-            .is_some_and(|w| w.has_started_task() && heard(w))
+            .is_some_and(|w| w.has_started_task() && is_reachable(w))
         {
             self.observer
                 .report_violation(now, "returned_busy", machine.into());
@@ -359,14 +359,15 @@
         node: usize,
         mut request: StateRequest,
     ) -> StateRequest {
-        let blind = self.rollout.old_build[node] || self.defect == Defect::IgnoresGeneration;
+        let ignores_generation =
+            self.rollout.old_build[node] || self.defect == Defect::IgnoresGeneration;
         if let (
             true,
             StateRequest::Txn {
                 conditions,
                 changes,
             },
-        ) = (blind, &mut request)
+        ) = (ignores_generation, &mut request)
             && !changes.is_empty()
         {
             conditions.retain(|c| c.key != GENERATION_KEY);
@@ -408,16 +409,16 @@
             return;
         };
         if self.rollout.unreadable_shards_node == Some(node) {
-            let second = |key: &str| {
+            let is_odd_shard = |key: &str| {
                 let shard = key
                     .strip_prefix(ASSIGNMENTS_PREFIX)
                     .and_then(|s| s.parse::<u32>().ok());
                 shard.is_some_and(|shard| shard % 2 == 1)
             };
             if self.defect == Defect::UnreadableMeansAbsent {
-                entries.retain(|entry| !second(&entry.key));
+                entries.retain(|entry| !is_odd_shard(&entry.key));
             }
-            for entry in entries.iter_mut().filter(|entry| second(&entry.key)) {
+            for entry in entries.iter_mut().filter(|entry| is_odd_shard(&entry.key)) {
                 let newer = r#"{"form":9}"#.to_owned();
                 entry.value = serde_json::value::RawValue::from_string(newer).expect("valid JSON");
             }
@@ -440,8 +441,8 @@
             Some(StateReply::Entry(entry)) => entry.version,
             _ => 0,
         };
-        let forged = self.defect == Defect::SoakNotRestarted;
-        let told = self.rollout.last_told.filter(|_| forged);
+        let repeats_last_told = self.defect == Defect::SoakNotRestarted;
+        let told = self.rollout.last_told.filter(|_| repeats_last_told);
         heartbeat.told = told.map(|told| Told { knows, ..told });
         message
     }
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -289,8 +289,8 @@
 
     fn report(&mut self, name: &str) -> WorkerReport {
         let now = self.now;
-        let reports_done = self.defect == Defect::RunningReportedDone;
-        let void_token_bits = u64::from(self.defect == Defect::AssumesUnansweredVoid) * 0xff;
+        let reports_running_as_done = self.defect == Defect::RunningReportedDone;
+        let token_bits = u64::from(self.defect == Defect::AssumesUnansweredVoid) * 0xff;
         let worker = self.workers.get_mut(name).expect("known worker");
         worker.seq += 1;
         WorkerReport {
@@ -301,7 +301,7 @@
             spot: worker.spot,
             session: worker.session,
             seq: worker.seq,
-            token: worker.token | void_token_bits,
+            token: worker.token | token_bits,
             notice_s: worker.notice.map(|at| at.saturating_sub(now).as_secs_f64()),
             tasks: worker
                 .tasks
@@ -310,7 +310,9 @@
                     task: task.clone(),
                     attempt: *attempt,
                     phase: match t.phase {
-                        TaskPhase::Running if reports_done => TaskPhase::Exited(ExitReason::Done),
+                        TaskPhase::Running if reports_running_as_done => {
+                            TaskPhase::Exited(ExitReason::Done)
+                        }
                         phase => phase,
                     },
                 })
