--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/ask.rs
@@ -1,50 +1,49 @@
-//! One request to whichever node answers it: a state machine without clocks or sockets.
+//! Retries of one request across nodes, as a state machine without clocks or sockets.
 //!
-//! A node that can't be reached, or that answers with anything but a final status, is
-//! followed by the next one. Asked again is as the protocol says: after a second, or when
-//! the node says so, and for a minute in all.
+//! If a node can't be reached or its response is not final, the next node is tried. Retries
+//! follow the protocol: after a second or the delay that the node gives, for a minute in all.
 
 use std::time::Duration;
 
 const PAUSE: Duration = Duration::from_secs(1);
 const PAUSE_MOST: Duration = Duration::from_secs(30);
 
-/// What came of one try.
+/// Outcome of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Tried {
-    /// A node answered with this status, and after how long it may be asked again, if it said so.
+    /// Status of a response, and its retry delay if it has one.
     Status(u16, Option<Duration>),
-    /// No connection, or no answer in time: it may have been executed.
+    /// No connection, or no response in time; the request may have been executed.
     Nothing,
 }
 
-/// What to do after a try.
+/// Next step after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Next {
-    /// The status is the answer.
+    /// The status is final.
     Final(u16),
-    /// Ask this node, after this time.
+    /// Retry at this node after a delay.
     Again {
-        /// The node's place in the list.
+        /// Index of the node in the list.
         node: usize,
-        /// How long to wait first.
+        /// Delay before the attempt.
         after: Duration,
     },
-    /// The time is over.
+    /// The time for retries is over.
     GiveUp,
 }
 
-/// The tries of one request at several nodes.
+/// Attempts of one request at several nodes.
 #[derive(Debug)]
 pub struct Ask {
     nodes: usize,
     node: usize,
-    /// Until then it is asked again, counted from the first try.
+    /// Time for retries, counted from the start of the first attempt.
     within: Duration,
 }
 
 impl Ask {
-    /// A request that begins with the first of so many nodes.
+    /// Creates the state of a request that starts with the first of `nodes` nodes.
     pub fn new(nodes: usize, within: Duration) -> Self {
         Self {
             nodes: nodes.max(1),
@@ -53,12 +52,12 @@
         }
     }
 
-    /// The node to ask first.
+    /// Returns the node of the next attempt.
     pub fn node(&self) -> usize {
         self.node
     }
 
-    /// Says what follows from a try that ended so long after the first one began.
+    /// Returns the next step after an attempt that ended `since_first` after the first one began.
     pub fn step(&mut self, since_first: Duration, tried: Tried) -> Next {
         let wait = match tried {
             Tried::Status(status @ (200 | 201 | 400 | 404 | 422), _) => {
@@ -68,7 +67,7 @@
             Tried::Nothing => PAUSE,
         };
         self.node = (self.node + 1) % self.nodes;
-        // One that can't be reached costs no pause while others were not asked.
+        // An unreachable node causes no delay until every node has been tried.
         let after = match tried {
             Tried::Nothing if self.node != 0 => Duration::ZERO,
             _ => wait,
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests over HTTP/1.1, each to the nodes in turn.
+//! Requests over HTTP/1.1, each tried at the nodes in turn.
 
 use std::{
     net::SocketAddr,
@@ -16,9 +16,9 @@
 
 use crate::ask::{Ask, Next, Tried};
 
-/// A node answers within this time, or is taken not to have.
+/// Timeout of one attempt; the next node is tried after it.
 const ANSWER: Duration = Duration::from_secs(5);
-/// The largest answer that is read: a line of about 200 bytes for each machine of a fleet.
+/// Size limit of a response body: about 200 bytes for each machine of a fleet.
 const BODY_MOST: usize = 16 << 20;
 
 /// Sends requests to a cluster's nodes.
@@ -28,29 +28,29 @@
     within: Duration,
 }
 
-/// A final answer.
+/// Final response of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The JSON body; null where it was none.
+    /// JSON body; null if the body is not JSON.
     pub body: Value,
 }
 
 impl Answer {
-    /// The job's state in the words of this program.
+    /// Returns the job's state, or `unknown` if the body has none.
     pub fn state(&self) -> &str {
         self.body["attitude"].as_str().unwrap_or("unknown")
     }
 
-    /// What the node says is wrong.
+    /// Returns the error message of the node.
     pub fn error(&self) -> &str {
         self.body["error"].as_str().unwrap_or("no reason given")
     }
 }
 
 impl Client {
-    /// A client of these nodes that tries each request again for `within`.
+    /// Creates a client of these nodes that retries each request for `within`.
     pub fn new(nodes: Vec<SocketAddr>, within: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
@@ -61,8 +61,8 @@
         }
     }
 
-    /// What each node answers to one question, in the order of the nodes; none where it
-    /// did not.
+    /// Returns the response of each node to a GET request, in the order of the nodes; `None`
+    /// for a node that did not respond.
     pub async fn ask_each(&self, path: &str) -> Vec<Option<Answer>> {
         let mut answers = Vec::new();
         for node in 0..self.nodes.len() {
@@ -72,7 +72,7 @@
         answers
     }
 
-    /// The same request to one node alone, tried again while there is time.
+    /// Returns a client of one node alone, with the same retry time.
     pub fn only(&self, node: usize) -> Self {
         Self {
             http: self.http.clone(),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// None where no node gave a final answer in time.
+    /// Sends a request until a node responds finally; `None` if none did in time.
     pub async fn ask(&self, method: Method, path: &str, body: Option<&Value>) -> Option<Answer> {
         let first = Instant::now();
         let mut ask = Ask::new(self.nodes.len(), self.within);
--- a/crates/ctl/src/drain.rs
+++ b/crates/ctl/src/drain.rs
@@ -1,4 +1,4 @@
-//! `kiteyardctl drain`: machines that are to be emptied, and how far that is.
+//! `kiteyardctl drain`: draining of machines and its progress.
 
 use std::process::ExitCode;
 
@@ -11,22 +11,22 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// What emptying these machines would move and wait for
+    /// Show what a drain of these machines would move and wait for
     Plan {
         #[arg(required = true)]
         machines: Vec<String>,
     },
-    /// Empties machines and returns them
+    /// Drain machines and return them to the cloud
     Start {
         #[arg(required = true)]
         machines: Vec<String>,
-        /// After so many seconds, work that has not ended is stopped; without it, it is waited for
+        /// Seconds after which remaining tasks are stopped; without it, the drain waits for them
         #[arg(long, value_parser = seconds)]
         by_s: Option<f64>,
     },
-    /// Machines that are being emptied, and what each waits for
+    /// List machines that are draining, and what each waits for
     Status,
-    /// Leaves machines as they are
+    /// Cancel the drain of machines
     Cancel {
         #[arg(required = true)]
         machines: Vec<String>,
@@ -52,7 +52,7 @@
             Some(json!({ "machines": machines })),
         ),
     };
-    // Only the leader knows the machines; the others answer 503, and the next one is asked.
+    // Only the leader knows the machines; other nodes respond with 503, and the next is tried.
     let answer = client.ask(method, path, body.as_ref()).await;
     match accepted(answer, "drains") {
         Ok(answer) => {
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -1,36 +1,36 @@
-//! A job as its user writes it down, in a TOML file or with flags.
+//! Job descriptions, read from a TOML file and changed by flags.
 
 use std::{collections::BTreeMap, path::Path};
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Why a job is rejected before it is submitted.
+/// Reason for which a job is rejected before its submission.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum JobError {
-    /// The file can't be read: its name, and why.
+    /// The file can't be read: its name and the cause.
     #[error("cannot read {0}: {1}")]
     Read(String, String),
-    /// The file is not of the form of a job.
+    /// The file is not a valid job description.
     #[error("{file}: line {line}: {message}")]
     Form {
         /// The file's name.
         file: String,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
-    /// A value that no node could take: the field, and why.
+    /// A value that no node accepts: the field and the reason.
     #[error("job field `{0}`: {1}")]
     Field(&'static str, String),
 }
 
-/// What kind of job it is.
+/// Kind of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     Array,
     /// All tasks run at the same time or none does.
     Gang,
@@ -38,37 +38,37 @@
     Service,
 }
 
-/// How important a job is.
+/// Priority of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Stopped first to make room.
+    /// Preempted first.
     Low,
-    /// The usual priority.
+    /// Default priority.
     Normal,
-    /// Before the usual work.
+    /// Ahead of jobs of default priority.
     High,
-    /// Stopped last.
+    /// Preempted last.
     Production,
 }
 
-/// A job as it is submitted.
+/// Description of a job.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
-    /// Its id, `run-` and digits.
+    /// Job id: `run-` and digits.
     pub id: String,
-    /// The class of jobs that it belongs to.
+    /// Class that the job belongs to.
     pub class: String,
-    /// The team that it is charged to.
+    /// Team whose quota the job uses.
     pub team: String,
-    /// What kind of job it is.
+    /// Kind of the job.
     #[serde(default = "array")]
     pub kind: Kind,
-    /// How important it is.
+    /// Priority of the job.
     #[serde(default = "normal")]
     pub priority: Priority,
-    /// How many tasks it has.
+    /// Number of tasks.
     #[serde(default = "one")]
     pub tasks: u32,
     /// CPUs of each task.
@@ -80,36 +80,36 @@
     /// Memory of each task, in GB.
     #[serde(default = "one_cpu")]
     pub memory_gb: f64,
-    /// The image that a task starts from.
+    /// Image that a task starts from.
     pub image: String,
-    /// The image's size, in GB.
+    /// Size of the image, in GB.
     #[serde(default)]
     pub image_gb: f64,
-    /// Machine types that it may use; none: any.
+    /// Machine types that the job may use; `None` allows any.
     pub types: Option<Vec<String>>,
-    /// The only zone that it may use; none: any.
+    /// Only zone that the job may use; `None` allows any.
     pub zone: Option<String>,
-    /// All tasks must be in one zone.
+    /// Whether all tasks must be in one zone.
     #[serde(default)]
     pub one_zone: bool,
-    /// At most half of the tasks may be in one zone.
+    /// Whether at most half of the tasks may be in one zone.
     #[serde(default)]
     pub spread: bool,
-    /// It may use spot machines.
+    /// Whether the job may use spot machines.
     #[serde(default)]
     pub spot: bool,
-    /// How long a task runs as its owner expects, in seconds; 0 for services.
+    /// Expected run time of a task, in seconds; 0 for services.
     #[serde(default)]
     pub run_s: f64,
-    /// How often a task saves a checkpoint, in seconds of run time; 0: never.
+    /// Checkpoint interval of a task, in seconds of run time; 0 means no checkpoints.
     #[serde(default)]
     pub checkpoint_s: f64,
-    /// How long a task needs to save when it is stopped, in seconds.
+    /// Time that a stopped task needs to save its state, in seconds.
     #[serde(default)]
     pub save_s: f64,
-    /// When it should be complete, in seconds from its submission.
+    /// Deadline of the job, in seconds from its submission.
     pub deadline_s: Option<f64>,
-    /// Licence seats of each task, by licence.
+    /// Licence seats of each task, by licence name.
     #[serde(default)]
     pub licences: BTreeMap<String, u32>,
 }
@@ -139,7 +139,7 @@
         Self::parse(&file, &text)
     }
 
-    /// Reads the text of a job file; `file` is named in errors.
+    /// Parses the text of a job file; errors name `file`.
     pub fn parse(file: &str, text: &str) -> Result<Self, JobError> {
         kiteyard_toml_file::parse(text).map_err(|wrong| JobError::Form {
             file: file.to_owned(),
@@ -148,7 +148,7 @@
         })
     }
 
-    /// What nodes judge themselves is left to them; what they could not name is not.
+    /// Checks what a node's error message could not name well; the rest is left to the nodes.
     pub fn check(&self) -> Result<(), JobError> {
         let digits = self.id.strip_prefix("run-").unwrap_or_default();
         if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
@@ -167,7 +167,7 @@
         Ok(())
     }
 
-    /// The body of its submission, in the protocol's terms.
+    /// Returns the body of the submission request.
     pub fn submission(&self) -> Value {
         let shape = match self.kind {
             Kind::Array => "array",
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The client program's parts: what to ask, when to ask again, and what a job file says.
+//! Library of the command-line client: requests, their retries, and job files.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `kiteyardctl`: submits jobs, follows them and cancels them.
+//! `kiteyardctl`: the command-line client, which submits, follows and cancels jobs.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -22,12 +22,12 @@
 
 /// Submits jobs to kiteyard, follows them and cancels them
 ///
-/// Exit codes: 0 done as asked, 1 no node answered in time, 2 a wrong flag or file, 3 refused
-/// or not found, 4 the job was cancelled while it was waited for.
+/// Exit codes: 0 success, 1 no node responded in time, 2 invalid flag or file, 3 refused or
+/// not found, 4 the job was cancelled during `wait`.
 #[derive(Debug, Parser)]
 #[command(name = "kiteyardctl", version)]
 struct Cli {
-    /// A node's address; may be given several times
+    /// Address of a node; may be given several times
     #[arg(
         long = "node",
         env = "KITEYARD_NODES",
@@ -37,11 +37,11 @@
     )]
     nodes: Vec<SocketAddr>,
 
-    /// Print JSON, one object a line
+    /// Print JSON, one object per line
     #[arg(long, global = true)]
     json: bool,
 
-    /// Seconds for which a request is tried again
+    /// Seconds for which a request is retried
     #[arg(long, default_value_t = 60.0, global = true, value_name = "SECONDS", value_parser = seconds)]
     within_s: f64,
 
@@ -58,7 +58,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Submit the job that a TOML file describes
+    /// Submit the job described by a TOML file
     Submit(Submit),
     /// Show a job's state
     Status { job: String },
@@ -68,7 +68,7 @@
     Cancel { job: String },
     /// Show licences: seats, in use, waiting, by team
     Licences,
-    /// Empty machines within the budgets of disruption
+    /// Drain machines within the disruption budgets
     #[command(subcommand)]
     Drain(drain::Command),
     /// Roll out a change of the stored state, node by node
@@ -82,16 +82,16 @@
 struct Submit {
     /// The job file
     file: PathBuf,
-    /// Another id than the file's
+    /// Override the id in the file
     #[arg(long)]
     id: Option<String>,
-    /// Another number of tasks
+    /// Override the number of tasks in the file
     #[arg(long)]
     tasks: Option<u32>,
     /// Seats for each task, as NAME=SEATS; may be given several times
     #[arg(long = "licence", value_name = "NAME=SEATS", value_parser = seats)]
     licences: Vec<(String, u32)>,
-    /// Wait until it is done
+    /// Wait until the job is done
     #[arg(long)]
     wait: bool,
 }
@@ -106,8 +106,8 @@
 const WRONG: u8 = 2;
 const REFUSED: u8 = 3;
 const CANCELLED: u8 = 4;
-const NO_ANSWER: &str = "no node gave an answer in time";
-/// How often a job that is waited for is asked about.
+const NO_ANSWER: &str = "no node responded in time";
+/// Interval between the status requests of `wait`.
 const POLL: Duration = Duration::from_secs(2);
 
 fn main() -> ExitCode {
@@ -179,7 +179,7 @@
         return fail(WRONG, &error.to_string());
     }
     let body = job.submission();
-    // Repeated with the same id, it is one job however often it is sent.
+    // Submissions are idempotent by job id, so retries create no second job.
     let answer = client.ask(Method::POST, "/work", Some(&body)).await;
     let accepted = answer
         .as_ref()
@@ -190,7 +190,7 @@
     }
 }
 
-/// One line about a job, or why there is none.
+/// Prints one line about a job, or the error.
 fn tell(cli: &Cli, job: &str, answer: Option<Answer>) -> ExitCode {
     match answer {
         None => fail(UNANSWERED, NO_ANSWER),
@@ -259,15 +259,16 @@
     }
 }
 
-/// The answer of 200 to an operator's request; anything else is told, with its exit code.
-/// `feature` is what a node of another build does not know.
+/// Returns the response of 200 to an operator's request; prints any other one as an error.
+/// `feature` names what a node of an older build does not support (404).
 fn accepted(answer: Option<Answer>, feature: &str) -> Result<Answer, ExitCode> {
     match answer {
         None => Err(fail(UNANSWERED, NO_ANSWER)),
         Some(answer) if answer.status == 200 => Ok(answer),
-        Some(answer) if answer.status == 404 => {
-            Err(fail(REFUSED, &format!("the node knows no {feature}")))
-        }
+        Some(answer) if answer.status == 404 => Err(fail(
+            REFUSED,
+            &format!("the node does not support {feature}"),
+        )),
         Some(answer) => Err(fail(WRONG, answer.error())),
     }
 }
@@ -306,7 +307,7 @@
     }
     if answer.body["fresh"] != Value::Bool(true) {
         let age = answer.body["age_ms"].as_u64().unwrap_or(0);
-        println!("as the leader told {age} ms ago");
+        println!("the leader's data is {age} ms old");
     }
     ExitCode::SUCCESS
 }
--- a/crates/ctl/src/rollout.rs
+++ b/crates/ctl/src/rollout.rs
@@ -1,5 +1,5 @@
-//! `kiteyardctl rollout`: how a change of the stored state stands, which node may be
-//! restarted now, and operators' orders.
+//! `kiteyardctl rollout`: progress of a change of the stored state, the node that may be
+//! restarted next, and operators' orders.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -17,35 +17,35 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Nodes, builds, the generation, and what holds it
+    /// Show nodes, builds, the generation, and what holds up the rollout
     Status,
-    /// What would be done next, step by step
+    /// Show the remaining steps
     Plan {
-        /// The build that all nodes are to be of
+        /// Target build of all nodes
         #[arg(long)]
         build: Option<String>,
     },
-    /// The node that may be restarted now; exits with 3 where none may
+    /// Print the node that may be restarted now; exits with 3 if there is none
     Next {
-        /// The build that all nodes are to be of
+        /// Target build of all nodes
         #[arg(long)]
         build: Option<String>,
     },
-    /// Nothing moves until `resume`
+    /// Pause the rollout until `resume`
     Pause,
     Resume,
-    /// A node is gone for good: nobody waits for it
+    /// Remove a node for good: the rollout no longer waits for it
     Forget {
         node: String,
     },
-    /// Goes back to the generation before, or to the one given, and stays there
+    /// Go back to the previous generation, or to the given one, and stay there
     Downgrade {
         #[arg(long)]
         to: Option<u32>,
     },
-    /// Goes to the newest generation that all are able to
+    /// Go to the newest generation that all nodes support
     Upgrade,
-    /// A leader hands over, so that it can be restarted
+    /// Make the leader hand over, so that it can be restarted
     StepDown {
         node: String,
     },
@@ -81,7 +81,7 @@
     }
 }
 
-/// The leader's status, or that of any node where the leader does not answer.
+/// Returns the leader's status, or that of another node if the leader does not respond.
 async fn status(client: &Client) -> Result<Status, ExitCode> {
     let mut best: Option<Status> = None;
     for answer in client.ask_each("/rollout").await.into_iter().flatten() {
@@ -92,7 +92,7 @@
             best = Some(status);
         }
     }
-    best.ok_or_else(|| fail(UNANSWERED, "no node gave an answer"))
+    best.ok_or_else(|| fail(UNANSWERED, "no node responded"))
 }
 
 fn read(answer: &Answer) -> Option<Status> {
@@ -125,7 +125,7 @@
     else {
         return fail(
             UNANSWERED,
-            &format!("{node} does not answer at any address given"),
+            &format!("{node} does not respond at any of the given addresses"),
         );
     };
     order(cli, &client.only(at), "step-down").await
@@ -170,7 +170,7 @@
     println!("generation: {}", generation(status));
     if !status.enabled {
         println!(
-            "rollouts are off at {}: start the nodes with --rollout FILE",
+            "rollouts are off on {}: start the nodes with --rollout FILE",
             status.node
         );
     }
@@ -196,7 +196,7 @@
         .estimate_s
         .and_then(|s| Duration::try_from_secs_f64(s).ok())
     {
-        println!("to the end: about {} s", rest.as_secs());
+        println!("time left: about {} s", rest.as_secs());
     }
     ExitCode::SUCCESS
 }
@@ -212,7 +212,7 @@
             }
             ExitCode::SUCCESS
         }
-        Err(why) => fail(REFUSED, &format!("none now: {why}")),
+        Err(why) => fail(REFUSED, &format!("no node may be restarted now: {why}")),
     }
 }
 
--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! When to ask again, what a job file may say, and the program against a scripted node.
+//! Retries, job files, and the program against a scripted node.
 
 use std::{
     io::{Read, Write},
@@ -18,7 +18,7 @@
     let s = Duration::from_secs;
     let mut ask = Ask::new(3, s(60));
     let again = |node, after| Next::Again { node, after };
-    // Those that can't be reached cost no pause, until all of them were tried.
+    // Unreachable nodes cause no delay until all of them have been tried.
     assert_eq!(ask.step(s(0), Tried::Nothing), again(1, s(0)));
     assert_eq!(ask.step(s(0), Tried::Nothing), again(2, s(0)));
     assert_eq!(ask.step(s(0), Tried::Nothing), again(0, s(1)));
@@ -74,7 +74,7 @@
     assert_eq!(wrong("flow-solver = 1", "flow-solver = 0"), "licences");
 }
 
-/// A node that gives these answers, one a connection.
+/// Starts a node that sends these responses, one per connection.
 fn node(answers: Vec<String>) -> (SocketAddr, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -149,7 +149,7 @@
     assert!(ctl(&["completions", "bash"]).1.contains("kiteyardctl"));
 }
 
-/// What the leader of two nodes tells of a rollout, with the other one here or away.
+/// Rollout status of the leader of two nodes; `here` says whether the follower is reachable.
 fn rollout(here: bool) -> String {
     let node = |name: &str, leads: bool, here: bool| {
         serde_json::json!({"node": name, "zone": "a", "leads": leads, "here": here, "gone": false,
@@ -195,7 +195,7 @@
         "{out}"
     );
 
-    // An order that can't be carried out.
+    // An order that the node rejects.
     let refusal = r#"{"error":"no node n9, there are: n0, n1"}"#;
     let (addr, served) = node(vec![answer("422 Unprocessable Entity", refusal)]);
     let (code, _, error) = ctl(&["--node", &addr.to_string(), "rollout", "forget", "n9"]);
@@ -225,7 +225,7 @@
     assert_eq!((code, error.lines().count()), (Some(2), 1), "{error}");
 }
 
-/// The list of a whole fleet is longer than a megabyte.
+/// The list of a whole fleet exceeds a megabyte, which a smaller body limit would cut off.
 #[test]
 fn the_drains_of_a_whole_fleet_are_listed() {
     let machine = |number: usize| {
--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -1,9 +1,8 @@
-//! The rules that are checked while a run goes on, without I/O.
+//! Rules checked during a run, without I/O.
 //!
-//! Events may be handed over late, since a busy process notices late that a worker's lease
-//! has ended. They carry the time at which they were due, so whatever looks like a breach
-//! is held as a suspicion until the run is over, and taken back when an event that explains
-//! it comes in.
+//! Events may arrive late, since a busy process notices the end of a worker's lease late. They
+//! carry the time at which they were due, so an apparent violation stays a suspicion until the
+//! end of the run, and is dropped when an event that explains it arrives.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -18,64 +17,64 @@
     worker::{TaskChange, TaskEvent},
 };
 
-/// For rounding in sums of amounts.
+/// Tolerance for rounding errors in sums.
 const EPSILON: f64 = 1e-6;
 
-/// A rule that was broken.
+/// Violation of a rule.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "rule", rename_all = "snake_case")]
 pub enum Violation {
-    /// A task started on one machine while it was on another.
+    /// A task started on one machine while it ran on another.
     RanTwice {
-        /// The task.
+        /// Task.
         task: TaskName,
-        /// The machine that it started on.
+        /// Machine that the task started on.
         on: String,
-        /// The machine that it was on.
+        /// Machine that the task already ran on.
         also_on: String,
     },
     /// A team's tasks used more than its limit.
     TeamLimit {
-        /// The team's number.
+        /// Number of the team.
         team: usize,
-        /// What its tasks used.
+        /// CPUs that its tasks used.
         cpus: f64,
-        /// What they may use.
+        /// CPUs that its tasks may use.
         limit: f64,
     },
-    /// A task completed by running more than once.
+    /// A task ran to completion more than once.
     CompletedTwice {
-        /// The task.
+        /// Task.
         task: TaskName,
     },
-    /// A job was called done before all of its tasks were.
+    /// A job was reported as done before all of its tasks were.
     NotDone {
-        /// The job's id.
+        /// Id of the job.
         job: String,
     },
-    /// A job called done was called something else.
+    /// A job reported as done was later reported in another state.
     WentBack {
-        /// The job's id.
+        /// Id of the job.
         job: String,
     },
-    /// An accepted job got 404.
+    /// A request for an accepted job got 404.
     Forgotten {
-        /// The job's id.
+        /// Id of the job.
         job: String,
     },
 }
 
-/// What users are told of a job.
+/// State of a job as reported to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// No task runs.
+    /// No task is running.
     Pending,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
     /// All tasks have completed.
     Done,
-    /// Its user has withdrawn it.
+    /// The user has cancelled the job.
     Cancelled,
 }
 
@@ -109,18 +108,18 @@
     at: Duration,
 }
 
-/// The first start of a task that counts.
+/// First start of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FirstStart {
-    /// The job is urgent.
+    /// Whether the job is urgent.
     pub urgent: bool,
-    /// When the job was submitted.
+    /// Time of the job's submission.
     pub submitted: Duration,
-    /// When the task started.
+    /// Time of the task's start.
     pub at: Duration,
 }
 
-/// Follows jobs and tasks, and keeps the rules that were broken.
+/// Tracks jobs and tasks, and records violations.
 #[derive(Debug, Default)]
 pub struct Checks {
     team_limit: f64,
@@ -135,19 +134,19 @@
     completed: u64,
 }
 
-/// How far the jobs are.
+/// Progress of the jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobCounts {
     /// Jobs that were accepted.
     pub accepted: usize,
-    /// Told to be done, of those accepted.
+    /// Accepted jobs that were reported as done.
     pub done: usize,
-    /// All tasks have completed, of those accepted.
+    /// Accepted jobs whose tasks have all completed.
     pub completed: usize,
 }
 
 impl Checks {
-    /// With the CPUs that each team may use at most.
+    /// Creates checks with the CPU limit of each team.
     pub fn new(team_limit: f64) -> Self {
         Self {
             team_limit,
@@ -155,7 +154,7 @@
         }
     }
 
-    /// A job is about to be submitted for the first time.
+    /// Records a job before its first submission.
     pub fn submitted(&mut self, description: Arc<JobDescription>, now: Duration) {
         let job = Job {
             submitted: now,
@@ -167,14 +166,14 @@
         self.jobs.insert(description.id.clone(), job);
     }
 
-    /// The job was accepted.
+    /// Records that a job was accepted.
     pub fn accepted(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted = true;
         }
     }
 
-    /// What a poll or a submission was answered.
+    /// Records the state in a response to a poll or a submission.
     pub fn told(&mut self, id: &str, state: JobState) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -190,7 +189,7 @@
         job.told_done |= state == JobState::Done;
     }
 
-    /// A poll was answered 404.
+    /// Records that a poll got 404.
     pub fn not_found(&mut self, id: &str) {
         if self.jobs.get(id).is_some_and(|job| job.accepted) {
             let job = id.to_owned();
@@ -198,7 +197,7 @@
         }
     }
 
-    /// What happened on a machine; the task's first start, if it was that.
+    /// Records an event on a machine; returns the task's first start if the event is that.
     pub fn happened(&mut self, machine: &str, event: &TaskEvent) -> Option<FirstStart> {
         match event.what {
             TaskChange::Started => self.started(machine, event),
@@ -273,7 +272,7 @@
         self.lower(team, cpus, event.at);
     }
 
-    /// A task had left by then: what was counted since is less.
+    /// Deducts a task that had ended from the usage that was counted at or after its end.
     fn lower(&mut self, team: usize, cpus: f64, left: Duration) {
         let limit = self.team_limit + EPSILON;
         for over in &mut self.over_limits {
@@ -284,22 +283,22 @@
         self.over_limits.retain(|over| over.cpus > limit);
     }
 
-    /// Starts of tasks so far, repeated ones included.
+    /// Returns the number of task starts, repeated ones included.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
-    /// Completed tasks so far.
+    /// Returns the number of completed tasks.
     pub fn completed_tasks(&self) -> u64 {
         self.completed
     }
 
-    /// Tasks that are on machines.
+    /// Returns the number of tasks on machines.
     pub fn running(&self) -> usize {
         self.on_machines.len()
     }
 
-    /// How far the accepted jobs are.
+    /// Returns the progress of the accepted jobs.
     pub fn job_counts(&self) -> JobCounts {
         let accepted = self.jobs.values().filter(|job| job.accepted);
         let mut counts = JobCounts::default();
@@ -312,7 +311,7 @@
         counts
     }
 
-    /// All that is proven, and the suspicions that nothing explained.
+    /// Returns the proven violations and the suspicions that no event explained.
     pub fn violations(&self) -> Vec<Violation> {
         let mut all = self.violations.clone();
         all.extend(self.double_starts.iter().map(|double| Violation::RanTwice {
--- a/crates/scale-test/src/config.rs
+++ b/crates/scale-test/src/config.rs
@@ -1,53 +1,53 @@
-//! The file that says what is run: fleet, teams, load, faults, limits and duration.
+//! Configuration of a run: fleet, teams, load, faults, limits and duration.
 
 use std::{path::PathBuf, time::Duration};
 
 use kiteyard_stand_ins::availability::Outage;
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with a file, in one line.
+/// Error in a configuration file, described in one line.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
-    /// Not a file of this form; the message names the line.
+    /// The file can't be parsed; the message names the line.
     #[error("{0}")]
     Form(String),
     /// A value is out of its range.
     #[error("`{field}`: {message}")]
     Field {
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// One run, as its file says it.
+/// Configuration of one run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The run's name; results are named by it.
+    /// Name of the run, and of the files of its results.
     pub name: String,
-    /// The seed of all random numbers.
+    /// Seed of all random numbers.
     #[serde(default = "one")]
     pub seed: u64,
-    /// The controllers' program.
+    /// Path of the controllers' program.
     #[serde(default = "default_binary")]
     pub binary: PathBuf,
-    /// How long the run takes.
+    /// Duration of the phases of the run.
     pub duration: DurationConfig,
-    /// The controllers.
+    /// Controllers.
     pub controllers: ControllersConfig,
-    /// The machines and their workers.
+    /// Machines and their workers.
     pub fleet: FleetConfig,
-    /// The teams, and what they may use.
+    /// Teams and their quotas.
     pub teams: TeamsConfig,
-    /// What users submit.
+    /// Load of the users.
     pub load: LoadConfig,
-    /// The state service.
+    /// State service.
     pub state: StateConfig,
-    /// The cloud.
+    /// Cloud.
     pub cloud: CloudConfig,
-    /// What fails during the run.
+    /// Faults injected during the run.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -60,32 +60,32 @@
     "target/release/kiteyard".into()
 }
 
-/// Faults and the peak are timed from when a controller is ready; outages from the start of
-/// their service, some seconds before.
+/// Duration of the phases of a run. Faults and the peak are timed from when a controller is
+/// ready; outages from the start of their service, some seconds before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DurationConfig {
-    /// Before anything is measured.
+    /// Warm-up before the measurement, in seconds.
     pub warmup_s: f64,
-    /// For how long it is measured.
+    /// Duration of the measurement, in seconds.
     pub measured_s: f64,
-    /// After the last submission, for jobs to end.
+    /// Time for jobs to finish after the last submission, in seconds.
     pub drain_s: f64,
 }
 
-/// The controllers, and the resources that their settings name.
+/// Controllers, and the resources named in their settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllersConfig {
-    /// How many there are.
+    /// Number of controllers.
     pub count: usize,
-    /// Of one core, as told to the controllers; nothing enforces it.
+    /// Share of one core given in the controllers' settings; nothing enforces it.
     pub cpu_share: f64,
-    /// Sockets that each may use, as told to the controllers.
+    /// Sockets that each may use, as given in the settings.
     pub sockets: usize,
-    /// Memory that each may use, in MB, as told to the controllers.
+    /// Memory that each may use, in MB, as given in the settings.
     pub memory_mb: f64,
-    /// A controller that is ended is started again after so long.
+    /// Delay before a killed controller is restarted, in seconds.
     #[serde(default = "default_restart_s")]
     pub restart_s: f64,
 }
@@ -94,135 +94,135 @@
     4.0
 }
 
-/// The fleet of hollow workers.
+/// Fleet of hollow workers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// How many workers there are.
+    /// Number of workers.
     pub workers: usize,
-    /// The zones that they are spread over.
+    /// Zones that the workers are spread over.
     pub zones: Vec<String>,
-    /// Of each machine.
+    /// CPUs of each machine.
     pub cpus: f64,
     /// Memory of each machine, in GB.
     pub mem_gb: f64,
-    /// How long a machine usually takes to boot, in seconds.
+    /// Nominal boot time of a machine, in seconds.
     pub boot_s: f64,
-    /// How fast a machine fetches images, in GB a second.
+    /// Image download rate of a machine, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// The interval of reports, in seconds.
+    /// Interval between reports, in seconds.
     pub report_s: f64,
-    /// How long a worker's lease lasts, in seconds.
+    /// Length of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// By when tasks of a cancelled job have to be gone, in seconds.
+    /// Time within which tasks of a cancelled job must end, in seconds.
     pub cancel_s: f64,
 }
 
-/// Teams that are alike.
+/// Teams, all with the same quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamsConfig {
-    /// How many there are.
+    /// Number of teams.
     pub count: usize,
-    /// Of the fleet's CPUs, for each team.
+    /// Guarantee of each team, as a share of the fleet's CPUs.
     pub guarantee_share: f64,
-    /// What each team may use at most, as a share of the fleet's CPUs.
+    /// Limit of each team, as a share of the fleet's CPUs.
     pub limit_share: f64,
 }
 
-/// What users submit.
+/// Load of the users.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadConfig {
-    /// Task starts a second that the arrivals ask for, for each worker.
+    /// Task starts per second and worker that the submitted jobs require.
     pub starts_per_worker_s: f64,
-    /// Mean of a geometric distribution.
+    /// Mean number of tasks of a job, geometrically distributed.
     pub tasks_per_job: f64,
-    /// Median and sigma of a log-normal distribution.
+    /// Median run time of a task, in seconds, log-normally distributed.
     pub run_s: f64,
-    /// Sigma of the run time's distribution.
+    /// Sigma of the distribution of run times.
     pub run_sigma: f64,
-    /// Urgent jobs a second, of one task each, whatever the size of the fleet.
+    /// Urgent jobs per second, of one task each, independent of the size of the fleet.
     pub urgent_jobs_per_s: f64,
     /// Median run time of an urgent task, in seconds.
     pub urgent_run_s: f64,
-    /// How many images the jobs use.
+    /// Number of images that the jobs use.
     pub images: usize,
-    /// The size of each image, in GB.
+    /// Size of each image, in GB.
     pub image_gb: f64,
-    /// A time with more arrivals, if there is one.
+    /// Period with more arrivals, if any.
     #[serde(default)]
     pub peak: Option<Peak>,
 }
 
-/// A time with more arrivals.
+/// Period with more arrivals.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peak {
-    /// When it begins, in seconds.
+    /// Start, in seconds.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Length, in seconds.
     pub for_s: f64,
-    /// How many times as many arrivals there are.
+    /// Factor of the arrival rate.
     pub times: f64,
 }
 
-/// What the state service admits, and how it behaves.
+/// Limits, latency and outages of the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateConfig {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
-    /// Size of the largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes that one transaction may hold.
+    /// Maximum number of changes in one transaction.
     pub txn_ops: usize,
-    /// How long each answer is held back, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub latency_ms: f64,
-    /// When it answers nothing.
+    /// Periods in which every request is refused.
     #[serde(default, rename = "outage")]
     pub outages: Vec<Outage>,
 }
 
-/// What the cloud admits, and how it behaves.
+/// Limits, latency and outages of the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CloudConfig {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// How far the list of machines may lag, in seconds, as told to the controllers.
+    /// Lag of the list of machines given in the controllers' settings, in seconds.
     pub list_lag_s: f64,
-    /// How long each answer is held back, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub latency_ms: f64,
-    /// When it answers nothing.
+    /// Periods in which every request is refused.
     #[serde(default, rename = "outage")]
     pub outages: Vec<Outage>,
 }
 
-/// Something that fails during the run.
+/// Fault injected during the run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// A controller's process is ended, and started again.
+    /// A controller's process is killed and restarted.
     ControllerRestart {
-        /// When, in seconds.
+        /// Time of the fault, in seconds.
         at_s: f64,
-        /// The controller's number.
+        /// Index of the controller.
         controller: usize,
     },
     /// Machines stop without notice; the cloud lists them as failed.
     MachinesFail {
-        /// When, in seconds.
+        /// Time of the fault, in seconds.
         at_s: f64,
-        /// How many machines.
+        /// Number of machines.
         count: usize,
     },
 }
 
 impl Fault {
-    /// When it happens.
+    /// Returns the time of the fault.
     pub fn at(&self) -> Duration {
         match self {
             Self::ControllerRestart { at_s, .. } | Self::MachinesFail { at_s, .. } => {
@@ -237,11 +237,11 @@
 const TEAMS_MOST: usize = 1_000;
 const DURATION_MOST_S: f64 = 7_200.0;
 const NAME_MOST: usize = 64;
-/// Beyond any number that a run on one machine can use.
+/// Upper bound of all amounts, above any that a run on one machine can use.
 const AMOUNT_MOST: f64 = 1e6;
 
 impl Config {
-    /// Reads and checks the text of a file.
+    /// Parses and checks the text of a file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let config: Self = kiteyard_toml_file::parse(text)
             .map_err(|wrong| ConfigError::Form(wrong.to_string()))?;
@@ -249,7 +249,7 @@
         Ok(config)
     }
 
-    /// The same cell with another fleet; teams and load go with its size.
+    /// Returns the same cell with another fleet size; quotas and load scale with it.
     pub fn with_workers(&self, workers: usize) -> Result<Self, ConfigError> {
         let mut config = self.clone();
         config.fleet.workers = workers;
@@ -257,7 +257,7 @@
         Ok(config)
     }
 
-    /// The same cell with another load.
+    /// Returns the same cell with another load.
     pub fn with_starts(&self, starts_per_worker_s: f64) -> Result<Self, ConfigError> {
         let mut config = self.clone();
         config.load.starts_per_worker_s = starts_per_worker_s;
@@ -265,17 +265,17 @@
         Ok(config)
     }
 
-    /// CPUs of all machines together.
+    /// Returns the total CPUs of all machines.
     pub fn fleet_cpus(&self) -> f64 {
         self.fleet.workers as f64 * self.fleet.cpus
     }
 
-    /// CPUs that each team may use at most.
+    /// Returns the CPU limit of each team.
     pub fn team_limit_cpus(&self) -> f64 {
         self.fleet_cpus() * self.teams.limit_share
     }
 
-    /// How long users submit.
+    /// Returns the time during which users submit jobs.
     pub fn submitting(&self) -> Duration {
         Duration::from_secs_f64(self.duration.warmup_s + self.duration.measured_s)
     }
@@ -364,7 +364,7 @@
         }
         let duration = &self.duration;
         if duration.warmup_s + duration.measured_s + duration.drain_s > DURATION_MOST_S {
-            let message = format!("all three together must be {DURATION_MOST_S} s at most");
+            let message = format!("the sum of all three must be {DURATION_MOST_S} s at most");
             return fail("duration", message);
         }
         if self.load.tasks_per_job < 1.0 {
@@ -395,7 +395,7 @@
             if !fits || peak.at_s + peak.for_s > self.submitting().as_secs_f64() {
                 return fail(
                     "load.peak",
-                    "must lie within the warm-up and what is measured",
+                    "must lie within the warm-up and the measurement",
                 );
             }
         }
@@ -433,7 +433,7 @@
                 }
             };
             if !(0.0..=end).contains(at_s) {
-                let message = "must lie within the warm-up and what is measured";
+                let message = "must lie within the warm-up and the measurement";
                 return fail("fault.at_s", message);
             }
         }
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Real controllers as processes of their own.
+//! Real controllers, each in its own process.
 
 use std::{
     fs::File,
@@ -14,37 +14,37 @@
     procfs::{self, ProcessSample},
 };
 
-/// Machines are kept, idle or not: the size of the fleet is what a run is about.
+/// Keeps idle machines, so that the size of the fleet stays as configured.
 const IDLE_BOOTS: &str = "1000";
 const GANG_WAIT_S: f64 = 40.0;
 const GANG_PEER_S: f64 = 5.0;
-/// All clocks are this machine's.
+/// Bound of clock differences; all processes read the clock of this machine.
 const TIME_BOUND_MS: f64 = 100.0;
 
-/// The addresses of one controller.
+/// Addresses of one controller.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// Where users and workers reach it.
+    /// Address for users and workers.
     pub api: SocketAddr,
-    /// Where other controllers reach it.
+    /// Address for other controllers.
     pub peer: SocketAddr,
 }
 
-/// The services that controllers need.
+/// Services that controllers depend on.
 #[derive(Debug, Clone, Copy)]
 pub struct Services {
-    /// The state service.
+    /// State service.
     pub state: SocketAddr,
-    /// The cloud.
+    /// Cloud.
     pub cloud: SocketAddr,
 }
 
-/// The name of a controller.
+/// Returns the name of a controller.
 pub fn name(index: usize) -> String {
     format!("controller-{index}")
 }
 
-/// Addresses on loopback at which nobody listens.
+/// Returns free addresses on loopback.
 pub fn free_addresses(count: usize) -> std::io::Result<Vec<Addresses>> {
     let listeners: Vec<TcpListener> = (0..count * 2)
         .map(|_| TcpListener::bind("127.0.0.1:0"))
@@ -60,7 +60,7 @@
     Ok(pairs.collect())
 }
 
-/// The settings file of one controller.
+/// Returns the settings of one controller.
 pub fn settings(
     config: &Config,
     index: usize,
@@ -118,12 +118,12 @@
     (0..config.teams.count).map(team).collect()
 }
 
-/// The name of a team.
+/// Returns the name of a team.
 pub fn team_name(index: usize) -> String {
     format!("team-{index}")
 }
 
-/// All controllers. They are ended, each by its own process id, when this is dropped.
+/// Processes of all controllers; dropping this kills each by its own process id.
 pub struct Controllers {
     binary: PathBuf,
     directory: PathBuf,
@@ -169,29 +169,29 @@
             .stderr(log)
             .spawn()
             .map_err(|error| {
-                let what = format!("can't start {}: {error}", self.binary.display());
+                let what = format!("can't start controller {}: {error}", self.binary.display());
                 std::io::Error::new(error.kind(), what)
             })?;
         self.children[index] = Some(child);
         Ok(())
     }
 
-    /// Ends the process of one controller, if it has one.
+    /// Kills the process of one controller, if it is running.
     pub fn end_one(&mut self, index: usize) {
         if let Some(mut child) = self.children[index].take() {
-            // It may have ended by itself.
+            // The process may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// A look at each controller's process; none where it has ended.
+    /// Samples the process of each controller; `None` if it has ended.
     pub fn sample(&self) -> Vec<Option<ProcessSample>> {
         let sample = |child: &Option<Child>| procfs::sample(child.as_ref()?.id());
         self.children.iter().map(sample).collect()
     }
 
-    /// Controllers whose process has ended without being asked to.
+    /// Returns controllers whose process has exited unexpectedly.
     pub fn ended(&mut self) -> Vec<usize> {
         let mut ended = Vec::new();
         for (index, child) in self.children.iter_mut().enumerate() {
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -1,35 +1,35 @@
-//! A straight line through points, by least squares.
+//! Linear least-squares fit.
 
 use serde::{Deserialize, Serialize};
 
-/// A point in the plane.
+/// Data point.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// What it is placed by.
+    /// Independent variable.
     pub x: f64,
-    /// What was measured there.
+    /// Measured value at `x`.
     pub y: f64,
 }
 
-/// A straight line.
+/// Fitted line.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// How much `y` rises with `x`.
+    /// Slope of the line.
     pub slope: f64,
-    /// Where the line is at 0.
+    /// Value of the line at 0.
     pub offset: f64,
-    /// The furthest that a point is from the line.
+    /// Largest distance of a point from the line, along `y`.
     pub largest_error: f64,
 }
 
 impl Line {
-    /// Where the line is at `x`.
+    /// Returns the value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.slope * x + self.offset
     }
 }
 
-/// The line, or none where the points do not give one.
+/// Returns the fitted line, or `None` if the points do not determine one.
 pub fn fit(points: &[Point]) -> Option<Line> {
     if points.len() < 2 {
         return None;
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -1,10 +1,10 @@
-//! All hollow workers: their reports, the one server at which controllers reach them, and
-//! the machines that the cloud lists.
+//! Fleet of hollow workers: their reports, the server that receives direct commands, and the
+//! machines that the cloud lists.
 //!
-//! One listener serves every worker, since a listener for each would take another socket a
-//! worker of the few that a process may have. Each worker has an address of its own in
-//! 127.0.0.0/8 with the listener's port, and the address that a connection came to tells
-//! which worker is meant. The listener is bound to the loopback device.
+//! One listener serves every worker, since a listener for each would cost one more of the
+//! process's limited sockets per worker. Each worker has its own address in 127.0.0.0/8 with
+//! the listener's port, and the local address of a connection identifies the worker. The
+//! listener is bound to the loopback device.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -33,29 +33,29 @@
     worker::{Commands, DirectOutcome, HollowWorker, SentReport, WorkerSpec},
 };
 
-/// The only machine type of the fleet.
+/// Only machine type of the fleet.
 pub const MACHINE_TYPE: &str = "m4";
 const LOOPBACK_DEVICE: &[u8] = b"lo";
 const BACKLOG: u32 = 4096;
-/// The first of the addresses that workers have.
+/// Address of the first worker; the others follow it.
 const FIRST_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 64, 0, 1);
 
-/// Times of the protocol that are the same everywhere.
+/// Times fixed by the protocol.
 const ANSWER_WITHIN: Duration = Duration::from_secs(4);
 const NEXT_CONTROLLER_AFTER: Duration = Duration::from_secs(1);
 const REDIRECT_MOST_S: f64 = 0.5;
 const REPORTS_APART: Duration = Duration::from_millis(500);
-/// Reports go out at their interval, give or take so much.
+/// Relative jitter of the report interval, in both directions.
 const REPORT_SPREAD: f64 = 0.25;
-/// A boot takes its nominal time times this, at least and at most.
+/// Shortest and longest boot, as factors of the nominal boot time.
 const BOOT_TIMES: (f64, f64) = (0.6, 1.5);
 
-/// Where controllers take reports.
+/// Controller that workers report to.
 #[derive(Debug, Clone)]
 pub struct Controller {
-    /// Its name, as redirects give it.
+    /// Name, as redirects give it.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
@@ -76,26 +76,26 @@
     Gone,
 }
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub struct FleetCounts {
     /// Reports that were sent.
     pub reports: AtomicU64,
     /// Reports answered with 421.
     pub redirects: AtomicU64,
-    /// Reports that got another answer, or none.
+    /// Reports that got another response, or none.
     pub reports_failed: AtomicU64,
-    /// Answers with 200 that the worker had to drop.
+    /// Responses of 200 that the worker had to drop.
     pub answers_dropped: AtomicU64,
     /// Requests with direct commands.
     pub direct_commands: AtomicU64,
-    /// Of these, refused by the worker.
+    /// Requests with direct commands that the worker refused.
     pub direct_refused: AtomicU64,
     /// Reports answered with 200, by controller.
     pub answered_by: Vec<AtomicU64>,
 }
 
-/// A fleet of hollow workers.
+/// Fleet of hollow workers.
 #[derive(Clone)]
 pub struct Fleet {
     shared: Arc<Shared>,
@@ -136,7 +136,7 @@
 }
 
 impl Fleet {
-    /// Listens for the controllers; there are no workers yet.
+    /// Starts the listener for direct commands, without workers.
     pub fn start(
         config: &FleetConfig,
         seed: u64,
@@ -175,23 +175,23 @@
         Ok(fleet)
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     pub fn counts(&self) -> &FleetCounts {
         &self.shared.counts
     }
 
-    /// Bytes of reports and their answers, as the workers sent and received them.
+    /// Returns the bytes of reports and their responses, from the workers' side.
     pub fn report_traffic(&self) -> &Traffic {
         &self.shared.report_traffic
     }
 
-    /// Bytes of direct commands and their answers.
+    /// Returns the bytes of direct commands and their responses, from the workers' side.
     pub fn direct_traffic(&self) -> &Traffic {
         &self.shared.direct_traffic
     }
 
-    /// Machines that are up at once, spread over the zones. Their reports begin within one
-    /// interval.
+    /// Starts workers on machines that need no boot, spread over the zones. Their reports begin
+    /// within one interval.
     pub fn start_workers(&self, workers: usize) {
         let zones = &self.shared.config.zones;
         for number in 0..workers {
@@ -234,7 +234,7 @@
         name
     }
 
-    /// Machines stop without notice.
+    /// Fails machines without notice.
     pub fn fail_machines(&self, count: usize) {
         let up: Vec<Arc<Slot>> = {
             let inner = self.read();
@@ -265,13 +265,13 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands over what happened on the machine, while nothing else can happen there.
+    /// Passes the worker's events to the observer; the worker's lock keeps them in order.
     fn tell(&self, worker: &mut HollowWorker) {
         let events = worker.take_events();
         self.shared.observer.happened(&worker.spec().name, &events);
     }
 
-    /// Whatever a controller asks of a worker.
+    /// Handles a request of a controller to a worker.
     fn direct(&self, asked: &Asked) -> Reply {
         let slot = self.read().by_address.get(&asked.local.ip()).cloned();
         let now = self.shared.observer.now();
@@ -348,8 +348,8 @@
         }
     }
 
-    /// Lets the worker do what is due, and brings its report forward if something changed.
-    /// When to look again.
+    /// Advances the worker, and brings its report forward if something changed. Returns the
+    /// time of the next check.
     fn advance(
         &self,
         slot: &Slot,
@@ -367,14 +367,14 @@
         worker.next_due().min(*due)
     }
 
-    /// One report. A pause, where the next one goes elsewhere.
+    /// Sends one report. Returns a delay if the next one goes to another controller.
     async fn report(&self, slot: &Slot, reporter: &mut Reporter) -> Option<Duration> {
         let shared = &self.shared;
         let counts = &shared.counts;
         let (text, sent) = {
             let mut worker = locked(&slot.worker);
             let report = worker.report(shared.observer.now());
-            // What changed by now is in the report.
+            // The report includes all changes up to now.
             worker.take_changed();
             self.tell(&mut worker);
             report
@@ -419,7 +419,7 @@
     }
 }
 
-/// Where a worker reports.
+/// Controller that a worker reports to, and the connection to it.
 struct Reporter {
     controller: usize,
     connection: Option<Connection>,
@@ -488,7 +488,7 @@
         (machines, slots.next().is_some())
     }
 
-    /// There are never more machines than the fleet was to have.
+    /// Rents machines up to the configured size of the fleet.
     fn rent(&self, rental: &Rental) -> Vec<String> {
         let zone_known = self.shared.config.zones.contains(&rental.field);
         if rental.frame != MACHINE_TYPE || rental.gusts || !zone_known {
@@ -504,7 +504,7 @@
         let (least, most) = BOOT_TIMES;
         let numbers = 0..rented;
         let names = numbers.map(|number| {
-            // Spread evenly over what is usual, so that no more random numbers are needed.
+            // Spread evenly over the range of boot times, which needs no random numbers.
             let place = (number as f64 + 0.5) / rented as f64;
             let boots = self.shared.config.boot_s * (least + (most - least) * place);
             self.start_worker(&rental.field, Duration::from_secs_f64(boots))
--- a/crates/scale-test/src/guard.rs
+++ b/crates/scale-test/src/guard.rs
@@ -1,53 +1,55 @@
-//! Refuses runs that the machine should not carry.
+//! Refuses runs that need more resources than the machine should spare.
 
 use crate::config::Config;
 
-/// Processes that one run may have.
+/// Maximum number of processes of one run.
 pub const PROCESSES_MOST: usize = 300;
 
-/// What a run is taken to need: a bound from runs of up to 4,000 workers, not a measurement.
+/// Upper bounds of the memory of a run, from runs of up to 4,000 workers.
 const BASE_KB: u64 = 300_000;
 const CONTROLLER_KB: u64 = 50_000;
-/// Of this process and the leader together.
+/// Memory per worker, of this process and the leader together.
 const WORKER_KB: u64 = 400;
 
-/// Why a run is refused.
+/// Reason for which a run is refused.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Refusal {
-    /// It would have too many processes.
-    #[error("a run of {processes} processes is more than {PROCESSES_MOST}")]
+    /// The run would have too many processes.
+    #[error("the run needs {processes} processes; the maximum is {PROCESSES_MOST}")]
     Processes {
-        /// How many it would have.
+        /// Number of processes.
         processes: usize,
     },
-    /// It may need more than half of the memory.
-    #[error("the run may need {needed_kb} kB, more than half of the machine's {total_kb} kB")]
+    /// The run may need more than half of the memory.
+    #[error(
+        "the run may need {needed_kb} kB of memory, more than half of the machine's {total_kb} kB"
+    )]
     Memory {
-        /// What the run may need.
+        /// Memory that the run may need, in kB.
         needed_kb: u64,
-        /// What the machine has.
+        /// Memory of the machine, in kB.
         total_kb: u64,
     },
-    /// It may need more than is free.
-    #[error("the run may need {needed_kb} kB, and {available_kb} kB are free")]
+    /// The run may need more memory than is available.
+    #[error("the run may need {needed_kb} kB of memory; {available_kb} kB are available")]
     Available {
-        /// What the run may need.
+        /// Memory that the run may need, in kB.
         needed_kb: u64,
-        /// What is free.
+        /// Available memory, in kB.
         available_kb: u64,
     },
-    /// Nothing is known of the machine's memory.
-    #[error("can't read /proc/meminfo")]
+    /// The machine's memory is unknown.
+    #[error("can't read the machine's memory from /proc/meminfo")]
     Unknown,
 }
 
-/// Memory that the run may need, in kB.
+/// Returns the memory that the run may need, in kB.
 pub fn estimated_kb(config: &Config) -> u64 {
     let controllers = config.controllers.count as u64 * CONTROLLER_KB;
     BASE_KB + controllers + config.fleet.workers as u64 * WORKER_KB
 }
 
-/// Whether the run may start on a machine with so much memory.
+/// Checks whether the run may start on a machine with this memory.
 pub fn check(
     config: &Config,
     total_kb: Option<u64>,
--- a/crates/scale-test/src/jobs.rs
+++ b/crates/scale-test/src/jobs.rs
@@ -1,44 +1,44 @@
-//! What users upload of their jobs, where workers look it up, and the results that are kept.
+//! Job descriptions that users upload and workers look up, and the results of tasks.
 
 use std::{
     collections::{HashMap, HashSet},
     sync::{Arc, PoisonError, RwLock},
 };
 
-/// `JOB/NUMBER`, as the protocol names a task.
+/// Name of a task in the protocol: `JOB/NUMBER`.
 pub type TaskName = String;
 
-/// What a worker has to know of a job.
+/// Job description that workers need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobDescription {
-    /// The job's id.
+    /// Id of the job.
     pub id: String,
-    /// The team's number.
+    /// Number of the team.
     pub team: usize,
-    /// It is one of the urgent jobs.
+    /// Whether the job is urgent.
     pub urgent: bool,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
     /// CPUs of each task.
     pub cpus: f64,
     /// Memory of each task, in GB.
     pub mem_gb: f64,
-    /// The image.
+    /// Image.
     pub image: String,
-    /// The image's size, in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Median and sigma of the run time of a task.
+    /// Median run time of a task, in seconds.
     pub run_s: f64,
-    /// Sigma of the run time's distribution.
+    /// Sigma of the distribution of run times.
     pub run_sigma: f64,
 }
 
-/// The job's part of a task's name.
+/// Returns the job id in a task's name.
 pub fn job_of(task: &str) -> &str {
     task.split_once('/').map_or(task, |(job, _)| job)
 }
 
-/// The jobs of a run, shared by users and workers.
+/// Jobs of a run, shared by users and workers.
 #[derive(Debug, Default)]
 pub struct Jobs {
     inner: RwLock<Inner>,
@@ -51,7 +51,7 @@
 }
 
 impl Jobs {
-    /// Makes a job known to the workers.
+    /// Stores a job for the workers.
     pub fn upload(&self, job: JobDescription) -> Arc<JobDescription> {
         let job = Arc::new(job);
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
@@ -59,7 +59,7 @@
         job
     }
 
-    /// The job of a task, if there is such a task.
+    /// Returns the job of a task, if the task exists.
     pub fn of_task(&self, task: &str) -> Option<Arc<JobDescription>> {
         let (job, number) = task.split_once('/')?;
         let inner = self.inner.read().unwrap_or_else(PoisonError::into_inner);
@@ -68,13 +68,13 @@
         (number < job.tasks).then(|| job.clone())
     }
 
-    /// Remembers that a task has completed.
+    /// Records that a task has completed.
     pub fn keep_result(&self, task: &str) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         inner.results.insert(task.to_owned());
     }
 
-    /// Whether the task has completed somewhere before.
+    /// Returns whether the task has completed before, on any machine.
     pub fn has_result(&self, task: &str) -> bool {
         let inner = self.inner.read().unwrap_or_else(PoisonError::into_inner);
         inner.results.contains(task)
--- a/crates/scale-test/src/latency.rs
+++ b/crates/scale-test/src/latency.rs
@@ -1,4 +1,4 @@
-//! Latencies in a histogram, and what is told of them.
+//! Histogram of latencies and its percentiles.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 const MICROSECONDS_MOST: u64 = 600_000_000;
 const DIGITS: u8 = 3;
 
-/// A histogram of latencies.
+/// Histogram of latencies.
 #[derive(Debug)]
 pub struct Latencies {
     histogram: Histogram<u64>,
@@ -17,15 +17,15 @@
 /// Percentiles in seconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// How many were recorded.
+    /// Number of latencies recorded.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50_s: f64,
-    /// The 90th percentile.
+    /// 90th percentile.
     pub p90_s: f64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99_s: f64,
-    /// The longest one.
+    /// Maximum.
     pub max_s: f64,
 }
 
@@ -38,13 +38,13 @@
 }
 
 impl Latencies {
-    /// Records a latency, as ten minutes at most.
+    /// Records a latency, capped at ten minutes.
     pub fn record(&mut self, latency: Duration) {
         let micros = (latency.as_micros() as u64).clamp(1, MICROSECONDS_MOST);
         self.histogram.saturating_record(micros);
     }
 
-    /// The percentiles of all that was recorded.
+    /// Returns the percentiles of all recorded latencies.
     pub fn percentiles(&self) -> Percentiles {
         let seconds = |micros: u64| micros as f64 / 1e6;
         let at = |quantile| seconds(self.histogram.value_at_quantile(quantile));
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,9 +1,9 @@
-//! Measures one cell of kiteyard on one machine.
+//! Scale test of one cell of kiteyard on one machine.
 //!
-//! Real controllers run as processes of their own. Around them, in this process, are
-//! stand-ins for the state service and the cloud, thousands of hollow workers, which speak
-//! the protocol over loopback and run nothing, and users with an arrival process. Rules are
-//! checked while it runs; what each role costs is measured and written as JSON.
+//! Real controllers run in their own processes. This process holds stand-ins for the state
+//! service and the cloud, thousands of hollow workers, which speak the protocol over loopback
+//! and run nothing, and users with an arrival process. Rules are checked during the run; the
+//! resources used by each role are measured and written as JSON.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -1,4 +1,4 @@
-//! The program around the library: arguments, files and exit codes.
+//! Command line of the scale test: arguments, files and exit codes.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -15,10 +15,10 @@
     run::{RunError, run},
 };
 
-/// What was asked for can't be done as it is written.
+/// Exit code for invalid arguments or files.
 const EXIT_USAGE: u8 = 2;
 
-/// Measures one cell of kiteyard on one machine.
+/// Measure one cell of kiteyard on one machine.
 #[derive(Debug, Parser)]
 #[command(name = "scale-test", version)]
 struct Cli {
@@ -28,20 +28,20 @@
 
 #[derive(Debug, Subcommand)]
 enum Verb {
-    /// Run what the file says, once
+    /// Run the cell that a file describes, once
     Run {
         file: PathBuf,
-        /// Where results, and the controllers' settings and logs, are written
+        /// Directory for results, and for the controllers' settings and logs
         #[arg(long, default_value = "scale-results")]
         out: PathBuf,
     },
-    /// Run the file's cell with several sizes of its fleet, or several loads, one after another
+    /// Run the cell with several fleet sizes or several loads, one after another
     Sweep {
         file: PathBuf,
-        /// Numbers of workers; teams and load go with them
+        /// Numbers of workers; quotas and load scale with them
         #[arg(long, value_delimiter = ',')]
         workers: Vec<usize>,
-        /// Task starts a second that are asked for, for each worker
+        /// Task starts per second and worker that the submitted jobs require
         #[arg(long, value_delimiter = ',', conflicts_with = "workers")]
         starts_per_worker: Vec<f64>,
         #[arg(long, default_value = "scale-results")]
@@ -51,10 +51,10 @@
     Report {
         #[arg(required = true)]
         results: Vec<PathBuf>,
-        /// What the lines go along
+        /// Quantity that the lines are fitted over
         #[arg(long, value_enum, default_value = "workers")]
         by: By,
-        /// Also tell what the lines give there
+        /// Also print the values of the lines there
         #[arg(long)]
         at: Option<f64>,
     },
@@ -72,16 +72,16 @@
     Config { path: String, error: ConfigError },
     #[error("{path}: {error}")]
     File { path: String, error: std::io::Error },
-    #[error("{path}: not a result: {error}")]
+    #[error("{path}: not a result file: {error}")]
     NotAResult {
         path: String,
         error: serde_json::Error,
     },
-    #[error("sweep: give `--workers` or `--starts-per-worker`")]
+    #[error("sweep: `--workers` or `--starts-per-worker` is required")]
     NothingToSweep,
     #[error(transparent)]
     Run(#[from] RunError),
-    #[error("{0} rules were broken or controllers ended; see the result")]
+    #[error("{0} rule violations or unexpected controller exits; see the result")]
     Broken(usize),
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// The runs of a sweep with their names, all of them checked before the first begins.
+/// Returns the named runs of a sweep, all of them checked before the first one starts.
 fn sweep(
     file: &Path,
     config: &Config,
@@ -170,7 +170,7 @@
 fn run_all(runs: &[(String, Config)], out: &Path) -> Result<(), Failure> {
     let mut broken = 0;
     for (name, config) in runs {
-        // A runtime of its own, so that nothing of one run goes on in the next.
+        // Each run has its own runtime, so that no task of one run continues in the next.
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(HARNESS_THREADS)
             .enable_all()
@@ -189,7 +189,7 @@
     }
 }
 
-/// Threads of hollow workers, stand-ins and users; the controllers need cores, too.
+/// Threads of hollow workers, stand-ins and users; the other cores are left to the controllers.
 const HARNESS_THREADS: usize = 3;
 
 fn load(path: &Path) -> Result<Config, Failure> {
--- a/crates/scale-test/src/observer.rs
+++ b/crates/scale-test/src/observer.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, collected from workers and users: rules and latencies.
+//! Collects the events of a run from workers and users, for the rules and the latencies.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -12,7 +12,7 @@
     worker::TaskEvent,
 };
 
-/// Collects what happens in one run.
+/// Collector of the events of one run.
 pub struct Observer {
     started: Instant,
     inner: Mutex<Inner>,
@@ -20,7 +20,7 @@
 
 struct Inner {
     checks: Checks,
-    /// Only what was submitted within it counts for the latencies.
+    /// Measurement window; latencies of jobs and polls sent outside of it don't count.
     window: Option<(Duration, Duration)>,
     urgent_starts: Latencies,
     other_starts: Latencies,
@@ -28,21 +28,21 @@
     polls: Latencies,
 }
 
-/// Latencies of what was submitted while it was measured.
+/// Latencies of jobs and polls sent during the measurement.
 #[derive(Debug, Clone, Copy)]
 pub struct Observed {
     /// From submission to the first start of each task of an urgent job.
     pub urgent_starts: Percentiles,
-    /// The same of the other jobs.
+    /// From submission to the first start of each task of another job.
     pub other_starts: Percentiles,
-    /// From the first try to submit to the acceptance.
+    /// From the first submission attempt to the acceptance.
     pub submissions: Percentiles,
-    /// From each poll to its answer.
+    /// From each poll to its response.
     pub polls: Percentiles,
 }
 
 impl Observer {
-    /// Begins a run in which each team may use so many CPUs.
+    /// Starts the clock of a run, with the CPU limit of each team.
     pub fn new(team_limit: f64) -> Arc<Self> {
         let inner = Inner {
             checks: Checks::new(team_limit),
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Time since the start of the run; every time of a run is counted from there.
+    /// Returns the time since the start of the run, the origin of all times in it.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -67,19 +67,19 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Only what is submitted within this span counts for the latencies from now on.
+    /// Sets the measurement window for the latencies.
     pub fn measure(&self, from: Duration, until: Duration) {
         self.inner().window = Some((from, until));
     }
 
-    /// A job is about to be submitted for the first time; says when that is.
+    /// Records a job before its first submission, and returns the time.
     pub fn submitted(&self, job: Arc<JobDescription>) -> Duration {
         let now = self.now();
         self.inner().checks.submitted(job, now);
         now
     }
 
-    /// A job was accepted that was submitted at that time.
+    /// Records that a job first submitted at `submitted` was accepted.
     pub fn accepted(&self, id: &str, submitted: Duration) {
         let latency = self.now().saturating_sub(submitted);
         let mut inner = self.inner();
@@ -89,12 +89,12 @@
         }
     }
 
-    /// A user was told how a job is.
+    /// Records the state of a job that a user received.
     pub fn told(&self, id: &str, state: JobState) {
         self.inner().checks.told(id, state);
     }
 
-    /// A poll that was sent at that time was answered.
+    /// Records the response to a poll that was sent at `asked`.
     pub fn polled(&self, asked: Duration) {
         let latency = self.now().saturating_sub(asked);
         let mut inner = self.inner();
@@ -103,12 +103,12 @@
         }
     }
 
-    /// A user was told that there is no such job.
+    /// Records that a user's request for a job got 404.
     pub fn not_found(&self, id: &str) {
         self.inner().checks.not_found(id);
     }
 
-    /// Takes in what happened on a machine.
+    /// Records events on a machine.
     pub fn happened(&self, machine: &str, events: &[TaskEvent]) {
         if events.is_empty() {
             return;
@@ -129,32 +129,32 @@
         }
     }
 
-    /// Starts of tasks so far, repeated ones included.
+    /// Returns the number of task starts, repeated ones included.
     pub fn starts(&self) -> u64 {
         self.inner().checks.starts()
     }
 
-    /// Completed tasks so far.
+    /// Returns the number of completed tasks.
     pub fn completed_tasks(&self) -> u64 {
         self.inner().checks.completed_tasks()
     }
 
-    /// Tasks that are on machines.
+    /// Returns the number of tasks on machines.
     pub fn running(&self) -> usize {
         self.inner().checks.running()
     }
 
-    /// How far the accepted jobs are.
+    /// Returns the progress of the accepted jobs.
     pub fn job_counts(&self) -> JobCounts {
         self.inner().checks.job_counts()
     }
 
-    /// The rules that were broken so far.
+    /// Returns the rule violations.
     pub fn violations(&self) -> Vec<Violation> {
         self.inner().checks.violations()
     }
 
-    /// The latencies so far.
+    /// Returns the percentiles of the latencies.
     pub fn observed(&self) -> Observed {
         let inner = self.inner();
         Observed {
--- a/crates/scale-test/src/procfs.rs
+++ b/crates/scale-test/src/procfs.rs
@@ -1,27 +1,27 @@
-//! What the kernel says of a process and of the machine.
+//! Resource usage of a process and of the machine, read from procfs.
 
 use serde::{Deserialize, Serialize};
 
-/// Linux counts processor time in hundredths of a second towards user space.
+/// Clock ticks per second (`USER_HZ`), in which Linux reports processor time.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of `stat` after the process's name: user and system time.
+/// Indexes of user and system time in the fields of `stat` after the process name.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
-/// One look at a process.
+/// Resource usage of a process at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProcessSample {
-    /// Processor time used so far, in seconds.
+    /// Processor time used since its start, in seconds.
     pub cpu_s: f64,
-    /// Memory in use, in kB.
+    /// Resident memory, in kB.
     pub resident_kb: u64,
-    /// The most memory that was in use, in kB.
+    /// Peak of the resident memory, in kB.
     pub peak_resident_kb: u64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
-/// The process as it is now, or none if it has ended.
+/// Returns the resource usage of a process, or `None` if it has ended.
 pub fn sample(pid: u32) -> Option<ProcessSample> {
     let read = |name: &str| std::fs::read_to_string(format!("/proc/{pid}/{name}")).ok();
     let status = read("status")?;
@@ -33,16 +33,16 @@
     })
 }
 
-/// Processor time from the text of `/proc/PID/stat`.
+/// Returns the processor time in the text of `/proc/PID/stat`, in seconds.
 pub fn cpu_seconds(stat: &str) -> Option<f64> {
-    // The name is in brackets and may hold spaces.
+    // The process name is in parentheses and may contain spaces and parentheses.
     let (_, after_name) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |index: usize| fields.get(index)?.parse::<u64>().ok();
     Some((ticks(USER_TIME)? + ticks(SYSTEM_TIME)?) as f64 / TICKS_PER_SECOND)
 }
 
-/// A value of `/proc/PID/status` or `/proc/meminfo`.
+/// Returns a value in kB from the text of `/proc/PID/status` or `/proc/meminfo`.
 pub fn kilobytes(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find(|line| line.starts_with(name))?;
     line[name.len()..].split_whitespace().next()?.parse().ok()
@@ -58,18 +58,18 @@
         .count()
 }
 
-/// Memory of the machine in kB.
+/// Returns the total memory of the machine, in kB.
 pub fn machine_memory_kb() -> Option<u64> {
     kilobytes(&std::fs::read_to_string("/proc/meminfo").ok()?, "MemTotal:")
 }
 
-/// Memory that is free to be used, in kB.
+/// Returns the available memory of the machine, in kB.
 pub fn available_memory_kb() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
     kilobytes(&text, "MemAvailable:")
 }
 
-/// Processes that were runnable on average over the last minute.
+/// Returns the load average over the last minute.
 pub fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split_whitespace().next()?.parse().ok()
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,4 +1,4 @@
-//! Slopes from the results of several runs, as a table.
+//! Report on several runs: a table of runs and a table of fitted slopes.
 
 use std::fmt::Write;
 
@@ -7,15 +7,15 @@
     result::RunResult,
 };
 
-/// A line goes through any two points: their error says nothing.
+/// Number of points that any line fits exactly, so that its error says nothing.
 const TWO_POINTS: usize = 2;
 
-/// What the points are placed by.
+/// Independent variable of the fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Axis {
-    /// The size of the fleet.
+    /// Number of workers in the fleet.
     Workers,
-    /// Starts of tasks a second, as measured.
+    /// Measured task starts per second.
     StartsPerSecond,
 }
 
@@ -35,11 +35,11 @@
     }
 }
 
-/// One measured quantity.
+/// Measured quantity.
 pub struct Measure {
-    /// What it is, with its unit.
+    /// Title with unit.
     pub name: &'static str,
-    /// Its value in a result.
+    /// Returns its value in a result.
     pub of: fn(&RunResult) -> f64,
 }
 
@@ -154,8 +154,8 @@
     },
 ];
 
-/// A table of runs and a table of slopes, in Markdown. With `target`, what each line gives
-/// there.
+/// Returns a table of runs and a table of slopes, in Markdown; `target` adds a column with the
+/// value of each line there.
 pub fn report(results: &[RunResult], axis: Axis, target: Option<f64>) -> String {
     let mut sorted: Vec<&RunResult> = results.iter().collect();
     sorted.sort_by(|one, other| axis.of(one).total_cmp(&axis.of(other)));
@@ -165,7 +165,7 @@
     text
 }
 
-/// What each run had to do, and how it went.
+/// Returns a table with the load and the results of each run.
 pub fn runs_table(results: &[&RunResult]) -> String {
     let mut text = String::from(
         "| run | workers | starts asked a second | started | running | urgent p50 s | p99 s | \
@@ -246,7 +246,7 @@
     row
 }
 
-/// With about three digits.
+/// Formats a value with about three significant digits.
 fn rounded(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 => format!("{value:.0}"),
--- a/crates/scale-test/src/result.rs
+++ b/crates/scale-test/src/result.rs
@@ -1,4 +1,4 @@
-//! The result of one run, as it is written.
+//! Result of one run, as it is written to its file.
 
 use kiteyard_stand_ins::{cloud::CloudCounts, state::StateCounts};
 use serde::{Deserialize, Serialize};
@@ -9,51 +9,51 @@
     latency::Percentiles,
 };
 
-/// All that is kept of a run.
+/// Result of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunResult {
-    /// The file that was run.
+    /// Configuration of the run.
     pub config: Config,
-    /// How long was measured; all rates are over it.
+    /// Duration of the measurement, over which all rates are computed, in seconds.
     pub measured_s: f64,
-    /// Other work on the machine: processes that were runnable on average over a minute.
+    /// Load average of the machine before the run, which shows other work on it.
     pub load_average_before: f64,
-    /// The same at the end.
+    /// Load average of the machine after the run.
     pub load_average_after: f64,
-    /// The controller that answered most reports.
+    /// Resource usage of the leader: the controller that answered the most reports.
     pub leader: ControllerResult,
-    /// Means over all controllers but the leader; none if there is only one.
+    /// Mean resource usage of the other controllers; `None` if there is only one.
     pub followers: Option<ControllerResult>,
-    /// Controllers whose process ended without being asked to.
+    /// Controllers whose process exited unexpectedly.
     pub controllers_ended: Vec<usize>,
     /// Load and size of the state service.
     pub state: StateResult,
     /// Load of the cloud.
     pub cloud: CloudResult,
-    /// What workers exchanged with the controllers.
+    /// Traffic between workers and controllers.
     pub workers: WorkersResult,
-    /// What users exchanged with the controllers.
+    /// Traffic between users and controllers.
     pub users: UsersResult,
     /// Starts and ends of tasks.
     pub tasks: TasksResult,
-    /// This process: hollow workers, stand-ins and users together.
+    /// Resource usage of this process: hollow workers, stand-ins and users together.
     pub harness: ControllerResult,
-    /// How far the jobs were at the end.
+    /// Progress of the jobs at the end.
     pub jobs: JobCounts,
-    /// Rules that were broken.
+    /// Rule violations.
     pub violations: Vec<Violation>,
 }
 
-/// What a process used.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControllerResult {
-    /// Of one core, on average.
+    /// Average number of cores in use.
     pub cores: f64,
-    /// Memory in use at the end of what was measured, in MB.
+    /// Resident memory at the end of the measurement, in MB.
     pub resident_mb: f64,
-    /// The most memory that was in use, in MB.
+    /// Peak of the resident memory, in MB.
     pub peak_resident_mb: f64,
-    /// Open sockets at the end of what was measured.
+    /// Number of open sockets at the end of the measurement.
     pub sockets: f64,
 }
 
@@ -68,21 +68,21 @@
     pub transactions_per_s: f64,
     /// Watches.
     pub watches_per_s: f64,
-    /// Requests, and puts and deletes, refused by a limit.
+    /// Requests, and puts and deletes, refused by a rate limit.
     pub refused_per_s: f64,
-    /// Bytes that it received, headers included.
+    /// Bytes received, headers included.
     pub bytes_received_per_s: f64,
-    /// Bytes that it sent, headers included.
+    /// Bytes sent, headers included.
     pub bytes_sent_per_s: f64,
-    /// Keys at the end of what was measured.
+    /// Number of keys at the end of the measurement.
     pub keys: usize,
-    /// Bytes of keys and values at the end of what was measured.
+    /// Bytes of keys and values at the end of the measurement.
     pub bytes: usize,
-    /// Bytes of the largest value at the end of what was measured. Results of earlier builds
-    /// don't tell it.
+    /// Bytes of the largest value at the end of the measurement; missing in the results of
+    /// earlier builds.
     #[serde(default)]
     pub largest_value: usize,
-    /// Since the start of the run.
+    /// Counters since the start of the run.
     pub counts: StateCounts,
 }
 
@@ -91,71 +91,71 @@
 pub struct CloudResult {
     /// Requests of any kind.
     pub requests_per_s: f64,
-    /// Requests refused by the limit.
+    /// Requests refused by the rate limit.
     pub refused_per_s: f64,
     /// Bytes in both directions, headers included.
     pub bytes_per_s: f64,
-    /// Since the start of the run.
+    /// Counters since the start of the run.
     pub counts: CloudCounts,
 }
 
-/// What the workers exchanged with the controllers, headers included.
+/// Traffic between workers and controllers, headers included.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WorkersResult {
     /// Reports that were sent.
     pub reports_per_s: f64,
     /// Reports answered with 421.
     pub redirects_per_s: f64,
-    /// Reports that got another answer than 200 or 421, or none.
+    /// Reports that got a response other than 200 or 421, or none.
     pub reports_failed_per_s: f64,
-    /// Answers with 200 that the workers had to drop.
+    /// Responses of 200 that the workers had to drop.
     pub answers_dropped_per_s: f64,
     /// Requests with direct commands.
     pub direct_commands_per_s: f64,
-    /// Of these, refused by the worker.
+    /// Requests with direct commands that the worker refused.
     pub direct_refused_per_s: f64,
-    /// For each worker, of reports and direct commands together.
+    /// Bytes sent per worker, of reports and direct commands together.
     pub bytes_sent_per_worker_s: f64,
-    /// The same in the other direction.
+    /// Bytes received per worker, of reports and direct commands together.
     pub bytes_received_per_worker_s: f64,
-    /// Of all workers.
+    /// Bytes of all workers in both directions.
     pub bytes_per_s: f64,
 }
 
-/// What users exchanged with the controllers, headers included.
+/// Traffic between users and controllers, headers included.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct UsersResult {
     /// Jobs submitted for the first time.
     pub submissions_per_s: f64,
     /// Polls.
     pub polls_per_s: f64,
-    /// Submissions that were tried again.
+    /// Retries of submissions.
     pub retries_per_s: f64,
     /// Polls that got neither a state nor 404.
     pub polls_failed_per_s: f64,
     /// Bytes in both directions.
     pub bytes_per_s: f64,
-    /// Since the start of the run.
+    /// Jobs not accepted since the start of the run.
     pub not_accepted: u64,
-    /// From the first try to submit to the acceptance.
+    /// From the first submission attempt to the acceptance.
     pub submit_latency: Percentiles,
-    /// From each poll to its answer.
+    /// From each poll to its response.
     pub poll_latency: Percentiles,
 }
 
 /// Starts and ends of tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct TasksResult {
-    /// What the arrivals asked for on average, urgent ones included.
+    /// Starts that the submitted jobs require on average, urgent ones included.
     pub asked_starts_per_s: f64,
     /// Starts, repeated ones included.
     pub starts_per_s: f64,
     /// Tasks that completed.
     pub completed_per_s: f64,
-    /// At the end of what was measured.
+    /// Tasks on machines at the end of the measurement.
     pub running: usize,
-    /// From the first attempt to submit to the task on its machine.
+    /// From the first submission attempt of an urgent job to the start of its task.
     pub urgent_start: Percentiles,
-    /// The same of the other jobs.
+    /// From the first submission attempt of another job to the start of each task.
     pub other_start: Percentiles,
 }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -1,4 +1,4 @@
-//! One run from its start to its result.
+//! Executes one run and computes its result.
 
 use std::{
     net::SocketAddr,
@@ -29,32 +29,32 @@
     users::Users,
 };
 
-/// A controller has this time to be ready.
+/// Time within which a controller must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(20);
 const READY_AGAIN: Duration = Duration::from_millis(100);
 const ROUND: Duration = Duration::from_millis(200);
 
-/// Why a run gives no result.
+/// Reason for which a run has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The machine should not carry it.
-    #[error("refused: {0}")]
+    /// The run needs more resources than the machine should spare.
+    #[error("run refused: {0}")]
     Refused(#[from] Refusal),
     /// A file, a socket or a process failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// No controller came up.
-    #[error("no controller was ready within {} s; see its log in {directory}", READY_WITHIN.as_secs())]
+    /// No controller became ready in time.
+    #[error("no controller was ready within {} s; see the logs in {directory}", READY_WITHIN.as_secs())]
     NotReady {
-        /// Where its log is.
+        /// Directory of the controllers' logs.
         directory: String,
     },
-    /// Somebody asked it to stop.
-    #[error("stopped")]
+    /// The run was interrupted.
+    #[error("run interrupted")]
     Stopped,
 }
 
-/// All that takes part in a run.
+/// Participants of a run.
 struct Cell {
     config: Config,
     controllers: Controllers,
@@ -67,7 +67,7 @@
     ended: Vec<usize>,
 }
 
-/// Runs the cell; settings and logs of the controllers go to the directory.
+/// Runs the cell; writes settings and logs of the controllers to the directory.
 pub async fn run(config: &Config, directory: &Path) -> Result<RunResult, RunError> {
     let total = procfs::machine_memory_kb();
     guard::check(config, total, procfs::available_memory_kb())?;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Waits until some controller is ready.
+    /// Waits until a controller is ready; returns false on timeout.
     async fn ready(&self) -> bool {
         let until = self.observer.now() + READY_WITHIN;
         let traffic: Arc<Traffic> = Arc::default();
@@ -160,7 +160,7 @@
         self.result(&first, &last, load_before)
     }
 
-    /// Plays what is due until that time, and looks after the controllers.
+    /// Injects the faults that are due until a time, and restarts killed controllers.
     async fn play_faults(&mut self, begins: Duration, until: Duration) {
         let mut restarts: Vec<(Duration, usize)> = Vec::new();
         let restart_after = Duration::from_secs_f64(self.config.controllers.restart_s);
@@ -184,7 +184,7 @@
                 }
             }
             for (_, controller) in restarts.extract_if(.., |(at, _)| *at <= now) {
-                // Told as ended if it can't be started.
+                // A controller that can't be restarted counts as ended.
                 if self.controllers.start_one(controller).is_err() {
                     self.ended.push(controller);
                 }
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Waits for accepted jobs to be done, for so long at most.
+    /// Waits for accepted jobs to be done, until a time at most.
     async fn drain(&self, until: Duration) {
         while self.observer.now() < until {
             let counts = self.observer.job_counts();
--- a/crates/scale-test/src/snapshot.rs
+++ b/crates/scale-test/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Counters at two moments, and the rates that lie between them.
+//! Snapshots of all counters, and the rates between two of them.
 
 use std::time::Duration;
 
@@ -14,45 +14,45 @@
 
 /// Counters at one moment.
 pub struct Snapshot {
-    /// When it was taken, since the start of the run.
+    /// Time of the snapshot, since the start of the run.
     pub at: Duration,
-    /// The controllers' processes; none where one has ended.
+    /// Resource usage of each controller's process; `None` if it has ended.
     pub processes: Vec<Option<ProcessSample>>,
-    /// This process.
+    /// Resource usage of this process.
     pub harness: ProcessSample,
     /// Reports answered with 200, by controller.
     pub answered_by: Vec<u64>,
-    /// The state service's counters.
+    /// Counters of the state service.
     pub state: StateCounts,
-    /// What is stored.
+    /// Size of the stored data.
     pub stored: StateSize,
-    /// The cloud's counters.
+    /// Counters of the cloud.
     pub cloud: CloudCounts,
-    /// The workers' counters.
+    /// Counters of the workers.
     pub fleet: FleetNumbers,
-    /// The users' counters.
+    /// Counters of the users.
     pub users: UserNumbers,
-    /// Starts of tasks, repeated ones included.
+    /// Number of task starts, repeated ones included.
     pub starts: u64,
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub completed: u64,
-    /// Tasks that are on machines.
+    /// Number of tasks on machines.
     pub running: usize,
 }
 
-/// The workers' counters, as of one moment.
+/// Counters of the workers at one moment.
 pub struct FleetNumbers {
     /// Reports that were sent.
     pub reports: u64,
     /// Reports answered with 421.
     pub redirects: u64,
-    /// Reports that got another answer than 200 or 421, or none.
+    /// Reports that got a response other than 200 or 421, or none.
     pub reports_failed: u64,
-    /// Answers with 200 that the workers had to drop.
+    /// Responses of 200 that the workers had to drop.
     pub answers_dropped: u64,
     /// Requests with direct commands.
     pub direct_commands: u64,
-    /// Of these, refused by the worker.
+    /// Requests with direct commands that the worker refused.
     pub direct_refused: u64,
     /// Bytes that the workers sent.
     pub sent: u64,
@@ -60,13 +60,13 @@
     pub received: u64,
 }
 
-/// The users' counters, as of one moment.
+/// Counters of the users at one moment.
 pub struct UserNumbers {
     /// Jobs submitted for the first time.
     pub submissions: u64,
     /// Polls.
     pub polls: u64,
-    /// Submissions that were tried again.
+    /// Retries of submissions.
     pub retries: u64,
     /// Polls that got neither a state nor 404.
     pub polls_failed: u64,
@@ -74,23 +74,23 @@
     pub bytes: u64,
 }
 
-/// What lies between two moments.
+/// Interval between two snapshots.
 pub struct Window<'a> {
-    /// The earlier moment.
+    /// Earlier snapshot.
     pub first: &'a Snapshot,
-    /// The later moment.
+    /// Later snapshot.
     pub last: &'a Snapshot,
-    /// How long lies between them.
+    /// Length of the interval, in seconds.
     pub seconds: f64,
 }
 
 impl Window<'_> {
-    /// How fast a counter rose, a second.
+    /// Returns the increase of a counter per second.
     pub fn rate(&self, pick: impl Fn(&Snapshot) -> u64) -> f64 {
         pick(self.last).saturating_sub(pick(self.first)) as f64 / self.seconds
     }
 
-    /// Who answered the most reports.
+    /// Returns the index of the controller that answered the most reports.
     pub fn leader(&self) -> usize {
         let answered = |index: &usize| {
             let index = *index;
@@ -101,13 +101,13 @@
             .unwrap_or(0)
     }
 
-    /// What one controller used.
+    /// Returns the resource usage of one controller.
     pub fn controller(&self, index: usize) -> ControllerResult {
         let first = self.first.processes[index].as_ref();
         process_result(first, self.last.processes[index].as_ref(), self.seconds)
     }
 
-    /// The mean of all controllers but the leader; none if there is only one.
+    /// Returns the mean of all controllers but the leader; `None` if there is only one.
     pub fn followers(&self, leader: usize) -> Option<ControllerResult> {
         let others: Vec<ControllerResult> = (0..self.last.processes.len())
             .filter(|index| *index != leader)
@@ -127,7 +127,7 @@
         })
     }
 
-    /// The load of the state service, and its size at the end.
+    /// Returns the load of the state service, and its size at the end.
     pub fn state(&self) -> StateResult {
         StateResult {
             requests_per_s: self.rate(|at| at.state.requests),
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The load of the cloud.
+    /// Returns the load of the cloud.
     pub fn cloud(&self) -> CloudResult {
         CloudResult {
             requests_per_s: self.rate(|at| at.cloud.requests),
@@ -154,7 +154,7 @@
         }
     }
 
-    /// What so many workers exchanged with the controllers.
+    /// Returns the traffic between `workers` workers and the controllers.
     pub fn workers(&self, workers: f64) -> WorkersResult {
         WorkersResult {
             reports_per_s: self.rate(|at| at.fleet.reports),
@@ -169,7 +169,7 @@
         }
     }
 
-    /// What users exchanged with the controllers, without latencies.
+    /// Returns the traffic between users and controllers, without latencies.
     pub fn users(&self) -> UsersResult {
         UsersResult {
             submissions_per_s: self.rate(|at| at.users.submissions),
@@ -184,7 +184,7 @@
     }
 }
 
-/// What a process used between two looks at it.
+/// Returns the resource usage of a process between two samples.
 pub fn process_result(
     first: Option<&ProcessSample>,
     last: Option<&ProcessSample>,
@@ -193,7 +193,7 @@
     let Some(last) = last else {
         return ControllerResult::default();
     };
-    // A process that was started again has used less than before.
+    // A restarted process has used less processor time than the one before it.
     let before = first.map_or(0.0, |first| first.cpu_s);
     let used = if last.cpu_s >= before {
         last.cpu_s - before
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -1,4 +1,5 @@
-//! Users: an arrival process, submissions with retries, and polls until a job is done.
+//! Simulated users: an arrival process, submissions with retries, and polls until a job is
+//! done.
 
 use std::{
     net::SocketAddr,
@@ -25,29 +26,29 @@
     observer::Observer,
 };
 
-/// Times of the protocol.
+/// Times fixed by the protocol.
 const SUBMIT_WITHIN: Duration = Duration::from_secs(5);
 const SUBMIT_AGAIN: Duration = Duration::from_secs(1);
 const SUBMIT_FOR: Duration = Duration::from_secs(60);
 const POLL_EVERY_S: f64 = 5.0;
 const POLL_WITHIN: Duration = Duration::from_secs(2);
-/// Polls are spread, so that users don't ask in step.
+/// Relative jitter of the poll interval, which keeps users from polling in step.
 const POLL_SPREAD: f64 = 0.2;
 
 const TASK_CPUS: f64 = 1.0;
 const TASK_MEM_GB: f64 = 1.0;
 const TASKS_MOST: u64 = 10_000;
-/// Each kind of jobs draws from a sequence of its own.
+/// Distinguishes the random sequence of urgent jobs from that of the others.
 const URGENT_SEED: u64 = 0x5eed;
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub struct UserCounts {
     /// Jobs submitted for the first time.
     pub submissions: AtomicU64,
     /// Jobs that were refused, or not accepted in time.
     pub not_accepted: AtomicU64,
-    /// Submissions that were tried again.
+    /// Retries of submissions.
     pub retries: AtomicU64,
     /// Polls.
     pub polls: AtomicU64,
@@ -55,7 +56,7 @@
     pub polls_failed: AtomicU64,
 }
 
-/// Users of one run.
+/// Simulated users of one run.
 #[derive(Clone)]
 pub struct Users {
     shared: Arc<Shared>,
@@ -71,7 +72,7 @@
     next_job: AtomicU64,
 }
 
-/// Connections to one controller that nobody uses just now.
+/// Pool of idle connections to one controller.
 struct Front {
     address: SocketAddr,
     idle: Mutex<Vec<Connection>>,
@@ -93,7 +94,7 @@
 }
 
 impl Users {
-    /// Users who reach the controllers at these addresses.
+    /// Creates users of the controllers at these addresses.
     pub fn new(
         config: &Config,
         controllers: &[SocketAddr],
@@ -117,17 +118,17 @@
         }
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     pub fn counts(&self) -> &UserCounts {
         &self.shared.counts
     }
 
-    /// Bytes of all that users exchanged with the controllers.
+    /// Returns the bytes exchanged between users and controllers.
     pub fn traffic(&self) -> &Traffic {
         &self.shared.traffic
     }
 
-    /// Submits until that time; every job is followed on its own.
+    /// Submits jobs until a time; a task of its own follows each job.
     pub async fn submit_until(&self, end: Duration) {
         let load = &self.shared.config.load;
         let workers = self.shared.config.fleet.workers as f64;
@@ -177,7 +178,7 @@
                 true => "img-urgent".to_owned(),
                 false => format!("img-{}", random.random_range(0..load.images)),
             },
-            // An urgent start is measured without a fetch.
+            // Urgent starts are measured without an image download.
             image_gb: if urgent { 0.0 } else { load.image_gb },
             run_s: if urgent {
                 load.urgent_run_s
@@ -262,7 +263,7 @@
         }
     }
 
-    /// One request to any controller, over a connection that is free.
+    /// Sends a request to a random controller, over an idle connection if there is one.
     async fn ask(
         &self,
         method: Method,
@@ -288,7 +289,7 @@
     }
 }
 
-/// How many times the usual arrivals there are.
+/// Returns the factor of the arrival rate at a time.
 pub fn times_at(load: &LoadConfig, at: Duration) -> f64 {
     let at = at.as_secs_f64();
     match &load.peak {
@@ -298,7 +299,7 @@
 }
 
 fn draw_tasks(load: &LoadConfig, random: &mut SmallRng) -> u32 {
-    // Failures before the first success have the mean 1/p - 1.
+    // The number of failures before the first success has the mean 1/p - 1.
     let more = match Geometric::new(1.0 / load.tasks_per_job) {
         Ok(distribution) => distribution.sample(random),
         Err(_) => 0,
--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -1,4 +1,4 @@
-//! One hollow worker without I/O: it keeps to the protocol and runs nothing.
+//! Hollow worker, without I/O: it follows the protocol and runs nothing.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,68 +13,68 @@
 
 use crate::jobs::{JobDescription, Jobs, TaskName};
 
-/// An image's fetch takes its nominal time, give or take so much.
+/// Relative jitter of the time of an image download, in both directions.
 const FETCH_SPREAD: f64 = 1.0 / 3.0;
-/// For rounding in sums of amounts.
+/// Tolerance for rounding errors in sums.
 const EPSILON: f64 = 1e-9;
 
-/// What a machine is and offers.
+/// Properties and capacity of a machine.
 #[derive(Debug, Clone)]
 pub struct WorkerSpec {
-    /// The machine's name.
+    /// Name of the machine.
     pub name: String,
-    /// Where the worker listens for direct commands.
+    /// Address at which the worker receives direct commands.
     pub endpoint: SocketAddr,
-    /// The machine's type.
+    /// Type of the machine.
     pub machine_type: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// CPUs that tasks may take.
+    /// CPUs available to tasks.
     pub cpus: f64,
-    /// Memory that tasks may take, in GB.
+    /// Memory available to tasks, in GB.
     pub mem_gb: f64,
-    /// How fast images are fetched, in GB a second.
+    /// Image download rate, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// How long the worker's lease lasts.
+    /// Length of the worker's lease.
     pub lease: Duration,
 }
 
-/// Something that the observer has to know, with the time at which it was due.
+/// Event for the observer, with the time at which it was due.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskEvent {
-    /// The task.
+    /// Task.
     pub task: TaskName,
-    /// When it was due.
+    /// Time at which the event was due.
     pub at: Duration,
-    /// What became of the task.
+    /// Change of the task.
     pub what: TaskChange,
 }
 
-/// What became of a task.
+/// Change of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskChange {
-    /// It has its image and is on its machine.
+    /// The task has its image and runs on the machine.
     Started,
-    /// It is no longer on its machine.
+    /// The task is no longer on the machine.
     Left {
-        /// It has completed, and was not stopped or refused.
+        /// Whether it completed, as opposed to being stopped or refused.
         completed: bool,
     },
 }
 
-/// Why a task exited, as reports name it.
+/// Exit reason of a task, as reports name it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// It has completed.
+    /// The task completed.
     Done,
-    /// It was stopped.
+    /// The task was stopped.
     Halted,
-    /// The machine has no room for it.
+    /// The machine has no capacity for the task.
     NoRoom,
-    /// Another attempt of it is on the machine.
+    /// Another attempt of the task is on the machine.
     InUse,
-    /// There is no such task.
+    /// The task does not exist.
     NoSuch,
 }
 
@@ -122,65 +122,65 @@
     downcause: Option<ExitReason>,
 }
 
-/// Commands, in an answer to a report or straight to the worker.
+/// Commands, from the response to a report or sent directly to the worker.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Commands {
-    /// The fencing token.
+    /// Fencing token.
     pub handle: Option<u64>,
-    /// The session that direct commands are for.
+    /// Session that direct commands are meant for.
     pub launch: Option<u64>,
-    /// The commands, in their order.
+    /// Commands, in order.
     #[serde(default)]
     pub signals: Vec<Command>,
 }
 
-/// One command about one task.
+/// Command for one task.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Command {
-    /// What to do.
+    /// Kind of the command.
     #[serde(rename = "signal")]
     pub kind: CommandKind,
-    /// The task.
+    /// Task.
     #[serde(rename = "string")]
     pub task: TaskName,
-    /// The attempt of it.
+    /// Attempt of the task.
     #[serde(rename = "try")]
     pub attempt: u64,
 }
 
-/// What a worker is told to do with a task.
+/// Kind of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
-    /// Start it.
+    /// Start the task.
     Start,
-    /// Stop it.
+    /// Stop the task.
     Kill,
-    /// Forget that it has exited.
+    /// Forget the exited task.
     Reap,
 }
 
-/// A report as it was sent, to tell what its answer is worth.
+/// Session and time of a sent report, which decide whether its response is still valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentReport {
-    /// The session that it was sent in.
+    /// Session that the report was sent in.
     pub session: u64,
-    /// When it was sent.
+    /// Time at which the report was sent.
     pub at: Duration,
 }
 
-/// How direct commands were taken.
+/// Outcome of direct commands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectOutcome {
-    /// They were carried out.
+    /// The commands were executed.
     Executed,
-    /// They are for another session or of an older leader; nothing was carried out.
+    /// The commands are for another session or from an older leader; none was executed.
     Refused,
-    /// They can't be read.
+    /// The commands have no token or no session.
     Malformed,
 }
 
-/// A worker that keeps to the protocol and runs nothing.
+/// Worker that follows the protocol and runs nothing.
 #[derive(Debug)]
 pub struct HollowWorker {
     spec: WorkerSpec,
@@ -189,19 +189,19 @@
     session: u64,
     seq: u64,
     token: u64,
-    /// When the last answered report was sent, or the session began.
+    /// Start of the lease: the last answered report was sent, or the session began.
     lease_from: Duration,
-    /// When a higher token last counted as a change.
+    /// Time at which a higher token last caused a report.
     token_told: Option<Duration>,
     tasks: BTreeMap<(TaskName, u64), HollowTask>,
-    /// Images by when they are on the machine. There is room for all.
+    /// Time at which each image is on the machine; the cache holds all images.
     images: HashMap<String, Duration>,
     changed: bool,
     events: Vec<TaskEvent>,
 }
 
 impl HollowWorker {
-    /// A worker in its first session, which begins now.
+    /// Creates a worker in its first session, which begins now.
     pub fn new(spec: WorkerSpec, jobs: Arc<Jobs>, seed: u64, now: Duration) -> Self {
         Self {
             spec,
@@ -219,27 +219,27 @@
         }
     }
 
-    /// What the machine is and offers.
+    /// Returns the properties and capacity of the machine.
     pub fn spec(&self) -> &WorkerSpec {
         &self.spec
     }
 
-    /// A number between 0 and 1 from the worker's own sequence.
+    /// Draws a number between 0 and 1 from the worker's own random sequence.
     pub fn draw(&mut self) -> f64 {
         self.random.random()
     }
 
-    /// Whether something changed that is to be reported before long; asked once.
+    /// Returns whether a change needs an early report, and resets the flag.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Takes what happened since it was asked last.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<TaskEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// When something is due next on its own account.
+    /// Returns the time of the next phase change or the end of the lease.
     pub fn next_due(&self) -> Duration {
         let phases = self.tasks.values().filter_map(|task| match task.phase {
             Phase::Fetching { until } | Phase::Running { until } => Some(until),
@@ -252,7 +252,7 @@
         self.lease_from + self.spec.lease
     }
 
-    /// Does all that is due by now.
+    /// Applies all changes that are due by now.
     pub fn advance(&mut self, now: Duration) {
         let until = now.min(self.lease_ends());
         self.advance_tasks(until);
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Kills and forgets every task, and goes on to the next session.
+    /// Kills and forgets every task, and begins the next session.
     fn end_session(&mut self) {
         let at = self.lease_ends();
         self.drop_tasks(at);
@@ -322,13 +322,13 @@
         }
     }
 
-    /// The machine stops, with all that is on it.
+    /// Stops the machine with all of its tasks.
     pub fn stop(&mut self, now: Duration) {
         self.advance(now);
         self.drop_tasks(now);
     }
 
-    /// The report as JSON; every one has a number of its own.
+    /// Returns the next report as JSON; each report has its own sequence number.
     pub fn report(&mut self, now: Duration) -> (String, SentReport) {
         self.advance(now);
         self.seq += 1;
@@ -365,7 +365,7 @@
         (text, sent)
     }
 
-    /// An answer of 200 to a report. False: it had to be dropped.
+    /// Handles a response of 200 to a report; returns false if it had to be dropped.
     pub fn answered(&mut self, now: Duration, sent: SentReport, commands: &Commands) -> bool {
         self.advance(now);
         let token = commands.handle.unwrap_or(0);
@@ -378,7 +378,7 @@
         true
     }
 
-    /// Commands that came straight to the worker; the answer is a report in any case.
+    /// Handles direct commands; the response is a report in any case.
     pub fn direct(&mut self, now: Duration, commands: &Commands) -> DirectOutcome {
         self.advance(now);
         let (Some(token), Some(session)) = (commands.handle, commands.launch) else {
@@ -412,7 +412,7 @@
                 CommandKind::Reap => self.reap(command),
             }
         }
-        // What needs nothing fetched starts at once.
+        // Tasks whose image is on the machine start at once.
         self.advance_tasks(now);
     }
 
@@ -458,7 +458,7 @@
         cpus <= self.spec.cpus + EPSILON && mem_gb <= self.spec.mem_gb + EPSILON
     }
 
-    /// When the job's image is on the machine; a fetch begins if need be.
+    /// Returns the time at which the job's image is on the machine; starts its download if needed.
     fn image_ready(&mut self, now: Duration, job: &JobDescription) -> Duration {
         if let Some(ready) = self.images.get(&job.image) {
             return now.max(*ready);
--- a/crates/scale-test/tests/config.rs
+++ b/crates/scale-test/tests/config.rs
@@ -1,4 +1,4 @@
-//! Files that are refused, each with one line that names what is wrong.
+//! Invalid configuration files are rejected, each with one line that names the error.
 
 use kiteyard_scale_test::{
     config::{Config, ConfigError},
@@ -11,7 +11,7 @@
     Config::parse(EXAMPLE).expect("the example is a good file")
 }
 
-/// The example with a line replaced.
+/// Parses the example with a line replaced.
 fn with(line: &str, other: &str) -> Result<Config, ConfigError> {
     assert_eq!(EXAMPLE.matches(line).count(), 1, "{line}");
     Config::parse(&EXAMPLE.replace(line, other))
--- a/crates/scale-test/tests/measures.rs
+++ b/crates/scale-test/tests/measures.rs
@@ -1,4 +1,4 @@
-//! Lines, percentiles, and what is read from the kernel.
+//! Tests of line fits, percentiles, and the parsing of procfs.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 
-/// Sum of squares that a line leaves.
+/// Returns the sum of squared residuals of a line.
 fn left_over(points: &[Point], slope: f64, offset: f64) -> f64 {
     let errors = points
         .iter()
@@ -19,7 +19,7 @@
     errors.map(|error| error * error).sum()
 }
 
-/// The line that is found by trying: from a coarse grid to ever finer ones.
+/// Fits a line by search, on a grid that becomes ever finer.
 fn plain_fit(points: &[Point]) -> (f64, f64) {
     let (mut slope, mut offset, mut step) = (0.0, 0.0, 8.0);
     while step > 1e-7 {
--- a/crates/scale-test/tests/rules.rs
+++ b/crates/scale-test/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The checks catch planted violations, and let through what only came in late.
+//! The checks detect planted violations, and accept events that merely arrived late.
 
 use std::{sync::Arc, time::Duration};
 
@@ -35,7 +35,7 @@
 const COMPLETED: TaskChange = TaskChange::Left { completed: true };
 const LOST: TaskChange = TaskChange::Left { completed: false };
 
-/// With a limit of two CPUs for each team.
+/// Creates checks with a limit of two CPUs for each team.
 fn checks() -> Checks {
     let mut checks = Checks::new(2.0);
     for (id, team) in [("run-000001", 0), ("run-000002", 0), ("run-000003", 1)] {
@@ -168,7 +168,7 @@
         let told = format!("\"{attitude}\"");
         assert_eq!(report.matches(&told).count(), count, "{report}");
     }
-    // Both ran for 10 s after a fetch of about one.
+    // Both tasks ran for 10 s after a download of about 1 s.
     let (report, late) = worker.report(seconds(20));
     assert_eq!(report.matches("\"done\"").count(), 2, "{report}");
     let reap = r#"{"handle":7,"launch":1,"signals":[
@@ -179,7 +179,7 @@
         DirectOutcome::Executed
     );
     worker.take_events();
-    // Direct commands don't renew: the lease counts from the report sent after 1 s.
+    // Direct commands don't renew the lease, which starts with the report sent after 1 s.
     worker.advance(seconds(22));
     assert_eq!(worker.take_events(), [event("run-000001/2", 21, LOST)]);
     assert!(!worker.answered(seconds(22), late, &commands(r#"{"handle":7}"#)));
--- a/crates/stand-ins/src/availability.rs
+++ b/crates/stand-ins/src/availability.rs
@@ -1,16 +1,16 @@
-//! When a service can't be reached, and how long its answers take.
+//! Outages and latency of a service.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A time in which every request is refused.
+/// Period in which every request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outage {
-    /// Counted from the start of the service.
+    /// Start of the outage, in seconds since the start of the service.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Length of the outage, in seconds.
     pub for_s: f64,
 }
 
@@ -24,14 +24,14 @@
 /// Latency and outages of one service.
 #[derive(Debug, Clone, Default)]
 pub struct Availability {
-    /// How long each answer is held back.
+    /// Delay of each response.
     pub latency: Duration,
-    /// When nothing is answered.
+    /// Periods in which every request is refused.
     pub outages: Vec<Outage>,
 }
 
 impl Availability {
-    /// Whether an outage covers this time since the start.
+    /// Returns whether an outage covers `now`, the time since the start.
     pub fn is_out(&self, now: Duration) -> bool {
         self.outages.iter().any(|outage| outage.covers(now))
     }
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud's interface over HTTP, with limits, latency and outages. Machines are kept by
-//! whoever plays them, behind `Machines`.
+//! HTTP interface of the cloud, with limits, latency and outages. An implementation of
+//! `Machines` holds the machines.
 
 use std::{
     collections::BTreeMap,
@@ -24,22 +24,22 @@
 const PAGE_MOST: usize = 500;
 const RENT_MOST: u32 = 50;
 const RELEASE_MOST: usize = 100;
-/// Bursts are worth so many seconds.
+/// Size of a burst, in seconds of the rate limit.
 const BURST_S: f64 = 2.0;
 
-/// What the service admits and how it behaves.
+/// Limits, latency and outages of the service.
 #[derive(Debug, Clone)]
 pub struct CloudSettings {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
     /// Latency and outages.
     pub availability: Availability,
 }
 
-/// A machine type as the interface lists it.
+/// Machine type as the interface lists it.
 #[derive(Debug, Clone, Serialize)]
 pub struct MachineType {
-    /// The type's name.
+    /// Name of the type.
     pub label: String,
     /// CPUs of a machine.
     pub cpus: f64,
@@ -49,83 +49,83 @@
     pub mem_gb: f64,
     /// Image cache of a machine, in GB.
     pub local_gb: f64,
-    /// How fast a machine fetches images, in GB a second.
+    /// Image download rate of a machine, in GB per second.
     pub fetch_gb_per_s: f64,
     /// Price of an ordinary machine.
     pub hourly: f64,
     /// Price of a spot machine.
     pub market_price: f64,
-    /// How long a machine usually takes to boot, in seconds.
+    /// Nominal boot time of a machine, in seconds.
     pub boot_s: f64,
     /// Zones that offer the type.
     pub fields: Vec<String>,
 }
 
-/// A machine as the interface lists it.
+/// Machine as the interface lists it.
 #[derive(Debug, Clone, Serialize)]
 pub struct Machine {
-    /// The machine's name.
+    /// Name of the machine.
     pub uid: String,
-    /// Where its worker listens.
+    /// Address at which its worker listens.
     pub endpoint: SocketAddr,
-    /// Its type.
+    /// Machine type.
     pub frame: String,
-    /// Its zone.
+    /// Zone.
     pub field: String,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     pub gusts: bool,
-    /// How far it is.
+    /// State of the machine.
     pub attitude: MachineState,
     /// Time since it was rented, in seconds.
     pub age_s: f64,
 }
 
-/// How far a machine is.
+/// State of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It boots.
+    /// The machine is booting.
     Starting,
-    /// It is up.
+    /// The machine is up.
     Running,
-    /// It has failed.
+    /// The machine has failed.
     Failed,
 }
 
-/// A request for machines.
+/// Request for machines.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Rental {
-    /// The request's name: repeated, it rents nothing more.
+    /// Idempotency key: a repeated request rents no further machines.
     pub charter: String,
-    /// The machine type.
+    /// Machine type.
     pub frame: String,
-    /// The zone.
+    /// Zone.
     pub field: String,
-    /// Spot machines are asked for.
+    /// Whether spot machines are requested.
     #[serde(default)]
     pub gusts: bool,
-    /// How many machines.
+    /// Number of machines.
     pub how_many: u32,
 }
 
-/// The machines behind the interface.
+/// Machines behind the interface.
 pub trait Machines: Send + Sync + 'static {
-    /// The machine types on offer.
+    /// Returns the machine types on offer.
     fn types(&self) -> Vec<MachineType>;
-    /// Machines in the order of their names, beyond `after`, and whether there are more.
+    /// Returns machines in the order of their names, after `after`, and whether there are more.
     fn list(&self, after: &str, most: usize) -> (Vec<Machine>, bool);
-    /// Names of the machines rented; none: there is no capacity.
+    /// Rents machines and returns their names; none if there is no capacity.
     fn rent(&self, rental: &Rental) -> Vec<String>;
-    /// Takes machines back; unknown names are passed over.
+    /// Takes machines back; unknown names are ignored.
     fn release(&self, names: &[String]);
 }
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloudCounts {
     /// Requests of any kind.
     pub requests: u64,
-    /// Requests refused by the limit.
+    /// Requests refused by the rate limit.
     pub refused: u64,
     /// Bytes received.
     pub bytes_received: u64,
@@ -143,7 +143,7 @@
     settings: CloudSettings,
     machines: Arc<dyn Machines>,
     limit: Mutex<RateLimit>,
-    /// Answers of rentals by their name: repeated, they rent nothing.
+    /// Rented machines by the request's idempotency key.
     rentals: Mutex<BTreeMap<String, Vec<String>>>,
     requests: AtomicU64,
     refused: AtomicU64,
@@ -168,7 +168,7 @@
 }
 
 impl CloudService {
-    /// Starts to serve on a free port of loopback.
+    /// Starts serving on a free loopback port.
     pub async fn start(
         settings: CloudSettings,
         machines: Arc<dyn Machines>,
@@ -196,7 +196,7 @@
         Ok((service, address))
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     pub fn counts(&self) -> CloudCounts {
         CloudCounts {
             requests: self.shared.requests.load(Ordering::Relaxed),
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -1,5 +1,5 @@
-//! A small HTTP server and client on hyper that count every byte of their connections,
-//! headers included.
+//! Small HTTP server and client on hyper that count every byte of their connections, headers
+//! included.
 
 use std::{
     convert::Infallible,
@@ -25,10 +25,10 @@
     task::JoinHandle,
 };
 
-/// Accepting is tried again after so long when it fails, as it does without free sockets.
+/// Delay after a failed accept, which happens when the process has no free sockets.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
-/// Bytes that went over a group of connections, headers included; what TCP and IP add is not.
+/// Bytes of a group of connections, with HTTP headers and without those of TCP and IP.
 #[derive(Debug, Default)]
 pub struct Traffic {
     received: AtomicU64,
@@ -36,18 +36,18 @@
 }
 
 impl Traffic {
-    /// Bytes received so far.
+    /// Returns the bytes received.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent so far.
+    /// Returns the bytes sent.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 }
 
-/// A TCP stream whose bytes are counted.
+/// TCP stream whose bytes are counted.
 struct CountedStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
@@ -117,23 +117,23 @@
     }
 }
 
-/// A request as the stand-ins see it.
+/// Request as a handler receives it.
 #[derive(Debug)]
 pub struct Asked {
-    /// The method.
+    /// Method.
     pub method: Method,
-    /// The path, without the query.
+    /// Path, without the query.
     pub path: String,
-    /// The query as it stands in the request.
+    /// Query, not decoded.
     pub query: String,
-    /// The body.
+    /// Body.
     pub body: Bytes,
-    /// The address that the client connected to.
+    /// Address that the client connected to.
     pub local: SocketAddr,
 }
 
 impl Asked {
-    /// A value from the query, as it stands there.
+    /// Returns a value of the query, not decoded.
     pub fn query(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -143,17 +143,17 @@
     }
 }
 
-/// Status and JSON body of an answer.
+/// Status and JSON body of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The JSON text.
+    /// JSON text.
     pub body: String,
 }
 
 impl Reply {
-    /// A reply with a body that is JSON already.
+    /// Creates a reply with a body that is already JSON.
     pub fn new(status: u16, body: impl Into<String>) -> Self {
         Self {
             status,
@@ -161,17 +161,17 @@
         }
     }
 
-    /// The request is not of the form that the interface takes.
+    /// Creates the reply to a malformed request.
     pub(crate) fn malformed() -> Self {
         Self::new(400, r#"{"error":"malformed"}"#)
     }
 
-    /// The request is over a limit.
+    /// Creates the reply to a request over a rate limit.
     pub(crate) fn too_many_requests() -> Self {
         Self::new(429, r#"{"error":"too many requests"}"#)
     }
 
-    /// A reply with a value as its body.
+    /// Creates a reply with a value serialized as its body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Self {
         Self::new(status, serde_json::to_string(body).unwrap_or_default())
     }
@@ -204,7 +204,7 @@
     let _ = stream.set_nodelay(true);
     let stream = CountedStream { stream, traffic };
     let service = service_fn(move |request| answer(request, local, handler.clone()));
-    // A client that goes away in the middle is nothing to report.
+    // A client may disconnect at any time; that is no error.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
@@ -241,7 +241,7 @@
     Ok(response)
 }
 
-/// One connection to a server, opened when it is needed and kept until it fails.
+/// Connection to a server, opened on demand and kept until it fails.
 pub struct Connection {
     to: SocketAddr,
     traffic: Arc<Traffic>,
@@ -260,7 +260,7 @@
 }
 
 impl Connection {
-    /// A connection that is not opened yet.
+    /// Creates a connection that is not yet open.
     pub fn new(to: SocketAddr, traffic: Arc<Traffic>) -> Self {
         Self {
             to,
@@ -269,12 +269,12 @@
         }
     }
 
-    /// The server's address.
+    /// Returns the server's address.
     pub fn to(&self) -> SocketAddr {
         self.to
     }
 
-    /// Status and body of the answer, or none; then the connection is closed.
+    /// Sends a request and returns status and body; closes the connection if there is no response.
     pub async fn call(
         &mut self,
         method: Method,
@@ -306,7 +306,7 @@
         Some((status, body))
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection, or opens a new one.
     async fn sender(&mut self) -> Option<&mut SendRequest<Full<Bytes>>> {
         let usable = match &mut self.open {
             Some(open) => open.sender.ready().await.is_ok(),
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for the state service and the cloud, written from the protocol,
-//! and the small HTTP server and client that they and the hollow workers share.
+//! Stand-ins on loopback for the state service and the cloud, implemented from the protocol,
+//! and the small HTTP server and client that they share with the hollow workers.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/stand-ins/src/rate_limit.rs
+++ b/crates/stand-ins/src/rate_limit.rs
@@ -1,8 +1,8 @@
-//! A token bucket.
+//! Rate limit by a token bucket.
 
 use std::time::Duration;
 
-/// Admits `rate` a second on average, and `burst` at once.
+/// Token bucket that admits `rate` per second on average, and `burst` at once.
 #[derive(Debug)]
 pub struct RateLimit {
     rate: f64,
@@ -12,7 +12,7 @@
 }
 
 impl RateLimit {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
@@ -22,13 +22,13 @@
         }
     }
 
-    /// Admits no more than that many a second from now on, and at once.
+    /// Lowers rate and burst to `rate`, unless they are lower already.
     pub fn lower(&mut self, rate: f64) {
         self.rate = self.rate.min(rate);
         self.burst = self.burst.min(rate);
     }
 
-    /// Takes `amount` if there is as much. More than the burst is never admitted.
+    /// Takes `amount` if the bucket holds it; an amount above the burst is never admitted.
     pub fn admit(&mut self, now: Duration, amount: f64) -> bool {
         let passed = now.saturating_sub(self.refilled).as_secs_f64();
         self.tokens = (self.tokens + passed * self.rate).min(self.burst);
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -1,4 +1,4 @@
-//! The state service over HTTP, with limits, latency and outages.
+//! HTTP interface of the state service, with limits, latency and outages.
 
 use std::{
     net::SocketAddr,
@@ -21,40 +21,40 @@
     store::{Change, Condition, Event, Item, Store, TxnError},
 };
 
-/// Leases may end so late.
+/// Interval of the expiry of leases, and of the check whether an outage has ended.
 const EXPIRY_ROUND: Duration = Duration::from_millis(50);
 const WAIT_MOST_MS: u64 = 60_000;
 const PAGE_DEFAULT: usize = 1_000;
 const TTL_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 const TXN_BYTES: usize = 64 * 1024;
 
-/// What the service admits and how it behaves.
+/// Limits, latency and outages of the service.
 #[derive(Debug, Clone)]
 pub struct StateSettings {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
-    /// Size of the largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes that one transaction may hold.
+    /// Maximum number of changes in one transaction.
     pub txn_ops: usize,
-    /// Limits that the service falls to, without notice.
+    /// Lower limits that take effect later, without notice.
     pub lowered: Option<LoweredLimits>,
     /// Latency and outages.
     pub availability: Availability,
 }
 
-/// Limits of writes from a time after the start on.
+/// Limits of writes that take effect some time after the start.
 #[derive(Debug, Clone, Copy)]
 pub struct LoweredLimits {
-    /// How long after the start they are in force.
+    /// Time after the start at which they take effect.
     pub after: Duration,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
-    /// Size of the largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes that one transaction may hold.
+    /// Maximum number of changes in one transaction.
     pub txn_ops: usize,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateCounts {
     /// Requests of any kind.
@@ -79,9 +79,9 @@
     pub watches: u64,
     /// Renewals of leases.
     pub renewals: u64,
-    /// Requests refused by the limit of requests.
+    /// Requests refused by the rate limit of requests.
     pub refused_requests: u64,
-    /// Puts and deletes refused by the limit of changes.
+    /// Puts and deletes refused by the rate limit of changes.
     pub refused_changes: u64,
     /// Requests refused by an outage.
     pub outage_answers: u64,
@@ -91,12 +91,12 @@
     pub bytes_sent: u64,
 }
 
-/// What is stored.
+/// Size of the stored data.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StateSize {
-    /// Keys.
+    /// Number of keys.
     pub keys: usize,
-    /// Of keys and values.
+    /// Bytes of keys and values.
     pub bytes: usize,
     /// Bytes of the largest value.
     pub largest_value: usize,
@@ -250,7 +250,7 @@
 }
 
 impl StateService {
-    /// Starts to serve on a free port of loopback.
+    /// Starts serving on a free loopback port.
     pub async fn start(settings: StateSettings) -> std::io::Result<(Self, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -278,7 +278,7 @@
         Ok((service, address))
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     pub fn counts(&self) -> StateCounts {
         let counters = &self.shared.counters;
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -297,7 +297,7 @@
         }
     }
 
-    /// What is stored now.
+    /// Returns the size of the stored data.
     pub fn size(&self) -> StateSize {
         let inner = self.inner();
         StateSize {
@@ -404,7 +404,7 @@
         let wait = number("wait_ms").unwrap_or(0).min(WAIT_MOST_MS);
         let until = tokio::time::Instant::now() + Duration::from_millis(wait);
         loop {
-            // Registered before looking, so that no change falls in between.
+            // Registered before the check, so that no change in between is missed.
             let changed = self.shared.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
@@ -425,7 +425,7 @@
                 true => tokio::time::Instant::now() + EXPIRY_ROUND,
                 false => until,
             };
-            // Whichever comes first: both lead to another look.
+            // Either a change or the timeout leads to another check.
             let _ = tokio::time::timeout_at(pause, changed).await;
         }
     }
--- a/crates/stand-ins/src/store.rs
+++ b/crates/stand-ins/src/store.rs
@@ -1,5 +1,5 @@
-//! The state service's store, without I/O: keys with revisions, transactions, leases, and
-//! the last changes for those who watch.
+//! Store of the state service, without I/O: keys with revisions, transactions, leases, and a
+//! log of recent changes for watches.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -9,65 +9,65 @@
 
 use serde_json::value::RawValue;
 
-/// Changes that are kept for watches.
+/// Number of changes kept for watches.
 const LOG_MOST: usize = 10_000;
-/// Items and bytes of one page of a list.
+/// Items and bytes in one page of a list.
 const PAGE_MOST: usize = 1_000;
 const PAGE_BYTES: usize = 512 * 1024;
 
-/// A key with its value and the revision of its last change.
+/// Key with its value and the revision of its last change.
 #[derive(Debug, Clone)]
 pub struct Item {
-    /// The key.
+    /// Key.
     pub key: String,
-    /// The value.
+    /// Value.
     pub value: Box<RawValue>,
-    /// The revision of the key's last change.
+    /// Revision of the last change of the key.
     pub revision: u64,
-    /// The lease that it hangs on.
+    /// Lease that the key is attached to.
     pub lease: Option<u64>,
 }
 
-/// A change as watches see it; no value: deleted.
+/// Change of a key as watches return it.
 #[derive(Debug, Clone)]
 pub struct Event {
-    /// The key.
+    /// Key.
     pub key: String,
-    /// The new value; none: the key was deleted.
+    /// New value, or `None` if the key was deleted.
     pub value: Option<Box<RawValue>>,
-    /// The revision of the change.
+    /// Revision of the change.
     pub revision: u64,
 }
 
-/// One part of a transaction.
+/// Change in a transaction.
 #[derive(Debug, Clone)]
 pub enum Change {
     /// Sets a key.
     Put {
-        /// The key.
+        /// Key.
         key: String,
-        /// The new value.
+        /// New value.
         value: Box<RawValue>,
-        /// The lease that the key hangs on from now on.
+        /// Lease to attach the key to; `None` detaches it.
         lease: Option<u64>,
     },
     /// Deletes a key, if it exists.
     Delete {
-        /// The key.
+        /// Key.
         key: String,
     },
 }
 
-/// A key must be at this revision; 0: it must not exist.
+/// Required revision of a key; 0 requires that the key does not exist.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
-    /// The key.
+    /// Key.
     pub key: String,
-    /// The revision that it must have.
+    /// Required revision.
     pub revision: u64,
 }
 
-/// Why a transaction changed nothing.
+/// Reason for which a transaction changed nothing.
 #[derive(Debug, PartialEq, Eq)]
 pub enum TxnError {
     /// Keys whose condition did not hold.
@@ -76,12 +76,12 @@
     NoSuchLease,
 }
 
-/// A part of a list.
+/// Page of a list.
 #[derive(Debug)]
 pub struct Page {
-    /// The items, in the order of their keys.
+    /// Items, in the order of their keys.
     pub items: Vec<Item>,
-    /// There are more.
+    /// Whether there are more items after these.
     pub more: bool,
 }
 
@@ -107,27 +107,27 @@
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
     log: VecDeque<Event>,
-    /// Revision of the last change that the log no longer has.
+    /// Revision of the last change that was removed from the log.
     forgotten: u64,
 }
 
 impl Store {
-    /// The revision of the last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How many keys there are.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Bytes of all keys and values.
+    /// Returns the size of all keys and values, in bytes.
     pub fn bytes(&self) -> usize {
         let sizes = self
             .keys
@@ -136,18 +136,18 @@
         sizes.sum()
     }
 
-    /// Bytes of the largest value.
+    /// Returns the size of the largest value, in bytes.
     pub fn largest_value(&self) -> usize {
         let sizes = self.keys.values().map(|stored| stored.value.get().len());
         sizes.max().unwrap_or(0)
     }
 
-    /// A key with its value.
+    /// Returns a key with its value.
     pub fn get(&self, key: &str) -> Option<Item> {
         self.keys.get(key).map(|stored| item(key, stored))
     }
 
-    /// Keys with the prefix, in order, from beyond `after` on.
+    /// Returns keys with the prefix, in order, after `after`.
     pub fn list(&self, prefix: &str, after: Option<&str>, most: usize) -> Page {
         let from = match after {
             Some(after) if after >= prefix => Bound::Excluded(after),
@@ -170,7 +170,7 @@
         page
     }
 
-    /// All changes or none; the new revision.
+    /// Applies all changes or none, and returns the new revision.
     pub fn transact(
         &mut self,
         conditions: &[Condition],
@@ -258,7 +258,7 @@
         self.next_lease
     }
 
-    /// False: there is no such lease any more.
+    /// Renews a lease; returns false if it no longer exists.
     pub fn renew(&mut self, now: Duration, id: u64) -> bool {
         match self.leases.get_mut(&id) {
             Some(lease) => {
@@ -269,14 +269,14 @@
         }
     }
 
-    /// Every lease has its full time again, as after an outage.
+    /// Renews all leases, as after an outage.
     pub fn renew_all(&mut self, now: Duration) {
         for lease in self.leases.values_mut() {
             lease.ends = now + lease.ttl;
         }
     }
 
-    /// Ends leases whose time is over. True: keys went with them.
+    /// Ends expired leases; returns true if keys were deleted with them.
     pub fn expire(&mut self, now: Duration) -> bool {
         let over: Vec<u64> = self
             .leases
@@ -291,7 +291,7 @@
         self.revision > before
     }
 
-    /// Ends a lease and deletes the keys that hang on it.
+    /// Ends a lease and deletes the keys attached to it.
     pub fn end_lease(&mut self, id: u64) {
         let Some(lease) = self.leases.remove(&id) else {
             return;
@@ -304,8 +304,8 @@
         }
     }
 
-    /// Changes of keys with the prefix after that revision, or none where the log does not
-    /// reach back to it.
+    /// Returns changes of keys with the prefix after a revision, or `None` if the log no longer
+    /// holds all of them.
     pub fn events(&self, prefix: &str, after: u64) -> Option<Vec<Event>> {
         if after < self.forgotten {
             return None;
--- a/crates/stand-ins/tests/store.rs
+++ b/crates/stand-ins/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store, the limits and the service over HTTP.
+//! Tests of the store, the rate limit and the state service over HTTP.
 
 use std::{sync::Arc, time::Duration};
 
--- a/tests/node_settings/mod.rs
+++ b/tests/node_settings/mod.rs
@@ -1,18 +1,18 @@
-//! Settings of one node, `n0`, for tests that drive its core by hand.
+//! Settings of one node, `n0`, for tests that drive its core directly.
 
 use kiteyard::settings::Settings;
 use serde_json::{Value, json};
 
-/// The first port of the other nodes' addresses; nothing listens there.
+/// First port of the other nodes' addresses; nothing listens there.
 const PEER_PORT: usize = 5;
 
-/// Settings with so many other nodes, `n1` and on.
-#[allow(dead_code)] // Not every test file that uses this module needs both.
+/// Returns settings with `peers` other nodes, from `n1` on.
+#[allow(dead_code)] // Not every test file that uses this module needs both functions.
 pub fn with_peers(peers: usize) -> Settings {
     Settings::parse(&text(peers, &Value::Null)).expect("good settings")
 }
 
-/// The settings file itself, with the limits that the state service will have.
+/// Returns the text of the settings file, with the next limits of the state service.
 pub fn text(peers: usize, next: &Value) -> String {
     let known: Vec<_> = (0..peers)
         .map(|peer| {
--- a/tests/scale_run.rs
+++ b/tests/scale_run.rs
@@ -1,9 +1,9 @@
-//! A short scale run: real controllers, hollow workers, limits that bind, and faults.
+//! Short scale test with real controllers, hollow workers, limits that take effect, and faults.
 
 use kiteyard_scale_test::{config::Config, run::run};
 
-/// Three controllers, of which the first is started again, twelve machines, of which two
-/// fail, and two teams that may each use a third of the fleet.
+/// Three controllers, of which the first is restarted, twelve machines, of which two fail, and
+/// two teams, each limited to a third of the fleet.
 const SHORT: &str = r#"
 name = "short"
 [duration]
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -1,4 +1,4 @@
-//! Several real nodes on loopback, started, ended and asked.
+//! Several real nodes on loopback, which tests start, kill and send requests to.
 
 use std::{
     net::SocketAddr,
@@ -12,7 +12,7 @@
 
 use crate::standins::{self, call};
 
-/// What a node's process is started with.
+/// Program and arguments of a node's process.
 #[derive(Clone)]
 pub struct Build {
     pub program: PathBuf,
@@ -32,7 +32,7 @@
     pub nodes: Vec<(SocketAddr, SocketAddr)>,
     pub files: Vec<PathBuf>,
     pub running: Vec<Option<Child>>,
-    /// What each node is started with next.
+    /// Build that each node is started with next.
     pub builds: Vec<Build>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Site {
-    /// Nodes of these builds.
+    /// Starts one node of each build, and waits until all are ready.
     pub async fn of(name: &str, builds: Vec<Build>) -> Self {
         let count = builds.len();
         let addrs = standins::free_addrs(count * 2);
@@ -112,7 +112,7 @@
             .unwrap_or((0, Value::Null))
     }
 
-    /// Asks again until the answer is as it should be.
+    /// Repeats a request until the response satisfies `good`.
     pub async fn until(
         &self,
         i: usize,
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the state service, the cloud and its workers on loopback,
-//! written from the protocol. Enough to try the program, and to test it.
+//! Stand-ins on loopback for the state service, the cloud and its workers, implemented from the
+//! protocol as far as tests and the playground example need it.
 
 use std::{
     collections::BTreeMap,
@@ -20,7 +20,7 @@
 mod state;
 use state::State;
 
-/// A small client: one request and its answer.
+/// Sends one request and returns status and body of the response.
 pub async fn call(
     method: Method,
     addr: SocketAddr,
@@ -69,7 +69,7 @@
 
 type Shared = Arc<(Mutex<State>, Instant)>;
 
-/// Starts a state service and returns where it listens.
+/// Starts a state service and returns its address.
 pub async fn state_service() -> SocketAddr {
     let shared: Shared = Arc::new((Mutex::new(State::default()), Instant::now()));
     serve(poem::endpoint::make(move |request| {
@@ -209,7 +209,7 @@
 struct Cloud {
     nodes: Vec<(String, SocketAddr)>,
     machines: Arc<Mutex<BTreeMap<String, Arc<Mutex<Worker>>>>>,
-    /// How long each task runs.
+    /// Run time of each task.
     run: Duration,
 }
 
@@ -228,8 +228,8 @@
     why: Option<&'static str>,
 }
 
-/// Starts a cloud with some machines that are up, whose tasks take `run`.
-/// Replicas are told from tasks by their job's name: those below 500000 end.
+/// Starts a cloud with `up` running machines, whose tasks run for `run`. Jobs with numbers of
+/// 500000 and above are services, whose tasks don't end by themselves.
 pub async fn cloud(nodes: Vec<(String, SocketAddr)>, up: usize, run: Duration) -> SocketAddr {
     let cloud = Cloud {
         nodes,
@@ -420,7 +420,7 @@
     }
 }
 
-/// The settings of one of several nodes.
+/// Returns the settings of one of several nodes.
 pub fn settings(
     index: usize,
     nodes: &[(SocketAddr, SocketAddr)],
@@ -447,7 +447,7 @@
     })
 }
 
-/// A submission that the stand-ins can run.
+/// Returns the submission of a job that the stand-ins can run.
 pub fn submission(id: &str, shape: &str, tasks: u32) -> Value {
     json!({"uid": id, "flight": "demo", "crew": "desk", "shape": shape, "lift": "standard", "strings": tasks,
         "cpus": 1.0, "gpus": 0.0, "mem_gb": 1.0, "sail": "img-1", "size_gb": 0.1, "frames": null, "field": null,
@@ -455,7 +455,7 @@
         "landby_s": null})
 }
 
-/// Addresses on loopback that nobody listens at.
+/// Returns free addresses on loopback.
 pub fn free_addrs(count: usize) -> Vec<SocketAddr> {
     let held: Vec<std::net::TcpListener> = (0..count)
         .map(|_| std::net::TcpListener::bind("127.0.0.1:0").expect("a free port"))
--- a/tests/worker_reports/mod.rs
+++ b/tests/worker_reports/mod.rs
@@ -1,10 +1,10 @@
-//! Workers' reports for tests that drive a node's core by hand.
+//! Worker reports for tests that drive a node's core directly.
 
 use std::sync::Arc;
 
 use kiteyard::core::machine::{ReportedTask, WorkerReport};
 
-/// A report of a machine in zone `a`, in its first session.
+/// Returns a report of a machine in zone `a`, in its first session.
 pub fn report_of(machine: &str, token: u64, tasks: Vec<ReportedTask>) -> WorkerReport {
     WorkerReport {
         machine: Arc::from(machine),
