--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -21,7 +21,7 @@
 use http::Method;
 use kiteyard_stand_ins::{
     cloud::{Machine, MachineState, MachineType, Machines, Rental},
-    http::{Asked, Connection, Reply, Traffic, serve},
+    http::{Connection, IncomingRequest, Reply, Traffic, serve},
 };
 use serde::Deserialize;
 use tokio::{net::TcpSocket, sync::Notify};
@@ -168,8 +168,8 @@
         };
         let answering = fleet.clone();
         let traffic = fleet.shared.direct_traffic.clone();
-        tokio::spawn(serve(listener, traffic, move |asked| {
-            let reply = answering.direct(&asked);
+        tokio::spawn(serve(listener, traffic, move |request| {
+            let reply = answering.direct(&request);
             async move { reply }
         }));
         Ok(fleet)
@@ -272,8 +272,12 @@
     }
 
     /// Handles a request of a controller to a worker.
-    fn direct(&self, asked: &Asked) -> Reply {
-        let slot = self.read().by_address.get(&asked.local.ip()).cloned();
+    fn direct(&self, request: &IncomingRequest) -> Reply {
+        let slot = self
+            .read()
+            .by_address
+            .get(&request.local_addr.ip())
+            .cloned();
         let now = self.shared.observer.now();
         let Some(slot) = slot.filter(|slot| slot.boots_until <= now) else {
             return Reply::new(503, "{}");
@@ -281,8 +285,8 @@
         if *locked(&slot.state) != SlotState::Up {
             return Reply::new(503, "{}");
         }
-        match (&asked.method, asked.path.as_str()) {
-            (&Method::POST, "/do") => self.execute(&slot, now, &asked.body),
+        match (&request.method, request.path.as_str()) {
+            (&Method::POST, "/do") => self.execute(&slot, now, &request.body),
             (&Method::GET, "/show") => {
                 let mut worker = locked(&slot.worker);
                 let (report, _) = worker.report(now);
--- a/crates/stand-ins/src/availability.rs
+++ b/crates/stand-ins/src/availability.rs
@@ -32,7 +32,7 @@
 
 impl Availability {
     /// Returns whether an outage covers `now`, the time since the start.
-    pub fn is_out(&self, now: Duration) -> bool {
+    pub fn in_outage(&self, now: Duration) -> bool {
         self.outages.iter().any(|outage| outage.covers(now))
     }
 }
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -17,13 +17,13 @@
 
 use crate::{
     availability::Availability,
-    http::{Asked, Reply, Traffic, serve},
+    http::{IncomingRequest, Reply, Traffic, serve},
     rate_limit::RateLimit,
 };
 
-const PAGE_MOST: usize = 500;
-const RENT_MOST: u32 = 50;
-const RELEASE_MOST: usize = 100;
+const MAX_PAGE_MACHINES: usize = 500;
+const MAX_RENTED_MACHINES: u32 = 50;
+const MAX_RELEASED_MACHINES: usize = 100;
 /// Size of a burst, in seconds of the rate limit.
 const BURST_S: f64 = 2.0;
 
@@ -113,7 +113,7 @@
     /// Returns the machine types on offer.
     fn types(&self) -> Vec<MachineType>;
     /// Returns machines in the order of their names, after `after`, and whether there are more.
-    fn list(&self, after: &str, most: usize) -> (Vec<Machine>, bool);
+    fn list(&self, after: &str, limit: usize) -> (Vec<Machine>, bool);
     /// Rents machines and returns their names; none if there is no capacity.
     fn rent(&self, rental: &Rental) -> Vec<String>;
     /// Takes machines back; unknown names are ignored.
@@ -142,7 +142,7 @@
 struct Shared {
     settings: CloudSettings,
     machines: Arc<dyn Machines>,
-    limit: Mutex<RateLimit>,
+    rate_limit: Mutex<RateLimit>,
     /// Rented machines by the request's idempotency key.
     rentals: Mutex<BTreeMap<String, Vec<String>>>,
     requests: AtomicU64,
@@ -152,18 +152,18 @@
 }
 
 #[derive(Serialize)]
-struct Types {
+struct MachineTypesBody {
     frames: Vec<MachineType>,
 }
 
 #[derive(Serialize)]
-struct Listed {
+struct MachineListBody {
     perches: Vec<Machine>,
     more: bool,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Names {
+struct MachineNamesBody {
     perches: Vec<String>,
 }
 
@@ -175,12 +175,12 @@
     ) -> std::io::Result<(Self, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let limit = RateLimit::new(settings.rps, settings.rps * BURST_S);
+        let rate_limit = RateLimit::new(settings.rps, settings.rps * BURST_S);
         let service = Self {
             shared: Arc::new(Shared {
                 settings,
                 machines,
-                limit: Mutex::new(limit),
+                rate_limit: Mutex::new(rate_limit),
                 rentals: Mutex::default(),
                 requests: AtomicU64::new(0),
                 refused: AtomicU64::new(0),
@@ -188,10 +188,10 @@
                 started: Instant::now(),
             }),
         };
-        let answering = service.clone();
+        let handler = service.clone();
         let traffic = service.shared.traffic.clone();
-        tokio::spawn(serve(listener, traffic, move |asked| {
-            answering.clone().answer(asked)
+        tokio::spawn(serve(listener, traffic, move |request| {
+            handler.clone().handle(request)
         }));
         Ok((service, address))
     }
@@ -207,49 +207,49 @@
     }
 
     fn admit(&self, now: Duration) -> bool {
-        let limit = self.shared.limit.lock();
-        limit
+        let rate_limit = self.shared.rate_limit.lock();
+        rate_limit
             .unwrap_or_else(PoisonError::into_inner)
             .admit(now, 1.0)
     }
 
-    async fn answer(self, asked: Asked) -> Reply {
+    async fn handle(self, request: IncomingRequest) -> Reply {
         let shared = &self.shared;
         shared.requests.fetch_add(1, Ordering::Relaxed);
         tokio::time::sleep(shared.settings.availability.latency).await;
         let now = shared.started.elapsed();
-        if shared.settings.availability.is_out(now) {
+        if shared.settings.availability.in_outage(now) {
             return Reply::new(503, r#"{"error":"trouble"}"#);
         }
         if !self.admit(now) {
             shared.refused.fetch_add(1, Ordering::Relaxed);
             return Reply::too_many_requests();
         }
-        match (&asked.method, asked.path.as_str()) {
+        match (&request.method, request.path.as_str()) {
             (&Method::GET, "/flavors") => Reply::json(
                 200,
-                &Types {
+                &MachineTypesBody {
                     frames: shared.machines.types(),
                 },
             ),
-            (&Method::GET, "/hosts") => self.list(&asked),
-            (&Method::POST, "/hosts") => self.rent(&asked),
-            (&Method::POST, "/hosts/release") => self.release(&asked),
+            (&Method::GET, "/hosts") => self.list(&request),
+            (&Method::POST, "/hosts") => self.rent(&request),
+            (&Method::POST, "/hosts/release") => self.release(&request),
             _ => Reply::malformed(),
         }
     }
 
-    fn list(&self, asked: &Asked) -> Reply {
-        let after = asked.query("after").unwrap_or_default();
-        let page = asked.query("page").and_then(|page| page.parse().ok());
-        let most = page.unwrap_or(PAGE_MOST).min(PAGE_MOST);
-        let (perches, more) = self.shared.machines.list(after, most);
-        Reply::json(200, &Listed { perches, more })
+    fn list(&self, request: &IncomingRequest) -> Reply {
+        let after = request.query("after").unwrap_or_default();
+        let page = request.query("page").and_then(|page| page.parse().ok());
+        let limit = page.unwrap_or(MAX_PAGE_MACHINES).min(MAX_PAGE_MACHINES);
+        let (perches, more) = self.shared.machines.list(after, limit);
+        Reply::json(200, &MachineListBody { perches, more })
     }
 
-    fn rent(&self, asked: &Asked) -> Reply {
-        let rental = match serde_json::from_slice::<Rental>(&asked.body) {
-            Ok(rental) if (1..=RENT_MOST).contains(&rental.how_many) => rental,
+    fn rent(&self, request: &IncomingRequest) -> Reply {
+        let rental = match serde_json::from_slice::<Rental>(&request.body) {
+            Ok(rental) if (1..=MAX_RENTED_MACHINES).contains(&rental.how_many) => rental,
             _ => return Reply::malformed(),
         };
         let mut rentals = self
@@ -257,21 +257,21 @@
             .rentals
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if let Some(known) = rentals.get(&rental.charter) {
-            let perches = known.clone();
-            return Reply::json(200, &Names { perches });
+        if let Some(rented) = rentals.get(&rental.charter) {
+            let perches = rented.clone();
+            return Reply::json(200, &MachineNamesBody { perches });
         }
         let perches = self.shared.machines.rent(&rental);
         if perches.is_empty() {
             return Reply::new(503, r#"{"error":"no capacity"}"#);
         }
         rentals.insert(rental.charter, perches.clone());
-        Reply::json(200, &Names { perches })
+        Reply::json(200, &MachineNamesBody { perches })
     }
 
-    fn release(&self, asked: &Asked) -> Reply {
-        match serde_json::from_slice::<Names>(&asked.body) {
-            Ok(names) if names.perches.len() <= RELEASE_MOST => {
+    fn release(&self, request: &IncomingRequest) -> Reply {
+        match serde_json::from_slice::<MachineNamesBody>(&request.body) {
+            Ok(names) if names.perches.len() <= MAX_RELEASED_MACHINES => {
                 self.shared.machines.release(&names.perches);
                 Reply::new(200, "{}")
             }
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -26,7 +26,7 @@
 };
 
 /// Delay after a failed accept, which happens when the process has no free sockets.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Bytes of a group of connections, with HTTP headers and without those of TCP and IP.
 #[derive(Debug, Default)]
@@ -119,7 +119,7 @@
 
 /// Request as a handler receives it.
 #[derive(Debug)]
-pub struct Asked {
+pub struct IncomingRequest {
     /// Method.
     pub method: Method,
     /// Path, without the query.
@@ -129,10 +129,10 @@
     /// Body.
     pub body: Bytes,
     /// Address that the client connected to.
-    pub local: SocketAddr,
+    pub local_addr: SocketAddr,
 }
 
-impl Asked {
+impl IncomingRequest {
     /// Returns a value of the query, not decoded.
     pub fn query(&self, name: &str) -> Option<&str> {
         self.query
@@ -180,12 +180,12 @@
 /// Serves every connection of the listener until the task is dropped.
 pub async fn serve<H, F>(listener: TcpListener, traffic: Arc<Traffic>, handler: H)
 where
-    H: Fn(Asked) -> F + Clone + Send + Sync + 'static,
+    H: Fn(IncomingRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Reply> + Send + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_AGAIN).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let traffic = traffic.clone();
@@ -195,28 +195,28 @@
 
 async fn serve_connection<H, F>(stream: TcpStream, traffic: Arc<Traffic>, handler: H)
 where
-    H: Fn(Asked) -> F + Clone + Send + Sync + 'static,
+    H: Fn(IncomingRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Reply> + Send + 'static,
 {
-    let Ok(local) = stream.local_addr() else {
+    let Ok(local_addr) = stream.local_addr() else {
         return;
     };
     let _ = stream.set_nodelay(true);
     let stream = CountedStream { stream, traffic };
-    let service = service_fn(move |request| answer(request, local, handler.clone()));
+    let service = service_fn(move |request| handle_request(request, local_addr, handler.clone()));
     // A client may disconnect at any time; that is no error.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn answer<H, F>(
+async fn handle_request<H, F>(
     request: Request<Incoming>,
-    local: SocketAddr,
+    local_addr: SocketAddr,
     handler: H,
 ) -> Result<Response<Full<Bytes>>, Infallible>
 where
-    H: Fn(Asked) -> F,
+    H: Fn(IncomingRequest) -> F,
     F: Future<Output = Reply>,
 {
     let (head, body) = request.into_parts();
@@ -224,14 +224,14 @@
         Ok(body) => body.to_bytes(),
         Err(_) => Bytes::new(),
     };
-    let asked = Asked {
+    let request = IncomingRequest {
         method: head.method,
         path: head.uri.path().to_owned(),
         query: head.uri.query().unwrap_or_default().to_owned(),
         body,
-        local,
+        local_addr,
     };
-    let reply = handler(asked).await;
+    let reply = handler(request).await;
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
     *response.status_mut() = http::StatusCode::from_u16(reply.status).unwrap_or_default();
     let json = http::HeaderValue::from_static("application/json");
@@ -243,17 +243,17 @@
 
 /// Connection to a server, opened on demand and kept until it fails.
 pub struct Connection {
-    to: SocketAddr,
+    address: SocketAddr,
     traffic: Arc<Traffic>,
-    open: Option<Open>,
+    open: Option<OpenConnection>,
 }
 
-struct Open {
+struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -261,17 +261,17 @@
 
 impl Connection {
     /// Creates a connection that is not yet open.
-    pub fn new(to: SocketAddr, traffic: Arc<Traffic>) -> Self {
+    pub fn new(address: SocketAddr, traffic: Arc<Traffic>) -> Self {
         Self {
-            to,
+            address,
             traffic,
             open: None,
         }
     }
 
     /// Returns the server's address.
-    pub fn to(&self) -> SocketAddr {
-        self.to
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
     /// Sends a request and returns status and body; closes the connection if there is no response.
@@ -283,20 +283,20 @@
         timeout: Duration,
     ) -> Option<(u16, Bytes)> {
         let exchange = self.exchange(method, path, body);
-        let answer = tokio::time::timeout(timeout, exchange).await.ok().flatten();
-        if answer.is_none() {
+        let response = tokio::time::timeout(timeout, exchange).await.ok().flatten();
+        if response.is_none() {
             self.open = None;
         }
-        answer
+        response
     }
 
     async fn exchange(&mut self, method: Method, path: &str, body: Bytes) -> Option<(u16, Bytes)> {
-        let to = self.to;
+        let address = self.address;
         let sender = self.sender().await?;
         let request = Request::builder()
             .method(method)
             .uri(path)
-            .header(http::header::HOST, to.to_string())
+            .header(http::header::HOST, address.to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .ok()?;
@@ -318,8 +318,8 @@
         self.open.as_mut().map(|open| &mut open.sender)
     }
 
-    async fn connect(&self) -> Option<Open> {
-        let stream = TcpStream::connect(self.to).await.ok()?;
+    async fn connect(&self) -> Option<OpenConnection> {
+        let stream = TcpStream::connect(self.address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let traffic = self.traffic.clone();
         let stream = TokioIo::new(CountedStream { stream, traffic });
@@ -327,6 +327,6 @@
         let driver = tokio::spawn(async move {
             let _ = connection.await;
         });
-        Some(Open { sender, driver })
+        Some(OpenConnection { sender, driver })
     }
 }
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -16,17 +16,17 @@
 
 use crate::{
     availability::Availability,
-    http::{Asked, Reply, Traffic, serve},
+    http::{IncomingRequest, Reply, Traffic, serve},
     rate_limit::RateLimit,
     store::{Change, Condition, Event, Item, Store, TxnError},
 };
 
 /// Interval of the expiry of leases, and of the check whether an outage has ended.
-const EXPIRY_ROUND: Duration = Duration::from_millis(50);
-const WAIT_MOST_MS: u64 = 60_000;
-const PAGE_DEFAULT: usize = 1_000;
-const TTL_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
-const TXN_BYTES: usize = 64 * 1024;
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_WATCH_WAIT_MS: u64 = 60_000;
+const DEFAULT_PAGE_ITEMS: usize = 1_000;
+const ALLOWED_TTL_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
+const MAX_TXN_BYTES: usize = 64 * 1024;
 
 /// Limits, latency and outages of the service.
 #[derive(Debug, Clone)]
@@ -270,10 +270,10 @@
             }),
         };
         tokio::spawn(service.clone().expire_leases());
-        let answering = service.clone();
+        let handler = service.clone();
         let traffic = service.shared.traffic.clone();
-        tokio::spawn(serve(listener, traffic, move |asked| {
-            answering.clone().answer(asked)
+        tokio::spawn(serve(listener, traffic, move |request| {
+            handler.clone().handle(request)
         }));
         Ok((service, address))
     }
@@ -318,31 +318,31 @@
         self.shared.started.elapsed()
     }
 
-    fn is_out(&self) -> bool {
-        self.shared.settings.availability.is_out(self.now())
+    fn in_outage(&self) -> bool {
+        self.shared.settings.availability.in_outage(self.now())
     }
 
     async fn expire_leases(self) {
-        let mut was_out = false;
+        let mut was_in_outage = false;
         loop {
-            tokio::time::sleep(EXPIRY_ROUND).await;
-            let is_out = self.is_out();
+            tokio::time::sleep(EXPIRY_INTERVAL).await;
+            let in_outage = self.in_outage();
             let now = self.now();
-            if was_out && !is_out {
+            if was_in_outage && !in_outage {
                 self.inner().store.renew_all(now);
             }
-            if !is_out && self.inner().store.expire(now) {
+            if !in_outage && self.inner().store.expire(now) {
                 self.shared.changed.notify_waiters();
             }
-            was_out = is_out;
+            was_in_outage = in_outage;
         }
     }
 
-    async fn answer(self, asked: Asked) -> Reply {
+    async fn handle(self, request: IncomingRequest) -> Reply {
         let counters = &self.shared.counters;
         add(&counters.requests, 1);
         tokio::time::sleep(self.shared.settings.availability.latency).await;
-        if self.is_out() {
+        if self.in_outage() {
             add(&counters.outage_answers, 1);
             return Reply::new(503, r#"{"error":"unavailable"}"#);
         }
@@ -351,15 +351,15 @@
             add(&counters.refused_requests, 1);
             return Reply::too_many_requests();
         }
-        let path = asked.path.as_str();
-        match (&asked.method, path) {
-            (&Method::GET, "/kv") => self.list(&asked),
-            (&Method::GET, "/watch") => self.watch(&asked).await,
-            (&Method::POST, "/txn") => self.transact(&asked),
-            (&Method::POST, "/holds") => self.grant(&asked),
+        let path = request.path.as_str();
+        match (&request.method, path) {
+            (&Method::GET, "/kv") => self.list(&request),
+            (&Method::GET, "/watch") => self.watch(&request).await,
+            (&Method::POST, "/txn") => self.transact(&request),
+            (&Method::POST, "/holds") => self.grant(&request),
             _ => match (path.strip_prefix("/kv/"), path.strip_prefix("/holds/")) {
-                (Some(key), _) if asked.method == Method::GET => self.get(key),
-                (_, Some(lease)) => self.lease(&asked.method, lease),
+                (Some(key), _) if request.method == Method::GET => self.get(key),
+                (_, Some(lease)) => self.handle_lease(&request.method, lease),
                 _ => Reply::malformed(),
             },
         }
@@ -373,16 +373,16 @@
         }
     }
 
-    fn list(&self, asked: &Asked) -> Reply {
-        let Some(prefix) = asked.query("prefix") else {
+    fn list(&self, request: &IncomingRequest) -> Reply {
+        let Some(prefix) = request.query("prefix") else {
             return Reply::malformed();
         };
-        let most = asked.query("page").and_then(|page| page.parse().ok());
+        let limit = request.query("page").and_then(|page| page.parse().ok());
         let inner = self.inner();
-        let after = asked.query("after");
+        let after = request.query("after");
         let page = inner
             .store
-            .list(prefix, after, most.unwrap_or(PAGE_DEFAULT));
+            .list(prefix, after, limit.unwrap_or(DEFAULT_PAGE_ITEMS));
         let body = WirePage {
             items: page.items.iter().map(wire_item).collect(),
             more: page.more,
@@ -391,48 +391,48 @@
         Reply::json(200, &body)
     }
 
-    async fn watch(&self, asked: &Asked) -> Reply {
+    async fn watch(&self, request: &IncomingRequest) -> Reply {
         add(&self.shared.counters.watches, 1);
         let number = |name| {
-            asked
+            request
                 .query(name)
                 .and_then(|value| value.parse::<u64>().ok())
         };
-        let (Some(prefix), Some(mut after)) = (asked.query("prefix"), number("after")) else {
+        let (Some(prefix), Some(mut after)) = (request.query("prefix"), number("after")) else {
             return Reply::malformed();
         };
-        let wait = number("wait_ms").unwrap_or(0).min(WAIT_MOST_MS);
+        let wait = number("wait_ms").unwrap_or(0).min(MAX_WATCH_WAIT_MS);
         let until = tokio::time::Instant::now() + Duration::from_millis(wait);
         loop {
             // Registered before the check, so that no change in between is missed.
             let changed = self.shared.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            if !self.is_out() {
+            if !self.in_outage() {
                 let inner = self.inner();
                 let Some(events) = inner.store.events(prefix, after) else {
                     return Reply::new(410, "{}");
                 };
                 let logline = inner.store.revision();
-                let over = tokio::time::Instant::now() >= until;
-                if !events.is_empty() || over {
+                let timed_out = tokio::time::Instant::now() >= until;
+                if !events.is_empty() || timed_out {
                     let events = events.iter().map(wire_event).collect();
                     return Reply::json(200, &WireEvents { logline, events });
                 }
                 after = after.max(logline);
             }
-            let pause = match self.is_out() {
-                true => tokio::time::Instant::now() + EXPIRY_ROUND,
+            let wake_at = match self.in_outage() {
+                true => tokio::time::Instant::now() + EXPIRY_INTERVAL,
                 false => until,
             };
             // Either a change or the timeout leads to another check.
-            let _ = tokio::time::timeout_at(pause, changed).await;
+            let _ = tokio::time::timeout_at(wake_at, changed).await;
         }
     }
 
-    fn transact(&self, asked: &Asked) -> Reply {
+    fn transact(&self, request: &IncomingRequest) -> Reply {
         let settings = &self.shared.settings;
-        let Ok(txn) = serde_json::from_slice::<WireTxn>(&asked.body) else {
+        let Ok(txn) = serde_json::from_slice::<WireTxn>(&request.body) else {
             return Reply::malformed();
         };
         let changes: Option<Vec<Change>> = txn.apply.into_iter().map(WireChange::change).collect();
@@ -442,13 +442,13 @@
         let lowered = settings.lowered_at(self.now());
         let value_kb = lowered.map_or(settings.value_kb, |limits| limits.value_kb);
         let txn_ops = lowered.map_or(settings.txn_ops, |limits| limits.txn_ops);
-        let value_most = (value_kb * 1024.0) as usize;
+        let max_value_bytes = (value_kb * 1024.0) as usize;
         let too_large = changes.iter().any(|change| match change {
-            Change::Put { value, .. } => value.get().len() > value_most,
+            Change::Put { value, .. } => value.get().len() > max_value_bytes,
             Change::Delete { .. } => false,
         });
-        let too_many_parts = changes.len() > txn_ops || txn.when.len() > txn_ops * 4;
-        if too_large || too_many_parts || asked.body.len() > TXN_BYTES {
+        let too_many_operations = changes.len() > txn_ops || txn.when.len() > txn_ops * 4;
+        if too_large || too_many_operations || request.body.len() > MAX_TXN_BYTES {
             return Reply::malformed();
         }
         let conditions: Vec<Condition> = txn
@@ -493,9 +493,9 @@
         }
     }
 
-    fn grant(&self, asked: &Asked) -> Reply {
-        match serde_json::from_slice::<WireGrant>(&asked.body) {
-            Ok(grant) if TTL_MS.contains(&grant.ttl_ms) => {
+    fn grant(&self, request: &IncomingRequest) -> Reply {
+        match serde_json::from_slice::<WireGrant>(&request.body) {
+            Ok(grant) if ALLOWED_TTL_MS.contains(&grant.ttl_ms) => {
                 let ttl = Duration::from_millis(grant.ttl_ms);
                 let lease = self.inner().store.grant(self.now(), ttl);
                 Reply::new(200, format!("{{\"tether\":{lease}}}"))
@@ -504,15 +504,15 @@
         }
     }
 
-    fn lease(&self, method: &Method, path: &str) -> Reply {
-        let (id, renews) = match path.strip_suffix("/renew") {
+    fn handle_lease(&self, method: &Method, path: &str) -> Reply {
+        let (id, is_renewal) = match path.strip_suffix("/renew") {
             Some(id) => (id, true),
             None => (path, false),
         };
         let Ok(id) = id.parse::<u64>() else {
             return Reply::malformed();
         };
-        match (method, renews) {
+        match (method, is_renewal) {
             (&Method::POST, true) => {
                 add(&self.shared.counters.renewals, 1);
                 let now = self.now();
--- a/crates/stand-ins/src/store.rs
+++ b/crates/stand-ins/src/store.rs
@@ -10,10 +10,10 @@
 use serde_json::value::RawValue;
 
 /// Number of changes kept for watches.
-const LOG_MOST: usize = 10_000;
+const MAX_LOG_EVENTS: usize = 10_000;
 /// Items and bytes in one page of a list.
-const PAGE_MOST: usize = 1_000;
-const PAGE_BYTES: usize = 512 * 1024;
+const MAX_PAGE_ITEMS: usize = 1_000;
+const MAX_PAGE_BYTES: usize = 512 * 1024;
 
 /// Key with its value and the revision of its last change.
 #[derive(Debug, Clone)]
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    ends: Duration,
+    expires_at: Duration,
     keys: BTreeSet<String>,
 }
 
@@ -108,7 +108,7 @@
     next_lease: u64,
     log: VecDeque<Event>,
     /// Revision of the last change that was removed from the log.
-    forgotten: u64,
+    compacted_revision: u64,
 }
 
 impl Store {
@@ -148,7 +148,7 @@
     }
 
     /// Returns keys with the prefix, in order, after `after`.
-    pub fn list(&self, prefix: &str, after: Option<&str>, most: usize) -> Page {
+    pub fn list(&self, prefix: &str, after: Option<&str>, limit: usize) -> Page {
         let from = match after {
             Some(after) if after >= prefix => Bound::Excluded(after),
             _ => Bound::Included(prefix),
@@ -161,7 +161,7 @@
         let mut bytes = 0;
         for (key, stored) in range.take_while(|(key, _)| key.starts_with(prefix)) {
             bytes += key.len() + stored.value.get().len();
-            if page.items.len() >= most.min(PAGE_MOST) || bytes > PAGE_BYTES {
+            if page.items.len() >= limit.min(MAX_PAGE_ITEMS) || bytes > MAX_PAGE_BYTES {
                 page.more = true;
                 break;
             }
@@ -176,11 +176,11 @@
         conditions: &[Condition],
         changes: Vec<Change>,
     ) -> Result<u64, TxnError> {
-        let lease_gone = changes.iter().any(|change| match change {
+        let lease_missing = changes.iter().any(|change| match change {
             Change::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
             Change::Delete { .. } => false,
         });
-        if lease_gone {
+        if lease_missing {
             return Err(TxnError::NoSuchLease);
         }
         let failed: Vec<String> = conditions
@@ -207,7 +207,7 @@
     fn apply(&mut self, change: Change) {
         let (key, value) = match change {
             Change::Put { key, value, lease } => {
-                self.detach(&key);
+                self.detach_from_lease(&key);
                 if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
                     lease.keys.insert(key.clone());
                 }
@@ -220,7 +220,7 @@
                 (key, Some(value))
             }
             Change::Delete { key } => {
-                self.detach(&key);
+                self.detach_from_lease(&key);
                 if self.keys.remove(&key).is_none() {
                     return;
                 }
@@ -232,14 +232,14 @@
             value,
             revision: self.revision,
         });
-        while self.log.len() > LOG_MOST {
+        while self.log.len() > MAX_LOG_EVENTS {
             if let Some(event) = self.log.pop_front() {
-                self.forgotten = event.revision;
+                self.compacted_revision = event.revision;
             }
         }
     }
 
-    fn detach(&mut self, key: &str) {
+    fn detach_from_lease(&mut self, key: &str) {
         let lease = self.keys.get(key).and_then(|stored| stored.lease);
         if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.remove(key);
@@ -251,7 +251,7 @@
         self.next_lease += 1;
         let lease = Lease {
             ttl,
-            ends: now + ttl,
+            expires_at: now + ttl,
             keys: BTreeSet::new(),
         };
         self.leases.insert(self.next_lease, lease);
@@ -262,7 +262,7 @@
     pub fn renew(&mut self, now: Duration, id: u64) -> bool {
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.ends = now + lease.ttl;
+                lease.expires_at = now + lease.ttl;
                 true
             }
             None => false,
@@ -272,20 +272,20 @@
     /// Renews all leases, as after an outage.
     pub fn renew_all(&mut self, now: Duration) {
         for lease in self.leases.values_mut() {
-            lease.ends = now + lease.ttl;
+            lease.expires_at = now + lease.ttl;
         }
     }
 
     /// Ends expired leases; returns true if keys were deleted with them.
     pub fn expire(&mut self, now: Duration) -> bool {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.ends <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
         let before = self.revision;
-        for id in over {
+        for id in expired {
             self.end_lease(id);
         }
         self.revision > before
@@ -307,7 +307,7 @@
     /// Returns changes of keys with the prefix after a revision, or `None` if the log no longer
     /// holds all of them.
     pub fn events(&self, prefix: &str, after: u64) -> Option<Vec<Event>> {
-        if after < self.forgotten {
+        if after < self.compacted_revision {
             return None;
         }
         let from = self.log.partition_point(|event| event.revision <= after);
--- a/crates/stand-ins/tests/store.rs
+++ b/crates/stand-ins/tests/store.rs
@@ -20,7 +20,7 @@
     Change::Put { key, value, lease }
 }
 
-fn at(key: &str, revision: u64) -> Condition {
+fn revision_is(key: &str, revision: u64) -> Condition {
     let key = key.to_owned();
     Condition { key, revision }
 }
@@ -29,15 +29,24 @@
 fn a_transaction_is_all_or_nothing() {
     let mut store = Store::default();
     let both = vec![put("a/1", 1, None), put("a/2", 2, None)];
-    assert_eq!(store.transact(&[at("a/1", 0)], both.clone()), Ok(1));
+    assert_eq!(
+        store.transact(&[revision_is("a/1", 0)], both.clone()),
+        Ok(1)
+    );
     let failed = Err(TxnError::Conflict(vec!["a/1".into()]));
     assert_eq!(
-        store.transact(&[at("a/1", 0), at("a/2", 1)], both.clone()),
+        store.transact(
+            &[revision_is("a/1", 0), revision_is("a/2", 1)],
+            both.clone()
+        ),
         failed
     );
-    assert_eq!(store.transact(&[at("a/2", 1)], Vec::new()), Ok(1));
-    let gone = vec![Change::Delete { key: "a/1".into() }, put("a/3", 3, Some(9))];
-    assert_eq!(store.transact(&[], gone), Err(TxnError::NoSuchLease));
+    assert_eq!(store.transact(&[revision_is("a/2", 1)], Vec::new()), Ok(1));
+    let missing_lease = vec![Change::Delete { key: "a/1".into() }, put("a/3", 3, Some(9))];
+    assert_eq!(
+        store.transact(&[], missing_lease),
+        Err(TxnError::NoSuchLease)
+    );
     assert_eq!((store.len(), store.revision()), (2, 1));
     let events = store.events("a/", 0).expect("the log reaches back");
     assert_eq!(events.len(), 2);
@@ -45,7 +54,7 @@
 }
 
 #[test]
-fn lists_are_in_pages_and_old_changes_are_forgotten() {
+fn lists_are_paged_and_old_changes_are_dropped() {
     let mut store = Store::default();
     for number in 0..12_000 {
         let key = format!("k/{:05}", number % 2_500);
@@ -69,7 +78,7 @@
 }
 
 #[test]
-fn keys_go_with_their_lease_unless_detached() {
+fn keys_are_deleted_with_their_lease_unless_detached() {
     let mut store = Store::default();
     let lease = store.grant(Duration::ZERO, 5 * SECOND);
     let changes = vec![put("a", 1, Some(lease)), put("b", 1, Some(lease))];
@@ -86,7 +95,7 @@
 }
 
 #[test]
-fn a_limit_admits_its_rate_and_one_burst() {
+fn a_rate_limit_admits_its_rate_and_one_burst() {
     let mut limit = RateLimit::new(10.0, 20.0);
     let admitted = |limit: &mut RateLimit, now| (0..100).filter(|_| limit.admit(now, 1.0)).count();
     assert_eq!(admitted(&mut limit, Duration::ZERO), 20);
@@ -95,15 +104,15 @@
     assert!(!limit.admit(120 * SECOND, 21.0));
 }
 
-async fn ask(connection: &mut Connection, method: Method, path: &str, body: &str) -> (u16, Value) {
+async fn send(connection: &mut Connection, method: Method, path: &str, body: &str) -> (u16, Value) {
     let body = Bytes::from(body.to_owned());
-    let answer = connection.call(method, path, body, 5 * SECOND).await;
-    let (status, body) = answer.expect("an answer");
+    let response = connection.call(method, path, body, 5 * SECOND).await;
+    let (status, body) = response.expect("an answer");
     (status, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
 #[tokio::test]
-async fn the_service_answers_refuses_and_tells_watches() {
+async fn the_service_responds_refuses_and_serves_watches() {
     let settings = StateSettings {
         rps: 8.0,
         write_rps: 2.0,
@@ -120,27 +129,42 @@
     };
     let (service, address) = StateService::start(settings).await.expect("a free port");
     let traffic: Arc<Traffic> = Arc::default();
-    let mut asking = Connection::new(address, traffic.clone());
+    let mut connection = Connection::new(address, traffic.clone());
     let set = r#"{"when":[{"key":"a/b","mark":0}],"apply":[{"set":"a/b","data":{"n":1}}]}"#;
-    assert_eq!(ask(&mut asking, Method::POST, "/txn", set).await.0, 200);
-    assert_eq!(ask(&mut asking, Method::POST, "/txn", set).await.0, 409);
-    assert_eq!(ask(&mut asking, Method::POST, "/txn", set).await.0, 429);
-    let (status, item) = ask(&mut asking, Method::GET, "/kv/a/b", "").await;
+    assert_eq!(
+        send(&mut connection, Method::POST, "/txn", set).await.0,
+        200
+    );
+    assert_eq!(
+        send(&mut connection, Method::POST, "/txn", set).await.0,
+        409
+    );
+    assert_eq!(
+        send(&mut connection, Method::POST, "/txn", set).await.0,
+        429
+    );
+    let (status, item) = send(&mut connection, Method::GET, "/kv/a/b", "").await;
     assert_eq!((status, &item["mark"]), (200, &Value::from(1)));
     let watch = "/watch?prefix=a/&after=0&wait_ms=1000";
-    let (_, seen) = ask(&mut asking, Method::GET, watch, "").await;
-    assert_eq!(seen["events"][0]["set"], "a/b");
-    assert_eq!(ask(&mut asking, Method::POST, "/txn", "{").await.0, 400);
+    let (_, response) = send(&mut connection, Method::GET, watch, "").await;
+    assert_eq!(response["events"][0]["set"], "a/b");
+    assert_eq!(
+        send(&mut connection, Method::POST, "/txn", "{").await.0,
+        400
+    );
     let counts = service.counts();
     assert_eq!((counts.refused_changes, counts.conflicts), (1, 1));
     assert_eq!(counts.bytes_received, traffic.sent());
     assert_eq!(counts.bytes_sent, traffic.received());
     tokio::time::sleep(2 * SECOND).await;
-    assert_eq!(ask(&mut asking, Method::GET, "/kv/a/b", "").await.0, 503);
+    assert_eq!(
+        send(&mut connection, Method::GET, "/kv/a/b", "").await.0,
+        503
+    );
 }
 
 #[tokio::test]
-async fn limits_fall_without_notice_and_what_is_stored_stays_readable() {
+async fn lowered_limits_apply_without_notice_and_stored_values_stay_readable() {
     let settings = StateSettings {
         rps: 1000.0,
         write_rps: 100.0,
@@ -155,26 +179,32 @@
         availability: Availability::default(),
     };
     let (_service, address) = StateService::start(settings).await.expect("a free port");
-    let mut asking = Connection::new(address, Arc::default());
+    let mut connection = Connection::new(address, Arc::default());
     let put = |key: &str, bytes: usize| {
         let value = "x".repeat(bytes);
         format!(r#"{{"set":"{key}","data":"{value}"}}"#)
     };
     let txn = |changes: &[String]| format!(r#"{{"when":[],"apply":[{}]}}"#, changes.join(","));
-    let large = txn(&[put("a", 500)]);
-    let two = txn(&[put("b", 5), put("c", 5)]);
-    for body in [&large, &two] {
-        assert_eq!(ask(&mut asking, Method::POST, "/txn", body).await.0, 200);
+    let large_value = txn(&[put("a", 500)]);
+    let two_changes = txn(&[put("b", 5), put("c", 5)]);
+    for body in [&large_value, &two_changes] {
+        assert_eq!(
+            send(&mut connection, Method::POST, "/txn", body).await.0,
+            200
+        );
     }
     tokio::time::sleep(SECOND).await;
-    for body in [&large, &two] {
-        assert_eq!(ask(&mut asking, Method::POST, "/txn", body).await.0, 400);
+    for body in [&large_value, &two_changes] {
+        assert_eq!(
+            send(&mut connection, Method::POST, "/txn", body).await.0,
+            400
+        );
     }
     let one = txn(&[put("d", 5)]);
     let mut statuses = Vec::new();
     for _ in 0..3 {
-        statuses.push(ask(&mut asking, Method::POST, "/txn", &one).await.0);
+        statuses.push(send(&mut connection, Method::POST, "/txn", &one).await.0);
     }
     assert_eq!(statuses, [200, 200, 429]);
-    assert_eq!(ask(&mut asking, Method::GET, "/kv/a", "").await.0, 200);
+    assert_eq!(send(&mut connection, Method::GET, "/kv/a", "").await.0, 200);
 }
