--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -345,10 +345,10 @@
                 continue;
             }
             last_sent = Some(now);
-            let pause = self.report(&slot, &mut reporter).await;
+            let delay = self.report(&slot, &mut reporter).await;
             let jitter = 1.0 + REPORT_JITTER * (2.0 * lock(&slot.worker).random_fraction() - 1.0);
-            due = match pause {
-                Some(pause) => shared.observer.now() + pause,
+            due = match delay {
+                Some(delay) => shared.observer.now() + delay,
                 None => now + Duration::from_secs_f64(interval * jitter),
             };
         }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -197,11 +197,11 @@
             if now >= until && restarts.is_empty() {
                 return;
             }
-            let pause = match now < until {
+            let delay = match now < until {
                 true => (until - now).min(CHECK_INTERVAL),
                 false => CHECK_INTERVAL,
             };
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -308,11 +308,11 @@
 
     /// Returns the open connection, or opens a new one.
     async fn sender(&mut self) -> Option<&mut SendRequest<Full<Bytes>>> {
-        let usable = match &mut self.open {
+        let is_usable = match &mut self.open {
             Some(open) => open.sender.ready().await.is_ok(),
             None => false,
         };
-        if !usable {
+        if !is_usable {
             self.open = Some(self.connect().await?);
         }
         self.open.as_mut().map(|open| &mut open.sender)
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -353,7 +353,7 @@
             worker.report().to_string()
         };
         let reply = call(Method::POST, nodes[node].1, "/checkin", Some(report)).await;
-        let pause = match reply {
+        let delay_ms = match reply {
             Some((200, body)) => {
                 worker
                     .lock()
@@ -366,16 +366,16 @@
                     .iter()
                     .position(|(name, _)| body["spotter"] == name.as_str());
                 let other = named.filter(|n| *n != node);
-                let pause = if other.is_some() { 50 } else { 500 };
+                let delay_ms = if other.is_some() { 50 } else { 500 };
                 node = other.unwrap_or((node + 1) % nodes.len());
-                pause
+                delay_ms
             }
             _ => {
                 node = (node + 1) % nodes.len();
                 500
             }
         };
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 }
 
