--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -5,8 +5,8 @@
 //! because the state service limits the number of changes and a large array reaches every machine
 //! within moments.
 
-mod answers;
 mod record;
+mod write_results;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -196,33 +196,35 @@
 
     /// Returns an unused shard number whose key sorts after `last`.
     fn new_shard_number(&self, last: Option<&str>) -> u32 {
-        let after = |id: &u32| last.is_none_or(|last| *id.to_string() > *last);
-        let free = |id: &u32| !self.shards.contains_key(id) && after(id);
+        let sorts_after_last = |id: &u32| last.is_none_or(|last| *id.to_string() > *last);
+        let is_unused = |id: &u32| !self.shards.contains_key(id) && sorts_after_last(id);
         // Any longer number that begins with the digits of `last` sorts after it.
-        let longer = (1..u32::MAX.ilog10()).filter_map(|digits| {
+        let longer_numbers = (1..u32::MAX.ilog10()).filter_map(|digits| {
             let first: u32 = last?.parse().ok()?;
             let scale = 10_u32.checked_pow(digits)?;
             let end = first.checked_add(1)?.checked_mul(scale)?;
             Some(first * scale..end)
         });
-        let small = 0..FIRST_SHARD_NUMBERS;
-        let mut numbers = small.chain(longer.flatten());
-        numbers.find(free).unwrap_or(u32::MAX)
+        let first_numbers = 0..FIRST_SHARD_NUMBERS;
+        let mut numbers = first_numbers.chain(longer_numbers.flatten());
+        numbers.find(is_unused).unwrap_or(u32::MAX)
     }
 
     /// Returns the shard for one more machine: the emptiest that has room left.
     fn shard_for(&mut self, machine: &Machine) -> u32 {
-        let room = self.max_value_bytes / 4 * 3;
+        let max_bytes = self.max_value_bytes / 4 * 3;
         // A version that does not support oversized shards trusts the shard that it reads last, so
         // the shard that is written has to sort last.
         let last = self.last_oversized();
-        let after = |id: u32| last.as_ref().is_none_or(|last| id.to_string() > *last);
+        let sorts_after_last = |id: u32| last.as_ref().is_none_or(|last| id.to_string() > *last);
         let chosen = self
             .shards
             .iter()
-            .filter(|(id, shard)| !shard.oversized && !shard.crowded && after(**id))
+            .filter(|(id, shard)| !shard.oversized && !shard.crowded && sorts_after_last(**id))
             .map(|(id, shard)| (shard.expected_bytes, *id))
-            .filter(|(expected_bytes, _)| expected_bytes + expected_entry_bytes(machine) <= room)
+            .filter(|(expected_bytes, _)| {
+                expected_bytes + expected_entry_bytes(machine) <= max_bytes
+            })
             .min();
         let id = match chosen {
             Some((_, id)) => id,
@@ -334,7 +336,7 @@
                 true => delete(key),
                 false => put(key, &record),
             });
-            self.write_sent(&write);
+            self.record_sent_write(&write);
             writes.push(write);
         }
         (!writes.is_empty()).then_some((writes, conditions, changes))
@@ -342,7 +344,7 @@
 
     /// Records a write in flight. Until its answer only jobs listed both before and after count: a
     /// start for a job that this write drops must not be sent.
-    fn write_sent(&mut self, write: &ShardWrite) {
+    fn record_sent_write(&mut self, write: &ShardWrite) {
         for listing in &write.machines {
             let Some(machine) = self.machines.get_mut(&listing.machine) else {
                 continue;
@@ -403,8 +405,8 @@
             let Some(machine) = self.machines.get_mut(&listing.machine) else {
                 continue;
             };
-            let own = machine.assignment.listed_in == Some(write.shard);
-            if own
+            let is_own = machine.assignment.listed_in == Some(write.shard);
+            if is_own
                 || machine.assignment.may_be_written
                 || machine.assignment.shard != Some(write.shard)
             {
@@ -462,11 +464,11 @@
                 // These machines get no more tasks, and the next leader need not wait for them.
                 false => {
                     let is_moving = self.assignment_index.is_moving(&m.assignment);
-                    let leaves = matches!(m.state, MachineState::Leaving | MachineState::Lost)
+                    let is_leaving = matches!(m.state, MachineState::Leaving | MachineState::Lost)
                         && m.assignment.may_be_stored
                         && m.tasks.is_empty()
                         && !m.unresolved;
-                    (leaves && !is_moving) || (is_moving && self.can_move(m))
+                    (is_leaving && !is_moving) || (is_moving && self.can_move(m))
                 }
             })
             .map(|m| m.id.clone())
@@ -496,11 +498,11 @@
 
     /// Returns whether the machine may hold tasks and a shard may have room to list it.
     fn can_move(&self, machine: &Machine) -> bool {
-        let own = machine
+        let own_shard = machine
             .assignment
             .shard
             .and_then(|id| self.assignment_index.shards.get(&id));
-        !own.is_some_and(|shard| shard.crowded) && !Self::jobs_possibly_on(machine).is_empty()
+        !own_shard.is_some_and(|shard| shard.crowded) && !Self::jobs_possibly_on(machine).is_empty()
     }
 
     /// Builds the deletion of an oversized shard, which lists nothing afterwards.
--- a/src/core/assignment_index/answers.rs
+++ b/src/core/assignment_index/write_results.rs
@@ -10,10 +10,10 @@
             // Without other events, nothing else would return parked jobs to the queue.
             self.requeue();
         }
-        let lists = writes.iter().any(|write| !write.empty);
+        let lists_jobs = writes.iter().any(|write| !write.empty);
         match reply {
-            StateReply::Rejected if lists => self.pause_rentals(true),
-            StateReply::Committed { .. } => self.pause_rentals(false),
+            StateReply::Rejected if lists_jobs => self.set_rentals_paused(true),
+            StateReply::Committed { .. } => self.set_rentals_paused(false),
             _ => {}
         }
         for write in writes {
@@ -25,12 +25,12 @@
                 StateReply::Committed { revision } => {
                     shard.version = if write.empty { 0 } else { *revision };
                     shard.stored_digest = Some(write.digest);
-                    self.write_stored(write);
+                    self.handle_stored_write(write);
                 }
                 // The write was not applied and never will be.
                 StateReply::Refused { .. } | StateReply::Rejected => {
                     shard.stale = true;
-                    self.write_refused(&write);
+                    self.handle_refused_write(&write);
                 }
                 // The write may have been applied, or may be applied later.
                 _ => {
@@ -42,16 +42,16 @@
         }
     }
 
-    fn pause_rentals(&mut self, rejected: bool) {
-        if std::mem::replace(&mut self.assignment_index.rejected, rejected) != rejected {
+    fn set_rentals_paused(&mut self, is_paused: bool) {
+        if std::mem::replace(&mut self.assignment_index.rejected, is_paused) != is_paused {
             info!(
-                paused = rejected,
+                paused = is_paused,
                 "paused or resumed renting for starts that can't be stored"
             );
         }
     }
 
-    fn write_refused(&mut self, write: &ShardWrite) {
+    fn handle_refused_write(&mut self, write: &ShardWrite) {
         for listing in &write.machines {
             if let Some(machine) = self.machines.get_mut(&listing.machine)
                 && machine.assignment.shard == Some(write.shard)
@@ -61,7 +61,7 @@
         }
     }
 
-    fn write_stored(&mut self, write: ShardWrite) {
+    fn handle_stored_write(&mut self, write: ShardWrite) {
         if write.deletes_oversized {
             self.oversized_shard_deleted(&write);
             return;
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -82,8 +82,8 @@
             return None;
         }
         let below = spec.priority as usize + usize::from(reclaims);
-        let some = |resources: &Resources| *resources != Resources::default();
-        let lowest = self.preemptible[..below].iter().position(some)?;
+        let is_used = |resources: &Resources| *resources != Resources::default();
+        let lowest = self.preemptible[..below].iter().position(is_used)?;
         Priority::ALL.get(lowest).copied()
     }
 }
@@ -147,7 +147,7 @@
     /// Tasks of the selected job by zone, including stopping ones.
     pub job_zones: BTreeMap<Arc<str>, u32>,
     /// Jobs that are listed for unresponsive machines.
-    pub on_unresolved: HashSet<JobId>,
+    pub unresolved_jobs: HashSet<JobId>,
     /// Tasks by job and zone, counted at the first use.
     tasks_by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
 }
@@ -157,7 +157,7 @@
         machines: Vec<MachineCapacity>,
         usage: Usage,
         stopping_usage: Usage,
-        on_unresolved: HashSet<JobId>,
+        unresolved_jobs: HashSet<JobId>,
     ) -> Self {
         let zones: BTreeSet<&Arc<str>> = machines.iter().map(|capacity| &capacity.zone).collect();
         let mut snapshot = Self {
@@ -169,7 +169,7 @@
             usage,
             stopping_usage,
             job_zones: BTreeMap::new(),
-            on_unresolved,
+            unresolved_jobs,
             tasks_by_zone: None,
         };
         snapshot.find_open_machines();
@@ -234,8 +234,8 @@
 
     /// Returns whether a similar job found no room. A nominated job may still use room that is
     /// reserved for it alone.
-    pub fn rules_out(&self, spec: &JobSpec, nominated: bool) -> bool {
-        !nominated && self.unplaceable.iter().any(|task| task.covers(spec))
+    pub fn rules_out(&self, spec: &JobSpec, is_nominated: bool) -> bool {
+        !is_nominated && self.unplaceable.iter().any(|task| task.covers(spec))
     }
 
     /// Selects a job and looks up its tasks by zone, including the stopping ones. The tasks are
@@ -246,10 +246,10 @@
         if !depends_on_zones(spec) {
             return;
         }
-        let counted = self
+        let zones_by_job = self
             .tasks_by_zone
-            .get_or_insert_with(|| count_by_zone(machines));
-        if let Some(zones) = counted.get(&spec.id) {
+            .get_or_insert_with(|| count_by_job_and_zone(machines));
+        if let Some(zones) = zones_by_job.get(&spec.id) {
             self.job_zones.clone_from(zones);
         }
     }
@@ -262,14 +262,14 @@
         *sum = sum.plus(&spec.need);
         self.usage.add(&spec.team, &spec.need);
         *self.job_zones.entry(capacity.zone.clone()).or_insert(0) += 1;
-        if let (Some(counted), true) = (&mut self.tasks_by_zone, depends_on_zones(spec)) {
-            let zones = counted.entry(spec.id.clone()).or_default();
+        if let (Some(zones_by_job), true) = (&mut self.tasks_by_zone, depends_on_zones(spec)) {
+            let zones = zones_by_job.entry(spec.id.clone()).or_default();
             *zones.entry(capacity.zone.clone()).or_insert(0) += 1;
         }
     }
 
     /// Recalculates a machine on which tasks were stopped or starts were withdrawn.
-    pub fn recount(&mut self, index: usize, machine: &Machine) {
+    pub fn recompute_machine(&mut self, index: usize, machine: &Machine) {
         self.tasks_by_zone = None;
         self.machines[index].recompute(machine);
         self.find_open_machines();
@@ -300,26 +300,26 @@
     spec.one_zone || spec.spread || spec.kind == Kind::Service
 }
 
-fn count_by_zone(
+fn count_by_job_and_zone(
     machines: &BTreeMap<MachineId, Machine>,
 ) -> HashMap<JobId, BTreeMap<Arc<str>, u32>> {
-    let mut counted: HashMap<JobId, BTreeMap<Arc<str>, u32>> = HashMap::new();
+    let mut zones_by_job: HashMap<JobId, BTreeMap<Arc<str>, u32>> = HashMap::new();
     for machine in machines.values() {
         for ((task, _), p) in &machine.tasks {
             if p.exited() || p.spec.as_ref().is_some_and(|spec| !depends_on_zones(spec)) {
                 continue;
             }
-            let zones = counted.entry(task.job.clone()).or_default();
+            let zones = zones_by_job.entry(task.job.clone()).or_default();
             *zones.entry(machine.zone.clone()).or_insert(0) += 1;
         }
     }
-    counted
+    zones_by_job
 }
 
 /// Returns the jobs listed for machines whose tasks are not known yet.
 pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
-    let on_unresolved = machines.values().filter(|m| m.unresolved);
-    on_unresolved
+    let unresolved_machines = machines.values().filter(|m| m.unresolved);
+    unresolved_machines
         .flat_map(|m| m.assignment.possible_jobs().cloned())
         .collect()
 }
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -31,12 +31,12 @@
     /// Marks machines whose worker's lease has expired as lost, with their tasks; returns their
     /// number.
     fn end_leases(&mut self, now: Duration) -> usize {
-        let claim_proven_at = self.claim_proven_at;
+        let claim_verified_at = self.claim_verified_at;
         let lost: Vec<MachineId> = self
             .machines
             .values()
             .filter(|m| has_current_session(m))
-            .filter(|m| self.lease_end(m).is_some_and(|at| claim_proven_at > at))
+            .filter(|m| self.lease_end(m).is_some_and(|at| claim_verified_at > at))
             .map(|m| m.id.clone())
             .collect();
         for id in &lost {
@@ -61,9 +61,9 @@
 
     /// Marks unresponsive machines as empty once all leases that they may have are over.
     fn resolve_empty_machines(&mut self) {
-        let claim_proven_at = self.claim_proven_at;
+        let claim_verified_at = self.claim_verified_at;
         let unresolved = self.machines.values().filter(|m| m.unresolved);
-        let empty = unresolved.filter(|m| claim_proven_at > self.presumed_empty_at(m));
+        let empty = unresolved.filter(|m| claim_verified_at > self.presumed_empty_at(m));
         let empty: Vec<MachineId> = empty.map(|m| m.id.clone()).collect();
         if empty.is_empty() {
             return;
@@ -101,8 +101,8 @@
     }
 
     /// Returns whether a lease would end if the claim were known to be still valid.
-    pub fn needs_claim_proof(&self, now: Duration) -> bool {
-        let has_passed = |end: Duration| now > end && self.claim_proven_at <= end;
+    pub fn needs_claim_verification(&self, now: Duration) -> bool {
+        let has_passed = |end: Duration| now > end && self.claim_verified_at <= end;
         self.machines.values().any(|m| {
             let lost = has_current_session(m) && self.lease_end(m).is_some_and(has_passed);
             lost || (m.unresolved && has_passed(self.presumed_empty_at(m)))
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -64,7 +64,7 @@
     /// Time until which an unresponsive machine may hold tasks that a previous leader started.
     pub(super) previous_leases_end: Duration,
     /// Latest time at which the claim is known to have been valid.
-    pub claim_proven_at: Duration,
+    pub claim_verified_at: Duration,
     /// Last attempt number given to a start, see `next_attempt`.
     last_attempt: u64,
     /// Earliest time of the next scheduling pass.
@@ -224,7 +224,7 @@
             logged_drains_pause: None,
             leading_since: now,
             reconciler: Reconciler::new(&config, now),
-            claim_proven_at: Duration::ZERO,
+            claim_verified_at: Duration::ZERO,
             last_attempt: claim << 24,
             next_pass: Duration::ZERO,
             next_round: Duration::ZERO,
@@ -330,7 +330,7 @@
                 if task.job != *id {
                     return true;
                 }
-                placement.foreign = true;
+                placement.is_orphaned = true;
                 placement.stop = Some(Stop::new(Duration::ZERO, now));
                 placement.phase != Phase::Decided
             });
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -76,7 +76,7 @@
         let mut unsent = Vec::new();
         for machine in self.machines.values_mut() {
             machine.tasks.retain(|(task, _), p| {
-                if task.job != *id || p.foreign || p.exited() {
+                if task.job != *id || p.is_orphaned || p.exited() {
                     return true;
                 }
                 if p.phase == Phase::Decided {
@@ -93,7 +93,7 @@
     }
 
     /// Requests the stop of a task, or withdraws a start that was not sent yet.
-    pub fn stop(&mut self, id: &MachineId, key: &AttemptKey, grace: Duration, now: Duration) {
+    pub fn stop_task(&mut self, id: &MachineId, key: &AttemptKey, grace: Duration, now: Duration) {
         let gang = self
             .jobs
             .get(&key.0.job)
@@ -118,7 +118,7 @@
     }
 
     /// Places a waiting task on a machine.
-    pub fn place(&mut self, id: &MachineId, task: TaskId, attempt: u64, now: Duration) {
+    pub fn record_placement(&mut self, id: &MachineId, task: TaskId, attempt: u64, now: Duration) {
         let job = self.jobs.get_mut(&task.job).expect("job of a waiting task");
         job.slots[task.index as usize] = Slot::Placed(id.clone());
         job.placed += 1;
@@ -140,7 +140,7 @@
                 since: now,
                 running_since: None,
                 stop: None,
-                foreign: false,
+                is_orphaned: false,
                 start_sent_seq: 0,
             },
         );
@@ -157,7 +157,7 @@
         if placement.phase == Phase::Seen(TaskPhase::Running) {
             running += 1;
         }
-        placement.foreign = true;
+        placement.is_orphaned = true;
         placement.stop.get_or_insert(Stop::new(Duration::ZERO, now));
     }
     running
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -21,7 +21,11 @@
 
 impl ClusterState {
     /// Processes a report and returns the token and commands of its answer, or none if it is late.
-    pub fn report(&mut self, report: &WorkerReport, now: Duration) -> Option<(u64, Vec<Command>)> {
+    pub fn process_report(
+        &mut self,
+        report: &WorkerReport,
+        now: Duration,
+    ) -> Option<(u64, Vec<Command>)> {
         let id = report.machine.clone();
         if self.provisioning.was_released(&id) {
             // The machine no longer exists: the report was delayed, and nobody waits for an answer.
@@ -49,11 +53,11 @@
         if self.availability(&id, now) != before {
             self.requeue();
         }
-        self.answer(&id, report.seq)
+        self.answer_report(&id, report.seq)
     }
 
     /// Returns the token and the commands that answer a machine's report.
-    fn answer(&mut self, id: &MachineId, seq: u64) -> Option<(u64, Vec<Command>)> {
+    fn answer_report(&mut self, id: &MachineId, seq: u64) -> Option<(u64, Vec<Command>)> {
         // While a direct command is in flight no other commands are sent, since the two could be
         // executed in the wrong order.
         let commands = match self.machines.get(id)?.direct_in_flight {
@@ -146,7 +150,7 @@
     ) {
         let adopted = !self.machines[id].tasks.contains_key(&key);
         if adopted {
-            self.adopt(id, &key, phase, now);
+            self.adopt_task(id, &key, phase, now);
         }
         let machine = self.machines.get_mut(id).expect("known machine");
         let placement = machine.tasks.get_mut(&key).expect("adopted");
@@ -186,7 +190,7 @@
         before: Phase,
         phase: TaskPhase,
     ) {
-        if placement.foreign {
+        if placement.is_orphaned {
             return;
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -226,7 +230,7 @@
 
     /// Adopts a reported task that this leader did not start: one that a previous leader started,
     /// or a stray one that is to be stopped.
-    fn adopt(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
+    fn adopt_task(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
         let decision = self.decide_adoption(&key.0, phase);
         let is_ours = decision == AdoptionDecision::Adopt;
         let job = self.jobs.get_mut(&key.0.job);
@@ -249,7 +253,7 @@
                 since: now,
                 running_since: None,
                 stop,
-                foreign: !is_ours,
+                is_orphaned: !is_ours,
                 start_sent_seq: 0,
             },
         );
@@ -269,11 +273,11 @@
     ) {
         self.queue.pass_requested = true;
         if reason == Some(ExitReason::Done) {
-            if !placement.foreign {
+            if !placement.is_orphaned {
                 self.release_slot(id, task, placement);
             }
             self.finish_task(task, now);
-        } else if !placement.foreign {
+        } else if !placement.is_orphaned {
             self.release_slot(id, task, placement);
             self.task_failed(id, task, reason, now);
         }
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -69,8 +69,8 @@
             })
             .filter(|m| {
                 m.tasks.values().filter(|p| !p.exited()).all(|p| {
-                    let replica = p.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
-                    replica
+                    let is_replica = p.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
+                    is_replica
                         && p.phase == Phase::Seen(TaskPhase::Running)
                         && !p.stopping()
                         && now > p.since + MIN_REPLICA_AGE
@@ -113,7 +113,7 @@
         let running: Vec<AttemptKey> = self.machines[id]
             .tasks
             .iter()
-            .filter(|(_, p)| !p.exited() && !p.stopping() && !p.foreign)
+            .filter(|(_, p)| !p.exited() && !p.stopping() && !p.is_orphaned)
             .map(|(key, _)| key.clone())
             .collect();
         let mut stopped_by_service: HashMap<JobId, u32> = HashMap::new();
@@ -137,7 +137,7 @@
             if self.disruption_ledger.ask(now, &ask).is_ok() {
                 self.disruption_ledger.take(now, &ask);
                 *stopped += 1;
-                self.stop(id, &key, self.config.options.grace, now);
+                self.stop_task(id, &key, self.config.options.grace, now);
             }
         }
     }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -98,11 +98,11 @@
                 continue;
             };
             info!(machine = %id, tasks = machine.tasks.len(), "machine cordoned for a drain");
-            let decided = machine.tasks.iter();
-            let decided = decided.filter(|(_, p)| p.phase == Phase::Decided);
-            let decided: Vec<AttemptKey> = decided.map(|(key, _)| key.clone()).collect();
-            for key in decided {
-                self.stop(&id, &key, Duration::ZERO, now);
+            let unsent = machine.tasks.iter();
+            let unsent = unsent.filter(|(_, p)| p.phase == Phase::Decided);
+            let unsent: Vec<AttemptKey> = unsent.map(|(key, _)| key.clone()).collect();
+            for key in unsent {
+                self.stop_task(&id, &key, Duration::ZERO, now);
             }
         }
         self.requeue();
@@ -110,9 +110,9 @@
 
     /// Whether a drained machine has been released or never existed.
     pub(super) fn is_gone(&self, id: &str, now: Duration) -> bool {
-        let known = self.machines.contains_key(id);
+        let is_known = self.machines.contains_key(id);
         // After a failover the cloud's list may show machines that the assignment index lacks.
-        !known && now > self.leading_since + self.config.list_lag * 3
+        !is_known && now > self.leading_since + self.config.list_lag * 3
     }
 
     /// Advances all drains.
@@ -122,9 +122,9 @@
             return;
         }
         let pause = self.drains_pause.or_else(|| {
-            let clear =
+            let is_reachable =
                 !self.reachability.is_uncertain && self.reachability.partitioned_zones.is_empty();
-            (!clear || self.has_unresolved_machines()).then_some(Waits::Outlook)
+            (!is_reachable || self.has_unresolved_machines()).then_some(Waits::Outlook)
         });
         if pause != self.logged_drains_pause {
             match &pause {
@@ -141,15 +141,15 @@
                 continue;
             };
             let mut tasks = self.remaining_tasks(&id, &services, now);
-            let left = tasks.len() as u32;
+            let remaining_count = tasks.len() as u32;
             let is_overdue = order.by_ms.is_some_and(|by| self.wall_ms >= by);
             let (stop, waits) = match pause {
-                Some(why) if left > 0 => (Vec::new(), why),
+                Some(why) if remaining_count > 0 => (Vec::new(), why),
                 _ => drain::step(now, is_overdue, &mut tasks, &mut self.disruption_ledger),
             };
-            let empty = machine.tasks.is_empty() && !machine.unresolved;
+            let is_empty = machine.tasks.is_empty() && !machine.unresolved;
             let can_release =
-                empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
+                is_empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
             if can_release && pause.is_none() {
                 info!(machine = %id, why = "drained", "releasing machine");
                 let machine = self.machines.get_mut(&id).expect("just seen");
@@ -157,9 +157,15 @@
             }
             for key in stop {
                 info!(task = %key.0, machine = %id, "stopping task on draining machine");
-                self.stop(&id, &key, self.config.options.grace, now);
+                self.stop_task(&id, &key, self.config.options.grace, now);
             }
-            draining.insert(id, DrainProgress { tasks: left, waits });
+            draining.insert(
+                id,
+                DrainProgress {
+                    tasks: remaining_count,
+                    waits,
+                },
+            );
         }
         self.draining = draining;
     }
@@ -172,8 +178,8 @@
         now: Duration,
     ) -> Vec<Task<AttemptKey>> {
         let placements = self.machines[id].tasks.iter();
-        let left = placements.filter(|(_, p)| !p.exited() && !p.foreign);
-        let mut tasks: Vec<Task<AttemptKey>> = left
+        let remaining = placements.filter(|(_, p)| !p.exited() && !p.is_orphaned);
+        let mut tasks: Vec<Task<AttemptKey>> = remaining
             .filter_map(|(key, placement)| {
                 let spec = placement.spec.as_ref()?;
                 let kind = match spec.kind {
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -30,12 +30,12 @@
     /// Parses an id, accepting only the agreed form, so that an id can be part of a key or a path.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(JOB_PREFIX)?.as_bytes();
-        let fits = (1..=40).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
+        let is_valid = (1..=40).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
         let mut leading_digits = [0; LEADING_DIGITS];
         for (to, digit) in leading_digits.iter_mut().zip(digits) {
             *to = *digit;
         }
-        fits.then(|| Self {
+        is_valid.then(|| Self {
             leading_digits: u64::from_be_bytes(leading_digits),
             text: Arc::from(text),
         })
@@ -168,10 +168,10 @@
 const TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + TOLERANCE
-            && self.gpus <= room.gpus + TOLERANCE
-            && self.memory_gb <= room.memory_gb + TOLERANCE
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + TOLERANCE
+            && self.gpus <= available.gpus + TOLERANCE
+            && self.memory_gb <= available.memory_gb + TOLERANCE
     }
 
     pub fn plus(&self, other: &Resources) -> Resources {
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Returns the number of tasks of this size that fit into `room`.
-    pub fn count_fitting(&self, room: &Resources) -> u32 {
+    /// Returns the number of tasks of this size that fit into `available`.
+    pub fn count_fitting(&self, available: &Resources) -> u32 {
         let ratio = |need: f64, have: f64| {
             if need <= 0.0 {
                 f64::INFINITY
@@ -199,9 +199,9 @@
                 ((have + TOLERANCE) / need).floor().max(0.0)
             }
         };
-        ratio(self.cpus, room.cpus)
-            .min(ratio(self.gpus, room.gpus))
-            .min(ratio(self.memory_gb, room.memory_gb))
+        ratio(self.cpus, available.cpus)
+            .min(ratio(self.gpus, available.gpus))
+            .min(ratio(self.memory_gb, available.memory_gb))
             .min(1e6) as u32
     }
 
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -81,7 +81,7 @@
         let Some(ledger) = &mut self.licence_ledger else {
             return;
         };
-        let mut held = BTreeMap::new();
+        let mut holders = BTreeMap::new();
         let mut maybe = Needs::new();
         let mut has_unknown_holders = false;
         for machine in self.machines.values() {
@@ -90,7 +90,7 @@
                     Some(spec) if spec.licences.is_empty() => {}
                     Some(spec) => {
                         let holder = (spec.team.to_string(), spec.licences.clone());
-                        held.insert(attempt_of(task, *attempt), holder);
+                        holders.insert(attempt_of(task, *attempt), holder);
                     }
                     None => has_unknown_holders = true,
                 }
@@ -117,7 +117,7 @@
                 maybe.insert(licence.to_owned(), u32::MAX / 4);
             }
         }
-        ledger.step(now, Input::Holding(held));
+        ledger.step(now, Input::Holding(holders));
         let machine = UNRESOLVED_MACHINES.to_owned();
         let needs = maybe;
         ledger.step(now, Input::MayHold { machine, needs });
@@ -136,11 +136,11 @@
                     && job.spec.priority >= spec.priority
                     && !job.nominations.is_empty()
             });
-            let held = nominated.map(|job| {
+            let reserved_seats = nominated.map(|job| {
                 let seats_per_task = job.spec.licences.get(licence).copied().unwrap_or(0);
                 seats_per_task.saturating_mul(job.nominations.len() as u32)
             });
-            free.saturating_sub(held.fold(0, u32::saturating_add)) / seats
+            free.saturating_sub(reserved_seats.fold(0, u32::saturating_add)) / seats
         });
         fits.min().unwrap_or(u32::MAX)
     }
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -125,10 +125,10 @@
 }
 
 impl WriteRate {
-    pub fn new(present: f64, announced: Option<f64>) -> Self {
+    pub fn new(current: f64, announced: Option<f64>) -> Self {
         Self {
-            current: present,
-            announced: announced.filter(|rate| *rate < present),
+            current: current,
+            announced: announced.filter(|rate| *rate < current),
             reduced_since: Duration::ZERO,
             reduced_until: Duration::ZERO,
             reduction_time: Duration::ZERO,
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -157,7 +157,7 @@
     /// Stop request, if the task was told to stop.
     pub stop: Option<Stop>,
     /// Whether the task belongs to a finished or unknown job, or runs elsewhere.
-    pub foreign: bool,
+    pub is_orphaned: bool,
     /// Last report whose answer carried the start, or 0 if none did. Until a later report arrives
     /// that answer may be in flight, whatever was seen of the task since, and a start that arrives
     /// after the worker has forgotten the attempt would run it again.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -296,9 +296,9 @@
     fn plan_leader_round(&mut self, proven: Duration) -> Option<RoundWork> {
         let now = self.now();
         let cluster = self.cluster.as_mut()?;
-        cluster.claim_proven_at = proven;
+        cluster.claim_verified_at = proven;
         cluster.tick(now);
-        let needs_proof = cluster.needs_claim_proof(now);
+        let needs_proof = cluster.needs_claim_verification(now);
         run_due_pass(cluster, now);
         Some(RoundWork {
             needs_proof,
@@ -492,7 +492,7 @@
             return None;
         }
         run_due_pass(cluster, now);
-        Some(match cluster.report(report, now) {
+        Some(match cluster.process_report(report, now) {
             Some((token, commands)) => Answer::Commands { token, commands },
             None => Answer::Redirect(None),
         })
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -222,7 +222,7 @@
             open.in_flight = true;
             return Some(CloudRequest::Provision(open.request.clone()));
         }
-        let leaving: Vec<MachineId> = self
+        let to_release: Vec<MachineId> = self
             .machines
             .values()
             .filter(|m| m.state == MachineState::Leaving && m.tasks.is_empty() && !m.unresolved)
@@ -232,10 +232,14 @@
             .map(|m| m.id.clone())
             .take(100)
             .collect();
-        if !leaving.is_empty() {
-            info!(machines = ?leaving, "releasing machines");
-            self.provisioning.releasing.extend(leaving.iter().cloned());
-            return Some(CloudRequest::Release { machines: leaving });
+        if !to_release.is_empty() {
+            info!(machines = ?to_release, "releasing machines");
+            self.provisioning
+                .releasing
+                .extend(to_release.iter().cloned());
+            return Some(CloudRequest::Release {
+                machines: to_release,
+            });
         }
         if now >= self.provisioning.next_list {
             self.provisioning.next_list = now + self.config.list_lag.max(Duration::from_secs(4));
@@ -374,13 +378,13 @@
     /// Marks the machines to release: those that failed, did not boot in time, are
     /// unresponsive, fail tasks repeatedly, or are idle.
     fn plan_scale_in(&mut self, now: Duration) {
-        let unresolved = self.has_unresolved_machines();
+        let has_unresolved = self.has_unresolved_machines();
         let boot_times: HashMap<Arc<str>, f64> = self
             .types
             .iter()
             .map(|t| (t.name.clone(), t.boot_s))
             .collect();
-        let mut leaving: Vec<(MachineId, &'static str)> = Vec::new();
+        let mut marked: Vec<(MachineId, &'static str)> = Vec::new();
         for m in self.machines.values() {
             let boot_s = boot_times.get(&m.machine_type).copied().unwrap_or(60.0);
             let boot_timeout = Duration::from_secs_f64(boot_s * 4.0 + 30.0);
@@ -388,23 +392,23 @@
             match m.state {
                 MachineState::Leaving => {}
                 _ if m.listed_failed && now > last_heard + self.config.worker_lease_bound => {
-                    leaving.push((m.id.clone(), "failed"));
+                    marked.push((m.id.clone(), "failed"));
                 }
                 MachineState::Booting if !m.unresolved && now > m.first_seen + boot_timeout => {
-                    leaving.push((m.id.clone(), "boot timed out"));
+                    marked.push((m.id.clone(), "boot timed out"));
                 }
                 MachineState::Lost if now > last_heard + self.config.worker_lease_bound * 5 => {
-                    leaving.push((m.id.clone(), "unresponsive"));
+                    marked.push((m.id.clone(), "unresponsive"));
                 }
-                MachineState::Up if m.failures.len() >= 2 => leaving.push((m.id.clone(), "faulty")),
+                MachineState::Up if m.failures.len() >= 2 => marked.push((m.id.clone(), "faulty")),
                 _ => {}
             }
         }
-        if !unresolved {
+        if !has_unresolved {
             let idle = self.idle_machines(now).into_iter();
-            leaving.extend(idle.map(|id| (id, "idle")));
+            marked.extend(idle.map(|id| (id, "idle")));
         }
-        for (id, why) in leaving {
+        for (id, why) in marked {
             info!(machine = %id, why, "machine marked for release");
             let machine = self.machines.get_mut(&id).expect("just listed");
             machine.state = MachineState::Leaving;
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -96,7 +96,7 @@
         let spec = demand.spec.clone();
         if !spec.one_zone {
             demand.tasks = plan.upcoming.fill(&spec, None, demand.tasks);
-        } else if let Some(zone) = zone_with_room(&spec, demand.tasks, &plan.upcoming, idle) {
+        } else if let Some(zone) = zone_with_capacity(&spec, demand.tasks, &plan.upcoming, idle) {
             let left = idle.fill(&spec, Some(&zone), demand.tasks);
             demand.tasks = plan.upcoming.fill(&spec, Some(&zone), left);
         }
@@ -104,11 +104,11 @@
             return;
         }
         while demand.tasks > 0 {
-            let room_in = |zone: &str| match spec.one_zone {
+            let slots_in = |zone: &str| match spec.one_zone {
                 true => plan.upcoming.slots(&spec, Some(zone)) + idle.slots(&spec, Some(zone)),
                 false => 0,
             };
-            let Some((kind, count)) = self.choose_machine_kind(&demand, room_in, plan) else {
+            let Some((kind, count)) = self.choose_machine_kind(&demand, slots_in, plan) else {
                 break;
             };
             plan.order(&kind, self.size(&kind.machine_type), count, &spec);
@@ -325,20 +325,20 @@
 }
 
 /// Returns a zone that has room for all tasks of a job.
-fn zone_with_room(
+fn zone_with_capacity(
     spec: &JobSpec,
     tasks: u32,
     upcoming: &UpcomingCapacity,
     idle: &UpcomingCapacity,
 ) -> Option<Arc<str>> {
     let zones = upcoming.zones().chain(idle.zones());
-    let has_room = |zone: &&Arc<str>| {
+    let has_capacity = |zone: &&Arc<str>| {
         let zone = Some(&***zone);
         idle.slots(spec, zone) + upcoming.slots(spec, zone) >= tasks
     };
     zones
-        .min_by_key(|zone| !has_room(zone))
-        .filter(has_room)
+        .min_by_key(|zone| !has_capacity(zone))
+        .filter(has_capacity)
         .cloned()
 }
 
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -133,7 +133,7 @@
             return true;
         }
         let spec = &job.spec;
-        if (job.version < self.claim && snapshot.on_unresolved.contains(id))
+        if (job.version < self.claim && snapshot.unresolved_jobs.contains(id))
             || self
                 .closed_priority
                 .is_some_and(|closed_priority| spec.priority <= closed_priority)
@@ -208,7 +208,7 @@
 
     /// Builds the capacity snapshot for one pass.
     fn snapshot(&self, now: Duration) -> CapacitySnapshot {
-        let (usage, leaving) = self.usage();
+        let (usage, stopping_usage) = self.usage();
         let capacities: Vec<MachineCapacity> = self
             .machines
             .values()
@@ -218,7 +218,7 @@
         let mut snapshot = CapacitySnapshot::new(
             capacities,
             usage,
-            leaving,
+            stopping_usage,
             jobs_on_unresolved(&self.machines),
         );
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
@@ -334,14 +334,14 @@
         let nominations_before = self.jobs[&id].nominations.len();
         let spec = self.jobs[&id].spec.clone();
         self.take_seats(&spec, &task, attempt, now);
-        self.place(machine, task, attempt, now);
+        self.record_placement(machine, task, attempt, now);
         snapshot.record_placement(candidate, &spec);
         if self.jobs[&id].nominations.len() != nominations_before {
-            self.refresh_held(snapshot, &id);
+            self.refresh_reservations(snapshot, &id);
         }
     }
 
-    fn refresh_held(&self, snapshot: &mut CapacitySnapshot, id: &JobId) {
+    fn refresh_reservations(&self, snapshot: &mut CapacitySnapshot, id: &JobId) {
         let job = &self.jobs[id];
         snapshot.refresh_reservations(&job.spec, &job.nominations);
     }
@@ -543,7 +543,7 @@
                 .is_some_and(|m| m.tasks.values().any(|p| p.stopping() && !p.exited()))
         });
         if job.nominations.len() != count_before {
-            self.refresh_held(snapshot, id);
+            self.refresh_reservations(snapshot, id);
             // Jobs of the same priority may have had their turn in this pass already.
             self.retry_by(now + RELEASE_RETRY_DELAY);
         }
@@ -644,16 +644,16 @@
         }
         // Newest first, so that a team loses the tasks that exceed its guarantee.
         candidates.sort_by(|a, b| (b.2, b.0).cmp(&(a.2, a.0)));
-        let mut leaving = match reclaims {
+        let mut stopping_usage = match reclaims {
             true => snapshot.stopping_usage.clone(),
             false => Usage::default(),
         };
         candidates.retain(|(_, victim, _)| {
             let is_eligible = victim.priority < spec.priority
-                || (reclaims && self.may_reclaim(snapshot, &leaving, spec, victim));
+                || (reclaims && self.may_reclaim(snapshot, &stopping_usage, spec, victim));
             if is_eligible {
                 if reclaims {
-                    leaving.add(&victim.team, &victim.need);
+                    stopping_usage.add(&victim.team, &victim.need);
                 }
                 free = free.plus(&victim.need);
             }
@@ -716,7 +716,7 @@
     fn may_reclaim(
         &self,
         snapshot: &CapacitySnapshot,
-        leaving: &Usage,
+        stopping_usage: &Usage,
         spec: &JobSpec,
         victim: &JobSpec,
     ) -> bool {
@@ -729,7 +729,7 @@
         let remaining = snapshot
             .usage
             .of(&victim.team)
-            .minus(&leaving.of(&victim.team));
+            .minus(&stopping_usage.of(&victim.team));
         remaining.cpus > team.cpus + 1e-6 || remaining.gpus > team.gpus + 1e-6
     }
 
@@ -770,15 +770,15 @@
             if let Some(victim) = self.jobs.get(&key.0.job).map(|j| j.spec.clone()) {
                 snapshot.stopping_usage.add(&victim.team, &victim.need);
             }
-            self.stop(&machine, key, grace, now);
+            self.stop_task(&machine, key, grace, now);
         }
-        snapshot.recount(plan.index, &self.machines[&machine]);
+        snapshot.recompute_machine(plan.index, &self.machines[&machine]);
         self.jobs
             .get_mut(id)
             .expect("active job")
             .nominations
             .push(machine.clone());
-        self.refresh_held(snapshot, id);
+        self.refresh_reservations(snapshot, id);
         self.clear_lower_nominations(snapshot, plan.index, spec);
     }
 
@@ -799,14 +799,14 @@
         {
             free = free.plus(&p.need);
         }
-        for held in &snapshot.machines[index].reservations {
-            if held.0 >= spec.priority {
-                free = free.minus(&held.2);
+        for reservation in &snapshot.machines[index].reservations {
+            if reservation.0 >= spec.priority {
+                free = free.minus(&reservation.2);
             } else {
-                lower.push(held.clone());
+                lower.push(reservation.clone());
             }
         }
-        lower.sort_by_key(|held| Reverse(held.0));
+        lower.sort_by_key(|reservation| Reverse(reservation.0));
         for (_, job, need) in lower {
             if need.fits_in(&free) {
                 free = free.minus(&need);
@@ -820,7 +820,7 @@
                 info!(job = %job, machine = %machine.id, "nomination cleared for a higher priority; requeueing job");
                 self.counts.cleared += 1;
                 self.queue.push(&job, entry);
-                self.refresh_held(snapshot, &job);
+                self.refresh_reservations(snapshot, &job);
             }
         }
     }
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -43,7 +43,7 @@
                 let job = self.jobs.get_mut(id).expect("active job");
                 job.fetches_between_attempts = false;
                 job.nominations.clear();
-                self.refresh_held(snapshot, id);
+                self.refresh_reservations(snapshot, id);
                 let attempt = self.next_attempt();
                 for (index, candidate) in tasks.iter().zip(candidates) {
                     let machine = snapshot.machines[candidate].id.clone();
@@ -92,15 +92,17 @@
             }
         }
         let waited = Duration::from_millis(self.wall_ms.saturating_sub(self.jobs[id].ready_ms));
-        let held_priority = match waited > self.config.options.gather_after {
+        let reservation_priority = match waited > self.config.options.gather_after {
             true => Some(spec.priority),
             false => spec.priority.next_lower(),
         };
-        if let Some(held_priority) = held_priority {
+        if let Some(reservation_priority) = reservation_priority {
             for index in best {
-                snapshot.machines[index]
-                    .reservations
-                    .push((held_priority, id.clone(), spec.need));
+                snapshot.machines[index].reservations.push((
+                    reservation_priority,
+                    id.clone(),
+                    spec.need,
+                ));
             }
         }
     }
@@ -118,7 +120,7 @@
         if !snapshot.may_hold(spec, tasks.len(), zones, |capacity| capacity.free) {
             return None;
         }
-        let free_before: Vec<Resources> = snapshot.machines.iter().map(|r| r.free).collect();
+        let free_before: Vec<Resources> = snapshot.machines.iter().map(|c| c.free).collect();
         let zones_before = snapshot.job_zones.clone();
         let mut chosen = Vec::new();
         for capacity in &mut snapshot.machines {
@@ -157,7 +159,7 @@
             if !snapshot.may_hold(spec, tasks.len(), &zones, max_free) {
                 continue;
             }
-            let free_before: Vec<Resources> = snapshot.machines.iter().map(|r| r.free).collect();
+            let free_before: Vec<Resources> = snapshot.machines.iter().map(|c| c.free).collect();
             let zones_before = snapshot.job_zones.clone();
             let mut plans = Vec::new();
             for capacity in &mut snapshot.machines {
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -12,7 +12,7 @@
 impl ClusterState {
     /// Returns the usage of each team, and the part of it that belongs to stopping tasks.
     pub(super) fn usage(&self) -> (Usage, Usage) {
-        let (mut usage, mut leaving) = (Usage::default(), Usage::default());
+        let (mut usage, mut stopping_usage) = (Usage::default(), Usage::default());
         for machine in self.machines.values() {
             let placements: Vec<&Placement> =
                 machine.tasks.values().filter(|p| !p.exited()).collect();
@@ -33,12 +33,12 @@
                 usage.add(&spec.team, &sum(tasks.len()));
                 let stopping = tasks.iter().filter(|p| p.stopping()).count();
                 if stopping > 0 {
-                    leaving.add(&spec.team, &sum(stopping));
+                    stopping_usage.add(&spec.team, &sum(stopping));
                 }
             }
         }
         self.add_unresolved_usage(&mut usage);
-        (usage, leaving)
+        (usage, stopping_usage)
     }
 
     /// Counts tasks that unresponsive machines may hold as running. A waiting task is on at most
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -26,7 +26,7 @@
     fn long_running_tasks(&self) -> usize {
         let tasks = self.tasks.values().filter(|p| {
             let is_long_running = p.spec.as_ref().is_some_and(|s| s.kind != Kind::Array);
-            is_long_running && !p.foreign && !p.exited() && !p.stopping()
+            is_long_running && !p.is_orphaned && !p.exited() && !p.stopping()
         });
         tasks.count()
     }
@@ -67,7 +67,7 @@
     /// with the most replicas first.
     pub(super) fn plan_unresponsive_returns(&mut self, now: Duration) -> Vec<MachineId> {
         // A leader without a recent verification of its claim may be partitioned itself.
-        if now > self.claim_proven_at + self.config.renew_interval * 2
+        if now > self.claim_verified_at + self.config.renew_interval * 2
             || self.reachability.is_uncertain
         {
             return Vec::new();
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -102,7 +102,10 @@
 
     pub fn report_in_session(&mut self, name: &str, session: u64) -> Vec<Command> {
         let report = self.build_report(name, session, self.cluster.token);
-        let (_, commands) = self.cluster.report(&report, self.now).expect("in time");
+        let (_, commands) = self
+            .cluster
+            .process_report(&report, self.now)
+            .expect("in time");
         commands
     }
 
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -418,7 +418,7 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    c.cluster.report(&report, c.now);
+    c.cluster.process_report(&report, c.now);
     assert!(c.machines_of(&job).is_empty());
 }
 
@@ -446,7 +446,7 @@
         c.machines_of(&job).is_empty(),
         "another leader may have answered vm-1"
     );
-    c.cluster.claim_proven_at = c.now;
+    c.cluster.claim_verified_at = c.now;
     c.cluster.tick(c.now);
     c.report("vm-2");
     c.pass();
@@ -513,10 +513,10 @@
     c.cluster.add_job(&job.id, &live, TaskSet::default());
     c.running.insert("vm-1".into(), Vec::new());
     let late = c.build_report("vm-1", 1, 3 << 16);
-    c.cluster.report(&late, c.now);
+    c.cluster.process_report(&late, c.now);
     let starts_by = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
-        c.cluster.claim_proven_at = c.now;
+        c.cluster.claim_verified_at = c.now;
         c.add_machine("vm-2");
         c.cluster.tick(c.now);
         c.pass();
@@ -590,7 +590,7 @@
                 }
             }
             c.now = at;
-            c.cluster.claim_proven_at = c.now;
+            c.cluster.claim_verified_at = c.now;
             c.cluster.reachability = detector.reachability();
             c.cluster.tick(c.now);
             for direct in c.cluster.direct_commands(c.now) {
@@ -871,7 +871,7 @@
                 index: index as u32,
             };
             let attempt = c.cluster.next_attempt();
-            c.cluster.place(id, task, attempt, c.now);
+            c.cluster.record_placement(id, task, attempt, c.now);
         }
     }
     let first = spec(0, Kind::Array, Priority::Normal, 80, 4.0).id;
@@ -995,7 +995,7 @@
         .apply_direct_reply(&direct, DirectReply::Executed(report), c.now);
     let standing = |c: &mut Cluster, at: u64| {
         c.now = Duration::from_secs(at);
-        c.cluster.claim_proven_at = c.now;
+        c.cluster.claim_verified_at = c.now;
         c.cluster.tick(c.now);
         c.cluster.machines["vm-1"].state
     };
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -66,7 +66,7 @@
     let mut released = Vec::new();
     for _ in 0..seconds * 4 {
         c.now += Duration::from_millis(250);
-        c.cluster.claim_proven_at = c.now;
+        c.cluster.claim_verified_at = c.now;
         c.cluster.tick(c.now);
         match c.cluster.due_cloud_request(c.now) {
             Some(list @ CloudRequest::List { .. }) => {
@@ -119,7 +119,7 @@
     }
     c.running.insert("vm-000007".into(), Vec::new());
     let copy = c.build_report("vm-000007", 1, c.cluster.token);
-    assert!(c.cluster.report(&copy, c.now).is_none());
+    assert!(c.cluster.process_report(&copy, c.now).is_none());
     assert!(!c.cluster.machines.contains_key("vm-000007"));
 }
 
@@ -162,7 +162,7 @@
     // A list is due next.
     let list_requested = (0..40).any(|_| {
         c.now += Duration::from_millis(250);
-        c.cluster.claim_proven_at = c.now;
+        c.cluster.claim_verified_at = c.now;
         c.cluster.tick(c.now);
         let Some(request) = c.cluster.due_cloud_request(c.now) else {
             return false;
