--- a/src/core/active_job.rs
+++ b/src/core/active_job.rs
@@ -26,12 +26,13 @@
     /// Time at which the last job that it needs was done, or at which it was accepted if later. All
     /// times except the deadline count from then.
     pub ready_ms: u64,
-    /// Whether jobs that it needs are not known to be done; none of its tasks may start until then.
+    /// Whether any job that it needs is not known to be done; meanwhile none of its tasks may
+    /// start.
     pub blocked: bool,
     /// Latest finish time that keeps the jobs that need it on schedule.
     pub latest_finish_ms: Option<u64>,
-    /// Priority assigned by its owner; `spec` also takes the priority of dependent jobs into
-    /// account.
+    /// Priority assigned by its owner; `spec.priority` may be higher, inherited from dependent
+    /// jobs.
     pub own_priority: Priority,
     /// Whether its pipeline was reported as likely to be late.
     pub(super) at_risk: bool,
@@ -55,7 +56,7 @@
     /// Number of attempts since the job was found to be faulty.
     pub(super) probes: u32,
     pub retry_at: Duration,
-    /// Time since which no machine with its image has had room, see `image_locality`.
+    /// Time since which no machine with its image has had capacity, see `image_locality`.
     pub(super) locality_wait_since: Option<Duration>,
     /// Whether the last attempt of this gang was incomplete and its remaining tasks still fetch
     /// images.
--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -66,7 +66,7 @@
     /// Whether the stored value exceeds the service's current limit; it stays unchanged until all
     /// its machines are listed elsewhere.
     oversized: bool,
-    /// Whether an entry found no room at the last write.
+    /// Whether an entry did not fit at the last write.
     crowded: bool,
     /// Sequence number of its last write.
     last_write: u64,
@@ -95,7 +95,7 @@
     digest: u64,
     /// Whether it deletes an oversized shard whose machines are listed elsewhere.
     deletes_oversized: bool,
-    /// Whether an entry found no room in it.
+    /// Whether an entry did not fit.
     crowded: bool,
 }
 
@@ -210,7 +210,8 @@
         numbers.find(is_unused).unwrap_or(u32::MAX)
     }
 
-    /// Returns the shard for one more machine: the emptiest that has room left.
+    /// Returns the shard for one more machine: the one with the fewest expected bytes that can hold
+    /// it.
     fn shard_for(&mut self, machine: &Machine) -> u32 {
         let max_bytes = self.max_value_bytes / 4 * 3;
         // A version that does not support oversized shards trusts the shard that it reads last, so
@@ -354,7 +355,7 @@
                 && listing.jobs.is_empty()
                 && self.assignment_index.is_moving(entry)
             {
-                // The machine found no room, and its current listing stays.
+                // The machine did not fit, and its current listing stays.
                 continue;
             }
             entry.jobs.retain(|id| listing.jobs.contains(id));
@@ -363,7 +364,7 @@
         }
     }
 
-    /// Records that nothing is stored of a shard that lists nothing.
+    /// Records that nothing is stored for a shard that lists no jobs.
     fn record_empty_shard(&mut self, write: &ShardWrite) {
         for listing in &write.machines {
             let Some(machine) = self.machines.get_mut(&listing.machine) else {
@@ -396,7 +397,7 @@
         }
     }
 
-    /// Detaches machines that found no room in a crowded shard, so that they get another one.
+    /// Detaches machines that did not fit into a crowded shard, so that they get another one.
     fn detach_from_crowded(&mut self, write: &ShardWrite) {
         if !write.crowded || write.empty {
             return;
@@ -496,7 +497,7 @@
         due
     }
 
-    /// Returns whether the machine may hold tasks and a shard may have room to list it.
+    /// Returns whether the machine may hold tasks and its shard, if any, may have space to list it.
     fn can_move(&self, machine: &Machine) -> bool {
         let own_shard = machine
             .assignment
@@ -562,7 +563,7 @@
                 false => drop(staying.insert(position)),
             }
         }
-        // A job that finds no room waits until others are removed.
+        // A job that does not fit waits until others are removed.
         let mut crowded = !staying.is_empty();
         for (position, job) in new {
             if !staying.contains(&position) && builder.list(members[position], &job, max_bytes) {
--- a/src/core/assignment_index/record.rs
+++ b/src/core/assignment_index/record.rs
@@ -65,6 +65,7 @@
         })
     }
 }
+
 /// Returns a digest that distinguishes stored values of a shard.
 pub(super) fn digest(record: &ShardRecord) -> u64 {
     let mut hasher = DefaultHasher::new();
@@ -81,7 +82,7 @@
     bytes: usize,
 }
 
-/// Maximum bytes of a number, and quotes and separators around a name.
+/// Maximum bytes of a number, and bytes of the quotes and separators around a name.
 const NUMBER_BYTES: usize = 7;
 const NAME_OVERHEAD_BYTES: usize = 4;
 
--- a/src/core/assignment_index/write_results.rs
+++ b/src/core/assignment_index/write_results.rs
@@ -46,7 +46,7 @@
         if std::mem::replace(&mut self.assignment_index.rejected, is_paused) != is_paused {
             info!(
                 paused = is_paused,
-                "paused or resumed renting for starts that can't be stored"
+                "paused or resumed renting machines after a write of the assignment index"
             );
         }
     }
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -11,8 +11,8 @@
     machine::{AttemptKey, Machine, MachineId},
 };
 
-/// Machine as seen by one pass. A pass checks every machine for most jobs, so the figures that rule
-/// machines out are kept here: most are ruled out by these numbers alone.
+/// Machine as seen by one pass. A pass checks every machine for most jobs, and the figures kept
+/// here suffice to rule out most machines.
 pub(super) struct MachineCapacity {
     pub id: MachineId,
     pub machine_type: Arc<str>,
@@ -76,7 +76,8 @@
 }
 
 impl MachineCapacity {
-    /// Returns a lower bound of the highest victim's priority if room is made here for the job.
+    /// Returns a lower bound of the highest priority among the victims of a preemption here for the
+    /// job, or none if no victims are needed.
     pub fn min_highest_victim(&self, spec: &JobSpec, reclaims: bool) -> Option<Priority> {
         if spec.need.fits_in(&self.free.plus(&self.stopping)) {
             return None;
@@ -110,9 +111,9 @@
     }
 }
 
-/// Task that found neither room nor victims in this pass. Tasks that need the same kinds of machine
-/// and at least as many resources would find none either, so that with a long queue most jobs need
-/// not check every machine.
+/// Task for which neither free capacity nor victims were found in this pass. Tasks that need the
+/// same kinds of machine and at least as many resources would find none either, so that with a long
+/// queue most jobs need not be checked against every machine.
 pub(super) struct Unplaceable {
     pub spec: Arc<JobSpec>,
 }
@@ -186,7 +187,7 @@
             (open(|free| free.cpus), open(|free| free.gpus));
     }
 
-    /// Returns the machines that may currently have room for such a task.
+    /// Returns the indexes of machines that may currently have capacity for a task of the job.
     pub fn may_fit(&self, spec: &JobSpec) -> impl Iterator<Item = usize> {
         // A task that needs almost nothing may fit on any machine.
         let (open, all) = match (
@@ -232,8 +233,8 @@
         false
     }
 
-    /// Returns whether a similar job found no room. A nominated job may still use room that is
-    /// reserved for it alone.
+    /// Returns whether no capacity was found for a similar job. A nominated job is not ruled out,
+    /// since it may use capacity that is reserved for it alone.
     pub fn rules_out(&self, spec: &JobSpec, is_nominated: bool) -> bool {
         !is_nominated && self.unplaceable.iter().any(|task| task.covers(spec))
     }
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -28,8 +28,8 @@
         self.resolve_empty_machines();
     }
 
-    /// Marks machines whose worker's lease has expired as lost, with their tasks; returns their
-    /// number.
+    /// Marks machines whose worker's lease has expired, and their tasks, as lost. Returns the
+    /// number of these machines.
     fn end_leases(&mut self, now: Duration) -> usize {
         let claim_verified_at = self.claim_verified_at;
         let lost: Vec<MachineId> = self
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -6,8 +6,8 @@
 //!
 //! A task whose start was sent counts as gone from its machine only after one of these events: a
 //! newer report that the start can't have overtaken, a new session of the worker, the end of the
-//! worker's lease as proven by the claim, or the return of the machine. Until then the task may
-//! still run there and must not be started elsewhere.
+//! worker's lease, confirmed by a verification of the claim, or the return of the machine. Until
+//! then the task may still run there and must not be started elsewhere.
 
 mod leases;
 mod placement;
@@ -77,7 +77,7 @@
     pub(super) counts: Counts,
     /// Time at which the counters are logged next.
     pub(super) next_log: Duration,
-    /// Time of day, in milliseconds.
+    /// Unix time in milliseconds.
     pub wall_ms: u64,
     /// Deviation of run times from their estimates by job class, as a logarithm.
     pub runtime_corrections: HashMap<Arc<str>, f64>,
@@ -127,7 +127,7 @@
     pub assignment_index: Vec<(u32, ShardRecord, u64)>,
     /// Time by which every lease renewed by a previous leader has expired.
     pub previous_leases_end: Duration,
-    /// The same time for zones that have not been answered for a while.
+    /// The same by zone, for zones whose workers have not been answered for a while.
     pub zone_lease_ends: BTreeMap<Arc<str>, Duration>,
 }
 
@@ -150,7 +150,7 @@
 pub struct Counts {
     /// Tasks placed on machines.
     pub starts: u64,
-    /// Tasks preempted by tasks of a higher priority.
+    /// Tasks preempted for other jobs.
     pub victims: u64,
     /// Machines nominated for waiting tasks.
     pub nominations: u64,
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Places a waiting task on a machine.
+    /// Records the placement of a waiting task on a machine.
     pub fn record_placement(&mut self, id: &MachineId, task: TaskId, attempt: u64, now: Duration) {
         let job = self.jobs.get_mut(&task.job).expect("job of a waiting task");
         job.slots[task.index as usize] = Slot::Placed(id.clone());
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -2,8 +2,8 @@
 //! and ends of tasks.
 //!
 //! A report counts only if it is newer than all others seen of its session, and a task missing from
-//! it is gone only if the report can't have been overtaken by the task's start. One end never
-//! releases a task twice, since it may already run elsewhere by then.
+//! it is gone only if the report can't have been overtaken by the task's start. The end of an
+//! attempt never releases its task twice, since the task may already run elsewhere by then.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -158,7 +158,7 @@
         if matches!(before, Phase::Sent { .. }) && !adopted {
             self.start_rate.record_start(now);
         }
-        // A task listed twice in one report has ended only once.
+        // A task that one report lists twice has ended only once.
         if before == Phase::Seen(phase) {
             return;
         }
@@ -229,7 +229,7 @@
     }
 
     /// Adopts a reported task that this leader did not start: one that a previous leader started,
-    /// or a stray one that is to be stopped.
+    /// or an orphaned one that is to be stopped.
     fn adopt_task(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
         let decision = self.decide_adoption(&key.0, phase);
         let is_ours = decision == AdoptionDecision::Adopt;
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -70,7 +70,7 @@
             .collect()
     }
 
-    /// Selects machines of each zone without reports, to find out whether they answer.
+    /// Selects machines to probe in each zone without reports, to find out whether they answer.
     fn machines_to_probe(&self, now: Duration) -> BTreeSet<MachineId> {
         let mut machines_to_probe = BTreeSet::new();
         for zone in &self.zones_to_probe {
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -16,7 +16,7 @@
     machine::{AttemptKey, Machine, MachineId, MachineState, Phase, TaskPhase},
 };
 
-/// A machine is underused if at most one part in this many of it is in use.
+/// A machine is underused if at most `1 / UNDERUSED_DIVISOR` of it is in use.
 const UNDERUSED_DIVISOR: f64 = 4.0;
 /// Minimum age of a replica before it is moved.
 const MIN_REPLICA_AGE: Duration = Duration::from_secs(30);
@@ -45,7 +45,7 @@
                 let Some(id) = self.underused_machine(now) else {
                     return;
                 };
-                info!(machine = %id, why = "underused", "emptying machine before its release");
+                info!(machine = %id, why = "underused", "machine marked for release");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.state = MachineState::Leaving;
                 id
@@ -83,7 +83,8 @@
             .map(|m| m.id.clone())
     }
 
-    /// Whether other busy machines have capacity and the images for all tasks of the machine.
+    /// Returns whether other busy machines have capacity and the images for all tasks of the
+    /// machine.
     fn fits_elsewhere(&self, machine: &Machine, now: Duration) -> bool {
         let mut free_capacity: Vec<_> = self
             .machines
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -1,11 +1,10 @@
 //! Job dependencies.
 //!
-//! Every node keeps a graph of the active jobs, built from what it reads and watches in the
-//! state service. A job that needs others may start once the stored terminal state of each of
-//! them is done; that a job is no longer active proves nothing. A job that needs a cancelled
-//! one, directly or through others, counts as cancelled: every node derives that from the
-//! stored terminal state. The leader also stores terminal states for such jobs, but only to
-//! clean up.
+//! Every node keeps a graph of the active jobs, built from what it reads and watches in the state
+//! service. A job that needs others may start once the stored terminal state of each of them is
+//! done; that a job is no longer active does not show that it is done. A job that needs a cancelled
+//! one, directly or through others, counts as cancelled: every node derives that from the stored
+//! terminal state. The leader also stores terminal states for such jobs, but only to clean up.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -40,7 +39,7 @@
 }
 
 impl Dependencies {
-    /// Whether any active job needs this one.
+    /// Returns whether any active job needs this one.
     pub fn has_dependents(&self, id: &JobId) -> bool {
         self.graph.has_dependents(id)
     }
@@ -304,9 +303,9 @@
         self.requeue();
     }
 
-    /// Whether a job with an inherited priority would still finish in time if it waited for free
-    /// capacity. It does not preempt then: victims lose work, and capacity becomes free all the
-    /// time.
+    /// Returns whether a job with an inherited priority would still finish in time if it waited for
+    /// free capacity. It does not preempt then: victims lose work, and capacity becomes free all
+    /// the time.
     pub(super) fn has_time_before_preempting(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -73,7 +73,7 @@
         counts_by_service
     }
 
-    /// Whether the machine is cordoned: no new tasks are placed on it.
+    /// Returns whether the machine is cordoned: no new tasks are placed on it.
     pub(super) fn is_cordoned(&self, id: &str) -> bool {
         !self.drains.machines.is_empty() && self.drains.machines.contains_key(id)
     }
@@ -108,7 +108,7 @@
         self.requeue();
     }
 
-    /// Whether a drained machine has been released or never existed.
+    /// Returns whether a drained machine has been released or never existed.
     pub(super) fn is_gone(&self, id: &str, now: Duration) -> bool {
         let is_known = self.machines.contains_key(id);
         // After a failover the cloud's list may show machines that the assignment index lacks.
@@ -151,7 +151,7 @@
             let can_release =
                 is_empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
             if can_release && pause.is_none() {
-                info!(machine = %id, why = "drained", "releasing machine");
+                info!(machine = %id, why = "drained", "machine marked for release");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.state = MachineState::Leaving;
             }
@@ -202,8 +202,8 @@
         tasks
     }
 
-    /// Whether a task could start on another machine now. The image does not matter: a fetch is
-    /// better than a drain that never completes.
+    /// Returns whether a task could start on another machine now. The image does not matter: a
+    /// fetch is better than a drain that never completes.
     fn has_capacity_elsewhere(&self, id: &MachineId, placement: &Placement, now: Duration) -> bool {
         let Some(spec) = &placement.spec else {
             return false;
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -89,7 +89,7 @@
         }
         if job.spec.kind == Kind::Gang {
             let id = task.job.clone();
-            debug!(job = %id,why = ?reason, "task of a gang ended before the gang was done");
+            debug!(job = %id, why = ?reason, "task of a gang ended before the gang was done");
             match reason {
                 Some(ExitReason::Incomplete) => self.continue_fetching(&id, now),
                 _ => self.break_gang(&id, Duration::ZERO, now),
--- a/src/core/images.rs
+++ b/src/core/images.rs
@@ -70,7 +70,7 @@
                 .images
                 .keys()
                 .filter_map(|image| services_by_image.get(image));
-            // A machine with room for more than one task of this size is not blocked by another
+            // A machine with capacity for more than one task of this size is not blocked by another
             // task.
             let blocked = services.filter(|spec| spec.need.count_fitting(&machine.size) == 1);
             let value =
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -27,7 +27,8 @@
 const LEADING_DIGITS: usize = 8;
 
 impl JobId {
-    /// Parses an id, accepting only the agreed form, so that an id can be part of a key or a path.
+    /// Parses an id. Accepts only `run-` and 1 to 40 digits, so that an id can be part of a key or
+    /// a path.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(JOB_PREFIX)?.as_bytes();
         let is_valid = (1..=40).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
@@ -281,7 +282,7 @@
 #[serde(deny_unknown_fields)]
 pub struct JobRecord {
     pub spec: Arc<JobSpec>,
-    /// Time at which the job was accepted, in milliseconds of the time of day.
+    /// Time at which the job was accepted, in Unix milliseconds.
     pub accepted_ms: u64,
 }
 
@@ -291,8 +292,8 @@
 pub struct TerminalRecord {
     pub state: JobState,
     pub done: u32,
-    /// Time at which the job ended, in milliseconds of the time of day. Stored only if an active
-    /// job waited for this one: its times count from then, under any later leader.
+    /// Time at which the job ended, in Unix milliseconds. Stored only if an active job waited for
+    /// this one: its times count from then, under any later leader.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
 }
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -1,9 +1,9 @@
 //! Counted licences in the leader's cluster state: a limit in addition to the team limits.
 //!
-//! A seat is in use from the placement of a task until the task is proven gone, so that it may
-//! start elsewhere. Seat holders are therefore not tracked separately: each pass gives the
-//! ledger the seats of all placements, and those that unresponsive machines may hold after a
-//! failover. The ledger adds what only it knows, such as seats that are returned late.
+//! A seat is in use from the placement of a task until the task is proven gone and may start
+//! elsewhere. Seat holders are therefore not tracked separately: each pass gives the ledger the
+//! seats of all placements, and those that unresponsive machines may hold after a failover. The
+//! ledger adds what only it knows, such as seats that are returned late.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -123,8 +123,8 @@
         ledger.step(now, Input::MayHold { machine, needs });
     }
 
-    /// Number of further tasks of the job that free seats suffice for. Seats for nominations of
-    /// other jobs of equal or higher priority do not count as free.
+    /// Returns the number of further tasks of the job for which the free seats suffice. Seats for
+    /// nominations of other jobs of equal or higher priority do not count as free.
     pub(super) fn tasks_within_seats(&self, spec: &JobSpec, now: Duration) -> u32 {
         let (Some(ledger), false) = (&self.licence_ledger, spec.licences.is_empty()) else {
             return u32::MAX;
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -15,7 +15,7 @@
 };
 use crate::settings::MIN_TXN_OPS;
 
-/// Lowest limit on the size of a value that rejections lead to; such values are not split.
+/// Lowest value size limit to which rejections lead; values within it are not split.
 const MIN_VALUE_BYTES: usize = 512;
 /// Minimum interval between two warnings about rejected writes of the same key.
 const WARN_INTERVAL: Duration = Duration::from_secs(60);
@@ -81,7 +81,8 @@
         old_limits != (self.value_bytes, self.txn_ops)
     }
 
-    /// Whether a rejected write of the key is due for a warning; if so, records the warning.
+    /// Returns whether a rejected write of the key is due for a warning; if so, records the
+    /// warning.
     pub fn should_warn(&mut self, key: &str, now: Duration) -> bool {
         self.warned_at.retain(|_, at| now < *at + WARN_INTERVAL);
         let is_due = !self.warned_at.contains_key(key);
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -156,7 +156,8 @@
     pub running_since: Option<Duration>,
     /// Stop request, if the task was told to stop.
     pub stop: Option<Stop>,
-    /// Whether the task belongs to a finished or unknown job, or runs elsewhere.
+    /// Whether the task occupies no slot of a job: the job is finished or unknown, or the task is
+    /// done or placed elsewhere.
     pub is_orphaned: bool,
     /// Last report whose answer carried the start, or 0 if none did. Until a later report arrives
     /// that answer may be in flight, whatever was seen of the task since, and a start that arrives
@@ -221,7 +222,7 @@
     pub last_known_worker: Option<(SocketAddr, u64)>,
     pub state: MachineState,
     pub session: u64,
-    /// Newest report in this session, and newest message of any kind.
+    /// Newest regular report in this session, and newest report of any kind that was applied.
     pub report_seq: u64,
     pub content_seq: u64,
     /// Token for this worker, raised to fence off a direct command whose outcome is unclear.
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -171,7 +171,7 @@
         None
     }
 
-    /// Returns an error if the list, which is stored as one value, would be too large.
+    /// Returns an error text if the list, which is stored as one value, would be too large.
     fn list_too_large(&self, drains: &Drains) -> Option<String> {
         let max_bytes = self.limits.value_bytes.min(MAX_LIST_BYTES);
         let bytes = serde_json::to_vec(drains).map_or(usize::MAX, |text| text.len());
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -416,7 +416,7 @@
         }
     }
 
-    /// Idle machines that can be released while spare capacity for services remains: the
+    /// Returns idle machines that can be released while spare capacity for services remains: the
     /// most expensive first, and at equal prices those with the least useful images.
     fn idle_machines(&self, now: Duration) -> Vec<MachineId> {
         let mut idle: Vec<&Machine> = self
@@ -465,15 +465,15 @@
         removable
     }
 
-    /// Time that a machine may stay idle: a multiple of its boot time, since the cost of
-    /// keeping it is weighed against the time and money to boot a new one.
+    /// Returns the time that a machine may stay idle: a multiple of its boot time, since the cost
+    /// of keeping it is weighed against the time and money to boot a new one.
     pub(super) fn idle_time(&self, machine_type: &str) -> Duration {
         let boot = self.types.iter().find(|t| &*t.name == machine_type);
         let boot = crate::settings::seconds(boot.map_or(0.0, |t| t.boot_s));
         boot.mul_f64(self.config.options.idle_boots)
     }
 
-    /// The largest active service of each class.
+    /// Returns the largest active service of each class.
     fn services(&self) -> Vec<Arc<JobSpec>> {
         let mut by_class: BTreeMap<Arc<str>, Arc<JobSpec>> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.kind == Kind::Service) {
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -116,7 +116,7 @@
 
 impl Node {
     /// Returns a job with waiting tasks that is neither queued nor parked, and so would never be
-    /// tried again. An invariant check for tests: there must be none.
+    /// tried again. Tests use this to check the invariant that there is none.
     pub fn unqueued_job(&self) -> Option<JobId> {
         let cluster = self.cluster.as_ref()?;
         let is_unqueued =
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -87,8 +87,8 @@
     }
 
     /// Delays the next pass if most machines were lost at once: this leader was probably
-    /// disconnected, not they. Their workers return once they retry, and tasks placed on the first
-    /// ones to return would fetch images that others have.
+    /// disconnected, not the machines. Their workers return once they retry, and tasks placed on
+    /// the first ones to return would fetch images that others have.
     pub(super) fn delay_after_mass_loss(&mut self, lost: usize, now: Duration) {
         if lost == 0 {
             return;
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Returns whether a machine that is about to report may have room for a task of the job; until
-    /// then nothing is preempted or rented for it.
+    /// Returns whether a machine that is about to report may have capacity for a task of the job;
+    /// until it reports, nothing is preempted or rented for the job.
     pub(super) fn awaits_capacity(&mut self, spec: &JobSpec, action: DeferredAction) -> bool {
         let reconciliation = &self.reconciler.reconciliation;
         let is_expected = reconciliation.is_in_progress()
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -1,4 +1,4 @@
-//! Planning of new machines for waiting work that neither running nor booting machines take.
+//! Plans new machines for waiting work that running and booting machines won't take soon.
 
 pub mod arrivals;
 mod plan;
@@ -65,7 +65,7 @@
     /// one request per job, the request rate delayed the scale-out of an empty fleet.
     fn plan_orders(&mut self, now: Duration) -> Vec<ScaleOutOrder> {
         let mut plan = ScaleOutPlan::default();
-        // A gang bound to one zone may wait while idle machines have room for a part of it.
+        // A gang bound to one zone may wait while idle machines have capacity for a part of it.
         let mut idle = UpcomingCapacity::default();
         for machine in self.machines.values() {
             plan.count_machines(&machine.zone, 1);
@@ -156,15 +156,15 @@
         }
     }
 
-    /// Size of the largest machine type that the job may use.
+    /// Returns the size of the largest machine type that the job may use.
     fn largest_size(&self, spec: &JobSpec) -> Resources {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
         let largest = types.max_by_key(|t| spec.need.count_fitting(&t.size));
         largest.map(|t| t.size).unwrap_or_default()
     }
 
-    /// Expected arrivals by class during the boot of a machine, for the classes that can't
-    /// wait for one.
+    /// Returns the expected arrivals by class during the boot of a machine, for the classes that
+    /// can't wait for one.
     pub(super) fn expected_arrivals(&self) -> Vec<(Arc<JobSpec>, u32)> {
         let within = |spec: &JobSpec| match self.wait_budget_s(spec) > 0.0 {
             true => Duration::ZERO,
@@ -187,8 +187,8 @@
             .unwrap_or_default()
     }
 
-    /// Waiting tasks by job, the highest priority first. Of arrays, only the tasks that the
-    /// machines that are up won't have completed by the time new ones have booted.
+    /// Returns the waiting tasks by job, the highest priority first. Of arrays, only the tasks that
+    /// the machines that are up won't have completed by the time new ones have booted.
     fn demands(&self, now: Duration) -> Vec<Demand> {
         let batch_capacity = self.batch_capacity();
         let unresolved = jobs_on_unresolved(&self.machines);
@@ -236,8 +236,8 @@
         demands
     }
 
-    /// Seconds of work that may be queued for the machines that are up before new ones are
-    /// requested: zero if the wait objective is shorter than boot and image fetch.
+    /// Returns the seconds of work that may be queued for the machines that are up before new ones
+    /// are requested: zero if the wait objective is shorter than boot and image fetch.
     fn wait_budget_s(&self, spec: &JobSpec) -> f64 {
         let objectives = self.config.objectives.iter();
         let objectives = objectives.filter(|o| o.kind == "wait" && *o.class == *spec.class);
@@ -246,7 +246,7 @@
         left.clamp(0.0, SCALE_OUT_HORIZON.as_secs_f64())
     }
 
-    /// Resources that teams with a limit may still use.
+    /// Returns the resources that teams with a limit may still use.
     fn remaining_limits(&self) -> HashMap<Arc<str>, Resources> {
         let limit_or_infinity = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         let teams = self.config.teams.iter();
@@ -271,8 +271,9 @@
         remaining
     }
 
-    /// Returns the cheapest machine kind for the tasks that the cloud has not refused, and the
-    /// number of machines. `existing_slots` returns the tasks that fit in a zone already.
+    /// Returns the cheapest machine kind for the tasks, among those that the cloud has not refused,
+    /// and the number of machines. `existing_slots` returns the number of tasks that already fit in
+    /// a zone.
     fn choose_machine_kind(
         &self,
         demand: &Demand,
@@ -324,7 +325,7 @@
     }
 }
 
-/// Returns a zone that has room for all tasks of a job.
+/// Returns a zone that has capacity for all tasks of a job.
 fn zone_with_capacity(
     spec: &JobSpec,
     tasks: u32,
--- a/src/core/scale_out/arrivals.rs
+++ b/src/core/scale_out/arrivals.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Number of tasks of each class expected within the given time.
+    /// Returns the number of tasks of each class expected within the given time.
     pub fn expected(
         &self,
         now_ms: u64,
--- a/src/core/scale_out/upcoming_capacity.rs
+++ b/src/core/scale_out/upcoming_capacity.rs
@@ -61,8 +61,8 @@
         self.0.iter().map(slots).fold(0, u32::saturating_add)
     }
 
-    /// Places up to that many tasks, and returns the number that did not fit. Machines with
-    /// the least room are filled first, which keeps empty ones for tasks that need all of it.
+    /// Places up to that many tasks, and returns the number that did not fit. Machines with the
+    /// least free capacity are filled first, which keeps empty ones for tasks that need all of it.
     pub fn fill(&mut self, spec: &JobSpec, zone: Option<&str>, mut tasks: u32) -> u32 {
         let groups = self.0.iter().enumerate();
         let mut order: Vec<(u32, usize)> = groups
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -68,7 +68,7 @@
 }
 
 impl ClusterState {
-    /// Whether tasks may be placed on the machine now.
+    /// Returns whether tasks may be placed on the machine now.
     pub fn usable(&self, machine: &Machine, now: Duration) -> bool {
         machine.state == MachineState::Up
             && machine.fenced
@@ -80,8 +80,8 @@
             })
     }
 
-    /// Whether commands can be delivered to the zone. If not, nothing is started there, and
-    /// nothing is preempted there.
+    /// Returns whether commands can be delivered to the zone. If not, nothing is started or
+    /// preempted there.
     pub(super) fn is_zone_reachable(&self, zone: &str) -> bool {
         !self.reachability.is_uncertain
             && !self.reachability.partitioned_zones.contains(zone)
@@ -98,7 +98,7 @@
         self.update_seat_holders(now);
         let mut snapshot = self.snapshot(now);
         self.closed_priority = self.priority_to_close(now);
-        // Arrays that had their turn on machines with their image, in queue order.
+        // Arrays already tried on machines with their image, in queue order.
         let mut locality_round: Vec<JobId> = Vec::new();
         loop {
             if !self.shares_locality_round(locality_round.first()) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Whether the job is skipped in this pass.
+    /// Returns whether the job is skipped in this pass.
     fn should_skip(&mut self, snapshot: &mut CapacitySnapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -160,8 +160,8 @@
         true
     }
 
-    /// Whether even the smallest startable part of the job (a whole gang, or one task) exceeds
-    /// the limits of its team or the free licence seats.
+    /// Returns whether even the smallest startable part of the job (a whole gang, or one task)
+    /// exceeds the limits of its team or the free licence seats.
     fn is_at_limit(&self, snapshot: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> bool {
         let min_tasks = match spec.kind {
             Kind::Gang => spec.tasks,
@@ -227,9 +227,9 @@
         snapshot
     }
 
-    /// Fills machines with an array's tasks in the order of their cost. Placing a task changes
-    /// only the cost of its own machine, and makes that machine cheaper for the next task, so
-    /// the machines are compared only once.
+    /// Fills machines with an array's tasks in the order of their cost. Placing a task changes only
+    /// the cost of the machine that it is placed on, and makes it cheaper for the next task, so the
+    /// machines are compared only once.
     ///
     /// With `with_image`, uses only machines that have the image or are fetching it.
     pub(super) fn fill_machines(
@@ -365,7 +365,7 @@
         exceeds(team.cpus_max, sum.cpus) || exceeds(team.gpus_max, sum.gpus)
     }
 
-    /// Whether the job's constraints allow a task on the machine, free resources aside.
+    /// Returns whether the job's constraints allow a task on the machine, free resources aside.
     fn is_allowed(
         &self,
         snapshot: &CapacitySnapshot,
@@ -377,8 +377,8 @@
             && is_zone_allowed(&snapshot.job_zones, &capacity.zone, spec)
     }
 
-    /// Checks that a task fits twice: without the nominated tasks, and again with those of equal
-    /// or higher priority taken as running.
+    /// Returns whether a task fits, both without the nominated tasks and with those of equal or
+    /// higher priority counted as running.
     fn fits(
         &self,
         snapshot: &CapacitySnapshot,
@@ -490,7 +490,8 @@
         self.price(&machine.machine_type, machine.spot) / max_price.max(1e-9)
     }
 
-    /// Preempts for the waiting tasks of a job that have no nomination yet.
+    /// Preempts for the waiting tasks of a job that have no nomination yet. Returns false, since
+    /// none of them is placed yet.
     fn preempt_for(
         &mut self,
         snapshot: &mut CapacitySnapshot,
@@ -544,7 +545,7 @@
         });
         if job.nominations.len() != count_before {
             self.refresh_reservations(snapshot, id);
-            // Jobs of the same priority may have had their turn in this pass already.
+            // Jobs of the same priority may already have been tried in this pass.
             self.retry_by(now + RELEASE_RETRY_DELAY);
         }
     }
@@ -577,9 +578,9 @@
         best
     }
 
-    /// Whether any plan for the machine would be worse than `best`. This check avoids visiting
-    /// all tasks of each machine for each waiting service, which took most of the time of a pass
-    /// under high load.
+    /// Returns whether any plan for the machine would be worse than `best`. This check avoids
+    /// visiting all tasks of each machine for each waiting service, which took most of the time of
+    /// a pass under high load.
     fn is_worse_than(
         &self,
         capacity: &MachineCapacity,
@@ -622,7 +623,7 @@
         let capacity = &snapshot.machines[index];
         let machine = &self.machines[&capacity.id];
         let mut free = capacity.free;
-        // The job's own nominations here stand for other tasks of it.
+        // The job's own nominations here belong to its other tasks.
         for (_, job, need) in &capacity.reservations {
             if *job == spec.id {
                 free = free.minus(need);
@@ -696,8 +697,8 @@
         Some(plan)
     }
 
-    /// Whether one more task of the job, added to the team's running and nominated tasks, is
-    /// within the team's guarantee.
+    /// Returns whether one more task of the job, added to the team's running and nominated tasks,
+    /// is within the team's guarantee.
     fn is_within_guarantee(&self, snapshot: &CapacitySnapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
@@ -710,9 +711,9 @@
         sum.cpus <= team.cpus + 1e-6 && sum.gpus <= team.gpus + 1e-6
     }
 
-    /// Whether the victim may be stopped because its team, another one, exceeds its guarantee
-    /// without the tasks that are stopping. A victim of a higher priority is not reclaimed, since
-    /// it would only preempt in turn.
+    /// Returns whether the victim may be stopped because its team, which must be another one,
+    /// exceeds its guarantee even without the tasks that are stopping. A victim of a higher
+    /// priority is not reclaimed, since it would only preempt another task itself.
     fn may_reclaim(
         &self,
         snapshot: &CapacitySnapshot,
@@ -733,8 +734,8 @@
         remaining.cpus > team.cpus + 1e-6 || remaining.gpus > team.gpus + 1e-6
     }
 
-    /// Whether stopping one more replica of the service would breach its disruption budget.
-    /// Counts the replica in `more`.
+    /// Returns whether stopping one more replica of the service would breach its disruption budget.
+    /// Counts the replica in `stopping`.
     fn breaches_budget(
         &self,
         victim: &JobSpec,
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -12,8 +12,8 @@
 };
 
 impl ClusterState {
-    /// Places all tasks of a gang at once, after every task of its last attempt has exited.
-    /// Returns whether it did.
+    /// Places all tasks of a gang at once, after every task of its last attempt has exited. Returns
+    /// whether they were placed.
     pub(super) fn place_gang(
         &mut self,
         snapshot: &mut CapacitySnapshot,
@@ -25,7 +25,7 @@
             return false;
         }
         let has_remaining_tasks = match depends_on_zones(spec) {
-            // For such a job, `zones` counts the tasks that are still on machines.
+            // For such a job, `job_zones` counts the tasks that are still on machines.
             true => !snapshot.job_zones.is_empty(),
             false => self.machines.values().any(|m| {
                 let mut tasks = m.tasks.iter();
