--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -104,7 +104,7 @@
     zone_lease_ends: BTreeMap<Arc<str>, Duration>,
     pub(super) zones_to_probe: BTreeSet<Arc<str>>,
     /// Returned machines that the node has yet to forget.
-    pub(super) returned_machines: Vec<MachineId>,
+    pub(super) released_machines: Vec<MachineId>,
     /// Rate at which tasks start.
     pub(super) start_rate: StartRate,
     /// Statistics of usual job arrivals.
@@ -237,7 +237,7 @@
             licence_ledger: None,
             reachability: Reachability::default(),
             zones_to_probe: BTreeSet::new(),
-            returned_machines: Vec::new(),
+            released_machines: Vec::new(),
             start_rate: StartRate::new(config.report_interval),
             arrivals: Arrivals::default(),
             closed_priority: None,
@@ -349,7 +349,7 @@
     pub fn remove_machine(&mut self, id: &MachineId, now: Duration) {
         self.end_session(id, now);
         if let Some(machine) = self.machines.remove(id) {
-            self.returned_machines.push(id.clone());
+            self.released_machines.push(id.clone());
             self.assignment_index.remove_machine(&machine);
         }
     }
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -94,11 +94,11 @@
 
     /// Requests the stop of a task, or withdraws a start that was not sent yet.
     pub fn stop_task(&mut self, id: &MachineId, key: &AttemptKey, grace: Duration, now: Duration) {
-        let gang = self
+        let is_gang = self
             .jobs
             .get(&key.0.job)
             .is_some_and(|job| job.spec.kind == Kind::Gang);
-        if gang {
+        if is_gang {
             self.break_gang(&key.0.job.clone(), grace, now);
             return;
         }
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -40,13 +40,13 @@
             debug!(machine = %id, report.session, report.seq, "ignoring late report");
             return None;
         }
-        let new_session = report.session > machine.session;
-        if new_session {
+        let is_new_session = report.session > machine.session;
+        if is_new_session {
             machine.begin_session(report.session);
         }
         machine.record_contact(report, token, now);
         machine.record_spot_notice(report, now);
-        if new_session {
+        if is_new_session {
             self.end_former_session(&id, now);
         }
         self.apply_regular_report(&id, report, now);
@@ -148,14 +148,14 @@
         phase: TaskPhase,
         now: Duration,
     ) {
-        let adopted = !self.machines[id].tasks.contains_key(&key);
-        if adopted {
+        let is_adopted = !self.machines[id].tasks.contains_key(&key);
+        if is_adopted {
             self.adopt_task(id, &key, phase, now);
         }
         let machine = self.machines.get_mut(id).expect("known machine");
         let placement = machine.tasks.get_mut(&key).expect("adopted");
         let before = placement.phase;
-        if matches!(before, Phase::Sent { .. }) && !adopted {
+        if matches!(before, Phase::Sent { .. }) && !is_adopted {
             self.start_rate.record_start(now);
         }
         // A task that one report lists twice has ended only once.
@@ -165,7 +165,7 @@
         placement.phase = Phase::Seen(phase);
         // The start time of an adopted running task is unknown: counted from now, its run time
         // would be too short and estimates would look too long.
-        if phase == TaskPhase::Running && !adopted {
+        if phase == TaskPhase::Running && !is_adopted {
             placement.running_since = Some(now);
         }
         let placement = placement.clone();
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -54,12 +54,12 @@
         let due: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| !m.direct_in_flight && now >= m.direct_retry)
+            .filter(|m| !m.direct_in_flight && now >= m.direct_retry_at)
             .filter(|m| matches!(m.state, MachineState::Up | MachineState::Leaving))
             .filter(|m| {
                 let silence = now.saturating_sub(m.heard_at.unwrap_or_default());
-                let silent = m.heard_at.is_none() || silence > self.config.report_interval * 2;
-                (!silent && (!m.fenced || m.has_urgent_command()))
+                let is_silent = m.heard_at.is_none() || silence > self.config.report_interval * 2;
+                (!is_silent && (!m.fenced || m.has_urgent_command()))
                     || self.should_probe(m, now)
                     || machines_to_probe.contains(&m.id)
             })
@@ -77,7 +77,7 @@
             let machines = self.machines.values().filter(|m| m.zone == *zone);
             let known = machines.filter(|m| m.state == MachineState::Up && m.addr.is_some());
             let in_flight = known.clone().filter(|m| m.direct_in_flight).count();
-            let idle = known.filter(|m| !m.direct_in_flight && now >= m.direct_retry);
+            let idle = known.filter(|m| !m.direct_in_flight && now >= m.direct_retry_at);
             // Those heard last are the most likely to answer.
             let mut idle: Vec<_> = idle.map(|m| (Reverse(m.heard_at), &m.id)).collect();
             idle.sort();
@@ -93,7 +93,7 @@
         let unheard = self.machines.values().filter(|m| m.session == 0);
         let unheard = unheard.filter(|m| m.unresolved && m.last_known_worker.is_some());
         let in_flight = unheard.clone().filter(|m| m.direct_in_flight).count();
-        let idle = unheard.filter(|m| !m.direct_in_flight && now >= m.direct_retry);
+        let idle = unheard.filter(|m| !m.direct_in_flight && now >= m.direct_retry_at);
         let remaining = MAX_CONTACTS_IN_FLIGHT.saturating_sub(in_flight);
         idle.map(|m| m.id.clone()).take(remaining).collect()
     }
@@ -153,12 +153,12 @@
                     machine.token += 1;
                 }
                 machine.commands_unanswered = true;
-                machine.direct_retry = now + self.config.report_interval * 2;
+                machine.direct_retry_at = now + self.config.report_interval * 2;
                 return;
             }
         };
         if !executed {
-            machine.direct_retry = now + self.config.report_interval;
+            machine.direct_retry_at = now + self.config.report_interval;
         }
         if unheard {
             // The worker has another session or leader, but its current address is known now.
@@ -215,15 +215,15 @@
             match (placement.phase, placement.stop) {
                 (Phase::Seen(TaskPhase::Exited(reason)), _) => {
                     // A result must be stored before the worker forgets it.
-                    let stored = match self.jobs.get(&task.job) {
+                    let is_stored = match self.jobs.get(&task.job) {
                         Some(job) if reason == ExitReason::Done => {
                             job.spec.kind == Kind::Service || job.saved.contains(task.index)
                         }
                         _ => true,
                     };
-                    let start_acknowledged = placement.start_sent_seq == 0
+                    let is_start_acknowledged = placement.start_sent_seq == 0
                         || placement.start_sent_seq < machine.report_seq;
-                    if stored && start_acknowledged {
+                    if is_stored && is_start_acknowledged {
                         stops_and_forgets.push(Command::Forget { task, attempt });
                     }
                 }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -143,7 +143,7 @@
             match output {
                 Output::Ready { id, since_ms } => {
                     if let Some(cluster) = &mut self.cluster {
-                        cluster.release_job(&id, since_ms);
+                        cluster.unblock_job(&id, since_ms);
                     }
                 }
                 Output::Cancelled { id } => {
@@ -181,7 +181,7 @@
             return;
         };
         if let Status::Ready { since_ms } = graph.status(id) {
-            cluster.release_job(id, since_ms);
+            cluster.unblock_job(id, since_ms);
         }
         if let Some(urgency) = graph.urgency(id) {
             cluster.set_urgency(id, urgency);
@@ -202,13 +202,13 @@
         let now = self.now();
         let dependencies = &mut self.dependencies;
         dependencies.lookups.retain(|_, retry_at| *retry_at > now);
-        let free = MAX_LOOKUPS.saturating_sub(dependencies.lookups.len());
-        if free == 0 {
+        let available = MAX_LOOKUPS.saturating_sub(dependencies.lookups.len());
+        if available == 0 {
             return;
         }
         let unknown = dependencies.graph.unknown_ends();
         let wanted = unknown.filter(|id| !dependencies.lookups.contains_key(*id));
-        let wanted: Vec<JobId> = wanted.take(free).cloned().collect();
+        let wanted: Vec<JobId> = wanted.take(available).cloned().collect();
         for id in wanted {
             if self.cache.jobs.contains_key(&id) || self.cache.is_unreadable(&id) {
                 continue;
@@ -253,16 +253,16 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        question: JobQuery,
+        query: JobQuery,
     ) {
-        let read = TerminalRead::new(request, id, question, &self.cache.generation);
+        let read = TerminalRead::new(request, id, query, &self.cache.generation);
         self.read_terminal_state(read);
     }
 }
 
 impl ClusterState {
     /// Unblocks a job whose dependencies are all done. Its waiting time counts from `since_ms`.
-    pub fn release_job(&mut self, id: &JobId, since_ms: u64) {
+    pub fn unblock_job(&mut self, id: &JobId, since_ms: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -62,8 +62,8 @@
                 job.failed_on.insert(id.clone());
             }
             let failures = job.failures;
-            let faulty = job.faulty();
-            if faulty {
+            let is_faulty = job.faulty();
+            if is_faulty {
                 // Its owner must cancel it; until then it is retried at increasing intervals.
                 if job.placed == 0 {
                     job.probes += 1;
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -227,7 +227,7 @@
         let (is_isolated, is_uncertain) = (reachability.is_isolated, reachability.is_uncertain);
         let zones_to_probe = self.membership.detector.silent_zones();
         if let Some(cluster) = &mut self.cluster {
-            for machine in std::mem::take(&mut cluster.returned_machines) {
+            for machine in std::mem::take(&mut cluster.released_machines) {
                 self.membership.detector.forget(&machine);
             }
             let previous = &cluster.reachability;
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -230,7 +230,7 @@
     /// Whether a direct command is in flight.
     pub direct_in_flight: bool,
     /// Earliest time of the next direct command.
-    pub direct_retry: Duration,
+    pub direct_retry_at: Duration,
     /// Latest session whose lease has expired; reports from it are late.
     pub expired_session: u64,
     /// Whether the worker has been seen to know this leader's token.
@@ -319,7 +319,7 @@
             content_seq: 0,
             token: 0,
             direct_in_flight: false,
-            direct_retry: Duration::ZERO,
+            direct_retry_at: Duration::ZERO,
             expired_session: 0,
             fenced: false,
             assignment: AssignmentEntry::default(),
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -365,7 +365,7 @@
             }
         }
         if let Some(cluster) = &mut self.cluster
-            && let Some(next) = cluster.cloud_reply(request, reply, now)
+            && let Some(next) = cluster.apply_cloud_reply(request, reply, now)
         {
             self.call_cloud(next);
         }
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -256,7 +256,7 @@
         None
     }
 
-    pub fn cloud_reply(
+    pub fn apply_cloud_reply(
         &mut self,
         request: &CloudRequest,
         reply: CloudReply,
@@ -296,7 +296,7 @@
                 let listing = self.provisioning.listing.take().unwrap_or_default();
                 self.provisioning.complete_list_requested_at =
                     Some(self.provisioning.list_requested_at);
-                self.merge_list(&listing, now);
+                self.merge_machine_list(&listing, now);
                 self.record_complete_list(now);
             }
             (CloudRequest::Types, CloudReply::Types(types)) => self.types = Arc::new(types),
@@ -345,14 +345,14 @@
         }
     }
 
-    fn merge_list(&mut self, listing: &[ListedMachine], now: Duration) {
+    fn merge_machine_list(&mut self, listing: &[ListedMachine], now: Duration) {
         for listed in listing {
-            let lagging = self
+            let is_lagging = self
                 .provisioning
                 .released
                 .get(&listed.id)
                 .is_some_and(|at| now < *at + self.config.list_lag * 3);
-            if lagging {
+            if is_lagging {
                 continue;
             }
             if !self.machines.contains_key(&listed.id) {
@@ -440,7 +440,7 @@
             }
         };
         // Capacity for two replicas of each service class, and for the expected arrivals.
-        let services = self.services().into_iter().map(|spec| (spec, 2));
+        let services = self.largest_services().into_iter().map(|spec| (spec, 2));
         let wanted: Vec<(Arc<JobSpec>, u32)> = services.chain(self.expected_arrivals()).collect();
         let mut spare: Vec<(Arc<JobSpec>, u32)> = Vec::new();
         for (spec, wanted) in wanted {
@@ -474,7 +474,7 @@
     }
 
     /// Returns the largest active service of each class.
-    fn services(&self) -> Vec<Arc<JobSpec>> {
+    fn largest_services(&self) -> Vec<Arc<JobSpec>> {
         let mut by_class: BTreeMap<Arc<str>, Arc<JobSpec>> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.kind == Kind::Service) {
             let entry = by_class
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -192,11 +192,12 @@
     fn demands(&self, now: Duration) -> Vec<Demand> {
         let batch_capacity = self.batch_capacity();
         let unresolved = jobs_on_unresolved(&self.machines);
-        let is_held = |id: &JobId, job: &Job| job.version < self.claim && unresolved.contains(id);
+        let may_run_already =
+            |id: &JobId, job: &Job| job.version < self.claim && unresolved.contains(id);
         let mut jobs: Vec<_> = self
             .jobs
             .iter()
-            .filter(|(id, j)| j.retry_at <= now && !j.faulty() && !is_held(id, j))
+            .filter(|(id, j)| j.retry_at <= now && !j.faulty() && !may_run_already(id, j))
             .map(|(_, j)| j)
             .filter(|j| j.waiting_count() as usize > j.nominations.len())
             .collect();
--- a/src/core/terminal_states.rs
+++ b/src/core/terminal_states.rs
@@ -180,8 +180,8 @@
 
 /// Parses a number of plain digits, without a sign.
 fn parse_digits<T: std::str::FromStr>(text: &str) -> Option<T> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit());
-    text.parse().ok().filter(|_| plain)
+    let is_plain = text.bytes().all(|b| b.is_ascii_digit());
+    text.parse().ok().filter(|_| is_plain)
 }
 
 impl Serialize for TerminalStates {
@@ -201,8 +201,8 @@
 /// Parses the stored terminal state of a single job.
 pub fn parse_single(text: &str) -> Option<TerminalRecord> {
     let record: TerminalRecord = serde_json::from_str(text).ok()?;
-    let over = matches!(record.state, JobState::Done | JobState::Cancelled);
-    over.then_some(record)
+    let is_terminal = matches!(record.state, JobState::Done | JobState::Cancelled);
+    is_terminal.then_some(record)
 }
 
 /// Returns the job id in a key of the single layout.
@@ -235,11 +235,11 @@
     }
 
     pub fn update(&mut self, range: JobIdRange, known: KnownRange) {
-        let newer = self
+        let is_newer = self
             .known
             .get(&range)
             .is_some_and(|k| k.version > known.version);
-        if newer && known.version > 0 {
+        if is_newer && known.version > 0 {
             return;
         }
         if self.known.len() >= MAX_KNOWN_RANGES && !self.known.contains_key(&range) {
--- a/tests/scheduling/dependencies.rs
+++ b/tests/scheduling/dependencies.rs
@@ -36,7 +36,7 @@
     });
     c.pass();
     assert!(c.machines_of(&waits).is_empty());
-    c.cluster.release_job(&waits, 5_000);
+    c.cluster.unblock_job(&waits, 5_000);
     c.pass();
     assert_eq!(c.machines_of(&waits), ["vm-1"]);
     assert_eq!(c.cluster.jobs[&waits].ready_ms, 5_000);
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -813,7 +813,7 @@
         rented += rental.count;
         let machines = names.map(|n| Arc::from(format!("vm-{n:06}"))).collect();
         c.cluster
-            .cloud_reply(&request, CloudReply::Provisioned(machines), c.now);
+            .apply_cloud_reply(&request, CloudReply::Provisioned(machines), c.now);
         if rented > 600 {
             break;
         }
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -70,7 +70,7 @@
         c.cluster.tick(c.now);
         match c.cluster.due_cloud_request(c.now) {
             Some(list @ CloudRequest::List { .. }) => {
-                c.cluster.cloud_reply(&list, list_reply(names), c.now);
+                c.cluster.apply_cloud_reply(&list, list_reply(names), c.now);
             }
             Some(CloudRequest::Release { machines }) => {
                 released.extend(machines.iter().map(|m| m.to_string()));
@@ -115,7 +115,8 @@
         let release = CloudRequest::Release {
             machines: machines.collect(),
         };
-        c.cluster.cloud_reply(&release, CloudReply::Released, c.now);
+        c.cluster
+            .apply_cloud_reply(&release, CloudReply::Released, c.now);
     }
     c.running.insert("vm-000007".into(), Vec::new());
     let copy = c.build_report("vm-000007", 1, c.cluster.token);
@@ -156,7 +157,8 @@
     for chunk in names.chunks(100) {
         let machines = chunk.iter().map(|name| Arc::from(name.as_str())).collect();
         let request = CloudRequest::Release { machines };
-        c.cluster.cloud_reply(&request, CloudReply::Released, c.now);
+        c.cluster
+            .apply_cloud_reply(&request, CloudReply::Released, c.now);
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     // A list is due next.
@@ -169,7 +171,8 @@
         };
         let is_list = matches!(request, CloudRequest::List { .. });
         if is_list {
-            c.cluster.cloud_reply(&request, list_reply(&names), c.now);
+            c.cluster
+                .apply_cloud_reply(&request, list_reply(&names), c.now);
         }
         is_list
     });
--- a/tests/scheduling/starting.rs
+++ b/tests/scheduling/starting.rs
@@ -89,7 +89,7 @@
         machines: Vec::new(),
         more: false,
     };
-    c.cluster.cloud_reply(&list, no_machines, c.now);
+    c.cluster.apply_cloud_reply(&list, no_machines, c.now);
     let next = |c: &mut Cluster, ms: u64| {
         c.now += Duration::from_millis(ms);
         tick_and_pass(c);
