--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! A task whose start was sent counts as gone from its machine only after one of these events: a
 //! newer report that the start can't have overtaken, a new session of the worker, the end of the
-//! worker's lease, confirmed by a verification of the claim, or the return of the machine. Until
+//! worker's lease, confirmed by a verification of the claim, or the release of the machine. Until
 //! then the task may still run there and must not be started elsewhere.
 
 mod leases;
@@ -59,7 +59,7 @@
     pub machines: BTreeMap<MachineId, Machine>,
     /// Jobs with waiting tasks, in scheduling order.
     pub queue: Queue,
-    /// Machines being rented and returned.
+    /// Machines being rented and released.
     pub(super) provisioning: Provisioning,
     /// Time until which an unresponsive machine may hold tasks that a previous leader started.
     pub(super) previous_leases_end: Duration,
@@ -103,7 +103,7 @@
     /// Ends of the leases that a previous leader left unanswered, by zone.
     zone_lease_ends: BTreeMap<Arc<str>, Duration>,
     pub(super) zones_to_probe: BTreeSet<Arc<str>>,
-    /// Returned machines that the node has yet to forget.
+    /// Released machines that the node has yet to forget.
     pub(super) released_machines: Vec<MachineId>,
     /// Rate at which tasks start.
     pub(super) start_rate: StartRate,
@@ -345,7 +345,7 @@
         }
     }
 
-    /// Removes a returned machine together with its tasks.
+    /// Removes a released machine together with its tasks.
     pub fn remove_machine(&mut self, id: &MachineId, now: Duration) {
         self.end_session(id, now);
         if let Some(machine) = self.machines.remove(id) {
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -29,7 +29,7 @@
         let id = report.machine.clone();
         if self.provisioning.was_released(&id) {
             // The machine no longer exists: the report was delayed, and nobody waits for an answer.
-            debug!(machine = %id, "ignoring report of a returned machine");
+            debug!(machine = %id, "ignoring report of a released machine");
             return None;
         }
         let token = self.token;
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -1,6 +1,6 @@
 //! Handling of task failures: attributing them to the machine or to the job.
 //!
-//! A faulty machine fails tasks of many jobs and is returned. A job submitted with an error fails
+//! A faulty machine fails tasks of many jobs and is released. A job submitted with an error fails
 //! on every machine until its user cancels it; it must not make machines look faulty, nor take
 //! resources from healthy jobs.
 
@@ -133,7 +133,7 @@
     }
 
     /// Removes the failures that a job recorded on machines before it was found to be faulty. Two
-    /// such jobs could otherwise make healthy machines look faulty and cause their return.
+    /// such jobs could otherwise make healthy machines look faulty and cause their release.
     fn clear_machine_failures(&mut self, id: &JobId) {
         for machine in self.machines.values_mut() {
             machine.failures.retain(|(job, _)| job != id);
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -205,7 +205,7 @@
     Up,
     /// Its worker's lease has expired; it may return with a new session.
     Lost,
-    /// About to be returned to the cloud.
+    /// Marked for release to the cloud.
     Leaving,
 }
 
