--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -128,7 +128,7 @@
 impl WriteRate {
     pub fn new(current: f64, announced: Option<f64>) -> Self {
         Self {
-            current: current,
+            current,
             announced: announced.filter(|rate| *rate < current),
             reduced_since: Duration::ZERO,
             reduced_until: Duration::ZERO,
