--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -169,7 +169,7 @@
     }
 
     /// Records the revision found by rereading a shard; none if it was not read.
-    pub fn reread(&mut self, shard: u32, version: Option<u64>) {
+    pub fn record_reread(&mut self, shard: u32, version: Option<u64>) {
         let Some(shard) = self.shards.get_mut(&shard) else {
             return;
         };
@@ -547,7 +547,7 @@
             } else {
                 // Tasks of listed jobs may run there, so their entries stay regardless of size.
                 for job in &kept {
-                    builder.list(machine, job, usize::MAX);
+                    builder.list_job(machine, job, usize::MAX);
                 }
                 machines[position].jobs = kept;
             }
@@ -558,7 +558,7 @@
         let max_bytes = self.assignment_index.max_value_bytes;
         let mut staying = BTreeSet::new();
         for (position, jobs) in moving {
-            match builder.list_all(members[position], &jobs, max_bytes) {
+            match builder.list_jobs(members[position], &jobs, max_bytes) {
                 true => machines[position].jobs = jobs,
                 false => drop(staying.insert(position)),
             }
@@ -566,7 +566,8 @@
         // A job that does not fit waits until others are removed.
         let mut crowded = !staying.is_empty();
         for (position, job) in new {
-            if !staying.contains(&position) && builder.list(members[position], &job, max_bytes) {
+            if !staying.contains(&position) && builder.list_job(members[position], &job, max_bytes)
+            {
                 machines[position].jobs.insert(job);
             } else {
                 crowded = true;
--- a/src/core/assignment_index/record.rs
+++ b/src/core/assignment_index/record.rs
@@ -98,7 +98,7 @@
     }
 
     /// Lists all given jobs with a machine, or none if they don't fit.
-    pub(super) fn list_all(
+    pub(super) fn list_jobs(
         &mut self,
         machine: &Machine,
         jobs: &BTreeSet<JobId>,
@@ -114,13 +114,13 @@
             self.bytes + name_bytes + kind_bytes + position_bytes + jobs.len() * NUMBER_BYTES
                 <= max_bytes;
         for job in jobs.iter().filter(|_| fits) {
-            self.list(machine, job, usize::MAX);
+            self.list_job(machine, job, usize::MAX);
         }
         fits
     }
 
     /// Lists a job with a machine, unless the value would then exceed `max_bytes` bytes.
-    pub(super) fn list(&mut self, machine: &Machine, job: &JobId, max_bytes: usize) -> bool {
+    pub(super) fn list_job(&mut self, machine: &Machine, job: &JobId, max_bytes: usize) -> bool {
         let kind = (
             machine.machine_type.clone(),
             machine.zone.clone(),
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -282,10 +282,10 @@
         for capacity in &mut self.machines {
             capacity.reservations.retain(|(_, job, _)| *job != spec.id);
         }
-        self.reserve(spec, nominations);
+        self.reserve_nominations(spec, nominations);
     }
 
-    pub fn reserve(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
+    pub fn reserve_nominations(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
         for machine in nominations {
             // Machines are sorted by id.
             if let Ok(at) = self.machines.binary_search_by(|c| c.id.cmp(machine)) {
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -40,12 +40,12 @@
             .map(|m| m.id.clone())
             .collect();
         for id in &lost {
-            self.lose_machine(id, now);
+            self.mark_machine_lost(id, now);
         }
         lost.len()
     }
 
-    fn lose_machine(&mut self, id: &MachineId, now: Duration) {
+    fn mark_machine_lost(&mut self, id: &MachineId, now: Duration) {
         let machine = self.machines.get_mut(id).expect("just listed");
         machine.expired_session = machine.session;
         machine.fenced = false;
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -72,7 +72,7 @@
     }
 
     /// Stops the remaining tasks of a gang; it restarts once all of them are gone.
-    pub fn break_gang(&mut self, id: &JobId, grace: Duration, now: Duration) {
+    pub fn stop_gang(&mut self, id: &JobId, grace: Duration, now: Duration) {
         let mut unsent = Vec::new();
         for machine in self.machines.values_mut() {
             machine.tasks.retain(|(task, _), p| {
@@ -99,7 +99,7 @@
             .get(&key.0.job)
             .is_some_and(|job| job.spec.kind == Kind::Gang);
         if is_gang {
-            self.break_gang(&key.0.job.clone(), grace, now);
+            self.stop_gang(&key.0.job.clone(), grace, now);
             return;
         }
         let Some(machine) = self.machines.get_mut(id) else {
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -176,14 +176,14 @@
         if phase == TaskPhase::Waiting {
             self.stop_after_fetch(id, &key, now);
         }
-        self.count_running(&key.0, &placement, before, phase);
+        self.update_running_count(&key.0, &placement, before, phase);
         if let TaskPhase::Exited(reason) = phase {
             self.task_exited(id, &key.0, placement, reason, now);
         }
     }
 
     /// Updates the number of a job's running tasks.
-    fn count_running(
+    fn update_running_count(
         &mut self,
         task: &TaskId,
         placement: &Placement,
@@ -219,8 +219,8 @@
         if !machine.busy() {
             machine.idle_since = now;
         }
-        // `count_running` has already decremented the running count; releasing the slot must not do
-        // so again.
+        // `update_running_count` has already decremented the running count; releasing the slot must
+        // not do so again.
         let placement = Placement {
             phase: Phase::Seen(TaskPhase::Waiting),
             ..placement
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -92,7 +92,7 @@
             debug!(job = %id, why = ?reason, "task of a gang ended before the gang was done");
             match reason {
                 Some(ExitReason::Incomplete) => self.continue_fetching(&id, now),
-                _ => self.break_gang(&id, Duration::ZERO, now),
+                _ => self.stop_gang(&id, Duration::ZERO, now),
             }
         }
     }
@@ -115,7 +115,7 @@
         if let (Some(job), true) = (self.jobs.get_mut(id), any_fetching) {
             job.fetches_between_attempts = true;
         } else {
-            self.break_gang(id, Duration::ZERO, now);
+            self.stop_gang(id, Duration::ZERO, now);
         }
     }
 
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -126,10 +126,10 @@
 }
 
 impl WriteRate {
-    pub fn new(current: f64, announced: Option<f64>) -> Self {
+    pub fn new(limit: f64, announced: Option<f64>) -> Self {
         Self {
-            current,
-            announced: announced.filter(|rate| *rate < current),
+            current: limit,
+            announced: announced.filter(|rate| *rate < limit),
             reduced_since: Duration::ZERO,
             reduced_until: Duration::ZERO,
             reduction_time: Duration::ZERO,
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -111,7 +111,7 @@
             let Some((kind, count)) = self.choose_machine_kind(&demand, slots_in, plan) else {
                 break;
             };
-            plan.order(&kind, self.size(&kind.machine_type), count, &spec);
+            plan.order_machines(&kind, self.size(&kind.machine_type), count, &spec);
             if spec.one_zone {
                 demand.tasks = idle.fill(&spec, Some(&kind.zone), demand.tasks);
                 demand.tasks = plan.upcoming.fill(&spec, Some(&kind.zone), demand.tasks);
@@ -150,7 +150,7 @@
                 let Some((kind, count)) = self.choose_machine_kind(&demand, |_| 0, plan) else {
                     break;
                 };
-                plan.order(&kind, self.size(&kind.machine_type), count, &spec);
+                plan.order_machines(&kind, self.size(&kind.machine_type), count, &spec);
                 tasks = plan.upcoming.fill(&spec, None, tasks);
             }
         }
--- a/src/core/scale_out/plan.rs
+++ b/src/core/scale_out/plan.rs
@@ -38,7 +38,13 @@
     }
 
     /// Orders machines of this kind and size; orders for the same kind are merged.
-    pub fn order(&mut self, kind: &MachineKind, size: Resources, count: u32, job: &JobSpec) {
+    pub fn order_machines(
+        &mut self,
+        kind: &MachineKind,
+        size: Resources,
+        count: u32,
+        job: &JobSpec,
+    ) {
         self.upcoming.add(kind, size, count);
         self.count_machines(&kind.zone, count as usize);
         match self.orders.iter_mut().find(|order| order.kind == *kind) {
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -96,7 +96,7 @@
         let positions = self.deadline_order();
         self.queue.reorder(&positions, &self.jobs);
         self.update_seat_holders(now);
-        let mut snapshot = self.snapshot(now);
+        let mut snapshot = self.capacity_snapshot(now);
         self.closed_priority = self.priority_to_close(now);
         // Arrays already tried on machines with their image, in queue order.
         let mut locality_round: Vec<JobId> = Vec::new();
@@ -207,7 +207,7 @@
     }
 
     /// Builds the capacity snapshot for one pass.
-    fn snapshot(&self, now: Duration) -> CapacitySnapshot {
+    fn capacity_snapshot(&self, now: Duration) -> CapacitySnapshot {
         let (usage, stopping_usage) = self.usage();
         let capacities: Vec<MachineCapacity> = self
             .machines
@@ -222,7 +222,7 @@
             jobs_on_unresolved(&self.machines),
         );
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
-            snapshot.reserve(&job.spec, &job.nominations);
+            snapshot.reserve_nominations(&job.spec, &job.nominations);
         }
         snapshot
     }
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -535,7 +535,7 @@
                     StateReply::Missing => Some(0),
                     _ => None,
                 };
-                cluster.assignment_index.reread(shard, version);
+                cluster.assignment_index.record_reread(shard, version);
             }
             QueuedWrite::Progress {
                 id, set, chunks, ..
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -181,7 +181,7 @@
         let assignment_index = &mut self.cluster.cluster.assignment_index;
         while let Some(shard) = assignment_index.next_unverified() {
             let read = self.stored.shards.get(&format!("roster/{shard}"));
-            assignment_index.reread(shard, Some(read.map_or(0, |(_, version)| *version)));
+            assignment_index.record_reread(shard, Some(read.map_or(0, |(_, version)| *version)));
         }
     }
 
