--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -68,7 +68,7 @@
     pub fetching: usize,
     /// Tasks of gangs that wait for the rest of their gang.
     pub gathering: usize,
-    /// Told to stop, but not exited yet.
+    /// Stopping, but not exited yet.
     pub stopping: usize,
     /// Exited, but the result is not stored yet. These hold no capacity.
     pub unstored: usize,
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -139,7 +139,7 @@
     /// Indexes of machines that are not full, and some that have become full since. Under high load
     /// nearly all are full, and thousands of waiting jobs each look for one.
     open_machines: Vec<usize>,
-    /// The same by free GPUs.
+    /// Like `open_machines`, for free GPUs.
     open_gpu_machines: Vec<usize>,
     /// Resources of each team's tasks, including those that unresponsive machines may hold.
     pub usage: Usage,
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -100,7 +100,8 @@
     pub(super) reconciler: Reconciler,
     /// Zones whose machines must not be sent starts.
     pub(super) start_blocked_zones: BTreeSet<Arc<str>>,
-    /// Ends of the leases that a previous leader left unanswered, by zone.
+    /// Earlier ends of previous leaders' leases, for zones whose workers have not been answered for
+    /// a while.
     zone_lease_ends: BTreeMap<Arc<str>, Duration>,
     pub(super) zones_to_probe: BTreeSet<Arc<str>>,
     /// Released machines that the node has yet to forget.
@@ -127,7 +128,7 @@
     pub assignment_index: Vec<(u32, ShardRecord, u64)>,
     /// Time by which every lease renewed by a previous leader has expired.
     pub previous_leases_end: Duration,
-    /// The same by zone, for zones whose workers have not been answered for a while.
+    /// Earlier such times by zone, for zones whose workers have not been answered for a while.
     pub zone_lease_ends: BTreeMap<Arc<str>, Duration>,
 }
 
--- a/src/core/deadline_ordering.rs
+++ b/src/core/deadline_ordering.rs
@@ -96,7 +96,8 @@
             .collect()
     }
 
-    /// Returns none for jobs that are ordered by the time they became ready.
+    /// Returns the entry of a job to be ordered by due time, or none if it is ordered by the time
+    /// it became ready.
     fn dated_job(&self, id: &JobId, job: &Job, batch_capacity: &Resources) -> Option<DatedJob> {
         let spec = &job.spec;
         if spec.kind != Kind::Array {
@@ -135,7 +136,7 @@
         })
     }
 
-    /// Completion objectives of the job's class, in seconds.
+    /// Returns the completion objectives of the job's class, in seconds.
     fn completion_objectives(&self, spec: &JobSpec) -> Vec<f64> {
         let objectives = self.config.objectives.iter();
         let matching = objectives.filter(|o| o.kind == "finished" && *o.class == *spec.class);
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Capacity available to arrays: machines that are up, without what services and gangs hold.
+    /// Returns the capacity available to arrays: that of the machines that are up, without the
+    /// resources of services and gangs.
     pub(super) fn batch_capacity(&self) -> Resources {
         let mut sum = Resources::default();
         let up = self.machines.values();
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -57,7 +57,7 @@
 /// Time within which capacity for one more task usually becomes free.
 const CAPACITY_WAIT: Duration = Duration::from_secs(10);
 
-/// Expected time from when a job may start until its terminal state is stored.
+/// Returns the expected time from when a job may start until its terminal state is stored.
 fn expected_duration(run_time: Duration) -> Duration {
     run_time.mul_f64(RUN_TIME_FACTOR) + STAGE_OVERHEAD
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Deadline of the job in Unix milliseconds.
+/// Returns the deadline of the job in Unix milliseconds.
 fn deadline_ms(spec: &JobSpec, accepted_ms: u64) -> Option<u64> {
     let deadline = crate::settings::seconds(spec.deadline_s?);
     Some(accepted_ms.saturating_add(deadline.as_millis() as u64))
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -226,7 +226,7 @@
     }
 }
 
-/// Run time that a stop would lose, at most one checkpoint interval.
+/// Returns the run time that a stop would lose, at most one checkpoint interval.
 fn unsaved_run_time(placement: &Placement, now: Duration) -> Duration {
     let Some(spec) = placement.spec.as_ref().filter(|s| s.kind != Kind::Service) else {
         return Duration::ZERO;
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -98,8 +98,8 @@
     }
 
     /// Keeps the fetching tasks of a gang that was not complete in time, usually because some tasks
-    /// fetched an image that others had. If they were stopped, they would start to fetch anew with
-    /// the next attempt and be late again.
+    /// fetched an image that others had. If they were stopped, the next attempt would fetch from
+    /// the start and be late again.
     fn continue_fetching(&mut self, id: &JobId, now: Duration) {
         let is_fetching = |p: &Placement| {
             matches!(
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -154,7 +154,7 @@
     pub need: Resources,
     pub since: Duration,
     pub running_since: Option<Duration>,
-    /// Stop request, if the task was told to stop.
+    /// Stop request, if any.
     pub stop: Option<Stop>,
     /// Whether the task occupies no slot of a job: the job is finished or unknown, or the task is
     /// done or placed elsewhere.
@@ -237,7 +237,7 @@
     pub fenced: bool,
     /// Entry in the stored assignment index.
     pub assignment: AssignmentEntry,
-    /// Whether it may hold tasks that a previous leader started.
+    /// Whether the machine may hold tasks that a previous leader started.
     pub unresolved: bool,
     pub answered_at: Option<Duration>,
     pub heard_at: Option<Duration>,
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -416,8 +416,8 @@
             .map(|(_, candidate)| candidate)
     }
 
-    /// Cost of placing a task of the job on the machine, or none if it does not fit there. The
-    /// machine with the lowest cost is preferred.
+    /// Returns the cost of placing a task of the job on the machine, or none if it does not fit
+    /// there. The machine with the lowest cost is preferred.
     fn placement_cost(
         &self,
         snapshot: &CapacitySnapshot,
@@ -477,14 +477,14 @@
         )
     }
 
-    /// Extra price of the machine over a spot machine of its type, as a fraction of the on-demand
-    /// price.
+    /// Returns the extra price of the machine over a spot machine of its type, as a fraction of the
+    /// on-demand price.
     fn on_demand_premium(&self, machine: &Machine) -> f64 {
         let price = |spot| self.price(&machine.machine_type, spot);
         (1.0 - price(true) / price(false).max(1e-9)).max(0.0)
     }
 
-    /// Price of the machine as a fraction of the price of the most expensive type.
+    /// Returns the price of the machine as a fraction of the price of the most expensive type.
     fn relative_price(&self, machine: &Machine) -> f64 {
         let max_price = self.types.iter().map(|t| t.price).fold(0.0, f64::max);
         self.price(&machine.machine_type, machine.spot) / max_price.max(1e-9)
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -41,8 +41,8 @@
         (usage, stopping_usage)
     }
 
-    /// Counts tasks that unresponsive machines may hold as running. A waiting task is on at most
-    /// one of them, so a task that several machines list counts once.
+    /// Counts as running the tasks that unresponsive machines may hold. A waiting task is on at
+    /// most one of them, so a task that several machines list counts once.
     fn add_unresolved_usage(&self, usage: &mut Usage) {
         let mut possible_tasks: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.unresolved) {
