--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -1,6 +1,6 @@
-//! Troubles that users' requests bring: close looks at all nodes, cancellations at the
-//! moment of a job's end, jobs that can't run, transactions that are carried out at once
-//! and not answered; and the checks of what users are told and of what is started after it.
+//! Faults around user requests: polls at all nodes, cancellations at the moment a job completes,
+//! jobs that can never run, and transactions that are applied but not answered; and checks of the
+//! answers and of the starts that follow them.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -20,61 +20,61 @@
 };
 use rand::RngExt;
 
-use super::{Asker, CPUS, Event, NODES, Sabotage, World, ms, users::Asking};
+use super::{CPUS, Defect, Event, NODES, Requester, World, ms, users::UserAction};
 
-/// When after a job's acceptance or end all nodes are asked, in milliseconds.
-const LOOKS: [u64; 6] = [0, 1, 3, 8, 20, 60];
+/// Delays in milliseconds after a job's acceptance or end at which all nodes are polled.
+const POLL_DELAYS_MS: [u64; 6] = [0, 1, 3, 8, 20, 60];
 
-/// How often each meeting came about.
+/// Counts of the situations that occurred.
 #[derive(Debug, Default)]
-pub struct Met {
-    pub looks: u64,
+pub struct RequestCounts {
+    pub polled_jobs: u64,
     pub cancelled_at_once: u64,
-    pub at_the_end: u64,
+    pub at_completion: u64,
     pub answers_lost: u64,
     pub impossible: u64,
-    /// Jobs that were cancelled in a burst, and cancellations that were told while the
-    /// leader alone was refused.
-    pub burst: u64,
-    pub confirmed_in_gap: u64,
-    /// Start commands for a job that some node had told as cancelled, and the longest time
-    /// after that.
+    /// Jobs that were cancelled in a burst, and cancellations that were reported while the leader
+    /// alone was refused.
+    pub burst_cancellations: u64,
+    pub confirmed_during_refusal: u64,
+    /// Start commands for a job that a node had reported as cancelled, and the longest time after
+    /// that report.
     pub late_starts: u64,
     pub latest_start: Duration,
 }
 
 #[derive(Default)]
 pub struct Requests {
-    /// Until then users look closely at what was accepted or is over.
-    pub close_until: Duration,
-    /// Until then what is asked about a job meets its end.
-    pub ends_until: Duration,
-    /// Until then users send jobs that can't run.
-    pub odd_until: Duration,
-    /// Until then a part of all transactions is carried out at once and not answered.
+    /// Users poll all nodes about accepted and ended jobs until then.
+    pub polls_until: Duration,
+    /// Requests about a job are sent as it completes until then.
+    pub completions_until: Duration,
+    /// Users submit jobs that can never run until then.
+    pub unrunnable_until: Duration,
+    /// A quarter of all transactions is applied at once and not answered until then.
     pub unanswered_until: Duration,
-    pub met: Met,
-    /// Jobs that were looked at closely, once accepted and once over.
-    looked: HashSet<(JobId, bool)>,
-    /// What each node has told as over.
-    told_over: HashSet<(usize, JobId)>,
-    /// Which node made the claim of each revision.
+    pub counts: RequestCounts,
+    /// Jobs that were polled at all nodes, once accepted and once ended.
+    polled: HashSet<(JobId, bool)>,
+    /// Jobs that each node has reported as ended.
+    reported_ended: HashSet<(usize, JobId)>,
+    /// Node that made the claim of each revision.
     claims: HashMap<u64, usize>,
-    /// When any node first told a job as cancelled.
+    /// Time at which any node first reported a job as cancelled.
     cancelled: HashMap<JobId, Duration>,
-    odd: HashSet<JobId>,
-    /// While the leader alone is refused.
-    gap: (Duration, Duration),
+    unrunnable: HashSet<JobId>,
+    /// Start and end of the time in which the leader alone is refused.
+    refusal_window: (Duration, Duration),
 }
 
 impl Requests {
-    /// No task of this job may start: it can't run.
+    /// Forbids every start of a task of this job, which can never run.
     pub(super) fn forbid(&mut self, id: JobId) {
-        self.odd.insert(id);
+        self.unrunnable.insert(id);
     }
 }
 
-fn started(output: &Output) -> &[Command] {
+fn commands_of(output: &Output) -> &[Command] {
     match output {
         Output::Answer {
             answer: Answer::Commands { commands, .. },
@@ -94,8 +94,9 @@
 }
 
 impl World {
-    /// Looks at what a node decided, in order: no node starts what it told as over, and no
-    /// start goes out so late that the lease it may rest on outlives the cancellation.
+    /// Checks a node's outputs in order: no node starts a job that it reported as ended, and no
+    /// start is sent so late that the lease it may rely on outlives the time allowed for the
+    /// cancellation.
     pub(super) fn check_starts(&mut self, node: usize, outputs: &[Output]) {
         for output in outputs {
             if let Output::Answer {
@@ -104,13 +105,13 @@
             } = output
             {
                 if matches!(state, JobState::Done | JobState::Cancelled) {
-                    self.requests.told_over.insert((node, id.clone()));
+                    self.requests.reported_ended.insert((node, id.clone()));
                 }
                 if *state == JobState::Cancelled {
-                    let (begins, ends) = self.requests.gap;
+                    let (begins, ends) = self.requests.refusal_window;
                     let first = !self.requests.cancelled.contains_key(id);
-                    let in_gap = first && begins <= self.now && self.now < ends;
-                    self.requests.met.confirmed_in_gap += u64::from(in_gap);
+                    let during_refusal = first && begins <= self.now && self.now < ends;
+                    self.requests.counts.confirmed_during_refusal += u64::from(during_refusal);
                     let cancelled = &mut self.requests.cancelled;
                     cancelled.entry(id.clone()).or_insert(self.now);
                 }
@@ -118,7 +119,7 @@
             if self.is_relayed(node, output) {
                 continue;
             }
-            for command in started(output) {
+            for command in commands_of(output) {
                 if let Command::Start { task, .. } = command {
                     self.check_start(node, task);
                 }
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Remembers which node made a claim; its tokens begin with the claim's revision.
-    pub(super) fn note_claim(
+    /// Records which node made a claim; its tokens begin with the claim's revision.
+    pub(super) fn record_claim(
         &mut self,
         node: usize,
         request: &StateRequest,
@@ -142,12 +143,12 @@
             |change: &Change| matches!(change, Change::Put { key, .. } if key == LEADER_KEY);
         if changes.iter().any(claims) {
             self.requests.claims.insert(*revision, node);
-            self.pipelines_meet_claim();
+            self.count_claim_while_waiting();
         }
     }
 
-    /// An answer that another node decided and this one passes on to a worker. It was looked at
-    /// when that node sent it.
+    /// Whether the node only relays another node's answer to a worker. That answer was checked when
+    /// the other node sent it.
     fn is_relayed(&self, node: usize, output: &Output) -> bool {
         let Output::Answer {
             answer: Answer::Commands { token, .. },
@@ -161,138 +162,146 @@
     }
 
     fn check_start(&mut self, node: usize, task: &TaskId) {
-        let what = format!("n{node} starts {task}");
-        if self.requests.told_over.contains(&(node, task.job.clone())) {
-            self.observer.breaks(self.now, "started_over", what.clone());
+        let detail = format!("n{node} starts {task}");
+        if self
+            .requests
+            .reported_ended
+            .contains(&(node, task.job.clone()))
+        {
+            self.observer
+                .report_violation(self.now, "started_over", detail.clone());
         }
         let Some(at) = self.requests.cancelled.get(&task.job) else {
             return;
         };
         let after = self.now - *at;
-        self.requests.met.late_starts += 1;
-        self.requests.met.latest_start = self.requests.met.latest_start.max(after);
+        self.requests.counts.late_starts += 1;
+        self.requests.counts.latest_start = self.requests.counts.latest_start.max(after);
         if after + self.scale.lease > self.scale.cancel {
-            self.observer.breaks(self.now, "started_cancelled", what);
+            self.observer
+                .report_violation(self.now, "started_cancelled", detail);
         }
     }
 
-    /// A job was told as accepted or over: all nodes are asked, and it is submitted again.
-    pub(super) fn look_closely(&mut self, i: usize, state: JobState) {
+    /// Polls all nodes about a job that was reported as accepted or ended, and submits it again.
+    pub(super) fn poll_all_nodes(&mut self, i: usize, state: JobState) {
         let id = self.jobs[i].spec.id.clone();
-        let over = matches!(state, JobState::Done | JobState::Cancelled);
-        if self.now >= self.requests.close_until || !self.requests.looked.insert((id, over)) {
+        let ended = matches!(state, JobState::Done | JobState::Cancelled);
+        if self.now >= self.requests.polls_until || !self.requests.polled.insert((id, ended)) {
             return;
         }
-        if !over && self.rng.random_range(0..4) == 0 {
-            self.requests.met.cancelled_at_once += 1;
+        if !ended && self.rng.random_range(0..4) == 0 {
+            self.requests.counts.cancelled_at_once += 1;
             let (node, at) = (self.rng.random_range(0..NODES), self.now);
             self.jobs[i].withdraw_at = Some(at);
-            self.push(at + ms(2), Event::Ask(i, node, Asking::Withdraw));
+            self.push(
+                at + ms(2),
+                Event::UserRequest(i, node, UserAction::Withdraw),
+            );
         }
-        self.ask_all(i, &[Asking::Status, Asking::Submit]);
-        self.requests.met.looks += 1;
+        self.schedule_requests(i, &[UserAction::Status, UserAction::Submit]);
+        self.requests.counts.polled_jobs += 1;
     }
 
-    fn ask_all(&mut self, i: usize, asked: &[Asking]) {
-        for after in LOOKS {
+    fn schedule_requests(&mut self, i: usize, actions: &[UserAction]) {
+        for after in POLL_DELAYS_MS {
             for node in 0..NODES {
-                for asking in asked {
+                for action in actions {
                     let at = self.now + ms(after + self.rng.random_range(0..3));
-                    self.push(at, Event::Ask(i, node, *asking));
+                    self.push(at, Event::UserRequest(i, node, *action));
                 }
             }
         }
     }
 
-    /// Most jobs that are not over are called off within a fifth of a second, at any node,
-    /// and again until it is answered. Those that wait for others are left to be cancelled
-    /// with them.
+    /// Cancels most unfinished jobs within 200 ms, at any node, and repeats the cancellations. Jobs
+    /// that wait for dependencies are left to be cancelled with them.
     pub(crate) fn cancel_burst(&mut self) {
         for i in 0..self.jobs.len() {
             let job = &self.jobs[i];
             let needs = &job.spec.needs;
-            if needs.iter().any(|need| !self.is_over(need)) {
+            if needs.iter().any(|need| !self.has_ended(need)) {
                 continue;
             }
-            if !job.accepted || job.over || self.rng.random_range(0..5) == 0 {
+            if !job.accepted || job.ended || self.rng.random_range(0..5) == 0 {
                 continue;
             }
-            self.requests.met.burst += 1;
+            self.requests.counts.burst_cancellations += 1;
             self.jobs[i].withdraw_at = Some(self.now);
             let node = self.rng.random_range(0..NODES);
             for (again, after) in [0, 300, 700].into_iter().enumerate() {
                 let at = self.now + ms(after + self.rng.random_range(0..200));
                 let node = (node + again) % NODES;
-                self.push(at, Event::Ask(i, node, Asking::Withdraw));
+                self.push(at, Event::UserRequest(i, node, UserAction::Withdraw));
             }
         }
     }
 
-    /// Some user was told that this job is over.
-    fn is_over(&self, id: &JobId) -> bool {
-        let over = |state| matches!(state, JobState::Done | JobState::Cancelled);
-        self.observer.state(id).is_some_and(over)
+    /// Whether a user was told that this job has ended.
+    fn has_ended(&self, id: &JobId) -> bool {
+        let ended = |state| matches!(state, JobState::Done | JobState::Cancelled);
+        self.observer.state(id).is_some_and(ended)
     }
 
-    /// The state service refuses the leader alone while users cancel, and a second later it
-    /// is away for all.
-    pub(crate) fn refused_then_away(&mut self, leader: usize, lasts: Duration) {
+    /// Makes the state service refuse the leader alone while users cancel, and makes it unavailable
+    /// to all nodes one second later.
+    pub(crate) fn cancel_burst_at_refusal(&mut self, leader: usize, duration: Duration) {
         let away = self.now + ms(1_000);
-        self.refused[leader] = away + lasts;
-        self.requests.gap = (self.now, away);
+        self.refused_until[leader] = away + duration;
+        self.requests.refusal_window = (self.now, away);
         self.cancel_burst();
-        self.push(away, Event::OutageBegins);
-        self.push(away + lasts, Event::OutageEnds);
+        self.push(away, Event::OutageStarted);
+        self.push(away + duration, Event::OutageEnded);
     }
 
-    /// A task has completed: at the end of the last one users cancel, ask and repeat.
-    pub(super) fn met_end(&mut self, job: &JobId) {
-        let index: usize = job.as_str()[4..].parse().expect("a number");
-        if self.now >= self.requests.ends_until || self.jobs[index].spec.id != *job {
+    /// Sends cancellations, polls and submissions when the last task of a job completes.
+    pub(super) fn on_task_done(&mut self, job: &JobId) {
+        let index: usize = job.as_str()[4..].parse().expect("job number");
+        if self.now >= self.requests.completions_until || self.jobs[index].spec.id != *job {
             return;
         }
-        let whole = (0..self.jobs[index].spec.tasks).all(|task| {
+        let complete = (0..self.jobs[index].spec.tasks).all(|task| {
             let job = job.clone();
-            self.results.contains(&TaskId { job, index: task })
+            self.completed_tasks.contains(&TaskId { job, index: task })
         });
-        if whole && self.jobs[index].accepted && !self.jobs[index].over {
-            self.requests.met.at_the_end += 1;
-            let asked = [Asking::Status, Asking::Submit, Asking::Withdraw];
-            // A cancellation alone, a question alone, or all that users can ask.
-            let asked = match self.rng.random_range(0..4) {
-                0 => &asked[..2],
-                1 => &asked[2..],
-                _ => &asked[..],
+        if complete && self.jobs[index].accepted && !self.jobs[index].ended {
+            self.requests.counts.at_completion += 1;
+            let actions = [UserAction::Status, UserAction::Submit, UserAction::Withdraw];
+            // A cancellation alone, polls and submissions, or all of them.
+            let actions = match self.rng.random_range(0..4) {
+                0 => &actions[..2],
+                1 => &actions[2..],
+                _ => &actions[..],
             };
-            self.ask_all(index, asked);
+            self.schedule_requests(index, actions);
         }
     }
 
-    /// Jobs that can never run, one for each reason, at a node.
-    pub(super) fn send_odd(&mut self) {
-        if self.now >= self.requests.odd_until {
+    /// Submits jobs that can never run, one for each reason, to every node.
+    pub(super) fn submit_unrunnable_jobs(&mut self) {
+        if self.now >= self.requests.unrunnable_until {
             return;
         }
-        self.push(self.now + ms(700), Event::Odd);
+        self.push(self.now + ms(700), Event::UnrunnableJobs);
         for node in 0..NODES {
-            for reason in 0..ODD {
-                let number = 700_000 + self.requests.odd.len();
-                let id = JobId::parse(&format!("run-{number}")).expect("an id");
-                self.requests.odd.insert(id.clone());
-                let spec = Arc::new(self.odd_job(reason, id.clone()));
+            for reason in 0..UNRUNNABLE_REASONS {
+                let number = 700_000 + self.requests.unrunnable.len();
+                let id = JobId::parse(&format!("run-{number}")).expect("valid job id");
+                self.requests.unrunnable.insert(id.clone());
+                let spec = Arc::new(self.unrunnable_job(reason, id.clone()));
                 self.next_request += 1;
                 let request = self.next_request;
                 let epoch = self.epochs[node];
-                self.asked
-                    .insert((node, epoch, request), Asker::Odd(reason, id));
+                self.pending_requests
+                    .insert((node, epoch, request), Requester::Unrunnable(reason, id));
                 let at = self.now + self.delay();
                 let input = Input::Submit { request, spec };
-                self.push(at, Event::ToNode(node, epoch, input));
+                self.push(at, Event::NodeInput(node, epoch, input));
             }
         }
     }
 
-    fn odd_job(&mut self, reason: usize, id: JobId) -> JobSpec {
+    fn unrunnable_job(&mut self, reason: usize, id: JobId) -> JobSpec {
         let mut spec = self.make_job(0).spec;
         spec = JobSpec {
             id,
@@ -305,7 +314,7 @@
         };
         spec.licences.clear();
         spec.need.cpus = 1.0;
-        let more_than_the_limit = (self.scale.team_limit / CPUS) as u32 + 1;
+        let tasks_over_limit = (self.scale.team_limit / CPUS) as u32 + 1;
         match reason {
             0 => spec.team = Arc::from("nobody"),
             1 => spec.need.cpus = CPUS + 1.0,
@@ -316,39 +325,46 @@
             6 => spec.zone = Some("nowhere".into()),
             7 | 8 => {
                 spec.need.cpus = CPUS;
-                spec.tasks = more_than_the_limit;
+                spec.tasks = tasks_over_limit;
                 spec.kind = if reason == 7 {
                     Kind::Gang
                 } else {
                     Kind::Service
                 };
             }
-            _ => unreachable!("no such reason"),
+            _ => unreachable!("unknown reason"),
         }
         spec
     }
 
-    pub(super) fn odd_answered(&mut self, node: usize, reason: usize, id: &JobId, answer: &Answer) {
+    pub(super) fn unrunnable_answered(
+        &mut self,
+        node: usize,
+        reason: usize,
+        id: &JobId,
+        answer: &Answer,
+    ) {
         match answer {
-            Answer::Impossible(_) => self.requests.met.impossible += 1,
+            Answer::Impossible(_) => self.requests.counts.impossible += 1,
             Answer::Later { .. } => {}
             other => {
-                let what = format!("n{node}, reason {reason}, {id}: {other:?}");
-                self.observer.breaks(self.now, "accepted_unrunnable", what);
+                let detail = format!("n{node}, reason {reason}, {id}: {other:?}");
+                self.observer
+                    .report_violation(self.now, "accepted_unrunnable", detail);
             }
         }
     }
 
-    /// A command about a job that can't run: no worker knows its description.
-    pub(super) fn is_odd(&self, command: &Command) -> bool {
+    /// Whether the command is about a job that can never run, which no worker knows.
+    pub(super) fn targets_unrunnable_job(&self, command: &Command) -> bool {
         let (Command::Start { task, .. }
         | Command::Stop { task, .. }
         | Command::Forget { task, .. }) = command;
-        self.requests.odd.contains(&task.job)
+        self.requests.unrunnable.contains(&task.job)
     }
 
-    /// Whether the answer to a transaction that was carried out is lost.
-    pub(super) fn answer_lost(&mut self, request: &StateRequest, reply: &StateReply) -> bool {
+    /// Whether the answer to an applied transaction is lost.
+    pub(super) fn loses_answer(&mut self, request: &StateRequest, reply: &StateReply) -> bool {
         let carried_out = matches!(
             (request, reply),
             (StateRequest::Txn { .. }, StateReply::Committed { .. })
@@ -356,11 +372,12 @@
         let lost = carried_out
             && self.now < self.requests.unanswered_until
             && self.rng.random_range(0..4) == 0;
-        self.requests.met.answers_lost += u64::from(lost);
+        self.requests.counts.answers_lost += u64::from(lost);
         lost
     }
 
-    /// A transaction that accepts or ends a job without looking at what is stored of it.
+    /// Removes the conditions on stored jobs and terminal states from a transaction that accepts or
+    /// ends a job.
     pub(super) fn drop_conditions(&self, request: &mut StateRequest) {
         let StateRequest::Txn {
             conditions,
@@ -372,19 +389,21 @@
         let ends = changes
             .iter()
             .any(|change| matches!(change, Change::Put { key, .. } if key.starts_with(TERMINAL_STATES_PREFIX) || key.starts_with(TERMINAL_RANGES_PREFIX)));
-        let about =
+        let is_job_key =
             |key: &str| key.starts_with(JOBS_PREFIX) || key.starts_with(TERMINAL_STATES_PREFIX);
-        match self.sabotage {
-            Sabotage::AcceptsWhateverIsStored => {
-                conditions.retain(|c| c.version > 0 || !about(&c.key));
+        match self.defect {
+            Defect::UnconditionalAcceptance => {
+                conditions.retain(|c| c.version > 0 || !is_job_key(&c.key));
+            }
+            Defect::UnconditionalTerminalStates if ends => {
+                conditions.retain(|c| !is_job_key(&c.key))
             }
-            Sabotage::EndsWhateverIsStored if ends => conditions.retain(|c| !about(&c.key)),
             _ => {}
         }
     }
 
-    /// Events that tell of a job's end tell of the job instead.
-    pub(super) fn ends_look_new(&self, events: &mut [store::Event]) {
+    /// Turns events that delete a job into events that announce it.
+    pub(super) fn announce_ended_jobs(&self, events: &mut [store::Event]) {
         for event in events.iter_mut().filter(|event| event.value.is_none()) {
             let id = event.key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse);
             let job = id.and_then(|id| self.jobs.iter().find(|job| job.spec.id == id));
@@ -394,14 +413,15 @@
                     accepted_ms: 1,
                 };
                 event.value = serde_json::value::to_raw_value(&record).ok();
-                // Newer than the end: a node passes over what is older than an end of its own.
+                // Must be newer than the end: a node ignores what is older than an end that it
+                // stored.
                 event.revision += 1;
             }
         }
     }
 
-    /// One-task jobs, that many a second, a quarter of them cancelled soon.
-    pub fn stream(mut self, count: usize, apart: Duration) -> Self {
+    /// Adds jobs with one task at a fixed interval, a quarter of them cancelled soon.
+    pub fn with_job_stream(mut self, count: usize, interval: Duration) -> Self {
         for number in 0..count {
             let i = self.jobs.len();
             let mut job = self.make_job(i);
@@ -409,35 +429,35 @@
             job.spec.tasks = 1;
             job.spec.spread = false;
             job.faulty = false;
-            let at = ms(5_000) + apart * number as u32;
+            let at = ms(5_000) + interval * number as u32;
             let soon = ms(self.rng.random_range(0..6_000));
             job.withdraw_at = (number % 4 == 0).then_some(at + soon);
             self.jobs.push(job);
-            self.push(at, Event::User(i));
+            self.push(at, Event::UserPoll(i));
         }
         self
     }
 
-    /// The jobs that nobody was told the end of, with their teams and states.
-    pub fn left(&self) -> Vec<(JobId, String, Option<JobState>)> {
-        let left = self.jobs.iter().filter(|job| !job.over);
-        let told = left.map(|job| {
+    /// Jobs of which nobody was told a terminal state, with their teams and states.
+    pub fn unfinished_jobs(&self) -> Vec<(JobId, String, Option<JobState>)> {
+        let left = self.jobs.iter().filter(|job| !job.ended);
+        let reported = left.map(|job| {
             let (id, team) = (&job.spec.id, job.spec.team.to_string());
             (id.clone(), team, self.observer.state(id))
         });
-        told.collect()
+        reported.collect()
     }
 
-    /// How many jobs were told as done, and as cancelled.
-    pub fn ended(&self) -> (usize, usize) {
-        let told = |state| {
+    /// Number of jobs reported as done, and as cancelled.
+    pub fn ended_counts(&self) -> (usize, usize) {
+        let reported = |state| {
             let jobs = self.jobs.iter();
             jobs.filter(|job| self.observer.state(&job.spec.id) == Some(state))
                 .count()
         };
-        (told(JobState::Done), told(JobState::Cancelled))
+        (reported(JobState::Done), reported(JobState::Cancelled))
     }
 }
 
-/// How many reasons `odd_job` knows.
-const ODD: usize = 9;
+/// Number of reasons that `unrunnable_job` knows.
+const UNRUNNABLE_REASONS: usize = 9;
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -1,15 +1,15 @@
-//! A plain stand-in of the state service, written from the protocol.
+//! A simple stand-in for the state service, implemented from the protocol.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use kiteyard::core::store::{Change, Entry, Event, StateReply, StateRequest};
 use serde_json::value::RawValue;
 
-/// Small pages, so that reading them in turn is tried out.
-const PAGE: usize = 7;
+/// Page size of lists; small, so that reads of several pages are tested.
+const PAGE_SIZE: usize = 7;
 
 #[derive(Clone)]
-struct Key {
+struct StoredValue {
     value: Box<RawValue>,
     version: u64,
     lease: Option<u64>,
@@ -17,19 +17,19 @@
 
 struct Lease {
     ttl: Duration,
-    ends: Duration,
+    expires: Duration,
 }
 
-/// Limits of writes, from a moment on.
+/// Write limits from a given time on.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct WriteLimits {
     pub from: Duration,
     pub value_bytes: usize,
     pub txn_ops: usize,
     pub changes_per_s: f64,
 }
 
-/// Changes that may be made now: bursts of one second's worth.
+/// Rate limit of changes, with bursts of one second's worth.
 #[derive(Default)]
 struct Allowance {
     changes: f64,
@@ -37,27 +37,27 @@
 }
 
 #[derive(Default)]
-pub struct State {
+pub struct StateStore {
     revision: u64,
-    keys: BTreeMap<String, Key>,
+    keys: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
     log: Vec<Event>,
-    limits: Option<Limits>,
+    limits: Option<WriteLimits>,
     allowance: Allowance,
-    /// Requests by second, but for watches that wait.
+    /// Requests per second, except for waiting watches.
     requests: BTreeMap<u64, u32>,
     rejected: u32,
 }
 
-impl State {
-    /// The answer, or none where a watch has nothing to tell yet.
+impl StateStore {
+    /// Returns the answer, or `None` where a watch has no events yet.
     pub fn call(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
-        self.expire(now);
+        self.expire_leases(now);
         if !matches!(request, StateRequest::Watch { wait, .. } if !wait.is_zero()) {
             *self.requests.entry(now.as_secs()).or_default() += 1;
         }
-        if let Some(reply) = self.over_limits(now, request) {
+        if let Some(reply) = self.check_limits(now, request) {
             return Some(reply);
         }
         Some(match request {
@@ -73,9 +73,9 @@
                     .filter(|(key, _)| after.as_ref().is_none_or(|after| *key > after))
                     .map(|(key, found)| entry(key, found))
                     .collect();
-                let more = all.len() > PAGE;
+                let more = all.len() > PAGE_SIZE;
                 StateReply::Entries {
-                    entries: all.into_iter().take(PAGE).collect(),
+                    entries: all.into_iter().take(PAGE_SIZE).collect(),
                     more,
                     revision: self.revision,
                 }
@@ -113,7 +113,7 @@
                     self.next_lease,
                     Lease {
                         ttl: *ttl,
-                        ends: now + *ttl,
+                        expires: now + *ttl,
                     },
                 );
                 StateReply::Granted {
@@ -122,7 +122,7 @@
             }
             StateRequest::Renew { lease } => match self.leases.get_mut(lease) {
                 Some(lease) => {
-                    lease.ends = now + lease.ttl;
+                    lease.expires = now + lease.ttl;
                     StateReply::Renewed
                 }
                 None => StateReply::LeaseGone,
@@ -149,8 +149,8 @@
         })
     }
 
-    /// The answer to a write that is larger, or more, than is taken now.
-    fn over_limits(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
+    /// Returns the answer to a write that exceeds the limits of size or rate.
+    fn check_limits(&mut self, now: Duration, request: &StateRequest) -> Option<StateReply> {
         let limits = self.limits.filter(|limits| now >= limits.from)?;
         let StateRequest::Txn {
             conditions,
@@ -183,33 +183,33 @@
         None
     }
 
-    /// All that is stored under a prefix, in key order.
-    #[allow(dead_code)] // Not asked for on loopback.
+    /// All entries under a prefix, in key order.
+    #[allow(dead_code)] // Unused by the loopback stand-ins.
     pub fn entries(&self, prefix: &str) -> Vec<Entry> {
         let keys = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
         keys.map(|(key, found)| entry(key, found)).collect()
     }
 
-    /// Writes are limited from a moment on.
-    #[allow(dead_code)] // The stand-ins on loopback have limits of their own.
-    pub fn limit(&mut self, limits: Limits) {
+    /// Limits writes from a given time on.
+    #[allow(dead_code)] // The loopback stand-ins have their own limits.
+    pub fn set_limits(&mut self, limits: WriteLimits) {
         self.limits = Some(limits);
     }
 
-    /// Writes that were rejected for their size.
+    /// Writes that were rejected because of their size.
     #[allow(dead_code)]
     pub fn rejected(&self) -> u32 {
         self.rejected
     }
 
-    /// The most requests in any second from a moment on.
+    /// Highest number of requests in any second from a given time on.
     #[allow(dead_code)]
-    pub fn busiest_second(&self, from: Duration) -> u32 {
+    pub fn max_requests_per_second(&self, from: Duration) -> u32 {
         let since = self.requests.range(from.as_secs()..);
         since.map(|(_, requests)| *requests).max().unwrap_or(0)
     }
 
-    /// The largest value under a prefix.
+    /// Size of the largest value under a prefix.
     #[allow(dead_code)]
     pub fn largest_value(&self, prefix: &str) -> usize {
         let keys = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -222,28 +222,28 @@
         self.revision
     }
 
-    /// After an outage every lease has its full time again.
-    #[allow(dead_code)] // The stand-ins on loopback have no outages.
-    pub fn outage_over(&mut self, now: Duration) {
+    /// Extends every lease by its full TTL after an outage.
+    #[allow(dead_code)] // The loopback stand-ins have no outages.
+    pub fn extend_leases(&mut self, now: Duration) {
         for lease in self.leases.values_mut() {
-            lease.ends = now + lease.ttl;
+            lease.expires = now + lease.ttl;
         }
     }
 
-    /// No lease ends any more.
+    /// Makes all leases permanent, including expired ones.
     #[allow(dead_code)]
-    pub fn keep_leases(&mut self) {
+    pub fn make_leases_permanent(&mut self) {
         for id in 1..=self.next_lease {
-            let (ttl, ends) = (Duration::MAX, Duration::MAX);
-            self.leases.insert(id, Lease { ttl, ends });
+            let (ttl, expires) = (Duration::MAX, Duration::MAX);
+            self.leases.insert(id, Lease { ttl, expires });
         }
     }
 
-    pub fn expire(&mut self, now: Duration) {
+    pub fn expire_leases(&mut self, now: Duration) {
         let over: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.ends <= now)
+            .filter(|(_, lease)| lease.expires <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
@@ -266,7 +266,7 @@
     fn apply(&mut self, change: &Change) {
         let (key, value) = match change {
             Change::Put { key, value, lease } => {
-                let entry = Key {
+                let entry = StoredValue {
                     value: value.clone(),
                     version: self.revision,
                     lease: *lease,
@@ -289,7 +289,7 @@
     }
 }
 
-fn entry(key: &str, found: &Key) -> Entry {
+fn entry(key: &str, found: &StoredValue) -> Entry {
     Entry {
         key: key.to_owned(),
         value: found.value.clone(),
