--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -303,7 +303,7 @@
     ) -> Option<(Vec<ShardWrite>, Vec<Condition>, Vec<Change>)> {
         let due = self.due_shards(urgent);
         let (mut writes, mut conditions, mut changes) = (Vec::new(), Vec::new(), Vec::new());
-        // Two values of full size leave room in one transaction for other changes.
+        // Two values of full size leave space in one transaction for other changes.
         let max_writes = max_changes.min(2);
         for id in due {
             if writes.len() == max_writes {
--- a/src/core/assignment_index/write_results.rs
+++ b/src/core/assignment_index/write_results.rs
@@ -71,7 +71,7 @@
                 return;
             };
             match self.machines.get_mut(&listing.machine) {
-                // A machine that was removed and came back is no longer a member.
+                // A machine that was removed and added again is no longer a member.
                 Some(machine) if machine.assignment.shard == Some(write.shard) => {
                     let entry = &mut machine.assignment;
                     entry.may_be_written = false;
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -59,7 +59,7 @@
         self.end_session(id, now);
     }
 
-    /// Marks unresponsive machines as empty once all leases that they may have are over.
+    /// Marks unresponsive machines as empty once all leases that they may have had have expired.
     fn resolve_empty_machines(&mut self) {
         let claim_verified_at = self.claim_verified_at;
         let unresolved = self.machines.values().filter(|m| m.unresolved);
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -3,7 +3,7 @@
 //!
 //! A report counts only if it is newer than all others seen of its session, and a task missing from
 //! it is gone only if the report can't have been overtaken by the task's start. The end of an
-//! attempt never releases its task twice, since the task may already run elsewhere by then.
+//! attempt never releases its task twice, since the task may already run elsewhere.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -28,7 +28,8 @@
     ) -> Option<(u64, Vec<Command>)> {
         let id = report.machine.clone();
         if self.provisioning.was_released(&id) {
-            // The machine no longer exists: the report was delayed, and nobody waits for an answer.
+            // The machine no longer exists: the report was delayed, and no worker waits for its
+            // answer.
             debug!(machine = %id, "ignoring report of a released machine");
             return None;
         }
@@ -287,7 +288,7 @@
 
 impl Machine {
     /// Returns whether a report belongs to an expired session or is older than one already seen: it
-    /// was delayed, and nobody waits for its answer.
+    /// was delayed, and no worker waits for its answer.
     fn is_late(&self, report: &WorkerReport) -> bool {
         report.session <= self.expired_session
             || report.session < self.session
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -78,7 +78,7 @@
             let known = machines.filter(|m| m.state == MachineState::Up && m.addr.is_some());
             let in_flight = known.clone().filter(|m| m.direct_in_flight).count();
             let idle = known.filter(|m| !m.direct_in_flight && now >= m.direct_retry_at);
-            // Those heard last are the most likely to answer.
+            // Machines that were heard last are the most likely to answer.
             let mut idle: Vec<_> = idle.map(|m| (Reverse(m.heard_at), &m.id)).collect();
             idle.sort();
             let remaining = MAX_PROBES_PER_ZONE.saturating_sub(in_flight);
@@ -181,7 +181,7 @@
             } = &mut placement.phase
                 && *sent == Some(direct.token)
             {
-                // The command is over: the report lists the tasks that it started.
+                // The command has ended: the report lists the tasks that it started.
                 *sent = None;
                 if !executed && *seq == 0 {
                     placement.phase = Phase::Decided;
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -25,8 +25,8 @@
 const MAX_RETRY_EXPONENT: u32 = 6;
 
 impl Job {
-    /// Returns whether the job fails on every machine, so that its failures say nothing about
-    /// machines. If one of its tasks is done or a replica runs, the machines are at fault.
+    /// Returns whether the job fails on every machine, so that its failures are no evidence of
+    /// faulty machines. If one of its tasks is done or a replica runs, the machines are at fault.
     pub fn faulty(&self) -> bool {
         let has_running_replica = self.spec.kind == Kind::Service && self.running > 0;
         let has_succeeded = has_running_replica || self.done_count > 0;
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -5,7 +5,7 @@
 //! it would lose its tasks. So a leader that no node reaches is superseded, a leader that the state
 //! service refuses resigns on request, and a leader that no worker reaches steps down by itself.
 //! All of this affects availability only: that no task runs twice is ensured by the claim and by
-//! the bound on how long a previous leader may act, whatever the heartbeats say.
+//! the bound on how long a previous leader may act, whatever the heartbeats report.
 
 use std::time::Duration;
 
@@ -49,8 +49,8 @@
 /// Time within which a node that was handed the leadership has claimed it.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Returns the silence after which a leader is considered lost. By then all of its workers have
-/// turned to other nodes, and a restarted process is usually back.
+/// Returns the silence after which a leader is considered lost. When it has passed, all of its
+/// workers have turned to other nodes, and a restarted process is usually back.
 pub fn leader_silence_limit(worker_lease: Duration) -> Duration {
     let move_time = WORKER_ANSWER_TIMEOUT + WORKER_RETRY_DELAY + Duration::from_millis(500);
     worker_lease.mul_f64(0.55).min(move_time)
@@ -176,7 +176,7 @@
             < super::membership::nodes::STATE_SERVED_TIMEOUT;
         if is_from_leader && heartbeat.state_service_silence > STATE_REFUSED_TIMEOUT && is_served {
             // The state service may be down for all nodes by now. If the leader resigned then,
-            // nobody could lead until it is back, and the workers would lose their leases. So
+            // no node could lead until it is back, and the workers would lose their leases. So
             // the request is sent only after the service has answered this node.
             self.heartbeats.refused_leader = Some((from.clone(), heartbeat.claim));
             self.probe_state_service();
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Gives up the leadership, to a given node or to whichever claims it first.
+    /// Gives up the leadership, to a given node or to the first one that claims it.
     pub(super) fn transfer_leadership(&mut self, to: Option<String>, reason: &str) {
         let Some(claim) = self.claim() else { return };
         self.drop_leadership(reason);
--- a/src/core/membership/phi_accrual.rs
+++ b/src/core/membership/phi_accrual.rs
@@ -17,8 +17,8 @@
 const WINDOW_SIZE: u64 = 2048;
 /// Number of gaps needed for an estimate.
 const MIN_SAMPLES: u64 = 8;
-/// Lower bound of the standard deviation as a share of the mean, since a few equal gaps say
-/// little about the next one.
+/// Lower bound of the standard deviation as a share of the mean, since a few equal gaps
+/// hardly predict the next one.
 const MIN_DEVIATION_RATIO: f64 = 0.25;
 
 /// Arrival pattern of the heartbeats.
--- a/src/core/membership/reachability.rs
+++ b/src/core/membership/reachability.rs
@@ -59,7 +59,7 @@
 pub struct Reachability {
     /// No machine is reachable, and the cause is not known yet.
     pub is_uncertain: bool,
-    /// No machine is reachable and none answers direct commands: this node is cut off.
+    /// No machine is reachable and none answers direct commands: this node is partitioned.
     pub is_isolated: bool,
     /// Zones in which no machine is reachable any more.
     pub partitioned_zones: BTreeSet<Arc<str>>,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Removes a machine that was returned to the cloud.
+    /// Removes a machine that was released to the cloud.
     pub fn forget(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -3,7 +3,7 @@
 //!
 //! No progress is stored: a listing finds the records that are left. So the migration continues
 //! in the same way after a failover and after a pause, and it is finished when a listing that
-//! began after the switch to the new form finds nothing. Nobody writes the old form after the
+//! began after the switch to the new form finds nothing. No node writes the old form after the
 //! switch, since every such write is conditional on the generation's record.
 
 use std::{collections::VecDeque, time::Duration};
@@ -292,7 +292,7 @@
             migration.is_finished = true;
             info!(
                 moved = migration.total_rewritten,
-                "migration finished, no old records are left"
+                "migration finished; no old records are left"
             );
         } else if !more && migration.queue.is_empty() {
             migration.restart();
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -10,7 +10,7 @@
 //!
 //! A leader that needs to do so first removes the zone, by a write that is conditional on its
 //! claim and that it has seen committed. So no lease in the zone outlasts one that began at the
-//! stored time, and a task that starts there late has stopped by then.
+//! stored time, and a task that starts there late stops no later than that.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -1,6 +1,6 @@
 //! Job queue: a heap of waiting jobs, and the parked jobs that could not be placed.
 //!
-//! An entry stands for all waiting tasks of its job, which are identical.
+//! An entry represents all waiting tasks of its job, which are identical.
 
 use std::{
     cmp::Reverse,
--- a/src/core/results.rs
+++ b/src/core/results.rs
@@ -6,9 +6,9 @@
 //! of that chunk. The key without zeros keeps its contents.
 //!
 //! A write that got no answer may still be applied after newer ones. If it depended only on the
-//! job, an older set could replace one whose results workers have been told to forget. Each chunk
-//! is therefore written on condition of its own revision, and after an unclear answer it is read
-//! before it is written again.
+//! job, an older set could replace a newer one after workers were sent the command to forget its
+//! results. Each chunk is therefore written on condition of its own revision, and after an unclear
+//! answer it is read before it is written again.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -52,7 +52,7 @@
     next_step_at: Duration,
     /// Reason why this node does not act, as last logged.
     logged_refusal: Option<String>,
-    /// Time until which this node does not claim the leadership, after it gave it away.
+    /// Time until which this node does not claim the leadership, after it gave it up.
     claim_blocked_until: Duration,
     /// Last key outside the watched prefix whose value could not be parsed.
     last_unreadable_key: Option<String>,
@@ -106,7 +106,7 @@
     /// Returns the reason why this node accepts no requests and does not lead, if there is one.
     pub(super) fn refusal_reason(&self) -> Option<String> {
         if let Some(key) = self.cache.unreadable.keys().next() {
-            return Some(format!("{key} can't be read, a newer build is needed"));
+            return Some(format!("{key} can't be read; a newer build is needed"));
         }
         let cluster = &self.cache.generation.0;
         let needs = cluster.required_generation();
@@ -144,7 +144,7 @@
     /// one logged.
     pub(super) fn report_unreadable(&mut self, key: &str) {
         if self.rollout.last_unreadable_key.as_deref() != Some(key) {
-            error!(key, "a record can't be read, a newer build is needed");
+            error!(key, "a record can't be read; a newer build is needed");
             self.rollout.last_unreadable_key = Some(key.to_owned());
         }
     }
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -1,9 +1,9 @@
-//! Return of machines that stopped reporting while they run replicas, or that vanished from the
+//! Release of machines that stopped reporting while they run replicas, or that vanished from the
 //! cloud's list, before the lease of their worker expires.
 //!
 //! The replicas of a hung machine may start elsewhere only after its lease has expired or the
-//! machine is gone, and it is gone once the cloud has confirmed its return. A partitioned machine
-//! keeps working, though, so a machine is returned only while most of its zone is reachable,
+//! machine is gone, and it is gone once the cloud has confirmed its release. A partitioned machine
+//! keeps working, though, so a machine is released only while most of its zone is reachable,
 //! which rules out a partition of the zone.
 
 use std::{cmp::Reverse, time::Duration};
@@ -16,7 +16,7 @@
     machine::{Machine, MachineId, MachineState},
 };
 
-/// Maximum number of machines returned by one request.
+/// Maximum number of machines released by one request.
 const MAX_RETURNED_MACHINES: usize = 100;
 /// Delay after which an overdue report counts as missed.
 const REPORT_GRACE: Duration = Duration::from_secs(1);
@@ -63,7 +63,7 @@
                 .is_some_and(|(at, requested)| requested > at + lag)
     }
 
-    /// Returns the machines to be returned to the cloud so that nothing runs there any more, those
+    /// Returns the machines to be released to the cloud so that nothing runs there any more, those
     /// with the most replicas first.
     pub(super) fn plan_unresponsive_returns(&mut self, now: Duration) -> Vec<MachineId> {
         // A leader without a recent verification of its claim may be partitioned itself.
@@ -89,7 +89,7 @@
         candidates.sort();
         candidates.truncate(MAX_RETURNED_MACHINES);
         for (_, machine) in &candidates {
-            info!(%machine, "returning an unresponsive machine to free its tasks");
+            info!(%machine, "releasing an unresponsive machine to free its tasks");
         }
         candidates.into_iter().map(|(_, id)| id).collect()
     }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -55,14 +55,14 @@
     id: JobId,
     request: RequestId,
     query: JobQuery,
-    /// Places that remain to be read.
+    /// Layouts that remain to be read.
     places: Vec<Layout>,
-    /// Revision of the generation record from which the places were derived.
+    /// Revision of the generation record from which the layouts were derived.
     generation: u64,
 }
 
 impl TerminalRead {
-    /// Covers every place where this generation may store the terminal state.
+    /// Covers every layout in which this generation may store the terminal state.
     pub(super) fn new(
         request: RequestId,
         id: JobId,
@@ -343,7 +343,7 @@
                     .is_none_or(|zone| t.zones.iter().any(|z| **z == **zone))
         });
         if !fits {
-            return Some("no allowed machine type has room for a task".into());
+            return Some("no allowed machine type has capacity for a task".into());
         }
         let concurrent_tasks = match spec.kind {
             Kind::Array => 1,
@@ -611,7 +611,7 @@
         }
     }
 
-    /// Reads the first of the remaining places, or confirms the generation after the last one.
+    /// Reads the first of the remaining layouts, or confirms the generation after the last one.
     pub(super) fn read_terminal_state(&mut self, read: TerminalRead) {
         let request = match read.places.first() {
             Some(Layout::Single) => StateRequest::Get {
@@ -694,7 +694,7 @@
     }
 
     /// Caches a terminal state that was read at this revision. It takes precedence over the
-    /// active job, which may still be in the cache or come back by an older event.
+    /// active job, which may still be in the cache or be restored by an older event.
     fn terminal_state_found(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
         let now = self.now();
         self.cache_terminal_state(id.clone(), record);
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -216,7 +216,7 @@
         RETRY_DELAY * 2_u32.pow(self.unsplittable_rejections.min(MAX_PAUSE_DOUBLINGS))
     }
 
-    /// Returns whether the budget has room for optional writes.
+    /// Returns whether the budget allows optional writes.
     pub fn has_spare_budget(&self) -> bool {
         self.allowance > self.present_rate / 4.0
     }
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -74,7 +74,7 @@
 struct Api {
     requests: mpsc::Sender<IncomingRequest>,
     permits: Arc<Semaphore>,
-    /// Licences are configured.
+    /// Whether licences are configured.
     licensed: bool,
 }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -281,7 +281,7 @@
 }
 
 /// If a leader is unreachable for this node but its stored heartbeat changes, workers are
-/// redirected to it, and those that come back from it are not held.
+/// redirected to it, and those that return from it are not held.
 #[test]
 fn workers_are_redirected_to_a_leader_known_only_by_its_stored_heartbeat() {
     let (mut node, watch) = loaded(led_by_n1());
@@ -332,7 +332,7 @@
 }
 
 /// Guards against redirecting workers while there is no leader: some were redirected to the
-/// node that was gone, and their leases expired meanwhile.
+/// node that had stopped, and their leases expired meanwhile.
 #[test]
 fn a_report_without_a_leader_waits_until_there_is_one() {
     let (mut node, watch) = loaded(led_by_n1());
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -135,7 +135,7 @@
     }
 }
 
-/// Reports whose time is up are answered while the others keep waiting.
+/// Reports that reach their deadline are answered while the others keep waiting.
 #[test]
 fn held_reports_are_answered_when_due() {
     let (machines, sockets) = FLEETS[0];
@@ -182,7 +182,7 @@
     for (machines, sockets) in FLEETS {
         let (mut node, _) = follower(sockets);
         receive_leader_heartbeat(&mut node, 3);
-        // Redirected to the leader once, they come back.
+        // Redirected to the leader once, they return.
         let outputs = send_reports(&mut node, 4, machines, 0);
         assert_eq!(answers(&outputs).len(), machines);
         // Their last answer is recent, so none is urgent.
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -127,7 +127,7 @@
 #[test]
 fn terminal_state_times_are_parsed() {
     let states: TerminalStates =
-        serde_json::from_str(r#""07c3,12d400t1733130000000""#).expect("ends");
+        serde_json::from_str(r#""07c3,12d400t1733130000000""#).expect("terminal states");
     let timed = TerminalRecord {
         state: JobState::Done,
         done: 400,
@@ -168,7 +168,7 @@
     }
     let text = serde_json::to_string(&states).expect("states");
     assert!(text.len() <= 2048, "{} bytes", text.len());
-    let read: TerminalStates = serde_json::from_str(&text).expect("ends");
+    let read: TerminalStates = serde_json::from_str(&text).expect("terminal states");
     assert_eq!(read.len(), 100);
     for number in 0..100 {
         let record = read.get(&format!("{number:02}")).expect("an end");
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -967,7 +967,7 @@
 }
 
 /// A worker may have begun a new session after the previous leader ended; its lease then lasts
-/// from the answer to a direct call, not from the previous leader's end. A start that was sent
+/// from the answer to a direct command, not from the previous leader's end. A start that was sent
 /// directly into such a session was considered lost, and its task ran twice (`ran_twice` in the
 /// simulated world).
 #[test]
@@ -1004,9 +1004,9 @@
     assert_eq!(state_at(&mut c, 115), MachineState::Lost);
 }
 
-/// A start in the answer to a report may still be in flight when a direct call shows that the
-/// task has ended. A worker that forgets the attempt at that point would run it again. This
-/// happened in the simulated world with an answer delayed by 0.9 s.
+/// A start in the answer to a report may still be in flight when the answer to a direct
+/// command shows that the task has ended. A worker that forgets the attempt at that point would run
+/// it again. This happened in the simulated world with an answer delayed by 0.9 s.
 #[test]
 fn an_attempt_is_not_forgotten_while_its_start_may_be_in_flight() {
     use kiteyard::core::machine::DirectReply;
--- a/tests/scheduling/starting.rs
+++ b/tests/scheduling/starting.rs
@@ -65,7 +65,7 @@
     c.now += Duration::from_millis(300);
     tick_and_pass(&mut c);
     assert_eq!(c.nominated(&high), ["vm-1"]);
-    // No machine reports: preemption is held back for as long as a live worker may take to report.
+    // No machine reports: preemption is deferred for as long as a live worker may take to report.
     let low = spec(1, Kind::Array, Priority::Normal, 1, 4.0);
     let mut c = new_leader(&[&low, &spec(2, Kind::Service, Priority::High, 1, 4.0)]);
     c.running.insert("vm-1".into(), Vec::new());
--- a/tests/unreadable.rs
+++ b/tests/unreadable.rs
@@ -176,7 +176,7 @@
         assert_eq!(test_node.claims, 0, "{key}");
         assert!(!test_node.ready(), "{key}");
     }
-    // The status of an unreadable job is withheld; other jobs are answered.
+    // The status of an unreadable job is not answered; other jobs are answered.
     let mut test_node = TestNode::new(vec![entry("live/job/run-000001", NEWER_RECORD)], Vec::new());
     assert!(is_later(&test_node.status("run-000001")));
     assert_eq!(test_node.status("run-000002"), Answer::NotFound);
--- a/tests/value_limits.rs
+++ b/tests/value_limits.rs
@@ -112,7 +112,7 @@
     // The job may have been accepted earlier, which has to be ruled out before the refusal.
     assert_eq!(answer(&outputs), None);
     let proof = |r: &StateRequest| matches!(r, StateRequest::Watch { wait, .. } if wait.is_zero());
-    let call = state_call(&outputs, proof).expect("a request that proves the cache");
+    let call = state_call(&outputs, proof).expect("a request that verifies the cache");
     let reply = StateReply::Events {
         events: Vec::new(),
         revision: 5,
