--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -167,7 +167,7 @@
         config: Arc<Config>,
         claim: u64,
         types: Arc<Vec<MachineType>>,
-        found: StoredClusterState<'_>,
+        stored: StoredClusterState<'_>,
         now: Duration,
     ) -> Self {
         let StoredClusterState {
@@ -176,7 +176,7 @@
             assignment_index,
             previous_leases_end,
             zone_lease_ends,
-        } = found;
+        } = stored;
         let mut cluster = Self::empty(
             config,
             claim,
@@ -256,8 +256,8 @@
         mut progress: BTreeMap<JobId, Results>,
     ) {
         for (id, job) in jobs {
-            let done = progress.remove(id).unwrap_or_default();
-            self.add_job(id, job, done);
+            let saved = progress.remove(id).unwrap_or_default();
+            self.add_job(id, job, saved);
         }
         for (id, results) in progress {
             self.discard_results(&id, &results);
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -130,13 +130,13 @@
                 ..*counts
             };
             let team = job.spec.team.clone();
-            let ask = StopRequest {
+            let request = StopRequest {
                 team: &team,
                 service: Some(service),
                 lost_work: Duration::ZERO,
             };
-            if self.disruption_ledger.check(now, &ask).is_ok() {
-                self.disruption_ledger.record_stop(now, &ask);
+            if self.disruption_ledger.check(now, &request).is_ok() {
+                self.disruption_ledger.record_stop(now, &request);
                 *stopped += 1;
                 self.stop_task(id, &key, self.config.options.grace, now);
             }
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -94,14 +94,14 @@
             return;
         };
         let now = self.now();
-        let is_cut_from_leader = self.is_cut_from_leader(&report, claim);
-        if is_cut_from_leader {
+        let is_partitioned_from_leader = self.is_partitioned_from_leader(&report, claim);
+        if is_partitioned_from_leader {
             self.membership
                 .nodes
                 .record_stranded_worker(&report.machine, now);
             self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
         }
-        if is_cut_from_leader && !self.reaches_leader() {
+        if is_partitioned_from_leader && !self.reaches_leader() {
             match self.leader_stores_heartbeats() {
                 // No node can forward the report, and the leader stays the leader: the worker
                 // tries the other nodes.
@@ -110,11 +110,11 @@
             }
             return;
         }
-        if is_cut_from_leader && self.is_forwarding_full(&report.machine) {
+        if is_partitioned_from_leader && self.is_forwarding_full(&report.machine) {
             self.answer(request, Answer::Redirect(None));
             return;
         }
-        if !is_cut_from_leader {
+        if !is_partitioned_from_leader {
             self.forwarded
                 .redirected
                 .insert(report.machine.clone(), now);
@@ -159,7 +159,7 @@
     /// leader's address. A worker stays with the node that answers it, so it is redirected to the
     /// leader again from time to time; otherwise it would depend on two nodes and the connection
     /// between them forever.
-    fn is_cut_from_leader(&mut self, report: &WorkerReport, claim: u64) -> bool {
+    fn is_partitioned_from_leader(&mut self, report: &WorkerReport, claim: u64) -> bool {
         let now = self.now();
         let knows_token = report.token >> 16 == claim;
         if !self.reaches_leader() && self.leader_stores_heartbeats() {
--- a/src/core/maintenance.rs
+++ b/src/core/maintenance.rs
@@ -61,7 +61,7 @@
     pub(super) fn handle_maintenance_request(
         &mut self,
         request: RequestId,
-        operation: MaintenanceRequest,
+        action: MaintenanceRequest,
     ) {
         if self.config.options.maintenance.is_none() {
             let why = "maintenance is disabled: start the nodes with --maintenance FILE";
@@ -79,7 +79,7 @@
             );
             return;
         }
-        match operation {
+        match action {
             MaintenanceRequest::Status => self.answer_drains(request, None),
             MaintenanceRequest::Plan(machines) => match self.drain_refusal(&machines, None) {
                 Some(why) => self.answer(request, Answer::Impossible(why)),
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -204,7 +204,7 @@
                 self.plan_scale_out(now);
             }
         }
-        let unresponsive = self.plan_unresponsive_returns(now);
+        let unresponsive = self.plan_unresponsive_releases(now);
         if !unresponsive.is_empty() {
             self.provisioning
                 .releasing
@@ -314,7 +314,7 @@
         });
         match reply {
             CloudReply::Provisioned(ids) => {
-                info!(request = %request.id, got = ids.len(), asked = request.count, "machines provisioned");
+                info!(request = %request.id, count = ids.len(), requested = request.count, "machines provisioned");
                 if (ids.len() as u32) < request.count {
                     self.provisioning.refused.insert(kind, now + REFUSAL_TTL);
                 }
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -316,21 +316,21 @@
     fn rollout_view(&self) -> ClusterView {
         let now = self.now();
         let (cluster, revision) = self.cache.generation;
-        let seen = |node: &String| {
+        let node_state = |node: &String| {
             let (ability, started) = match self.cache.nodes.get(node) {
                 Some((ability, started)) => (ability.clone(), *started),
                 None => (None, 0),
             };
-            let told = match *node == self.config.node {
+            let announcement = match *node == self.config.node {
                 true => self.announced_state(),
                 false => self.membership.nodes.announced_state(node, now),
             };
-            let seen = NodeState {
+            let state = NodeState {
                 ability,
                 record_revision: started,
-                announcement: told,
+                announcement,
             };
-            (node.clone(), seen)
+            (node.clone(), state)
         };
         ClusterView {
             cluster,
@@ -338,7 +338,7 @@
             orders: self.cache.orders.0.clone(),
             nodes: self
                 .configured_nodes()
-                .map(seen)
+                .map(node_state)
                 .collect::<BTreeMap<_, _>>(),
             no_old_records: self.rollout.migration.is_finished(revision)
                 && self.has_no_newer_records(),
--- a/src/core/scale_out/upcoming_capacity.rs
+++ b/src/core/scale_out/upcoming_capacity.rs
@@ -165,7 +165,7 @@
                 let gpus = f64::from(rng.random_range(0..3u32));
                 let spec = spec(cpus, gpus, rng.random_bool(0.5));
                 let zone = [None, Some("a"), Some("b")][rng.random_range(0..3)];
-                let asked = rng.random_range(0..12);
+                let requested = rng.random_range(0..12);
                 let is_allowed = |kind: &MachineKind| {
                     zone.is_none_or(|zone| zone == &*kind.zone) && (spec.spot || !kind.spot)
                 };
@@ -175,8 +175,8 @@
                     .map(|(_, free)| spec.need.count_fitting(free))
                     .sum();
                 assert_eq!(upcoming.slots(&spec, zone), slots);
-                let left = upcoming.fill(&spec, zone, asked);
-                assert_eq!(left, asked.saturating_sub(slots));
+                let left = upcoming.fill(&spec, zone, requested);
+                assert_eq!(left, requested.saturating_sub(slots));
                 // Any machines may have been filled: continue with the remaining capacity.
                 plain.clear();
                 for group in &upcoming.0 {
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -17,7 +17,7 @@
 };
 
 /// Maximum number of machines released by one request.
-const MAX_RETURNED_MACHINES: usize = 100;
+const MAX_RELEASED_MACHINES: usize = 100;
 /// Delay after which an overdue report counts as missed.
 const REPORT_GRACE: Duration = Duration::from_secs(1);
 
@@ -65,7 +65,7 @@
 
     /// Returns the machines to be released to the cloud so that nothing runs there any more, those
     /// with the most replicas first.
-    pub(super) fn plan_unresponsive_returns(&mut self, now: Duration) -> Vec<MachineId> {
+    pub(super) fn plan_unresponsive_releases(&mut self, now: Duration) -> Vec<MachineId> {
         // A leader without a recent verification of its claim may be partitioned itself.
         if now > self.claim_verified_at + self.config.renew_interval * 2
             || self.reachability.is_uncertain
@@ -87,7 +87,7 @@
             .filter(|(_, id)| !self.provisioning.is_being_released(id))
             .collect();
         candidates.sort();
-        candidates.truncate(MAX_RETURNED_MACHINES);
+        candidates.truncate(MAX_RELEASED_MACHINES);
         for (_, machine) in &candidates {
             info!(%machine, "releasing an unresponsive machine to free its tasks");
         }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -56,7 +56,7 @@
     request: RequestId,
     query: JobQuery,
     /// Layouts that remain to be read.
-    places: Vec<Layout>,
+    layouts: Vec<Layout>,
     /// Revision of the generation record from which the layouts were derived.
     generation: u64,
 }
@@ -73,7 +73,7 @@
             id,
             request,
             query,
-            places: terminal_states::layouts(cluster),
+            layouts: terminal_states::layouts(cluster),
             generation: *generation,
         }
     }
@@ -613,7 +613,7 @@
 
     /// Reads the first of the remaining layouts, or confirms the generation after the last one.
     pub(super) fn read_terminal_state(&mut self, read: TerminalRead) {
-        let request = match read.places.first() {
+        let request = match read.layouts.first() {
             Some(Layout::Single) => StateRequest::Get {
                 key: terminal_key(&read.id),
             },
@@ -630,7 +630,7 @@
     }
 
     pub(super) fn terminal_state_read(&mut self, mut read: TerminalRead, reply: StateReply) {
-        let found = match (read.places.first(), &reply) {
+        let found = match (read.layouts.first(), &reply) {
             (Some(Layout::Single), StateReply::Missing) => None,
             (Some(Layout::Single), StateReply::Entry(entry)) => {
                 match terminal_states::parse_single(entry.value.get()) {
@@ -685,8 +685,8 @@
             }
             return;
         }
-        read.places.remove(0);
-        match read.places.is_empty() && read.generation == 0 {
+        read.layouts.remove(0);
+        match read.layouts.is_empty() && read.generation == 0 {
             // Without a generation record, no terminal state has ever been moved.
             true => self.answer_unknown_job(read),
             false => self.read_terminal_state(read),
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -371,7 +371,7 @@
 
 /// A process that was suspended after its decision sends no commands when it resumes.
 #[test]
-fn commands_are_withheld_once_the_term_is_over() {
+fn commands_are_not_sent_after_the_term_has_ended() {
     let commands = Answer::Commands {
         token: 5 << 16,
         commands: Vec::new(),
@@ -406,12 +406,12 @@
         session: 1,
         commands: Vec::new(),
     };
-    let withheld = Output::Direct { call: 4, direct }.after_term_expired();
+    let outcome = Output::Direct { call: 4, direct }.after_term_expired();
     let unclear = |input: Box<Input>| {
         let reply = DirectReply::Unclear;
         format!("{input:?}") == format!("{:?}", Input::Direct { call: 4, reply })
     };
-    assert!(withheld.is_err_and(unclear));
+    assert!(outcome.is_err_and(unclear));
     // Answers to users don't depend on leadership.
     assert!(is_later(&[answer(Answer::Later {
         retry: Duration::from_secs(1)
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -42,9 +42,9 @@
     node.step(clock, input)
 }
 
-fn state_call(outputs: &[Output], which: fn(&StateRequest) -> bool) -> Option<CallId> {
+fn state_call(outputs: &[Output], matching: fn(&StateRequest) -> bool) -> Option<CallId> {
     outputs.iter().find_map(|output| match output {
-        Output::State { call, request, .. } if which(request) => Some(*call),
+        Output::State { call, request, .. } if matching(request) => Some(*call),
         _ => None,
     })
 }
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -971,7 +971,7 @@
 /// directly into such a session was considered lost, and its task ran twice (`ran_twice` in the
 /// simulated world).
 #[test]
-fn a_called_worker_is_not_lost_within_a_lease_of_its_answer() {
+fn a_contacted_worker_is_not_lost_within_a_lease_of_its_answer() {
     use kiteyard::core::machine::DirectReply;
 
     let shard = r#"{"kinds":[["m","a",false]],"jobs":["run-000001"],"machines":[["vm-1",0,[0]]]}"#;
--- a/tests/value_limits.rs
+++ b/tests/value_limits.rs
@@ -28,9 +28,9 @@
     node.step(Clock { now, wall_ms }, input)
 }
 
-fn state_call(outputs: &[Output], matches: fn(&StateRequest) -> bool) -> Option<CallId> {
+fn state_call(outputs: &[Output], matching: fn(&StateRequest) -> bool) -> Option<CallId> {
     outputs.iter().find_map(|output| match output {
-        Output::State { call, request, .. } if matches(request) => Some(*call),
+        Output::State { call, request, .. } if matching(request) => Some(*call),
         _ => None,
     })
 }
@@ -111,8 +111,9 @@
     assert!(!writes(&outputs, "live/job/"));
     // The job may have been accepted earlier, which has to be ruled out before the refusal.
     assert_eq!(answer(&outputs), None);
-    let proof = |r: &StateRequest| matches!(r, StateRequest::Watch { wait, .. } if wait.is_zero());
-    let call = state_call(&outputs, proof).expect("a request that verifies the cache");
+    let is_verification =
+        |r: &StateRequest| matches!(r, StateRequest::Watch { wait, .. } if wait.is_zero());
+    let call = state_call(&outputs, is_verification).expect("a request that verifies the cache");
     let reply = StateReply::Events {
         events: Vec::new(),
         revision: 5,
