--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -318,7 +318,9 @@
 }
 
 /// Returns the jobs listed for machines whose tasks are not known yet.
-pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
+pub(super) fn jobs_on_unresolved_machines(
+    machines: &BTreeMap<MachineId, Machine>,
+) -> HashSet<JobId> {
     let unresolved_machines = machines.values().filter(|m| m.unresolved);
     unresolved_machines
         .flat_map(|m| m.assignment.possible_jobs().cloned())
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -233,15 +233,15 @@
     /// or an orphaned one that is to be stopped.
     fn adopt_task(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
         let decision = self.decide_adoption(&key.0, phase);
-        let is_ours = decision == AdoptionDecision::Adopt;
+        let is_adopted = decision == AdoptionDecision::Adopt;
         let job = self.jobs.get_mut(&key.0.job);
         let spec = job.as_ref().map(|job| job.spec.clone());
-        if let (Some(job), true) = (job, is_ours) {
+        if let (Some(job), true) = (job, is_adopted) {
             job.slots[key.0.index as usize] = Slot::Placed(id.clone());
             job.placed += 1;
         }
         let machine = self.machines.get_mut(id).expect("known machine");
-        let stop = (!is_ours).then_some(Stop::new(Duration::ZERO, now));
+        let stop = (!is_adopted).then_some(Stop::new(Duration::ZERO, now));
         machine.tasks.insert(
             key.clone(),
             Placement {
@@ -254,7 +254,7 @@
                 since: now,
                 running_since: None,
                 stop,
-                is_orphaned: !is_ours,
+                is_orphaned: !is_adopted,
                 start_sent_seq: 0,
             },
         );
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -90,10 +90,10 @@
     /// Returns machines that may hold tasks and have not reported since the failover. They are
     /// contacted at the address known to the previous leader instead of waiting for their reports.
     fn machines_to_contact(&self, now: Duration) -> Vec<MachineId> {
-        let unheard = self.machines.values().filter(|m| m.session == 0);
-        let unheard = unheard.filter(|m| m.unresolved && m.last_known_worker.is_some());
-        let in_flight = unheard.clone().filter(|m| m.direct_in_flight).count();
-        let idle = unheard.filter(|m| !m.direct_in_flight && now >= m.direct_retry_at);
+        let unreported = self.machines.values().filter(|m| m.session == 0);
+        let unreported = unreported.filter(|m| m.unresolved && m.last_known_worker.is_some());
+        let in_flight = unreported.clone().filter(|m| m.direct_in_flight).count();
+        let idle = unreported.filter(|m| !m.direct_in_flight && now >= m.direct_retry_at);
         let remaining = MAX_CONTACTS_IN_FLIGHT.saturating_sub(in_flight);
         idle.map(|m| m.id.clone()).take(remaining).collect()
     }
@@ -143,7 +143,7 @@
             return;
         };
         machine.direct_in_flight = false;
-        let unheard = machine.session == 0;
+        let is_unreported = machine.session == 0;
         let (executed, report) = match reply {
             DirectReply::Executed(report) => (true, report),
             DirectReply::Refused(report) => (false, report),
@@ -160,7 +160,7 @@
         if !executed {
             machine.direct_retry_at = now + self.config.report_interval;
         }
-        if unheard {
+        if is_unreported {
             // The worker has another session or leader, but its current address is known now.
             machine.last_known_worker = Some((report.addr, report.session));
             if !executed || report.session != direct.session {
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -275,7 +275,7 @@
                 // extended only once the claim has been verified as well.
                 self.verify_claim();
             }
-            StateReply::LeaseGone => {
+            StateReply::LeaseExpired => {
                 self.election.lease = None;
                 self.election.valid_until = Duration::ZERO;
                 self.drop_leadership("the lease has expired in the state service");
@@ -346,7 +346,7 @@
             StateReply::Committed { revision } if self.election.lease == Some(lease) => {
                 self.begin_claim(revision, sent, previous);
             }
-            StateReply::LeaseGone => {
+            StateReply::LeaseExpired => {
                 self.election.lease = None;
                 self.election.retry_at = now;
             }
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether the claim is old enough for all workers to report to its leader.
-    pub(super) fn workers_have_moved(&self, claim: u64) -> bool {
+    pub(super) fn have_workers_moved(&self, claim: u64) -> bool {
         let since = self.membership.nodes.leader_since(claim);
         since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report_interval))
     }
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -172,7 +172,7 @@
         }
         match self.forwarded.redirected.get(&report.machine) {
             Some(at) => now < *at + self.config.worker_lease_bound * 2,
-            None if knows_token && self.workers_have_moved(claim) => {
+            None if knows_token && self.have_workers_moved(claim) => {
                 self.forwarded
                     .redirected
                     .insert(report.machine.clone(), now);
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -90,7 +90,7 @@
     /// Machine kinds that the cloud refused, and the time until which none are requested.
     refused: HashMap<MachineKind, Duration>,
     /// Adaptive bound on the number of open requests.
-    pace: RequestWindow,
+    request_window: RequestWindow,
     /// Released machines and the time of their release; the cloud's list lags behind.
     released: BTreeMap<MachineId, Duration>,
 }
@@ -112,7 +112,7 @@
             next_call: Duration::ZERO,
             releasing: BTreeSet::new(),
             refused: HashMap::new(),
-            pace: RequestWindow::new(MAX_OPEN_REQUESTS),
+            request_window: RequestWindow::new(MAX_OPEN_REQUESTS),
             released: BTreeMap::new(),
         }
     }
@@ -124,7 +124,7 @@
 
     /// Returns whether the adaptive bound allows another open request.
     pub(super) fn may_request(&self) -> bool {
-        self.open.len() < self.pace.window()
+        self.open.len() < self.request_window.window()
     }
 
     /// Returns the requests without a final answer.
@@ -307,7 +307,7 @@
 
     fn provision_reply(&mut self, request: &ProvisioningRequest, reply: CloudReply, now: Duration) {
         let kind = request.kind();
-        self.provisioning.pace.step(match reply {
+        self.provisioning.request_window.step(match reply {
             CloudReply::Provisioned(_) => Outcome::Done,
             CloudReply::NoCapacity => Outcome::Refused,
             _ => Outcome::Unclear,
--- a/src/core/reconciliation.rs
+++ b/src/core/reconciliation.rs
@@ -35,12 +35,12 @@
 impl Reconciler {
     pub fn new(config: &Config, now: Duration) -> Self {
         // A worker whose node fails tries the next one, and reports at least this often.
-        let patience = WaitLimits {
+        let limits = WaitLimits {
             max: config.report_interval * 5 / 4 + WORKER_RETRY_DELAY,
             quiet: config.report_interval / 4,
         };
         Self {
-            reconciliation: Reconciliation::new(patience, now),
+            reconciliation: Reconciliation::new(limits, now),
             deferred: BTreeMap::new(),
             next_log: now,
         }
@@ -144,7 +144,7 @@
     }
 
     /// Returns whether machines rented by a previous leader may still be unknown.
-    pub(super) fn may_have_unlisted_machines(&self, now: Duration) -> bool {
+    pub(super) fn may_have_unknown_machines(&self, now: Duration) -> bool {
         self.reconciler.reconciliation.is_list_pending(now)
     }
 
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -12,7 +12,7 @@
 use upcoming_capacity::UpcomingCapacity;
 
 use super::{
-    capacity_snapshot::jobs_on_unresolved,
+    capacity_snapshot::jobs_on_unresolved_machines,
     cluster::{ClusterState, Job},
     job::{JobId, JobSpec, Kind, Resources},
     machine::{MachineKind, MachineState},
@@ -30,7 +30,7 @@
     /// Requests machines for waiting work that running and booting machines won't take soon.
     pub(super) fn plan_scale_out(&mut self, now: Duration) {
         self.provisioning.expire_refusals(now);
-        if self.may_have_unlisted_machines(now) || self.starts_rejected() {
+        if self.may_have_unknown_machines(now) || self.starts_rejected() {
             return;
         }
         if !self.provisioning.may_request() {
@@ -191,7 +191,7 @@
     /// the machines that are up won't have completed by the time new ones have booted.
     fn demands(&self, now: Duration) -> Vec<Demand> {
         let batch_capacity = self.batch_capacity();
-        let unresolved = jobs_on_unresolved(&self.machines);
+        let unresolved = jobs_on_unresolved_machines(&self.machines);
         let may_run_already =
             |id: &JobId, job: &Job| job.version < self.claim && unresolved.contains(id);
         let mut jobs: Vec<_> = self
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -16,7 +16,7 @@
 
 use super::{
     capacity_snapshot::{
-        CapacitySnapshot, MachineCapacity, Unplaceable, Usage, jobs_on_unresolved,
+        CapacitySnapshot, MachineCapacity, Unplaceable, Usage, jobs_on_unresolved_machines,
     },
     cluster::ClusterState,
     job::{JobId, JobSpec, Kind, Priority, Resources, TaskId},
@@ -145,14 +145,14 @@
             return false;
         }
         // A job at a limit is not matched with machines, but its locality wait starts all the same.
-        let (wants_locality, needs_seats) = (
+        let (prefers_image_locality, needs_seats) = (
             self.prefers_image_locality(job, now),
             !spec.licences.is_empty(),
         );
         if needs_seats {
             self.retry_by(now + SEATS_RETRY_DELAY);
         }
-        if wants_locality && let Some(job) = self.jobs.get_mut(id) {
+        if prefers_image_locality && let Some(job) = self.jobs.get_mut(id) {
             job.locality_wait_since.get_or_insert(now);
         }
         // Capacity that was freed for the job is released to others in the meantime.
@@ -219,7 +219,7 @@
             capacities,
             usage,
             stopping_usage,
-            jobs_on_unresolved(&self.machines),
+            jobs_on_unresolved_machines(&self.machines),
         );
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
             snapshot.reserve_nominations(&job.spec, &job.nominations);
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -161,7 +161,7 @@
         lease: u64,
     },
     Renewed,
-    LeaseGone,
+    LeaseExpired,
     Events {
         events: Vec<Event>,
         revision: u64,
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -154,10 +154,10 @@
         },
         (200, request) => decode_ok(request, body).unwrap_or(StateReply::Unclear),
         (404, StateRequest::Get { .. }) => StateReply::Missing,
-        (404, StateRequest::Renew { .. }) => StateReply::LeaseGone,
+        (404, StateRequest::Renew { .. }) => StateReply::LeaseExpired,
         (409, StateRequest::Txn { .. }) => StateReply::Conflict,
         (400, request) if puts_under_lease(request) && is_lease_error(body) => {
-            StateReply::LeaseGone
+            StateReply::LeaseExpired
         }
         (400, _) => StateReply::Rejected,
         (410, StateRequest::Watch { .. }) => StateReply::TooOld,
--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -20,14 +20,14 @@
 #[tokio::test]
 async fn the_api_follows_the_protocol() {
     let site = Site::start("api", vec![Build::default(); 1]).await;
-    let good = submission("run-000001", "array", 3);
+    let valid = submission("run-000001", "array", 3);
     let with = |field: &str, value: Value| {
-        let mut job = good.clone();
+        let mut job = valid.clone();
         job["uid"] = json!("run-000099");
         job[field] = value;
         job.to_string()
     };
-    let mut missing = good.clone();
+    let mut missing = valid.clone();
     missing.as_object_mut().expect("an object").remove("sail");
     let malformed = [
         "".into(),
@@ -52,8 +52,8 @@
         with("gusts", json!(1)),
         with("frames", json!("m4")),
         with("landby_s", json!(-5.0)),
-        good.to_string().replace("\"cpus\":1.0", "\"cpus\":1e999"),
-        good.to_string().replace("\"cpus\":1.0", "\"cpus\":NaN"),
+        valid.to_string().replace("\"cpus\":1.0", "\"cpus\":1e999"),
+        valid.to_string().replace("\"cpus\":1.0", "\"cpus\":NaN"),
     ];
     for body in malformed {
         let (status, _) = site
@@ -110,11 +110,11 @@
     }
     // Accepted once, and known from then on, even after its completion.
     let (status, body) = site
-        .request(0, Method::POST, "/work", Some(good.to_string()))
+        .request(0, Method::POST, "/work", Some(valid.to_string()))
         .await;
     assert_eq!((status, &body["attitude"]), (201, &json!("pending")));
     assert_eq!(
-        site.request(0, Method::POST, "/work", Some(good.to_string()))
+        site.request(0, Method::POST, "/work", Some(valid.to_string()))
             .await
             .0,
         200
@@ -122,7 +122,7 @@
     let body = site.wait_for_state(0, "run-000001", "done").await;
     assert_eq!((&body["done"], &body["running"]), (&json!(3), &json!(0)));
     let (status, body) = site
-        .request(0, Method::POST, "/work", Some(good.to_string()))
+        .request(0, Method::POST, "/work", Some(valid.to_string()))
         .await;
     assert_eq!((status, &body["attitude"]), (200, &json!("done")));
     let (status, body) = site
@@ -238,9 +238,9 @@
         std::fs::write(&path, settings.to_string()).expect("a settings file");
         run(&["--config", &path.display().to_string(), "--check"])
     };
-    let mut odd = settings.clone();
-    odd["unheard_of"] = json!({"a": 1});
-    assert!(check(&odd).0);
+    let mut extended = settings.clone();
+    extended["unheard_of"] = json!({"a": 1});
+    assert!(check(&extended).0);
     // The licence file is validated as well, and the error names the line.
     let licences = path.with_extension("toml");
     std::fs::write(&licences, "[licence.solver]\nseats = -1\n").expect("a file");
@@ -257,15 +257,15 @@
         "{error}"
     );
     let _ = std::fs::remove_file(&licences);
-    let mut bad = settings.clone();
-    bad["params"]["workers"]["lease_s"] = json!("ten");
-    let (ok, _, error) = check(&bad);
+    let mut invalid = settings.clone();
+    invalid["params"]["workers"]["lease_s"] = json!("ten");
+    let (ok, _, error) = check(&invalid);
     assert!(
         !ok && error.contains("params.workers.lease_s") && error.lines().count() == 1,
         "{error}"
     );
-    bad["params"]["workers"]["lease_s"] = json!(-1.0);
-    let (ok, _, error) = check(&bad);
+    invalid["params"]["workers"]["lease_s"] = json!(-1.0);
+    let (ok, _, error) = check(&invalid);
     assert!(!ok && error.contains("params.workers.lease_s"), "{error}");
     let _ = std::fs::remove_file(&path);
 }
--- a/tests/scheduling/main.rs
+++ b/tests/scheduling/main.rs
@@ -117,7 +117,7 @@
             let need = f64::from(rng.random_range(1..5u32));
             let priority = priorities[rng.random_range(0..4)];
             let tasks = rng.random_range(1..5);
-            let mut homes = Vec::new();
+            let mut locations = Vec::new();
             for index in 0..tasks {
                 let name = &names[rng.random_range(0..names.len())];
                 let there = model.entry(name.clone()).or_default();
@@ -127,20 +127,21 @@
                     there.push(Task {
                         id: TaskId {
                             job,
-                            index: homes.len() as u32,
+                            index: locations.len() as u32,
                         },
                         priority,
                         cpus: need,
                         service: kind == Kind::Service,
                         age,
                     });
-                    homes.push(name.clone());
+                    locations.push(name.clone());
                     let _ = index;
                 }
             }
-            if !homes.is_empty() {
-                let id = cluster.add_job(spec(number, kind, priority, homes.len() as u32, need));
-                for (index, name) in homes.iter().enumerate() {
+            if !locations.is_empty() {
+                let id =
+                    cluster.add_job(spec(number, kind, priority, locations.len() as u32, need));
+                for (index, name) in locations.iter().enumerate() {
                     cluster.run_task(name, &id, index as u32);
                 }
             }
@@ -638,14 +639,14 @@
 /// service, and only if other machines have capacity and the image.
 #[test]
 fn an_underused_machine_is_emptied_within_the_disruption_budget() {
-    let stopping = |room_elsewhere: bool| {
+    let stopping = |has_capacity_elsewhere: bool| {
         let mut c = Cluster::new(40.0);
         c.add_machine("vm-1");
         c.add_machine("vm-2");
         let service = c.add_job(spec(1, Kind::Service, Priority::High, 3, 1.0));
         (0..2).for_each(|i| c.run_task("vm-1", &service, i));
         c.run_task("vm-2", &service, 2);
-        let need = if room_elsewhere { 20.0 } else { 39.0 };
+        let need = if has_capacity_elsewhere { 20.0 } else { 39.0 };
         let array = c.add_job(spec(2, Kind::Array, Priority::Normal, 1, need));
         c.run_task("vm-2", &array, 0);
         let mut max_stopping = 0;
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -183,10 +183,10 @@
         StateReply::Conflict => json_response(409, &json!({"failed": [], "logline": 0})),
         StateReply::Granted { lease } => json_response(200, &json!({"tether": lease})),
         StateReply::Renewed => json_response(200, &json!({})),
-        StateReply::LeaseGone if matches!(state_request, StateRequest::Txn { .. }) => {
+        StateReply::LeaseExpired if matches!(state_request, StateRequest::Txn { .. }) => {
             json_response(400, &json!({"error": "no such lease"}))
         }
-        StateReply::LeaseGone => json_response(404, &json!({})),
+        StateReply::LeaseExpired => json_response(404, &json!({})),
         StateReply::Events { events, revision } => {
             let events: Vec<Value> = events
                 .iter()
--- a/tests/state_answers.rs
+++ b/tests/state_answers.rs
@@ -25,7 +25,7 @@
     let leased = transaction(Some(7));
     assert!(matches!(
         decode_400(&leased, NO_SUCH_LEASE),
-        StateReply::LeaseGone
+        StateReply::LeaseExpired
     ));
     for body in [
         &b""[..],
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -94,7 +94,7 @@
                     .iter()
                     .all(|c| self.keys.get(&c.key).map_or(0, |k| k.version) == c.version);
                 if expired {
-                    StateReply::LeaseGone
+                    StateReply::LeaseExpired
                 } else if !holds {
                     StateReply::Conflict
                 } else {
@@ -125,7 +125,7 @@
                     lease.expires = now + lease.ttl;
                     StateReply::Renewed
                 }
-                None => StateReply::LeaseGone,
+                None => StateReply::LeaseExpired,
             },
             StateRequest::Watch {
                 prefix,
