--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -480,7 +480,7 @@
                 Some(shard) => shard,
                 None => self.assignment_index.shard_for(machine),
             };
-            let machine = self.machines.get_mut(&id).expect("just seen");
+            let machine = self.machines.get_mut(&id).expect("known machine");
             machine.assignment.shard = Some(shard);
             due.insert(shard);
         }
--- a/src/core/cluster/leases.rs
+++ b/src/core/cluster/leases.rs
@@ -46,7 +46,7 @@
     }
 
     fn mark_machine_lost(&mut self, id: &MachineId, now: Duration) {
-        let machine = self.machines.get_mut(id).expect("just listed");
+        let machine = self.machines.get_mut(id).expect("known machine");
         machine.expired_session = machine.session;
         machine.fenced = false;
         // The machine was heard under this claim, so its lease was counted from then.
@@ -70,7 +70,7 @@
         }
         for id in empty {
             info!(machine = %id, "unresponsive machine proven empty");
-            let machine = self.machines.get_mut(&id).expect("just listed");
+            let machine = self.machines.get_mut(&id).expect("known machine");
             machine.unresolved = false;
             if machine.state == MachineState::Booting {
                 machine.state = MachineState::Lost;
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -109,7 +109,7 @@
             return;
         };
         if placement.phase == Phase::Decided {
-            let placement = machine.tasks.remove(key).expect("just seen");
+            let placement = machine.tasks.remove(key).expect("known task");
             self.release_slot(id, &key.0, &placement);
             self.requeue();
         } else if placement.stop.is_none() {
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -131,8 +131,8 @@
 
     /// Removes a task that a report shows to be gone.
     fn remove_missing(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
-        let machine = self.machines.get_mut(id).expect("still there");
-        let placement = machine.tasks.remove(key).expect("just listed");
+        let machine = self.machines.get_mut(id).expect("known machine");
+        let placement = machine.tasks.remove(key).expect("known task");
         if !machine.busy() {
             machine.idle_since = now;
         }
@@ -154,7 +154,7 @@
             self.adopt_task(id, &key, phase, now);
         }
         let machine = self.machines.get_mut(id).expect("known machine");
-        let placement = machine.tasks.get_mut(&key).expect("adopted");
+        let placement = machine.tasks.get_mut(&key).expect("adopted task");
         let before = placement.phase;
         if matches!(before, Phase::Sent { .. }) && !is_adopted {
             self.start_rate.record_start(now);
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -46,7 +46,7 @@
                     return;
                 };
                 info!(machine = %id, why = "underused", "machine marked for release");
-                let machine = self.machines.get_mut(&id).expect("just seen");
+                let machine = self.machines.get_mut(&id).expect("known machine");
                 machine.state = MachineState::Leaving;
                 id
             }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -157,7 +157,7 @@
                     }
                 }
                 // Terminal states are read elsewhere: by `drive_dependencies` on the leader, and on
-                // any node when a user asks for one.
+                // any node when a user requests one.
                 Output::Lookup { .. } => {}
             }
         }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -152,7 +152,7 @@
                 is_empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
             if can_release && pause.is_none() {
                 info!(machine = %id, why = "drained", "machine marked for release");
-                let machine = self.machines.get_mut(&id).expect("just seen");
+                let machine = self.machines.get_mut(&id).expect("known machine");
                 machine.state = MachineState::Leaving;
             }
             for key in stop {
--- a/src/core/election/failover.rs
+++ b/src/core/election/failover.rs
@@ -25,7 +25,7 @@
     partial_index: Vec<(u32, ShardRecord, u64)>,
     retry_at: Duration,
     reads_in_flight: u32,
-    /// The first attempt failed.
+    /// Whether the first attempt failed.
     has_failed: bool,
 }
 
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -44,8 +44,8 @@
     renewal_in_flight: bool,
     campaign_in_flight: bool,
     retry_at: Duration,
-    /// This process has requested the leadership itself, so a leader key with this node's name does
-    /// not necessarily belong to the previous process.
+    /// Whether this process has requested the leadership itself. If so, a leader key with this
+    /// node's name does not necessarily belong to the previous process.
     has_requested_claim: bool,
     /// Latest time at which the claim is known to have been valid.
     verified_at: Duration,
@@ -55,7 +55,7 @@
     previous_stopped_at: Duration,
     /// Leader key that this node saw last.
     observed: Option<ObservedLeader>,
-    /// The write that marks this claim as settled is in flight.
+    /// Whether the write that marks this claim as settled is in flight.
     settled_write_in_flight: bool,
     /// Start of the delay before the next attempt of that write.
     settled_retry_base: Duration,
@@ -70,7 +70,7 @@
 struct ObservedLeader {
     version: u64,
     first_seen: Duration,
-    /// The owner superseded a leader that may still act for up to a term.
+    /// Whether the owner superseded a leader that may still act for up to a term.
     has_superseded: bool,
 }
 
--- a/src/core/membership/reachability.rs
+++ b/src/core/membership/reachability.rs
@@ -57,9 +57,9 @@
 /// Reachability of machines and zones as seen by a node.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Reachability {
-    /// No machine is reachable, and the cause is not known yet.
+    /// Whether no machine is reachable and the cause is not known yet.
     pub is_uncertain: bool,
-    /// No machine is reachable and none answers direct commands: this node is partitioned.
+    /// Whether this node is partitioned: no machine is reachable and none answers direct commands.
     pub is_isolated: bool,
     /// Zones in which no machine is reachable any more.
     pub partitioned_zones: BTreeSet<Arc<str>>,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -82,7 +82,7 @@
 
 /// Requests that result from a round of the leader.
 struct RoundWork {
-    /// A decision waits for a new verification of the claim.
+    /// Whether a decision waits for a new verification of the claim.
     needs_verification: bool,
     direct_commands: Vec<DirectCommands>,
     cloud_request: Option<CloudRequest>,
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -410,7 +410,7 @@
         }
         for (id, why) in marked {
             info!(machine = %id, why, "machine marked for release");
-            let machine = self.machines.get_mut(&id).expect("just listed");
+            let machine = self.machines.get_mut(&id).expect("known machine");
             machine.state = MachineState::Leaving;
             machine.unresolved = false;
         }
--- a/src/core/results.rs
+++ b/src/core/results.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns the chunks and parts of a set to write, given what is stored: whole chunks that fit into
+/// Returns the chunks and parts of a set to write, given the stored set: whole chunks that fit into
 /// a value, and the changed parts of larger ones.
 pub fn unsaved_parts(set: &TaskSet, stored: &TaskSet, value_bytes: usize) -> Vec<ChunkPart> {
     let chunks = set.chunks_added_since(stored).into_iter();
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -47,7 +47,7 @@
     announced_revision: u64,
     announcing: bool,
     announce_retry_at: Duration,
-    /// The write of a new generation record is in flight.
+    /// Whether the write of a new generation record is in flight.
     step_in_flight: bool,
     next_step_at: Duration,
     /// Reason why this node does not act, as last logged.
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -26,7 +26,7 @@
 #[serde(deny_unknown_fields)]
 pub struct LeaderRecord {
     pub node: String,
-    /// The leader replaced one whose term may not have ended yet.
+    /// Whether the leader replaced one whose term may not have ended yet.
     pub superseded: bool,
 }
 
@@ -198,7 +198,7 @@
             Some(record) => self
                 .add_job(id.clone(), record, event.revision)
                 .then_some(StateChange::JobAdded(id)),
-            // The record is unreadable, so what the cache holds may be outdated.
+            // The record is unreadable, so the cached one may be outdated.
             None if event.value.is_some() => None,
             None => self
                 .jobs
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -73,7 +73,7 @@
     refilled_at: Duration,
     in_flight: u32,
     retry_at: Duration,
-    /// A write was answered, so writes that depend on it can be sent at once.
+    /// Whether a write was answered, so that writes that depend on it can be sent at once.
     pub(super) has_new_replies: bool,
 }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -31,7 +31,7 @@
     br#"{"frames": [{"label": "m", "cpus": 8.0, "gpus": 0.0, "mem_gb": 32.0, "fields": ["a"]}]}"#;
 
 fn submission() -> Input {
-    let spec = wire::user::parse_submission(JOB.as_bytes(), false).expect("a good submission");
+    let spec = wire::user::parse_submission(JOB.as_bytes(), false).expect("a valid submission");
     Input::Submit {
         request: 7,
         spec: Arc::new(spec),
--- a/tests/next_limits.rs
+++ b/tests/next_limits.rs
@@ -13,7 +13,7 @@
 }
 
 fn config(next: &Value) -> Config {
-    Config::new(&parse(next).expect("good settings"), Options::default())
+    Config::new(&parse(next).expect("valid settings"), Options::default())
 }
 
 #[test]
@@ -56,7 +56,7 @@
         (json!({"txn_ops": "many"}), "params.state.next.txn_ops"),
         (json!(7), "params.state.next"),
     ] {
-        let error = parse(&next).expect_err("a bad limit").to_string();
+        let error = parse(&next).expect_err("an invalid limit").to_string();
         assert!(error.contains(&format!("`{field}`")), "{error}");
     }
 }
--- a/tests/scheduling/splitting.rs
+++ b/tests/scheduling/splitting.rs
@@ -34,7 +34,7 @@
         .map(|i| json!([name(i), 0, [i, (i + 1) % MACHINES]]))
         .collect();
     let text = json!({"kinds": [["m", "a", false]], "jobs": jobs, "machines": machines});
-    ShardRecord::parse(&text.to_string()).expect("a good shard")
+    ShardRecord::parse(&text.to_string()).expect("a valid shard")
 }
 
 /// Stored shards, and writes that may be applied late.
@@ -56,7 +56,7 @@
             match change {
                 Change::Put { key, value, .. } => {
                     assert!(value.get().len() <= 2048, "a value is too large");
-                    let record = ShardRecord::parse(value.get()).expect("a good shard");
+                    let record = ShardRecord::parse(value.get()).expect("a valid shard");
                     self.shards.insert(key.clone(), (record, self.revision));
                 }
                 Change::Delete { key } => drop(self.shards.remove(key)),
@@ -300,7 +300,7 @@
         let numbers: Vec<usize> = (0..jobs.len()).collect();
         let text = json!({"kinds": [["m", "a", false]], "jobs": jobs,
             "machines": [["vm-0001", 0, numbers]]});
-        ShardRecord::parse(&text.to_string()).expect("a good shard")
+        ShardRecord::parse(&text.to_string()).expect("a valid shard")
     };
     let assignment_index = vec![
         (3, shard(&["run-000001", "run-000002"]), 7),
--- a/tests/value_limits.rs
+++ b/tests/value_limits.rs
@@ -18,7 +18,7 @@
 
 fn node() -> Node {
     let text = node_settings::settings_text(0, &json!({"value_kb": 0.5}));
-    let settings = Settings::parse(&text).expect("good settings");
+    let settings = Settings::parse(&text).expect("valid settings");
     Node::new(Config::new(&settings, Options::default()))
 }
 
@@ -89,7 +89,7 @@
     let spec = wire::user::parse_submission(text.to_string().as_bytes(), false);
     Input::Submit {
         request: 7,
-        spec: Arc::new(spec.expect("a good submission")),
+        spec: Arc::new(spec.expect("a valid submission")),
     }
 }
 
