--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -136,8 +136,8 @@
     pub machines: Vec<MachineCapacity>,
     /// Zones of the machines.
     all_zones: Vec<Arc<str>>,
-    /// Indexes of the machines that are not full, and of some that have become full since. Under high load
-    /// nearly all are full, and thousands of waiting jobs each search for one.
+    /// Indexes of the machines that are not full, and of some that have become full since. Under
+    /// high load nearly all are full, and thousands of waiting jobs each search for one.
     open_machines: Vec<usize>,
     /// Like `open_machines`, for free GPUs.
     open_gpu_machines: Vec<usize>,
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -103,7 +103,7 @@
         }
         if is_partitioned_from_leader && !self.reaches_leader() {
             match self.leader_stores_heartbeats() {
-                // No node can forward the report, and the leader stays the leader: the worker
+                // No node can forward the report, and the leader is not replaced: the worker
                 // tries the other nodes.
                 true => self.answer(request, Answer::Redirect(None)),
                 false => self.hold_report(request, report),
@@ -183,7 +183,7 @@
     }
 
     /// Returns whether no further report may be forwarded. The whole fleet may report here at once;
-    /// workers whose lease is half over can't wait and get twice the limit.
+    /// workers whose lease has half elapsed can't wait and get twice the limit.
     fn is_forwarding_full(&self, machine: &MachineId) -> bool {
         let half_lease = self.config.worker_lease_bound / 2;
         let last_answer = self.forwarded.answered_at.get(machine);
