--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -230,8 +230,10 @@
                         if_version(LEADER_KEY, claim),
                         if_version(GENERATION_KEY, view.revision),
                     ];
-                    let seen = nodes.iter();
-                    conditions.extend(seen.map(|(node, at)| if_version(node_key(node), *at)));
+                    let records = nodes.iter();
+                    conditions.extend(
+                        records.map(|(node, revision)| if_version(node_key(node), *revision)),
+                    );
                     self.call(
                         Purpose::StoreGeneration,
                         StateRequest::Txn {
@@ -317,8 +319,8 @@
         let now = self.now();
         let (cluster, revision) = self.cache.generation;
         let node_state = |node: &String| {
-            let (ability, started) = match self.cache.nodes.get(node) {
-                Some((ability, started)) => (ability.clone(), *started),
+            let (ability, record_revision) = match self.cache.nodes.get(node) {
+                Some((ability, record_revision)) => (ability.clone(), *record_revision),
                 None => (None, 0),
             };
             let announcement = match *node == self.config.node {
@@ -327,7 +329,7 @@
             };
             let state = NodeState {
                 ability,
-                record_revision: started,
+                record_revision,
                 announcement,
             };
             (node.clone(), state)
