--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -50,7 +50,7 @@
 }
 
 impl Client {
-    /// Creates a client of these nodes that retries each request for `within`.
+    /// Creates a client of these nodes that retries each request for up to `retry_time`.
     pub fn new(nodes: Vec<SocketAddr>, retry_time: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
--- a/crates/ctl/src/drain.rs
+++ b/crates/ctl/src/drain.rs
@@ -11,7 +11,7 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Show what a drain of these machines would move and wait for
+    /// Show the tasks that a drain of these machines would move, and the reasons to wait
     Plan {
         #[arg(required = true)]
         machines: Vec<String>,
@@ -24,7 +24,7 @@
         #[arg(long, value_parser = parse_seconds)]
         by_s: Option<f64>,
     },
-    /// List machines that are draining, and what each waits for
+    /// List machines that are draining, and the reason why each waits
     Status,
     /// Cancel the drain of machines
     Cancel {
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Reason for which a job is rejected before its submission.
+/// Reason why a job is rejected before its submission.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum JobError {
     /// The file can't be read: its name and the cause.
@@ -148,7 +148,7 @@
         })
     }
 
-    /// Checks what a node's error message could not name well; the rest is left to the nodes.
+    /// Checks the fields for which a node's error message would be unclear; nodes check the others.
     pub fn check(&self) -> Result<(), JobError> {
         let digits = self.id.strip_prefix("run-").unwrap_or_default();
         if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -270,7 +270,7 @@
 }
 
 /// Returns the response of 200 to an operator's request; prints any other one as an error.
-/// `feature` names what a node of an older build does not support (404).
+/// A response of 404 means that the node's build is older than `feature`.
 fn expect_ok(response: Option<Response>, feature: &str) -> Result<Response, ExitCode> {
     match response {
         None => Err(fail(EXIT_NO_RESPONSE, NO_RESPONSE)),
--- a/crates/ctl/src/retry.rs
+++ b/crates/ctl/src/retry.rs
@@ -29,7 +29,7 @@
         /// Delay before the attempt.
         delay: Duration,
     },
-    /// The time for retries is over.
+    /// The time for retries has elapsed.
     GiveUp,
 }
 
--- a/crates/ctl/src/rollout.rs
+++ b/crates/ctl/src/rollout.rs
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Show nodes, builds, the generation, and what holds up the rollout
+    /// Show nodes, builds, the generation, and the reason why the rollout waits
     Status,
     /// Show the remaining steps
     Plan {
@@ -34,7 +34,7 @@
     /// Pause the rollout until `resume`
     Pause,
     Resume,
-    /// Remove a node for good: the rollout no longer waits for it
+    /// Declare a node permanently removed, so that the rollout no longer waits for it
     Forget {
         node: String,
     },
@@ -45,7 +45,7 @@
     },
     /// Go to the newest generation that all nodes support
     Upgrade,
-    /// Make the leader hand over, so that it can be restarted
+    /// Make the leader step down, so that it can be restarted
     StepDown {
         node: String,
     },
--- a/crates/licences/src/config.rs
+++ b/crates/licences/src/config.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-/// The reason why a licences file is rejected.
+/// Reason why a licences file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
     /// The file does not parse; the message names the line.
@@ -27,8 +27,8 @@
 pub struct Licence {
     /// Total number of seats.
     pub seats: u32,
-    /// Time for which a seat stays in use after its task is proven gone: licence counters release
-    /// seats late.
+    /// Time for which a seat stays in use after its task is proven to have ended: licence counters
+    /// release seats late.
     pub linger: Duration,
     /// Reserved and maximum seats by team.
     pub teams: BTreeMap<String, Share>,
--- a/crates/licences/src/grant.rs
+++ b/crates/licences/src/grant.rs
@@ -25,7 +25,7 @@
     pub expires_ms: u64,
 }
 
-/// The reason why a grant is refused.
+/// Reason why a grant is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Refusal {
     /// The text does not have the format of [`Keys::seal`].
--- a/crates/licences/src/ledger.rs
+++ b/crates/licences/src/ledger.rs
@@ -1,5 +1,5 @@
 //! Accounting of licence seats. A seat is in use from before the start of its task is sent until
-//! the task is proven gone, and for the linger time of its licence after that.
+//! the task is proven to have ended, and for the linger time of its licence after that.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -32,7 +32,8 @@
         /// Seats that each attempt needs.
         needs: Needs,
     },
-    /// The task is proven gone by a newer report, or the machine's release or expired lease.
+    /// The task is proven to have ended, by a newer report or by the machine's release or expired
+    /// lease.
     Gone(Attempt),
     /// A task that holds seats was found after a failover.
     Found {
@@ -43,9 +44,9 @@
         /// Seats that it holds.
         needs: Needs,
     },
-    /// The complete set of current holders; any other holder is gone.
+    /// The complete set of current holders; any other holder has ended.
     Holders(BTreeMap<Attempt, (String, Needs)>),
-    /// A silent machine may hold these seats; replaces earlier values of the machine.
+    /// A silent machine may hold these seats; replaces the machine's earlier entry.
     MayHold {
         /// The machine.
         machine: String,
@@ -69,7 +70,7 @@
         /// The licence.
         licence: String,
     },
-    /// A new configuration.
+    /// The configuration has changed.
     Configured(Config),
     /// Time has passed.
     Tick,
@@ -103,7 +104,7 @@
 struct Holder {
     team: String,
     needs: Needs,
-    /// Time at which the seats of a gone attempt are released; `None` while it is not gone.
+    /// Time at which the seats of an ended attempt are released; `None` until it has ended.
     until: Option<Duration>,
 }
 
@@ -138,9 +139,9 @@
 pub struct SeatCounts {
     /// Total number of seats.
     pub seats: u32,
-    /// Seats of tasks that are not proven gone.
+    /// Seats of tasks that are not proven to have ended.
     pub held: u32,
-    /// Seats of gone tasks that the counter may not have released yet.
+    /// Seats of ended tasks that the counter may not have released yet.
     pub lingering: u32,
     /// Seats that silent machines may hold.
     pub possibly_held: u32,
@@ -149,7 +150,7 @@
 }
 
 impl SeatCounts {
-    /// Returns the free seats; seats that may be in use are not free.
+    /// Returns the number of free seats; seats that may be in use are not free.
     pub fn free(&self) -> u32 {
         let used = [
             self.held,
@@ -184,7 +185,7 @@
         self.config.licences.keys().map(String::as_str)
     }
 
-    /// Releases seats whose linger time is over, then applies an input.
+    /// Releases seats whose linger time has ended, then applies an input.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let mut outputs = self.expire(now);
         match input {
@@ -368,7 +369,8 @@
         teams
     }
 
-    /// Returns the seats that a team may take now, without those reserved for other teams.
+    /// Returns the number of seats that a team may take now, without those reserved for other
+    /// teams; `None` if the licence is not configured.
     pub fn free_seats(&self, licence: &str, team: &str, now: Duration) -> Option<u32> {
         let known: &Licence = self.config.licences.get(licence)?;
         let is_backing_off = self.refusals.get(licence).is_some_and(|r| now < r.until);
--- a/crates/licences/tests/ledger.rs
+++ b/crates/licences/tests/ledger.rs
@@ -123,7 +123,7 @@
         assert_eq!(at(f64::from(wait) - 0.1), Some(0));
         assert_eq!(at(f64::from(wait)), Some(2));
     }
-    // Fewer seats than are in use stop no task, and no more seats are granted.
+    // A seat count below the seats in use stops no task; no more seats are granted.
     let take = Input::Take {
         team: "archive".into(),
         attempts: vec![attempt(7, 1)],
@@ -140,7 +140,7 @@
     );
 }
 
-/// Reference model: a list of holders with their end.
+/// Reference model: a list of holders with the time of their release.
 #[derive(Default)]
 struct ReferenceModel {
     held: Vec<(Attempt, String, Needs, Option<u64>)>,
--- a/crates/maintenance/src/config.rs
+++ b/crates/maintenance/src/config.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-/// The reason why a maintenance file is rejected.
+/// Reason why a maintenance file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
     /// The file does not parse; the message names the line.
--- a/crates/maintenance/src/drain.rs
+++ b/crates/maintenance/src/drain.rs
@@ -3,8 +3,8 @@
 //! active → cordoned (no new starts) → draining → empty → returned.
 //!
 //! The protocol doesn't let a task run on two machines at once, so a replica is stopped before it
-//! starts elsewhere, but only when another machine has room for it. Array tasks may end by
-//! themselves until the deadline of the drain; gangs are stopped as a whole.
+//! starts elsewhere, but only when another machine has capacity for it. Array tasks may complete
+//! until the deadline of the drain; gangs are stopped as a whole.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,7 +18,7 @@
 pub struct Drain {
     /// Time of the order in Unix milliseconds.
     pub since_ms: u64,
-    /// Deadline in Unix milliseconds, when remaining tasks are stopped; `None`: they may end.
+    /// Deadline in Unix milliseconds, when remaining tasks are stopped; `None`: they may complete.
     #[serde(deserialize_with = "Option::deserialize")]
     pub by_ms: Option<u64>,
 }
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A task of an array, which runs to completion by itself.
+    /// A task of an array, which may run to completion.
     Array,
     /// A task of a gang, stopped only together with the rest of it.
     Gang,
@@ -52,27 +52,27 @@
     pub team: String,
     /// Kind of its job.
     pub kind: Kind,
-    /// Whether a stop was sent, or decided on and not sent yet.
+    /// Whether a stop was sent, or will be sent.
     pub stopping: bool,
     /// Replica counts of its service, for a replica.
     pub service: Option<Replicas>,
-    /// Whether another machine has room for it now.
+    /// Whether another machine has capacity for it now.
     pub has_room: bool,
     /// Work that would be lost if it were stopped now.
     pub lost_work: Duration,
 }
 
-/// The reason why a machine is not drained yet.
+/// Reason why a machine is not drained yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
-    /// No tasks are left on it.
+    /// No tasks remain on it.
     Nothing,
     /// Tasks are stopping.
     Stopping,
-    /// Array tasks and gangs may still end by themselves.
+    /// Array tasks and gangs may still complete.
     Ending,
-    /// No other machine has room for a replica.
+    /// No other machine has capacity for a replica.
     Room,
     /// The service has the maximum number of replicas down.
     Service,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns the tasks of one machine to stop now, and the reason why the rest waits.
+/// Returns the tasks of one machine to stop now, and the reason why the others wait.
 /// `is_past_deadline` means that the deadline of the drain has passed. Stops are recorded in the
 /// ledger at once, so that they count for the tasks after them.
 pub fn step<K: Clone>(
@@ -138,7 +138,7 @@
                 ledger.record_stop(now, &request);
                 stop.push(task.key.clone());
                 note_reason(WaitReason::Stopping);
-                // One replica a step: the counts of its service are updated before the next one.
+                // One replica per step: the counts of its service are updated before the next one.
                 if task.kind == Kind::Replica {
                     break;
                 }
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -1,9 +1,9 @@
-//! Accounting of disruption by team and service: wanted replicas, replicas that are down, and how
-//! many more may be stopped.
+//! Accounting of disruption by team and service: wanted replicas, replicas that are down, and the
+//! number of replicas that may still be stopped.
 //!
 //! Failed replicas use up a budget as stopped ones do: a fleet that is losing machines is not
-//! drained further. After a failover no replica is known to run until it is reported, so all count
-//! as down at first, which is the safe side.
+//! drained further. After a failover a replica is not known to run until it is reported, so all
+//! count as down at first and none is stopped.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -19,7 +19,7 @@
     pub wanted: u32,
     /// Number of replicas running and not stopping.
     pub up: u32,
-    /// Number of replicas told to stop and not gone yet.
+    /// Number of replicas with a stop command that have not ended yet.
     pub stopping: u32,
 }
 
@@ -29,7 +29,7 @@
         self.wanted.saturating_sub(self.up)
     }
 
-    /// Returns the number of replicas that are down without having been told to stop.
+    /// Returns the number of replicas that are down without a stop command.
     pub fn failed(&self) -> u32 {
         self.down().saturating_sub(self.stopping)
     }
@@ -46,7 +46,7 @@
     pub lost_work: Duration,
 }
 
-/// The reason why a task may not be stopped now.
+/// Reason why a task may not be stopped now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// See [`Ledger::max_down`].
@@ -95,7 +95,7 @@
     }
 
     /// Returns the number of replicas of one service that may be down at a time: at least one if
-    /// the share is above zero, or a small service could never be moved.
+    /// the share is above zero, as a small service could never be moved otherwise.
     pub fn max_down(&self, team: &str, wanted: u32) -> u32 {
         let budget = self.budget(team);
         let share = (f64::from(wanted) * budget.max_down_share).floor() as u32;
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,7 +1,7 @@
 //! Voluntary disruption.
 //!
 //! [`ledger`] accounts for it across all causes: preemption, consolidation and drains. [`drain`]
-//! decides which tasks of a draining machine may be stopped now, and why the rest must wait.
+//! decides which tasks of a draining machine may be stopped now, and why the others must wait.
 //! Neither reads a clock nor performs I/O.
 
 #![warn(missing_docs, unreachable_pub)]
--- a/crates/maintenance/tests/ledger.rs
+++ b/crates/maintenance/tests/ledger.rs
@@ -70,7 +70,7 @@
     let low = [("care", replicas(10, 9, 0)), ("care", replicas(10, 8, 2))];
     ledger.observe(low.into_iter());
     assert_eq!(ledger.check(S(0), &one_failed), Err(Refusal::Floor));
-    // A breach is reported for preemption, which may choose it.
+    // A breach is reported for preemption, which may still choose the victim.
     assert!(ledger.is_breach("care", replicas(10, 8, 0), 1));
     assert!(!Ledger::new(Config::without_file(2)).is_breach("care", replicas(10, 8, 0), 1));
     // One stop a minute is allowed for this team.
--- a/crates/quota/src/cell.rs
+++ b/crates/quota/src/cell.rs
@@ -1,9 +1,9 @@
 //! The state machine of one cell's leader, for one team and resource.
 //!
 //! The caller stores the record, conditional on its revision *and* on the leader's claim, carries
-//! messages, and checks [`Cell::limit`] before each start; tasks over it must be stopped, and are
-//! gone within the lapse lead. One write is in flight at a time. No message about a write is sent,
-//! and no unit that it adds is used, before the write is known to be stored.
+//! messages, and checks [`Cell::limit`] before each start; tasks over it must be stopped within the
+//! lapse lead. One write is in flight at a time. No message about a write is sent, and no unit that
+//! it adds is used, before the write is known to be stored.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,13 +50,13 @@
         /// Revision of its last change.
         revision: Revision,
     },
-    /// The answer to [`Output::Read`]: no record. The id must be greater than any earlier one; the
-    /// state service's revision at the read is.
+    /// The answer to [`Output::Read`]: no record. The id must be greater than any earlier one, as
+    /// the state service's revision at the read is.
     Absent {
         /// The id of the new record.
         new_id: RecordId,
     },
-    /// The term of every former leader is over, and the tasks that it started are included in
+    /// The term of every former leader has ended, and the tasks that it started are included in
     /// [`Load::in_use`].
     Settled,
     /// Sent once per round of the leader.
@@ -194,8 +194,8 @@
     }
 
     /// Returns the units that the team's tasks may use now: the minimum over all records that may
-    /// be the stored one. `None` before the record was read: no task may be started or stopped
-    /// then.
+    /// be the stored one. `None` until the record is read; no task may be started or
+    /// stopped before.
     pub fn limit(&self, now: SystemTime) -> Option<Units> {
         let known = self.known.iter().map(|known| &known.record);
         let next = self.write.iter().map(|write| &write.next);
@@ -527,7 +527,7 @@
     outputs
 }
 
-/// Returns the grants that, according to its holdings, a borrower has not accepted yet.
+/// Returns the grants that a borrower has not accepted yet, according to its holdings.
 fn unaccepted_grants(record: &Record, from: CellId, holdings: &Holdings) -> Vec<Output> {
     let waiting = record.lent.iter().filter(|(id, loan)| {
         let same = (loan.borrower, loan.borrower_record) == (from, holdings.record);
--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -7,8 +7,8 @@
 use crate::loan::CellId;
 use crate::message::UnitRequest;
 
-/// Divides half of the free units, rounded up, between the requesting cells, ordered by unmet guarantee
-/// and then by demand. The other half remains for later requests.
+/// Divides half of the free units, rounded up, between the requesting cells, ordered by unmet
+/// guarantee and then by demand. The other half remains for later requests.
 pub fn divide(free: Units, requests: &BTreeMap<CellId, UnitRequest>) -> Vec<(CellId, Units)> {
     let mut requesters: Vec<_> = requests.iter().collect();
     requesters.sort_by_key(|(cell, request)| {
--- a/crates/quota/src/error.rs
+++ b/crates/quota/src/error.rs
@@ -32,7 +32,7 @@
     OwnPeer(CellId),
 }
 
-/// The reason why a message was dropped. Its sender repeats what is still relevant.
+/// Reason why a message was dropped. Its sender repeats what is still relevant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Refusal {
     /// The message can't be processed now.
@@ -47,7 +47,7 @@
     /// Accepting the loan would use units that were already returned.
     #[error("the loan was returned, or is older than one already accepted")]
     StaleLoan,
-    /// The loan is within its lapse lead and may not be used any more.
+    /// The loan is within its lapse lead and may no longer be used.
     #[error("the loan is about to expire")]
     LoanLapsing,
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -48,7 +48,7 @@
     pub last_loan_number: u64,
     /// Loans to other cells that may still be in use.
     pub lent: BTreeMap<LoanId, Lent>,
-    /// Loans from other cells that were not returned.
+    /// Loans from other cells that have not been returned.
     pub borrowed: BTreeMap<LoanId, Borrowed>,
     /// The newest loan ever accepted from each lender.
     pub newest_accepted: BTreeMap<CellId, LoanId>,
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// Returns units of a borrowed loan; the loan is removed when no units remain.
+    /// Gives back units of a borrowed loan; removes the loan when no units remain.
     pub(crate) fn return_units(&mut self, loan: &LoanId, units: Units) {
         let Some(held) = self.borrowed.get_mut(loan) else {
             return;
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Applies a borrower's holdings to the loans that it was lent.
+    /// Applies a borrower's holdings to the loans made to it.
     pub(crate) fn reconcile(&mut self, from: CellId, holdings: &Holdings) {
         self.lent.retain(|id, loan| {
             if loan.borrower != from || loan.borrower_record != holdings.record {
--- a/crates/quota/src/loan.rs
+++ b/crates/quota/src/loan.rs
@@ -69,9 +69,9 @@
         end + 2 * self.clock_bound
     }
 
-    /// Returns the time after which all loans that a lost record may have named are over. Four
-    /// clocks take part: the one that set the last end, its borrower's, the one that detected the
-    /// loss, and the one that checks.
+    /// Returns the time after which all loans that a lost record may have named have expired. Four
+    /// clocks are involved: the one that set the last end, its borrower's, the one that detected
+    /// the loss, and the one that checks.
     pub(crate) fn quarantine(&self) -> Duration {
         self.term + 4 * self.clock_bound
     }
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -15,8 +15,8 @@
 const BASE: Units = 10;
 const GUARANTEE: Units = 3;
 const INTERVAL: u64 = 5;
-/// Rounds of messages after the loss ends until every base is back: a lost grant is resent,
-/// accepted and returned, and the lender receives the return.
+/// Rounds of messages until every base is recovered once message loss has ended: a lost grant is
+/// resent, accepted and returned, and the lender receives the return.
 const ROUNDS_TO_RECOVER: u64 = 3;
 
 struct Cells {
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -2,8 +2,8 @@
 //! and reordered messages, lost answers to writes, leader failovers, clock skew and lost records.
 //!
 //! Messages are never removed from the network, so any of them may be delivered never, late or
-//! twice. Units in use are always at their maximum: each leader whose term may last starts tasks up
-//! to its limit at once, and a round may find any smaller amount.
+//! twice. Units in use are always at their maximum: each leader whose term may not have ended
+//! starts tasks up to its limit at once, and a round may observe any smaller amount.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
@@ -407,7 +407,7 @@
         );
     }
 
-    /// Starts a new leader, which claims and reads. Writes of the old one depend on its claim.
+    /// Starts a new leader, which claims and reads. Writes of the former one depend on its claim.
     fn restart(&mut self, bounds: &Bounds, cell: usize, clock: i64, lost: bool) {
         self.restarts -= 1;
         let (machine, _) =
@@ -438,14 +438,14 @@
         }
     }
 
-    /// Raises the units in use to the limit of every leader whose term may last.
+    /// Raises the units in use to the limit of every leader whose term may not have ended.
     fn saturate_usage(&mut self, bounds: &Bounds) {
         for site in &mut self.sites {
             site.in_use = site.in_use.max(site.limit(bounds, self.time));
         }
     }
 
-    /// Drops writes whose condition can't hold again and messages about loans that are over. Loan
+    /// Drops writes whose condition can't hold again and messages about ended loans. Loan
     /// numbers only grow, so no reachable violation is lost.
     fn prune(&mut self, bounds: &Bounds) {
         for site in &mut self.sites {
@@ -528,7 +528,7 @@
         max_limit.max(self.faulty_limit(bounds, time).unwrap_or(0))
     }
 
-    /// Returns the limit by the record before or after the write in flight, if a fault says so.
+    /// Returns the limit of the record before or after the write in flight, if a fault uses it.
     fn faulty_limit(&self, bounds: &Bounds, time: u64) -> Option<Units> {
         let write = self.in_flight.as_ref()?;
         let record = match bounds.fault? {
--- a/crates/recovery/src/adoption.rs
+++ b/crates/recovery/src/adoption.rs
@@ -16,7 +16,7 @@
 /// The state of the task as reported by the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reported {
-    /// It is on the machine, or about to be started there.
+    /// It is on the machine, or is about to start there.
     Alive,
     /// It completed.
     Completed,
@@ -31,7 +31,7 @@
     Adopt,
     /// Stop it: it must not run there.
     Stop,
-    /// Store its result, whichever attempt reached it; the worker forgets it once stored.
+    /// Store its result, whichever attempt produced it; the worker forgets it once stored.
     Finish,
     /// Let the worker forget it.
     Forget,
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -1,9 +1,9 @@
 //! Progress of a new leader in hearing the machines that are stored as holding tasks.
 //!
-//! The free capacity of a machine is unknown until it was heard. Stopping a task, renting a
-//! machine or returning one before that may be needless, as capacity may already be there. So
-//! these actions wait, by zone, for the machines that are still likely to be heard soon. Starts
-//! on machines that were heard don't wait.
+//! The free capacity of a machine is unknown until it is heard. Stopping a task, renting a machine
+//! or returning one before that may be needless, as enough capacity may exist already. So these
+//! actions wait, by zone, for the machines that are still likely to be heard soon. Starts on
+//! machines that were heard don't wait.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -21,14 +21,15 @@
 pub struct ZoneCounts {
     /// Number of machines in the stored state.
     pub stored: usize,
-    /// Of these, machines neither heard, nor proven empty, nor asked without an answer.
+    /// Number of these that are waited for: not heard, not proven empty, not listed as failed, and
+    /// without unanswered commands.
     pub silent: usize,
     /// Whether the zone is unreachable, so that its machines are not waited for.
     pub unreachable: bool,
 }
 
-/// A zone is not waited for once at most one machine in this many is silent: if the others have
-/// no capacity, the last ones are unlikely to have any.
+/// A zone is no longer waited for once at most one machine in this many is silent: if the others
+/// have no capacity, the last ones are unlikely to have any.
 const STRAGGLERS_ONE_IN: usize = 10;
 
 /// The stage of a zone's reconciliation.
@@ -147,7 +148,7 @@
             .is_some_and(|at| now >= at + self.limits.quiet);
         let only_stragglers = count.silent * STRAGGLERS_ONE_IN <= count.stored;
         let stage = match (zone.stage, count.silent) {
-            // A zone that was given up on is not waited for again.
+            // An overdue zone is not waited for again.
             (Stage::Waiting | Stage::Overdue, 0) | (Stage::Reconciled, _) => Stage::Reconciled,
             (Stage::Overdue, _) => Stage::Overdue,
             _ if is_timed_out || is_stalled || count.unreachable || only_stragglers => {
@@ -177,7 +178,7 @@
     }
 
     /// Returns whether the cloud's list, which may contain unknown machines requested earlier, is
-    /// still waited for. The wait is no longer than that for a worker.
+    /// still waited for. The wait lasts at most as long as that for a worker.
     pub fn is_list_pending(&self, now: Duration) -> bool {
         !self.listed && now < self.started_at + self.limits.max
     }
--- a/crates/recovery/src/request_window.rs
+++ b/crates/recovery/src/request_window.rs
@@ -2,7 +2,7 @@
 //! shrinks when they are not.
 //!
 //! A new leader does not know what the previous one requested. With many failovers in a row,
-//! each leader sends at most as many requests as are answered.
+//! each leader's outstanding requests stay limited by those that are answered.
 
 /// Adaptive limit on the requests that are outstanding at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/rollout/src/config.rs
+++ b/crates/rollout/src/config.rs
@@ -6,7 +6,7 @@
 
 use crate::generation::{Feature, Generation, OLDEST};
 
-/// The reason why a rollout file is rejected.
+/// Reason why a rollout file is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ConfigError {
     /// The file does not parse; the message names the line.
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -1,4 +1,4 @@
-//! Stored records of the supported generations of a node and the generation of the cluster.
+//! Stored records: the generations that a node supports, and the generation of the cluster.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -36,8 +36,8 @@
     /// Names of the features, for display.
     #[serde(default)]
     pub features: Vec<String>,
-    /// The newest generation that its operators let the cluster move to; `None`: any. Does not
-    /// restrict the generations that the process reads.
+    /// The newest generation that its operators allow the cluster to move to; `None`: any. Does
+    /// not restrict the generations that the process reads.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub held_to: Option<Generation>,
 }
--- a/crates/rollout/src/restart_order.rs
+++ b/crates/rollout/src/restart_order.rs
@@ -2,7 +2,7 @@
 
 use crate::{generation::Stage, status::Status};
 
-/// Returns the remaining steps to run a build on all nodes and the newest generation, as text.
+/// Returns the remaining steps, as text, until all nodes run a build and the generation is settled.
 pub fn plan(status: &Status, build: Option<&str>) -> Vec<String> {
     let mut steps = Vec::new();
     let active_nodes = || status.nodes.iter().filter(|node| !node.gone);
@@ -52,7 +52,7 @@
     steps
 }
 
-/// The reason why no node may be restarted.
+/// Reason why no node may be restarted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RestartBlocked {
     /// A node was not heard recently.
@@ -78,8 +78,8 @@
 /// Returns the node to restart next to run `build` on all nodes, given the leader's status.
 ///
 /// One node, and so one zone, is restarted at a time: none while any node is absent. The leader
-/// comes last, so that the leadership changes once. Without a build, nodes of an older build
-/// than the leader's come first, then the others; the caller stops at the node it began with.
+/// is restarted last, so that the leadership changes once; the others in the order of their newest
+/// generation. Without a build every node is due, and the caller stops at the one it began with.
 pub fn next_node(status: &Status, build: Option<&str>) -> Result<String, RestartBlocked> {
     let active_nodes = || status.nodes.iter().filter(|node| !node.gone);
     let leader = active_nodes()
--- a/crates/rollout/src/state_machine.rs
+++ b/crates/rollout/src/state_machine.rs
@@ -2,7 +2,7 @@
 //!
 //! Each step is a stored record, written conditional on the previous record and on the leader's
 //! claim (both added by the caller). The step that activates the new format is also conditional
-//! on every node's own record as it was seen: a node that has restarted since wrote another
+//! on every node's own record as it was read: a node that has restarted since has written another
 //! one, and the step fails.
 
 use std::{collections::BTreeMap, time::Duration};
@@ -68,7 +68,7 @@
     SoakRestarted(String),
 }
 
-/// The reason why the next step is not taken.
+/// Reason why the next step is not taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Blocker {
     /// The cluster is at its target generation.
@@ -83,11 +83,11 @@
     NotCurrent(String),
     /// The soak lasts until this time.
     Soaking(Duration),
-    /// A feature on the way can't be rolled back.
+    /// The move would undo a feature that can't be rolled back.
     Irreversible(&'static str),
     /// Old records remain to be rewritten.
     Migrating,
-    /// Nothing: the step is being stored.
+    /// No blocker: the step is being stored.
     StepIssued,
 }
 
@@ -119,7 +119,7 @@
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Returns the generation to move to from a settled one.
+    /// Returns the generation to move to next from a settled one.
     fn target(&self, view: &ClusterView) -> Generation {
         let at = view.cluster.from;
         let newest = self.features.iter().map(|f| f.since).max();
@@ -228,8 +228,8 @@
                 }
                 Ok(nodes) => self.continue_soak(now, nodes, outputs, with_stage(Stage::Active)),
             },
-            // These steps don't require all nodes: writes of a process that has not seen the
-            // switch fail.
+            // These steps don't require all nodes: writes of a process that has not read the
+            // new record fail.
             Stage::Active => store(
                 outputs,
                 with_stage(Stage::Migrating),
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -69,7 +69,7 @@
     pub to: Generation,
     /// Stage of the move.
     pub stage: Stage,
-    /// Whether an operator has paused it.
+    /// Whether an operator has paused the rollout.
     pub paused: bool,
     /// Generation that operators ordered instead of the newest.
     pub target: Option<Generation>,
--- a/crates/rollout/tests/orders.rs
+++ b/crates/rollout/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Parsing of the rollout file, the order of restarts, and reasons to hold a step.
+//! Parsing of the rollout file, the order of restarts, and reasons why a step is not taken.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -14,7 +14,7 @@
     procfs::{self, ProcessSample},
 };
 
-/// Keeps idle machines, so that the size of the fleet stays as configured.
+/// Idle time before a machine is released, in boot times; keeps the fleet at its configured size.
 const IDLE_BOOTS: &str = "1000";
 const GANG_WAIT_S: f64 = 40.0;
 const GANG_PEER_S: f64 = 5.0;
--- a/crates/scale-test/src/guard.rs
+++ b/crates/scale-test/src/guard.rs
@@ -11,7 +11,7 @@
 /// Memory per worker, of this process and the leader together.
 const WORKER_KB: u64 = 400;
 
-/// Reason for which a run is refused.
+/// Reason why a run is refused.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Refusal {
     /// The run would have too many processes.
--- a/crates/scale-test/src/jobs.rs
+++ b/crates/scale-test/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Job descriptions that users upload and workers look up, and the results of tasks.
+//! Job descriptions, which users upload and workers look up, and the results of tasks.
 
 use std::{
     collections::{HashMap, HashSet},
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -54,7 +54,7 @@
         /// Quantity that the lines are fitted over
         #[arg(long, value_enum, default_value = "workers")]
         by: FitAxis,
-        /// Also print the values of the lines there
+        /// Also print the value of each line at this point
         #[arg(long)]
         at: Option<f64>,
     },
@@ -189,7 +189,7 @@
     }
 }
 
-/// Threads of hollow workers, stand-ins and users; the other cores are left to the controllers.
+/// Threads of hollow workers, stand-ins and users; the other cores remain for the controllers.
 const HARNESS_THREADS: usize = 3;
 
 fn load(path: &Path) -> Result<Config, Failure> {
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -7,7 +7,7 @@
     result::RunResult,
 };
 
-/// Number of points that any line fits exactly, so that its error says nothing.
+/// Number of points that a line always fits exactly, so that its error has no meaning.
 const TWO_POINTS: usize = 2;
 
 /// Independent variable of the fit.
@@ -155,7 +155,7 @@
 ];
 
 /// Returns a table of runs and a table of slopes, in Markdown; `target` adds a column with the
-/// value of each line there.
+/// value of each line at that point.
 pub fn report(results: &[RunResult], axis: Axis, target: Option<f64>) -> String {
     let mut sorted: Vec<&RunResult> = results.iter().collect();
     sorted.sort_by(|one, other| axis.value(one).total_cmp(&axis.value(other)));
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -34,7 +34,7 @@
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reason for which a run has no result.
+/// Reason why a run has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The run needs more resources than the machine should spare.
--- a/crates/scale-test/src/snapshot.rs
+++ b/crates/scale-test/src/snapshot.rs
@@ -193,7 +193,7 @@
     let Some(last) = last else {
         return ControllerResult::default();
     };
-    // A restarted process has used less processor time than the one before it.
+    // A restarted process may have used less processor time than its predecessor.
     let before = first.map_or(0.0, |first| first.cpu_s);
     let used = if last.cpu_s >= before {
         last.cpu_s - before
--- a/crates/scale-test/tests/rules.rs
+++ b/crates/scale-test/tests/rules.rs
@@ -85,9 +85,9 @@
     };
     assert_eq!(checks.violations(), std::slice::from_ref(&over));
     checks.record_event("vm-1", &event("run-000001/0", 6, COMPLETED));
-    assert_eq!(checks.violations(), [over], "it left too late");
+    assert_eq!(checks.violations(), [over], "the task ended too late");
     checks.record_event("vm-2", &event("run-000001/1", 5, STOPPED));
-    assert_eq!(checks.violations(), [], "it had left before");
+    assert_eq!(checks.violations(), [], "the task had ended before");
 }
 
 #[test]
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -112,11 +112,12 @@
 pub trait Machines: Send + Sync + 'static {
     /// Returns the machine types on offer.
     fn types(&self) -> Vec<MachineType>;
-    /// Returns machines in the order of their names, after `after`, and whether there are more.
+    /// Returns machines in the order of their names, from the one after `after`, and whether there
+    /// are more.
     fn list(&self, after: &str, limit: usize) -> (Vec<Machine>, bool);
     /// Rents machines and returns their names; none if there is no capacity.
     fn rent(&self, rental: &Rental) -> Vec<String>;
-    /// Takes machines back; unknown names are ignored.
+    /// Releases machines; unknown names are ignored.
     fn release(&self, names: &[String]);
 }
 
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -21,7 +21,7 @@
     store::{Change, Condition, Event, Item, Store, TxnError},
 };
 
-/// Interval of the expiry of leases, and of the check whether an outage has ended.
+/// Interval between checks for expired leases and for the end of an outage.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_WATCH_WAIT_MS: u64 = 60_000;
 const DEFAULT_PAGE_ITEMS: usize = 1_000;
--- a/crates/stand-ins/src/store.rs
+++ b/crates/stand-ins/src/store.rs
@@ -67,7 +67,7 @@
     pub revision: u64,
 }
 
-/// Reason for which a transaction changed nothing.
+/// Reason why a transaction changed nothing.
 #[derive(Debug, PartialEq, Eq)]
 pub enum TxnError {
     /// Keys whose condition did not hold.
@@ -147,7 +147,7 @@
         self.keys.get(key).map(|stored| item(key, stored))
     }
 
-    /// Returns keys with the prefix, in order, after `after`.
+    /// Returns keys with the prefix, in order, from the one after `after`.
     pub fn list(&self, prefix: &str, after: Option<&str>, limit: usize) -> Page {
         let from = match after {
             Some(after) if after >= prefix => Bound::Excluded(after),
@@ -305,7 +305,7 @@
     }
 
     /// Returns changes of keys with the prefix after a revision, or `None` if the log no longer
-    /// holds all of them.
+    /// contains all of them.
     pub fn events(&self, prefix: &str, after: u64) -> Option<Vec<Event>> {
         if after < self.compacted_revision {
             return None;
