--- a/crates/job-graph/src/graph.rs
+++ b/crates/job-graph/src/graph.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::job::{ActiveJob, NeededJob};
-use crate::message::{End, Input, JobFacts, Outcome, Output, Urgency};
+use crate::message::{Input, JobFacts, Outcome, Output, TerminalState, Urgency};
 use crate::status::Status;
 
 /// The dependency graph of the active jobs.
@@ -17,7 +17,7 @@
     /// Jobs that active jobs name as needs.
     pub(crate) needed: BTreeMap<Id, NeededJob<Id>>,
     /// Entries of `needed` that are neither active nor have a known end.
-    unknown_ends: BTreeSet<Id>,
+    unread_jobs: BTreeSet<Id>,
 }
 
 impl<Id> Default for JobGraph<Id> {
@@ -25,7 +25,7 @@
         JobGraph {
             active: BTreeMap::new(),
             needed: BTreeMap::new(),
-            unknown_ends: BTreeSet::new(),
+            unread_jobs: BTreeSet::new(),
         }
     }
 }
@@ -43,7 +43,7 @@
         match input {
             Input::Added { id, facts } => self.add(id, facts, &mut outputs),
             Input::Removed { id } => self.remove(&id, &mut outputs),
-            Input::Ended { id, end } => self.end(&id, end, &mut outputs),
+            Input::Ended { id, terminal_state } => self.end_job(&id, terminal_state, &mut outputs),
             Input::Expected { id, expected } => self.update_expected(id, expected, &mut outputs),
         }
         outputs
@@ -61,9 +61,9 @@
             let since_ms = self.ready_since_ms(job);
             return Status::Ready { since_ms };
         }
-        let ends = self.unknown_ends_before(id);
-        if !ends.is_empty() {
-            return Status::Unknown { ends };
+        let unread_jobs = self.unread_needs(id);
+        if !unread_jobs.is_empty() {
+            return Status::Unknown { unread_jobs };
         }
         let needs = job.needs.iter();
         let on = needs.filter(|need| !self.is_done(need)).cloned().collect();
@@ -71,8 +71,8 @@
     }
 
     /// Returns the inactive jobs that active ones need and whose ends are not known.
-    pub fn unknown_ends(&self) -> impl Iterator<Item = &Id> {
-        self.unknown_ends.iter()
+    pub fn unread_jobs(&self) -> impl Iterator<Item = &Id> {
+        self.unread_jobs.iter()
     }
 
     /// Returns whether an active job names this one as a need.
@@ -99,7 +99,7 @@
     }
 
     fn add(&mut self, id: Id, facts: JobFacts<Id>, outputs: &mut Vec<Output<Id>>) {
-        if self.active.contains_key(&id) || self.known_end(&id).is_some() {
+        if self.active.contains_key(&id) || self.known_terminal_state(&id).is_some() {
             return;
         }
         self.insert(&id, ActiveJob::new(facts), outputs);
@@ -115,15 +115,16 @@
 
     /// Inserts an active job and registers it with each of its needs.
     fn insert(&mut self, id: &Id, mut job: ActiveJob<Id>, outputs: &mut Vec<Output<Id>>) {
-        self.unknown_ends.remove(id);
+        self.unread_jobs.remove(id);
         for need in &job.needs {
             let needed = self.needed.entry(need.clone()).or_default();
             needed.dependents.insert(id.clone());
             if !needed.ended_as(Outcome::Done) {
                 job.not_done += 1;
             }
-            let unknown = needed.end.is_none() && need != id && !self.active.contains_key(need);
-            if unknown && self.unknown_ends.insert(need.clone()) {
+            let unknown =
+                needed.terminal_state.is_none() && need != id && !self.active.contains_key(need);
+            if unknown && self.unread_jobs.insert(need.clone()) {
                 outputs.push(Output::Lookup { id: need.clone() });
             }
         }
@@ -135,7 +136,7 @@
             return;
         };
         if self.needed.contains_key(id) {
-            self.unknown_ends.insert(id.clone());
+            self.unread_jobs.insert(id.clone());
             outputs.push(Output::Lookup { id: id.clone() });
         }
         self.update_urgencies(&changed, outputs);
@@ -154,17 +155,17 @@
             }
             if needed.dependents.is_empty() {
                 self.needed.remove(need);
-                self.unknown_ends.remove(need);
+                self.unread_jobs.remove(need);
             }
         }
         Some(job.needs.into_iter().collect())
     }
 
-    fn end(&mut self, id: &Id, end: End, outputs: &mut Vec<Output<Id>>) {
+    fn end_job(&mut self, id: &Id, terminal_state: TerminalState, outputs: &mut Vec<Output<Id>>) {
         let mut changed = self.remove_active(id).unwrap_or_default();
-        if self.store_end(id, end) {
+        if self.store_terminal_state(id, terminal_state) {
             let dependents = self.dependents(id).cloned().collect::<Vec<_>>();
-            match end.outcome {
+            match terminal_state.outcome {
                 Outcome::Done => self.record_done_need(&dependents, outputs),
                 Outcome::Cancelled => changed.extend(self.cancel(dependents, outputs)),
             }
@@ -173,15 +174,15 @@
     }
 
     /// Stores the end of a needed job; returns whether it was unknown before.
-    fn store_end(&mut self, id: &Id, end: End) -> bool {
+    fn store_terminal_state(&mut self, id: &Id, terminal_state: TerminalState) -> bool {
         let Some(needed) = self.needed.get_mut(id) else {
             return false;
         };
-        if needed.end.is_some() {
+        if needed.terminal_state.is_some() {
             return false;
         }
-        needed.end = Some(end);
-        self.unknown_ends.remove(id);
+        needed.terminal_state = Some(terminal_state);
+        self.unread_jobs.remove(id);
         true
     }
 
@@ -212,36 +213,40 @@
         }
     }
 
-    fn known_end(&self, id: &Id) -> Option<End> {
-        self.needed.get(id)?.end
+    fn known_terminal_state(&self, id: &Id) -> Option<TerminalState> {
+        self.needed.get(id)?.terminal_state
     }
 
     fn is_done(&self, id: &Id) -> bool {
-        self.known_end(id)
-            .is_some_and(|end| end.outcome == Outcome::Done)
+        self.known_terminal_state(id)
+            .is_some_and(|state| state.outcome == Outcome::Done)
     }
 
     fn ready_since_ms(&self, job: &ActiveJob<Id>) -> u64 {
-        let ends = job.needs.iter().filter_map(|need| self.known_end(need));
-        ends.filter_map(|end| end.at_ms)
+        let states = job
+            .needs
+            .iter()
+            .filter_map(|need| self.known_terminal_state(need));
+        states
+            .filter_map(|state| state.at_ms)
             .fold(job.accepted_ms, u64::max)
     }
 
     /// Returns the unknown ends that a job needs directly or through active jobs.
-    fn unknown_ends_before(&self, id: &Id) -> Vec<Id> {
-        if self.unknown_ends.is_empty() {
+    fn unread_needs(&self, id: &Id) -> Vec<Id> {
+        if self.unread_jobs.is_empty() {
             return Vec::new();
         }
-        let mut ends = BTreeSet::new();
+        let mut unread_jobs = BTreeSet::new();
         let mut seen = BTreeSet::from([id]);
         let mut pending = vec![id];
         while let Some(id) = pending.pop() {
-            if self.unknown_ends.contains(id) {
-                ends.insert(id.clone());
+            if self.unread_jobs.contains(id) {
+                unread_jobs.insert(id.clone());
             }
             let needs = self.active.get(id).into_iter().flat_map(|job| &job.needs);
             pending.extend(needs.filter(|need| seen.insert(need)));
         }
-        ends.into_iter().collect()
+        unread_jobs.into_iter().collect()
     }
 }
--- a/crates/job-graph/src/job.rs
+++ b/crates/job-graph/src/job.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::contribution::{Contribution, Contributions};
-use crate::message::{End, JobFacts, Outcome, Urgency};
+use crate::message::{JobFacts, Outcome, TerminalState, Urgency};
 
 /// An active job.
 #[derive(Debug, Clone)]
@@ -59,7 +59,7 @@
     /// Contributions of these jobs to its urgency.
     pub(crate) contributions: Contributions,
     /// End of the job, if known; always `None` while it is active.
-    pub(crate) end: Option<End>,
+    pub(crate) terminal_state: Option<TerminalState>,
 }
 
 impl<Id> Default for NeededJob<Id> {
@@ -67,7 +67,7 @@
         NeededJob {
             dependents: BTreeSet::new(),
             contributions: Contributions::default(),
-            end: None,
+            terminal_state: None,
         }
     }
 }
@@ -75,6 +75,7 @@
 impl<Id> NeededJob<Id> {
     /// Returns whether the job is known to have ended with this outcome.
     pub(crate) fn ended_as(&self, outcome: Outcome) -> bool {
-        self.end.is_some_and(|end| end.outcome == outcome)
+        self.terminal_state
+            .is_some_and(|state| state.outcome == outcome)
     }
 }
--- a/crates/job-graph/src/lib.rs
+++ b/crates/job-graph/src/lib.rs
@@ -17,5 +17,5 @@
 mod urgency;
 
 pub use graph::JobGraph;
-pub use message::{End, Input, JobFacts, Outcome, Output, Urgency};
+pub use message::{Input, JobFacts, Outcome, Output, TerminalState, Urgency};
 pub use status::Status;
--- a/crates/job-graph/src/message.rs
+++ b/crates/job-graph/src/message.rs
@@ -13,7 +13,7 @@
 
 /// The stored end of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct End {
+pub struct TerminalState {
     /// Outcome of the job.
     pub outcome: Outcome,
     /// Time of the end in Unix milliseconds, if that was stored.
@@ -56,7 +56,7 @@
         /// The job.
         id: Id,
         /// Its end.
-        end: End,
+        terminal_state: TerminalState,
     },
     /// An updated estimate for an active job.
     Expected {
--- a/crates/job-graph/src/status.rs
+++ b/crates/job-graph/src/status.rs
@@ -18,7 +18,7 @@
     /// The status depends on ends that are not known yet.
     Unknown {
         /// Inactive jobs, needed directly or through active jobs, whose ends must be read first.
-        ends: Vec<Id>,
+        unread_jobs: Vec<Id>,
     },
     /// The job is not active.
     NotActive,
--- a/crates/job-graph/tests/examples.rs
+++ b/crates/job-graph/tests/examples.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use kiteyard_job_graph::{End, Input, JobFacts, JobGraph, Outcome, Output, Status, Urgency};
+use kiteyard_job_graph::{
+    Input, JobFacts, JobGraph, Outcome, Output, Status, TerminalState, Urgency,
+};
 
 const LARGE: u32 = 20_000;
 
@@ -35,28 +37,28 @@
         self.0.step(Input::Added { id, facts })
     }
 
-    fn end(&mut self, id: u32, outcome: Outcome, at_ms: Option<u64>) -> Vec<Output<u32>> {
-        let end = End { outcome, at_ms };
-        self.0.step(Input::Ended { id, end })
+    fn end_job(&mut self, id: u32, outcome: Outcome, at_ms: Option<u64>) -> Vec<Output<u32>> {
+        let terminal_state = TerminalState { outcome, at_ms };
+        self.0.step(Input::Ended { id, terminal_state })
     }
 
     fn done(&mut self, id: u32, at_ms: u64) -> Vec<Output<u32>> {
-        self.end(id, Outcome::Done, Some(at_ms))
+        self.end_job(id, Outcome::Done, Some(at_ms))
     }
 
     fn cancelled(&mut self, id: u32) -> Vec<Output<u32>> {
-        self.end(id, Outcome::Cancelled, None)
+        self.end_job(id, Outcome::Cancelled, None)
     }
 
     fn assert_waiting_on(&self, id: u32, on: &[u32]) {
         assert_eq!(self.0.status(&id), Status::Waiting { on: on.to_vec() });
     }
 
-    fn assert_unknown_ends(&self, id: u32, ends: &[u32]) {
+    fn assert_unread_jobs(&self, id: u32, unread_jobs: &[u32]) {
         assert_eq!(
             self.0.status(&id),
             Status::Unknown {
-                ends: ends.to_vec()
+                unread_jobs: unread_jobs.to_vec()
             }
         );
     }
@@ -95,17 +97,17 @@
 }
 
 #[test]
-fn job_with_ended_needs_is_ready_once_their_ends_are_read() {
+fn job_with_ended_needs_is_ready_once_their_terminal_states_are_read() {
     let mut graph = Graph::of(&[]);
     assert!(
         graph
             .add(3, &[1, 2], 1, None)
             .starts_with(&[Output::Lookup { id: 1 }, Output::Lookup { id: 2 }])
     );
-    graph.assert_unknown_ends(3, &[1, 2]);
+    graph.assert_unread_jobs(3, &[1, 2]);
     assert_eq!(graph.done(1, 50), []);
-    graph.assert_unknown_ends(3, &[2]);
-    assert_eq!(graph.end(2, Outcome::Done, None), [ready(3, 100)]);
+    graph.assert_unread_jobs(3, &[2]);
+    assert_eq!(graph.end_job(2, Outcome::Done, None), [ready(3, 100)]);
     assert!(graph.add(4, &[1], 1, None).contains(&ready(4, 100)));
 }
 
@@ -116,9 +118,9 @@
         graph.0.step(Input::Removed { id: 1 }),
         [Output::Lookup { id: 1 }]
     );
-    graph.assert_unknown_ends(2, &[1]);
-    graph.assert_unknown_ends(3, &[1]);
-    assert_eq!(graph.0.unknown_ends().collect::<Vec<_>>(), [&1]);
+    graph.assert_unread_jobs(2, &[1]);
+    graph.assert_unread_jobs(3, &[1]);
+    assert_eq!(graph.0.unread_jobs().collect::<Vec<_>>(), [&1]);
     assert_eq!(graph.done(1, 400), [ready(2, 400)]);
     assert_eq!(graph.cancelled(1), [], "an end never changes");
     assert_eq!(graph.0.status(&2), Status::Ready { since_ms: 400 });
@@ -141,9 +143,9 @@
 }
 
 #[test]
-fn known_cancellation_takes_precedence_over_unknown_end() {
+fn known_cancellation_takes_precedence_over_unread_jobs() {
     let mut graph = Graph::of(&[(3, &[1, 2]), (4, &[3])]);
-    graph.assert_unknown_ends(4, &[1, 2]);
+    graph.assert_unread_jobs(4, &[1, 2]);
     graph.cancelled(2);
     assert_eq!(graph.0.status(&4), Status::Cancelled);
     graph.0.step(Input::Removed { id: 3 });
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn end_is_dropped_with_its_last_dependent() {
+fn terminal_state_is_dropped_with_its_last_dependent() {
     let mut graph = Graph::of(&[(1, &[]), (2, &[1]), (3, &[1])]);
     graph.done(1, 500);
     graph.done(2, 600);
@@ -163,10 +165,10 @@
     graph.done(3, 600);
     assert!(!graph.0.has_dependents(&1));
     graph.add(4, &[1], 1, None);
-    graph.assert_unknown_ends(4, &[1]);
+    graph.assert_unread_jobs(4, &[1]);
     graph.0.reset();
     assert_eq!(graph.0.status(&4), Status::NotActive);
-    assert_eq!(graph.0.unknown_ends().count(), 0);
+    assert_eq!(graph.0.unread_jobs().count(), 0);
 }
 
 #[test]
@@ -243,7 +245,7 @@
         assert_eq!(graph.0.urgency(&0), Some(urgency(9, Some(0))));
         graph.assert_waiting_on(LARGE, &[LARGE - 1]);
         assert_eq!(graph.0.step(Input::Removed { id: 0 }).len(), 1);
-        graph.assert_unknown_ends(LARGE, &[0]);
+        graph.assert_unread_jobs(LARGE, &[0]);
         let cancelled = graph.cancelled(0).into_iter();
         let cancelled = cancelled.filter(|output| matches!(output, Output::Cancelled { .. }));
         assert_eq!(cancelled.count(), LARGE as usize);
--- a/crates/job-graph/tests/model.rs
+++ b/crates/job-graph/tests/model.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use kiteyard_job_graph::{End, Input, JobFacts, JobGraph, Outcome, Output};
+use kiteyard_job_graph::{Input, JobFacts, JobGraph, Outcome, Output, TerminalState};
 use proptest::prelude::*;
 use reference::{Id, ReferenceModel, sorted};
 
@@ -45,19 +45,20 @@
 
 fn input(limit: fn(Id) -> Id) -> impl Strategy<Value = Input<Id>> {
     let outcome = prop_oneof![4 => Just(Outcome::Done), 1 => Just(Outcome::Cancelled)];
-    let end = (outcome, prop::option::of(0..200u64));
-    let end = end.prop_map(|(outcome, at_ms)| End { outcome, at_ms });
+    let terminal_state = (outcome, prop::option::of(0..200u64));
+    let terminal_state =
+        terminal_state.prop_map(|(outcome, at_ms)| TerminalState { outcome, at_ms });
     prop_oneof![
         8 => added(limit),
         1 => (0..JOBS).prop_map(|id| Input::Removed { id }),
-        3 => (0..JOBS, end).prop_map(|(id, end)| Input::Ended { id, end }),
+        3 => (0..JOBS, terminal_state).prop_map(|(id, terminal_state)| Input::Ended { id, terminal_state }),
         1 => (0..JOBS, expected()).prop_map(|(id, expected)| Input::Expected { id, expected }),
     ]
 }
 
 fn assert_same_state(graph: &JobGraph<Id>, model: &ReferenceModel) {
-    let unknown_ends = graph.unknown_ends().copied();
-    assert!(unknown_ends.eq(model.unknown_ends()));
+    let unread_jobs = graph.unread_jobs().copied();
+    assert!(unread_jobs.eq(model.unread_jobs()));
     let needed_jobs = model.needed_jobs();
     for id in 0..JOBS {
         assert_eq!(graph.status(&id), model.status(id), "status of {id}");
@@ -109,6 +110,6 @@
         for id in 0..JOBS {
             graph.step(Input::Removed { id });
         }
-        prop_assert_eq!(graph.unknown_ends().count(), 0);
+        prop_assert_eq!(graph.unread_jobs().count(), 0);
     }
 }
--- a/crates/job-graph/tests/reference/mod.rs
+++ b/crates/job-graph/tests/reference/mod.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use kiteyard_job_graph::{End, Input, JobFacts, Outcome, Output, Status, Urgency};
+use kiteyard_job_graph::{Input, JobFacts, Outcome, Output, Status, TerminalState, Urgency};
 
 pub type Id = u8;
 
 #[derive(Debug, Clone, Default)]
 pub struct ReferenceModel {
     pub active: BTreeMap<Id, JobFacts<Id>>,
-    ends: BTreeMap<Id, End>,
+    terminal_states: BTreeMap<Id, TerminalState>,
     cancelled: BTreeSet<Id>,
 }
 
@@ -25,16 +25,16 @@
     pub fn step_without_urgencies(&mut self, input: &Input<Id>) {
         match input.clone() {
             Input::Added { id, facts } => {
-                if !self.ends.contains_key(&id) {
+                if !self.terminal_states.contains_key(&id) {
                     self.active.entry(id).or_insert(facts);
                 }
             }
             Input::Removed { id } => {
                 self.active.remove(&id);
             }
-            Input::Ended { id, end } => {
+            Input::Ended { id, terminal_state } => {
                 self.active.remove(&id);
-                self.ends.entry(id).or_insert(end);
+                self.terminal_states.entry(id).or_insert(terminal_state);
             }
             Input::Expected { id, expected } => {
                 if let Some(facts) = self.active.get_mut(&id) {
@@ -43,7 +43,8 @@
             }
         }
         let needed_jobs = self.needed_jobs();
-        self.ends.retain(|id, _| needed_jobs.contains(id));
+        self.terminal_states
+            .retain(|id, _| needed_jobs.contains(id));
         self.derive_cancelled();
     }
 
@@ -52,9 +53,10 @@
         needs.copied().collect()
     }
 
-    pub fn unknown_ends(&self) -> BTreeSet<Id> {
+    pub fn unread_jobs(&self) -> BTreeSet<Id> {
         let mut unknown = self.needed_jobs();
-        unknown.retain(|id| !self.active.contains_key(id) && !self.ends.contains_key(id));
+        unknown
+            .retain(|id| !self.active.contains_key(id) && !self.terminal_states.contains_key(id));
         unknown
     }
 
@@ -62,22 +64,27 @@
         let Some(facts) = self.active.get(&id) else {
             return Status::NotActive;
         };
-        let ended = |need: &Id| self.ends.get(need).map(|end| end.outcome);
-        let done = |need: &&Id| ended(need) == Some(Outcome::Done);
-        let unknown_ends = self.unknown_ends();
-        let unknown = &self.transitive_needs(id) & &unknown_ends;
+        let outcome = |need: &Id| self.terminal_states.get(need).map(|state| state.outcome);
+        let done = |need: &&Id| outcome(need) == Some(Outcome::Done);
+        let unread_jobs = self.unread_jobs();
+        let unknown = &self.transitive_needs(id) & &unread_jobs;
         let unknown = unknown.into_iter().collect::<Vec<_>>();
         if self.cancelled.contains(&id) {
             Status::Cancelled
         } else if facts.needs.iter().all(|need| done(&need)) {
-            let ends = facts.needs.iter().filter_map(|need| self.ends[need].at_ms);
-            let since_ms = ends
+            let times_ms = facts
+                .needs
+                .iter()
+                .filter_map(|need| self.terminal_states[need].at_ms);
+            let since_ms = times_ms
                 .chain([facts.accepted_ms])
                 .max()
                 .expect("at least one time");
             Status::Ready { since_ms }
         } else if !unknown.is_empty() {
-            Status::Unknown { ends: unknown }
+            Status::Unknown {
+                unread_jobs: unknown,
+            }
         } else {
             let needs = facts.needs.iter().collect::<BTreeSet<_>>();
             let on = needs.into_iter().filter(|need| !done(need));
@@ -133,9 +140,9 @@
         self.cancelled.retain(|id| self.active.contains_key(id));
         loop {
             let is_cancelled = |need: &Id| {
-                let end = self.ends.get(need);
+                let state = self.terminal_states.get(need);
                 self.cancelled.contains(need)
-                    || end.is_some_and(|end| end.outcome == Outcome::Cancelled)
+                    || state.is_some_and(|state| state.outcome == Outcome::Cancelled)
             };
             let jobs = self.active.iter();
             let found = jobs.filter(|(_, facts)| facts.needs.iter().any(is_cancelled));
@@ -149,7 +156,7 @@
 
     fn changes_since(&self, before: &ReferenceModel) -> Vec<Output<Id>> {
         let mut changes = Vec::new();
-        let lookups = &self.unknown_ends() - &before.unknown_ends();
+        let lookups = &self.unread_jobs() - &before.unread_jobs();
         changes.extend(lookups.into_iter().map(|id| Output::Lookup { id }));
         let needed_jobs = self.needed_jobs();
         for (&id, facts) in &self.active {
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -8,7 +8,9 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use kiteyard_job_graph::{End, Input, JobFacts, JobGraph, Outcome, Output, Status, Urgency};
+use kiteyard_job_graph::{
+    Input, JobFacts, JobGraph, Outcome, Output, Status, TerminalState, Urgency,
+};
 use tracing::info;
 
 use super::{
@@ -80,8 +82,8 @@
     Some(accepted_ms.saturating_add(deadline.as_millis() as u64))
 }
 
-fn graph_end(record: TerminalRecord) -> End {
-    End {
+fn graph_end(record: TerminalRecord) -> TerminalState {
+    TerminalState {
         outcome: match record.state {
             JobState::Cancelled => Outcome::Cancelled,
             _ => Outcome::Done,
@@ -118,8 +120,11 @@
         self.step_graph(Input::Added { id, facts });
         for need in needs {
             if let Some(record) = self.terminal_cache.get(&need).copied() {
-                let end = graph_end(record);
-                self.step_graph(Input::Ended { id: need, end });
+                let terminal_state = graph_end(record);
+                self.step_graph(Input::Ended {
+                    id: need,
+                    terminal_state,
+                });
             }
         }
     }
@@ -134,8 +139,8 @@
     pub(super) fn record_end_in_graph(&mut self, id: &JobId, record: TerminalRecord) {
         self.dependencies.lookups.remove(id);
         self.dependencies.cancelled_dependents.remove(id);
-        let (id, end) = (id.clone(), graph_end(record));
-        self.step_graph(Input::Ended { id, end });
+        let (id, terminal_state) = (id.clone(), graph_end(record));
+        self.step_graph(Input::Ended { id, terminal_state });
     }
 
     fn step_graph(&mut self, input: Input<JobId>) {
@@ -206,7 +211,7 @@
         if available == 0 {
             return;
         }
-        let unknown = dependencies.graph.unknown_ends();
+        let unknown = dependencies.graph.unread_jobs();
         let wanted = unknown.filter(|id| !dependencies.lookups.contains_key(*id));
         let wanted: Vec<JobId> = wanted.take(available).cloned().collect();
         for id in wanted {
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -485,12 +485,12 @@
                 return;
             }
             // Cancelled or not, depending on a terminal state that is not cached yet.
-            Status::Unknown { mut ends } if !matches!(query, JobQuery::Withdraw) => {
-                if let Some(end) = ends.pop() {
+            Status::Unknown { mut unread_jobs } if !matches!(query, JobQuery::Withdraw) => {
+                if let Some(unread_job) = unread_jobs.pop() {
                     let pending = PendingQuery { request, id, query };
                     self.look_up_terminal_state(
                         request,
-                        end,
+                        unread_job,
                         JobQuery::ForDependent(Box::new(pending)),
                     );
                 }
