--- a/crates/job-graph/src/contribution.rs
+++ b/crates/job-graph/src/contribution.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Combines the own urgency of a job with these contributions.
+    /// Combines a job's own urgency with these contributions.
     pub(crate) fn combine_with(&self, own: Urgency) -> Urgency {
         let dependents_finish_ms = self.latest_finishes_ms.first();
         Urgency {
--- a/crates/job-graph/src/graph.rs
+++ b/crates/job-graph/src/graph.rs
@@ -16,7 +16,7 @@
     pub(crate) active: BTreeMap<Id, ActiveJob<Id>>,
     /// Jobs that active jobs name as needs.
     pub(crate) needed: BTreeMap<Id, NeededJob<Id>>,
-    /// Entries of `needed` that are neither active nor have a known end.
+    /// Entries of `needed` that are neither active nor have a known terminal state.
     unread_jobs: BTreeSet<Id>,
 }
 
@@ -70,7 +70,7 @@
         Status::Waiting { on }
     }
 
-    /// Returns the inactive jobs that active ones need and whose ends are not known.
+    /// Returns the inactive jobs that active ones need and whose terminal states must be read.
     pub fn unread_jobs(&self) -> impl Iterator<Item = &Id> {
         self.unread_jobs.iter()
     }
@@ -173,7 +173,7 @@
         self.update_urgencies(&changed, outputs);
     }
 
-    /// Stores the end of a needed job; returns whether it was unknown before.
+    /// Stores the terminal state of a needed job; returns whether it was unknown before.
     fn store_terminal_state(&mut self, id: &Id, terminal_state: TerminalState) -> bool {
         let Some(needed) = self.needed.get_mut(id) else {
             return false;
@@ -232,7 +232,7 @@
             .fold(job.accepted_ms, u64::max)
     }
 
-    /// Returns the unknown ends that a job needs directly or through active jobs.
+    /// Returns the unread jobs that a job needs directly or through active jobs.
     fn unread_needs(&self, id: &Id) -> Vec<Id> {
         if self.unread_jobs.is_empty() {
             return Vec::new();
--- a/crates/job-graph/src/job.rs
+++ b/crates/job-graph/src/job.rs
@@ -20,8 +20,8 @@
     pub(crate) contribution: Option<Contribution>,
     /// Number of needs that are not known to be done.
     pub(crate) not_done: usize,
-    /// Set once a direct or transitive need is cancelled. Ends never change, so this is never
-    /// reset.
+    /// Set once a direct or transitive need is cancelled. Never reset, since terminal states
+    /// never change.
     pub(crate) cancelled: bool,
     /// Position in the topological order: above every active job that it needs.
     pub(crate) level: i64,
@@ -58,7 +58,7 @@
     pub(crate) dependents: BTreeSet<Id>,
     /// Contributions of these jobs to its urgency.
     pub(crate) contributions: Contributions,
-    /// End of the job, if known; always `None` while it is active.
+    /// Terminal state of the job, if known; always `None` while it is active.
     pub(crate) terminal_state: Option<TerminalState>,
 }
 
--- a/crates/job-graph/src/message.rs
+++ b/crates/job-graph/src/message.rs
@@ -11,12 +11,12 @@
     Cancelled,
 }
 
-/// The stored end of a job.
+/// The stored terminal state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminalState {
     /// Outcome of the job.
     pub outcome: Outcome,
-    /// Time of the end in Unix milliseconds, if that was stored.
+    /// Time at which the job ended in Unix milliseconds, if it was stored.
     pub at_ms: Option<u64>,
 }
 
@@ -38,24 +38,24 @@
 /// Inputs of the graph.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input<Id> {
-    /// A job became active. Ignored if it is active already or its end is known.
+    /// A job became active. Ignored if it is active already or its terminal state is known.
     Added {
         /// The job.
         id: Id,
         /// Properties of the job.
         facts: JobFacts<Id>,
     },
-    /// A job is no longer active; its end is not known yet.
+    /// A job is no longer active; its terminal state is not known yet.
     Removed {
         /// The job.
         id: Id,
     },
-    /// The stored end of a job, active or not, was read or written. It implies
-    /// [`Input::Removed`]. A second end of the same job is ignored.
+    /// The terminal state of a job, active or not, was read or written. Implies
+    /// [`Input::Removed`]. A second terminal state of the same job is ignored.
     Ended {
         /// The job.
         id: Id,
-        /// Its end.
+        /// Its terminal state.
         terminal_state: TerminalState,
     },
     /// An updated estimate for an active job.
@@ -93,7 +93,7 @@
         /// The job.
         id: Id,
     },
-    /// The end of this inactive job is needed but not known: the caller must read it.
+    /// The terminal state of this inactive job is needed but not known: the caller must read it.
     Lookup {
         /// The inactive job.
         id: Id,
--- a/crates/job-graph/src/status.rs
+++ b/crates/job-graph/src/status.rs
@@ -15,9 +15,10 @@
     },
     /// A direct or transitive need is cancelled.
     Cancelled,
-    /// The status depends on ends that are not known yet.
+    /// The status depends on terminal states that are not known yet.
     Unknown {
-        /// Inactive jobs, needed directly or through active jobs, whose ends must be read first.
+        /// Inactive jobs, needed directly or through active jobs, whose terminal states must be read
+        /// first.
         unread_jobs: Vec<Id>,
     },
     /// The job is not active.
--- a/crates/job-graph/src/urgency.rs
+++ b/crates/job-graph/src/urgency.rs
@@ -1,4 +1,4 @@
-//! Derivation of the urgency of a job from its own and those of the jobs that wait for it.
+//! Derivation of the urgency of a job from its own properties and the jobs that wait for it.
 //!
 //! A change propagates from a job to its needs until it makes no difference. Jobs are processed
 //! from the highest level downwards, so that each is computed once in a step.
--- a/crates/job-graph/tests/examples.rs
+++ b/crates/job-graph/tests/examples.rs
@@ -122,7 +122,7 @@
     graph.assert_unread_jobs(3, &[1]);
     assert_eq!(graph.0.unread_jobs().collect::<Vec<_>>(), [&1]);
     assert_eq!(graph.done(1, 400), [ready(2, 400)]);
-    assert_eq!(graph.cancelled(1), [], "an end never changes");
+    assert_eq!(graph.cancelled(1), [], "a terminal state never changes");
     assert_eq!(graph.0.status(&2), Status::Ready { since_ms: 400 });
 }
 
@@ -277,7 +277,7 @@
     let mut graph = Graph::of(&[(0, &[])]);
     for diamond in 0..LARGE / 10 {
         let start = diamond * 3;
-        // The end of each diamond is added first, so neither ids nor input order give the levels.
+        // The last job of each diamond is added first, so neither ids nor input order give the levels.
         graph.add(start + 3, &[start + 1, start + 2], 1, None);
         graph.add(start + 1, &[start], 1, None);
         graph.add(start + 2, &[start], 1, None);
