--- a/crates/job-graph/src/status.rs
+++ b/crates/job-graph/src/status.rs
@@ -17,8 +17,8 @@
     Cancelled,
     /// The status depends on terminal states that are not known yet.
     Unknown {
-        /// Inactive jobs, needed directly or through active jobs, whose terminal states must be read
-        /// first.
+        /// Inactive jobs, needed directly or through active jobs, whose terminal states must be
+        /// read first.
         unread_jobs: Vec<Id>,
     },
     /// The job is not active.
--- a/crates/job-graph/tests/examples.rs
+++ b/crates/job-graph/tests/examples.rs
@@ -277,7 +277,7 @@
     let mut graph = Graph::of(&[(0, &[])]);
     for diamond in 0..LARGE / 10 {
         let start = diamond * 3;
-        // The last job of each diamond is added first, so neither ids nor input order give the levels.
+        // The last job of each diamond comes first, so neither ids nor input order give the levels.
         graph.add(start + 3, &[start + 1, start + 2], 1, None);
         graph.add(start + 1, &[start], 1, None);
         graph.add(start + 2, &[start], 1, None);
