--- a/crates/licences/src/ledger.rs
+++ b/crates/licences/src/ledger.rs
@@ -34,7 +34,7 @@
     },
     /// The task is proven to have ended, by a newer report or by the machine's release or expired
     /// lease.
-    Gone(Attempt),
+    Ended(Attempt),
     /// A task that holds seats was found after a failover.
     Found {
         /// The team that is charged.
@@ -105,7 +105,7 @@
     team: String,
     needs: Needs,
     /// Time at which the seats of an ended attempt are released; `None` until it has ended.
-    until: Option<Duration>,
+    released_at: Option<Duration>,
 }
 
 /// Exponential backoff of a licence whose counter refuses seats.
@@ -194,7 +194,7 @@
                 attempts,
                 needs,
             } => self.take(now, team, attempts, needs, &mut outputs),
-            Input::Gone(attempt) => self.mark_gone(now, &attempt, &mut outputs),
+            Input::Ended(attempt) => self.mark_ended(now, &attempt, &mut outputs),
             Input::Found {
                 team,
                 attempt,
@@ -203,24 +203,28 @@
                 let holder = Holder {
                     team,
                     needs,
-                    until: None,
+                    released_at: None,
                 };
                 self.holders.insert(attempt, holder);
             }
             Input::Holders(held) => {
-                let active = self.holders.iter().filter(|(_, h)| h.until.is_none());
-                let gone: Vec<Attempt> = active
+                let active = self.holders.iter().filter(|(_, h)| h.released_at.is_none());
+                let ended: Vec<Attempt> = active
                     .map(|(attempt, _)| attempt)
                     .filter(|attempt| !held.contains_key(*attempt))
                     .cloned()
                     .collect();
                 for (attempt, (team, needs)) in held {
-                    let until = None;
-                    let holder = Holder { team, needs, until };
+                    let released_at = None;
+                    let holder = Holder {
+                        team,
+                        needs,
+                        released_at,
+                    };
                     self.holders.insert(attempt, holder);
                 }
-                for attempt in gone {
-                    self.mark_gone(now, &attempt, &mut outputs);
+                for attempt in ended {
+                    self.mark_ended(now, &attempt, &mut outputs);
                 }
             }
             Input::MayHold { machine, needs } => {
@@ -263,7 +267,7 @@
         outputs: &mut Vec<Output>,
     ) {
         // An attempt that already holds its seats takes no others.
-        let holds = |a: &Attempt| self.holders.get(a).is_some_and(|h| h.until.is_none());
+        let holds = |a: &Attempt| self.holders.get(a).is_some_and(|h| h.released_at.is_none());
         let new = attempts.iter().filter(|a| !holds(a)).count() as u64;
         for (licence, seats) in &needs {
             let Some(free) = self.free_seats(licence, &team, now) else {
@@ -285,35 +289,35 @@
             let holder = Holder {
                 team: team.clone(),
                 needs: needs.clone(),
-                until: None,
+                released_at: None,
             };
             self.holders.insert(attempt.clone(), holder);
             outputs.push(Output::Taken(attempt));
         }
     }
 
-    fn mark_gone(&mut self, now: Duration, attempt: &Attempt, outputs: &mut Vec<Output>) {
+    fn mark_ended(&mut self, now: Duration, attempt: &Attempt, outputs: &mut Vec<Output>) {
         let Some(holder) = self.holders.get_mut(attempt) else {
             return;
         };
         let licences = &self.config.licences;
         let linger = |name: &String| licences.get(name).map_or(Duration::ZERO, |l| l.linger);
-        let longest = holder.needs.keys().map(linger).max();
+        let longest_linger = holder.needs.keys().map(linger).max();
         // A repeated proof does not extend the linger time.
         holder
-            .until
-            .get_or_insert(now + longest.unwrap_or_default());
+            .released_at
+            .get_or_insert(now + longest_linger.unwrap_or_default());
         outputs.extend(self.expire(now));
     }
 
     fn expire(&mut self, now: Duration) -> Vec<Output> {
-        let is_over = |h: &Holder| h.until.is_some_and(|until| now >= until);
+        let is_released = |h: &Holder| h.released_at.is_some_and(|released_at| now >= released_at);
         let mut names = BTreeSet::new();
         self.holders.retain(|_, holder| {
-            if is_over(holder) {
+            if is_released(holder) {
                 names.extend(holder.needs.keys().cloned());
             }
-            !is_over(holder)
+            !is_released(holder)
         });
         for (name, refusals) in &mut self.refusals {
             if refusals.count > 0 && !refusals.until.is_zero() && now >= refusals.until {
@@ -344,7 +348,7 @@
         };
         for holder in self.holders.values() {
             let seats = holder.needs.get(licence).copied().unwrap_or(0);
-            match holder.until {
+            match holder.released_at {
                 None => seat_counts.held += seats,
                 Some(_) => seat_counts.lingering += seats,
             }
@@ -381,16 +385,18 @@
             return Some(0);
         }
         let held = self.seats_by_team(licence);
-        let has = |team: &str| held.get(team).copied().unwrap_or(0);
+        let held_by = |team: &str| held.get(team).copied().unwrap_or(0);
         let reserved: u64 = known
             .teams
             .iter()
             .filter(|(other, _)| *other != team)
-            .map(|(other, share)| u64::from(share.least.saturating_sub(has(other))))
+            .map(|(other, share)| u64::from(share.least.saturating_sub(held_by(other))))
             .sum();
         let free = u64::from(self.seat_counts(licence)?.free()).saturating_sub(reserved);
         let most = known.teams.get(team).and_then(|share| share.most);
-        let own = most.map_or(u64::MAX, |most| u64::from(most.saturating_sub(has(team))));
-        Some(free.min(own) as u32)
+        let allowed = most.map_or(u64::MAX, |most| {
+            u64::from(most.saturating_sub(held_by(team)))
+        });
+        Some(free.min(allowed) as u32)
     }
 }
--- a/crates/licences/tests/ledger.rs
+++ b/crates/licences/tests/ledger.rs
@@ -84,8 +84,8 @@
     let freed = Output::Freed {
         licence: "calib".into(),
     };
-    let gone = ledger.step(Duration::from_secs(2), Input::Gone(attempt(1, 1)));
-    assert_eq!(gone, [freed]);
+    let outputs = ledger.step(Duration::from_secs(2), Input::Ended(attempt(1, 1)));
+    assert_eq!(outputs, [freed]);
     assert_eq!(take(2, 3, &mut ledger), [Output::Taken(attempt(2, 1))]);
 }
 
@@ -178,29 +178,29 @@
         let mut ledger = Ledger::new(config());
         let mut model = ReferenceModel::default();
         let mut now = 0;
-        for (number, (what, team, solver, calib, count, passed)) in steps.into_iter().enumerate() {
-            now += passed;
+        for (number, (action, team, solver, calib, count, elapsed)) in steps.into_iter().enumerate() {
+            now += elapsed;
             let at = Duration::from_secs(now);
             model.held.retain(|h| h.3.is_none_or(|until| now < until));
             ledger.step(at, Input::Tick);
             let team = ["gas", "archive"][team];
-            if what < 6 {
+            if action < 6 {
                 let attempts: Vec<Attempt> = (0..count).map(|i| attempt(number * 10 + i, 1)).collect();
                 let needs = needs(solver, calib);
                 let expected = model.takes(team, &needs, count as u32);
                 let input = Input::Take { team: team.into(), attempts: attempts.clone(), needs: needs.clone() };
-                let out = ledger.step(at, input);
-                let taken = out.iter().filter(|o| matches!(o, Output::Taken(_))).count();
+                let outputs = ledger.step(at, input);
+                let taken = outputs.iter().filter(|o| matches!(o, Output::Taken(_))).count();
                 prop_assert_eq!(taken, if expected { count } else { 0 });
                 if expected {
                     model.held.extend(attempts.into_iter().map(|a| (a, team.to_owned(), needs.clone(), None)));
                 }
-            } else if let Some(place) = model.held.len().checked_sub(1).map(|last| (what * 7 + number) % (last + 1)) {
-                let held = &mut model.held[place];
+            } else if let Some(index) = model.held.len().checked_sub(1).map(|last| (action * 7 + number) % (last + 1)) {
+                let held = &mut model.held[index];
                 let linger = if held.2.contains_key("flow-solver") { 2 } else { 0 };
                 held.3.get_or_insert(now + linger);
-                let gone = held.0.clone();
-                ledger.step(at, Input::Gone(gone));
+                let ended = held.0.clone();
+                ledger.step(at, Input::Ended(ended));
                 model.held.retain(|h| h.3.is_none_or(|until| now < until));
             }
             for licence in ["flow-solver", "calib"] {
@@ -215,33 +215,33 @@
     }
 
     #[test]
-    fn history_is_restored_from_pages(ends in prop::collection::vec(any::<bool>(), 1..80), most in 200..900usize) {
+    fn history_is_restored_from_pages(has_ended in prop::collection::vec(any::<bool>(), 1..80), max_page_bytes in 200..900usize) {
         let mut history = History::new(40);
-        for (number, over) in ends.iter().enumerate() {
-            let Attempt { task, attempt: tried } = attempt(number, 1);
+        for (number, is_ended) in has_ended.iter().enumerate() {
+            let Attempt { task, attempt: attempt_number } = attempt(number, 1);
             history.record_start(SeatPeriod {
-                licence: "calib".into(), team: "archive".into(), task, attempt: tried,
+                licence: "calib".into(), team: "archive".into(), task, attempt: attempt_number,
                 seats: 1, from_ms: number as u64, to_ms: None,
             });
-            if *over {
+            if *is_ended {
                 history.record_end(&attempt(number, 1), number as u64 + 5);
             }
         }
-        let lasting = ends.iter().filter(|over| !**over).count();
-        prop_assert!(history.len() <= 40.max(lasting + 1));
-        let pages = history.pages(most);
-        prop_assert!(pages.iter().all(|page| page.len() <= most));
-        let again = History::restore(40, pages.iter().map(String::as_str));
-        prop_assert!(again.periods().eq(history.periods()));
+        let open_count = has_ended.iter().filter(|is_ended| !**is_ended).count();
+        prop_assert!(history.len() <= 40.max(open_count + 1));
+        let pages = history.pages(max_page_bytes);
+        prop_assert!(pages.iter().all(|page| page.len() <= max_page_bytes));
+        let restored = History::restore(40, pages.iter().map(String::as_str));
+        prop_assert!(restored.periods().eq(history.periods()));
     }
 }
 
-fn grant(claim: u64, tried: u64) -> Grant {
+fn grant(claim: u64, attempt: u64) -> Grant {
     Grant {
         licence: "calib".into(),
         seats: 1,
         task: "run-000001/0".into(),
-        attempt: tried,
+        attempt,
         claim,
         expires_ms: 2000,
     }
@@ -252,10 +252,10 @@
     let keys = Keys::new(b"secret", None);
     let sealed = keys.seal(&grant(5, 1));
     assert_eq!(keys.open(&sealed), Ok(grant(5, 1)));
-    for place in 0..sealed.len() {
+    for index in 0..sealed.len() {
         for flip in [1u8, 0x20, 0x80] {
             let mut bytes = sealed.clone().into_bytes();
-            bytes[place] ^= flip;
+            bytes[index] ^= flip;
             if let Ok(text) = String::from_utf8(bytes) {
                 assert!(keys.open(&text).is_err(), "{text}");
             }
--- a/crates/quota/src/cell.rs
+++ b/crates/quota/src/cell.rs
@@ -443,15 +443,15 @@
         missing: Units,
     ) -> BTreeSet<LoanId> {
         let hold = self.config.terms.hold;
-        let mut left = missing;
-        let mut wanted = BTreeSet::new();
+        let mut remaining = missing;
+        let mut recalls = BTreeSet::new();
         for (id, loan) in record.lent.iter().rev() {
-            if left > 0 && now >= loan.made_at + hold {
-                left = left.saturating_sub(loan.units);
-                wanted.insert(*id);
+            if remaining > 0 && now >= loan.made_at + hold {
+                remaining = remaining.saturating_sub(loan.units);
+                recalls.insert(*id);
             }
         }
-        wanted
+        recalls
     }
 
     /// Returns units that are not needed, and all unused units of recalled or lapsing loans.
@@ -529,11 +529,11 @@
 
 /// Returns the grants that a borrower has not accepted yet, according to its holdings.
 fn unaccepted_grants(record: &Record, from: CellId, holdings: &Holdings) -> Vec<Output> {
-    let waiting = record.lent.iter().filter(|(id, loan)| {
-        let same = (loan.borrower, loan.borrower_record) == (from, holdings.record);
-        same && holdings.newest.is_none_or(|newest| newest < **id)
+    let unaccepted = record.lent.iter().filter(|(id, loan)| {
+        let is_same_borrower = (loan.borrower, loan.borrower_record) == (from, holdings.record);
+        is_same_borrower && holdings.newest.is_none_or(|newest| newest < **id)
     });
-    let grants = waiting.filter_map(|(id, _)| record.grant(id));
+    let grants = unaccepted.filter_map(|(id, _)| record.grant(id));
     grants
         .map(|grant| Output::Send {
             to: from,
--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -18,11 +18,11 @@
             **cell,
         )
     });
-    let mut left = free.div_ceil(2);
+    let mut remaining = free.div_ceil(2);
     let mut parts = Vec::new();
     for (&cell, request) in requesters {
-        let units = request.units.min(left);
-        left -= units;
+        let units = request.units.min(remaining);
+        remaining -= units;
         if units > 0 {
             parts.push((cell, units));
         }
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -162,17 +162,17 @@
 }
 
 #[test]
-fn lender_lowers_before_the_borrower() {
+fn detects_lender_that_lowers_before_the_borrower() {
     assert_fault_detected(Fault::LenderLowersBeforeBorrower, bounds(2, 2, 1, &[0]));
 }
 
 #[test]
-fn borrower_uses_past_the_end() {
+fn detects_use_past_the_loan_end() {
     assert_fault_detected(Fault::BorrowerUsesPastTheEnd, bounds(2, 7, 1, &[0]));
 }
 
 #[test]
-fn grant_is_sent_before_it_is_stored() {
+fn detects_grant_sent_before_it_is_stored() {
     assert_fault_detected(
         Fault::GrantSentBeforeStored,
         Bounds {
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn holdings_are_sent_before_they_are_stored() {
+fn detects_holdings_sent_before_they_are_stored() {
     assert_fault_detected(
         Fault::HoldingsSentBeforeStored,
         Bounds {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn loan_number_is_reused() {
+fn detects_reused_loan_number() {
     let shares = vec![
         Share {
             base: 3,
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn returned_loan_is_accepted_again() {
+fn detects_returned_loan_accepted_again() {
     assert_fault_detected(
         Fault::ReturnedLoanAcceptedAgain,
         Bounds {
@@ -227,12 +227,12 @@
 }
 
 #[test]
-fn lender_reuses_at_the_end_without_the_clock_bound() {
+fn detects_lender_that_ignores_the_clock_bound() {
     assert_fault_detected(Fault::LenderIgnoresClockBound, bounds(2, 8, 2, &[-1, 1]));
 }
 
 #[test]
-fn borrower_returns_at_its_own_end() {
+fn detects_borrower_that_ignores_the_clock_bound() {
     assert_fault_detected(
         Fault::BorrowerIgnoresClockBound,
         Bounds {
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn limit_is_lowered_after_the_answer() {
+fn detects_limit_lowered_after_the_answer() {
     assert_fault_detected(Fault::LimitLoweredAfterTheAnswer, bounds(2, 2, 1, &[0]));
 }
 
@@ -251,7 +251,7 @@
 /// and the tasks of a former leader count against its successor's limit. The state machine waits
 /// for the answer nevertheless.
 #[test]
-fn limit_raised_before_the_answer_breaks_nothing() {
+fn limit_raised_before_the_answer_violates_no_invariant() {
     let fault = Some(Fault::LimitRaisedBeforeTheAnswer);
     assert_no_violation(
         "limit raised early",
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn unsettled_leader_lowers() {
+fn detects_unsettled_leader_that_lowers() {
     assert_fault_detected(
         Fault::UnsettledLeaderLowers,
         Bounds {
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn write_does_not_depend_on_the_claim() {
+fn detects_write_without_the_claim() {
     assert_fault_detected(
         Fault::WriteWithoutClaim,
         Bounds {
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn unclear_write_is_taken_as_failed() {
+fn detects_unclear_write_taken_as_failed() {
     assert_fault_detected(
         Fault::UnclearTakenAsFailed,
         Bounds {
@@ -298,12 +298,12 @@
 }
 
 #[test]
-fn tasks_are_stopped_only_at_the_loan_end() {
+fn detects_missing_lapse_lead() {
     assert_fault_detected(Fault::NoLapseLead, bounds(2, 8, 2, &[-1, 1]));
 }
 
 #[test]
-fn grant_for_a_lost_record_is_accepted() {
+fn detects_accepted_grant_for_a_lost_record() {
     assert_fault_detected(
         Fault::GrantForLostRecordAccepted,
         Bounds {
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -173,9 +173,9 @@
             .map(|(cell, requested)| (CellId(cell), request(requested)))
             .collect();
         let parts = divide(free, &requests);
-        let given: Units = parts.iter().map(|part| part.1).sum();
+        let divided: Units = parts.iter().map(|part| part.1).sum();
         let requested: Units = requests.values().map(|request| request.units).sum();
-        prop_assert_eq!(given, free.div_ceil(2).min(requested));
+        prop_assert_eq!(divided, free.div_ceil(2).min(requested));
         prop_assert!(parts.iter().all(|(cell, units)| *units <= requests[cell].units));
         prop_assert_eq!(parts.iter().map(|part| part.0).collect::<BTreeSet<_>>().len(), parts.len());
     }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -149,12 +149,12 @@
         for cell in 0..bounds.shares.len() {
             let clock = bounds.clocks[combination % bounds.clocks.len()];
             combination /= bounds.clocks.len();
-            let (machine, _) =
+            let (state_machine, _) =
                 Cell::new(config(bounds, CellId(cell as u16))).expect("a valid configuration");
             world.sites.push(Site {
                 id: CellId(cell as u16),
                 leader: Leader {
-                    cell: machine,
+                    cell: state_machine,
                     clock,
                 },
                 former_leader: None,
@@ -408,15 +408,15 @@
     }
 
     /// Starts a new leader, which claims and reads. Writes of the former one depend on its claim.
-    fn restart(&mut self, bounds: &Bounds, cell: usize, clock: i64, lost: bool) {
+    fn restart(&mut self, bounds: &Bounds, cell: usize, clock: i64, loses_record: bool) {
         self.restarts -= 1;
-        let (machine, _) =
+        let (state_machine, _) =
             Cell::new(config(bounds, CellId(cell as u16))).expect("a valid configuration");
         let site = &mut self.sites[cell];
         let old = std::mem::replace(
             &mut site.leader,
             Leader {
-                cell: machine,
+                cell: state_machine,
                 clock,
             },
         );
@@ -427,7 +427,7 @@
         } else {
             site.delayed.clear();
         }
-        if lost {
+        if loses_record {
             self.lost_records -= 1;
             site.stored = None;
             site.revision += 1;
