--- a/crates/licences/src/ledger.rs
+++ b/crates/licences/src/ledger.rs
@@ -385,18 +385,16 @@
             return Some(0);
         }
         let held = self.seats_by_team(licence);
-        let held_by = |team: &str| held.get(team).copied().unwrap_or(0);
+        let used = |team: &str| held.get(team).copied().unwrap_or(0);
         let reserved: u64 = known
             .teams
             .iter()
             .filter(|(other, _)| *other != team)
-            .map(|(other, share)| u64::from(share.least.saturating_sub(held_by(other))))
+            .map(|(other, share)| u64::from(share.least.saturating_sub(used(other))))
             .sum();
         let free = u64::from(self.seat_counts(licence)?.free()).saturating_sub(reserved);
         let most = known.teams.get(team).and_then(|share| share.most);
-        let allowed = most.map_or(u64::MAX, |most| {
-            u64::from(most.saturating_sub(held_by(team)))
-        });
+        let allowed = most.map_or(u64::MAX, |most| u64::from(most.saturating_sub(used(team))));
         Some(free.min(allowed) as u32)
     }
 }
--- a/crates/maintenance/src/drain.rs
+++ b/crates/maintenance/src/drain.rs
@@ -57,7 +57,7 @@
     /// Replica counts of its service, for a replica.
     pub service: Option<Replicas>,
     /// Whether another machine has capacity for it now.
-    pub has_room: bool,
+    pub has_capacity_elsewhere: bool,
     /// Work that would be lost if it were stopped now.
     pub lost_work: Duration,
 }
@@ -73,7 +73,8 @@
     /// Array tasks and gangs may still complete.
     Ending,
     /// No other machine has capacity for a replica.
-    Room,
+    #[serde(rename = "room")]
+    NoCapacity,
     /// The service has the maximum number of replicas down.
     Service,
     /// The team's replicas are below the floor of its budget.
@@ -124,8 +125,8 @@
             note_reason(WaitReason::Ending);
             continue;
         }
-        if task.kind == Kind::Replica && !task.has_room {
-            note_reason(WaitReason::Room);
+        if task.kind == Kind::Replica && !task.has_capacity_elsewhere {
+            note_reason(WaitReason::NoCapacity);
             continue;
         }
         let request = StopRequest {
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -148,8 +148,8 @@
         }
         let recent_stops = || {
             let since = now.saturating_sub(budget.window);
-            let own = move |s: &&Stopped| s.team == request.team && s.at > since;
-            self.stopped.iter().filter(own)
+            let is_recent = move |s: &&Stopped| s.team == request.team && s.at > since;
+            self.stopped.iter().filter(is_recent)
         };
         if budget
             .max_stops
@@ -158,9 +158,9 @@
             return Err(Refusal::Window);
         }
         if let Some(max) = budget.max_lost_work {
-            let lost: Duration = recent_stops().map(|s| s.lost_work).sum();
+            let lost_work: Duration = recent_stops().map(|s| s.lost_work).sum();
             // A task that exceeds the limit by itself may be stopped if no other work was lost.
-            if lost + request.lost_work > max && !lost.is_zero()
+            if lost_work + request.lost_work > max && !lost_work.is_zero()
                 || request.lost_work > max && max.is_zero()
             {
                 return Err(Refusal::Work);
--- a/crates/maintenance/tests/ledger.rs
+++ b/crates/maintenance/tests/ledger.rs
@@ -56,8 +56,8 @@
         service: Some(service),
         lost_work: Duration::ZERO,
     };
-    let whole = [("care", replicas(10, 10, 0)), ("care", replicas(10, 9, 1))];
-    ledger.observe(whole.into_iter());
+    let all_up = [("care", replicas(10, 10, 0)), ("care", replicas(10, 9, 1))];
+    ledger.observe(all_up.into_iter());
     assert_eq!(
         ledger.check(S(0), &request("care", replicas(10, 10, 0))),
         Ok(())
@@ -83,13 +83,13 @@
 
 #[test]
 fn drain_lets_tasks_end_and_stops_one_replica_at_a_time() {
-    let task = |key: u32, kind, room| Task {
+    let task = |key: u32, kind, has_capacity_elsewhere| Task {
         key,
         team: "care".into(),
         kind,
         stopping: false,
         service: (kind == Kind::Replica).then(|| replicas(4, 4, 0)),
-        has_room: room,
+        has_capacity_elsewhere,
         lost_work: if kind == Kind::Replica { S(0) } else { S(50) },
     };
     let text = "[budget]\nmax_down = 1\nmax_in_s = 100\nmax_lost_s = 60\n";
@@ -128,7 +128,7 @@
 
     #[test]
     fn stops_within_a_window_stay_within_the_budget(
-        asks in prop::collection::vec((0..8u64, 0..40u64), 1..120),
+        requests in prop::collection::vec((0..8u64, 0..40u64), 1..120),
         tasks in 1..6u32,
         lost in 10..80u64,
         window in 5..60u64,
@@ -138,15 +138,15 @@
         );
         let mut ledger = Ledger::new(Config::parse(&text, 1).expect("valid"));
         let (mut model, mut now) = (ReferenceModel::default(), 0);
-        for (later, seconds) in asks {
-            now += later;
+        for (elapsed, seconds) in requests {
+            now += elapsed;
             let request = StopRequest { team: "any", service: None, lost_work: S(seconds) };
             let since = now.saturating_sub(window);
             let recent: Vec<_> = model.stopped.iter().filter(|(at, _)| *at > since).collect();
             let sum: u64 = recent.iter().map(|(_, lost)| lost).sum();
-            let may = recent.len() < tasks as usize && (sum + seconds <= lost || sum == 0);
-            prop_assert_eq!(ledger.check(S(now), &request).is_ok(), may);
-            if may {
+            let is_allowed = recent.len() < tasks as usize && (sum + seconds <= lost || sum == 0);
+            prop_assert_eq!(ledger.check(S(now), &request).is_ok(), is_allowed);
+            if is_allowed {
                 ledger.record_stop(S(now), &request);
                 model.stopped.push((now, seconds));
             }
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -77,7 +77,7 @@
 
 #[derive(Debug, Clone)]
 struct Zone {
-    count: ZoneCounts,
+    counts: ZoneCounts,
     stage: Stage,
     /// Time of the last decrease of the number of silent machines.
     last_progress: Option<Duration>,
@@ -119,8 +119,8 @@
             }
             Input::Counts(counts) => {
                 self.has_counts = true;
-                for (name, count) in counts {
-                    outputs.extend(self.update_zone(now, name, count));
+                for (name, zone_counts) in counts {
+                    outputs.extend(self.update_zone(now, name, zone_counts));
                 }
                 if !self.reconciled && self.zones.values().all(|z| z.stage != Stage::Waiting) {
                     self.reconciled = true;
@@ -132,26 +132,26 @@
         outputs
     }
 
-    fn update_zone(&mut self, now: Duration, name: Arc<str>, count: ZoneCounts) -> Option<Output> {
+    fn update_zone(&mut self, now: Duration, name: Arc<str>, counts: ZoneCounts) -> Option<Output> {
         let zone = self.zones.entry(name.clone()).or_insert(Zone {
-            count,
+            counts,
             stage: Stage::Waiting,
-            last_progress: (count.silent < count.stored).then_some(now),
+            last_progress: (counts.silent < counts.stored).then_some(now),
         });
-        if count.silent < zone.count.silent {
+        if counts.silent < zone.counts.silent {
             zone.last_progress = Some(now);
         }
-        zone.count = count;
+        zone.counts = counts;
         let is_timed_out = now >= self.started_at + self.limits.max;
         let is_stalled = zone
             .last_progress
             .is_some_and(|at| now >= at + self.limits.quiet);
-        let only_stragglers = count.silent * STRAGGLERS_ONE_IN <= count.stored;
-        let stage = match (zone.stage, count.silent) {
+        let only_stragglers = counts.silent * STRAGGLERS_ONE_IN <= counts.stored;
+        let stage = match (zone.stage, counts.silent) {
             // An overdue zone is not waited for again.
             (Stage::Waiting | Stage::Overdue, 0) | (Stage::Reconciled, _) => Stage::Reconciled,
             (Stage::Overdue, _) => Stage::Overdue,
-            _ if is_timed_out || is_stalled || count.unreachable || only_stragglers => {
+            _ if is_timed_out || is_stalled || counts.unreachable || only_stragglers => {
                 Stage::Overdue
             }
             _ => Stage::Waiting,
@@ -161,8 +161,8 @@
         changed.then_some(Output::Stage {
             zone: name,
             stage,
-            heard: count.stored - count.silent.min(count.stored),
-            stored: count.stored,
+            heard: counts.stored - counts.silent.min(counts.stored),
+            stored: counts.stored,
         })
     }
 
@@ -186,7 +186,7 @@
     /// Returns each zone with its stage, machines heard and machines stored.
     pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, Stage, usize, usize)> {
         self.zones.iter().map(|(name, zone)| {
-            let ZoneCounts { stored, silent, .. } = zone.count;
+            let ZoneCounts { stored, silent, .. } = zone.counts;
             (name, zone.stage, stored - silent.min(stored), stored)
         })
     }
--- a/crates/recovery/src/request_window.rs
+++ b/crates/recovery/src/request_window.rs
@@ -51,7 +51,7 @@
     #[test]
     fn window_grows_with_answers_within_its_bounds() {
         let mut window = RequestWindow::new(6);
-        let seen: Vec<usize> = [
+        let windows: Vec<usize> = [
             Outcome::Done,
             Outcome::Refused,
             Outcome::Done,
@@ -63,7 +63,7 @@
             window.window()
         })
         .collect();
-        assert_eq!(seen, [2, 2, 4, 6]);
+        assert_eq!(windows, [2, 2, 4, 6]);
         for _ in 0..9 {
             window.step(Outcome::Unclear);
         }
--- a/crates/recovery/tests/reconciliation.rs
+++ b/crates/recovery/tests/reconciliation.rs
@@ -22,22 +22,22 @@
 
 /// Reference model: evaluates the whole history for each query.
 fn expects_wait(history: &[Observation]) -> bool {
-    let over = |upto: usize| {
-        let (silent, unreachable) = history[upto];
-        let heard_at = (0..=upto).rev().find(|at| match at {
+    let has_ended = |last: usize| {
+        let (silent, unreachable) = history[last];
+        let heard_at = (0..=last).rev().find(|at| match at {
             0 => history[0].0 < STORED,
             at => history[*at].0 < history[at - 1].0,
         });
-        let quiet = heard_at.is_some_and(|at| upto - at >= 2);
-        silent == 0 || unreachable || upto >= 5 || quiet
+        let quiet = heard_at.is_some_and(|at| last - at >= 2);
+        silent == 0 || unreachable || last >= 5 || quiet
     };
-    !(0..history.len()).any(over)
+    !(0..history.len()).any(has_ended)
 }
 
 #[test]
 fn zone_wait_matches_reference_model() {
     let mut histories: Vec<Vec<Observation>> = vec![Vec::new()];
-    let (mut waited, mut not) = (0, 0);
+    let (mut waited, mut not_waited) = (0, 0);
     for _ in 0..6 {
         let longer = histories.iter().flat_map(|history| {
             observations()
@@ -71,23 +71,23 @@
             );
             match expects_wait(history) {
                 true => waited += 1,
-                false => not += 1,
+                false => not_waited += 1,
             }
         }
     }
-    assert!(waited > 10 && not > 10, "{waited} {not}");
+    assert!(waited > 10 && not_waited > 10, "{waited} {not_waited}");
 }
 
 #[test]
 fn silent_zone_does_not_delay_others() {
     let mut reconciliation = Reconciliation::new(LIMITS, S);
     assert!(reconciliation.is_awaited("a"), "no counts received yet");
-    let heard = |silent| ZoneCounts {
+    let counts_of = |silent| ZoneCounts {
         stored: 3,
         silent,
         unreachable: false,
     };
-    let counts = BTreeMap::from([("a".into(), heard(3)), ("b".into(), heard(0))]);
+    let counts = BTreeMap::from([("a".into(), counts_of(3)), ("b".into(), counts_of(0))]);
     reconciliation.step(S, Input::Counts(counts));
     assert!(reconciliation.is_awaited("a") && !reconciliation.is_awaited("b"));
     assert!(
@@ -96,7 +96,7 @@
     );
     let zones: Vec<_> = reconciliation
         .zones()
-        .map(|(_, stage, heard, of)| (stage, heard, of))
+        .map(|(_, stage, heard, stored)| (stage, heard, stored))
         .collect();
     assert_eq!(zones, [(Stage::Waiting, 0, 3), (Stage::Reconciled, 3, 3)]);
 }
--- a/crates/rollout/src/state_machine.rs
+++ b/crates/rollout/src/state_machine.rs
@@ -126,7 +126,7 @@
         // A feature held back at any node is held back for the cluster.
         let abilities = self
             .active_nodes(view)
-            .filter_map(|(_, seen)| seen.ability.as_ref());
+            .filter_map(|(_, state)| state.ability.as_ref());
         let limits = abilities.filter_map(|ability| ability.held_to).min();
         let limits = limits.into_iter().chain(self.config.held_to(self.features));
         let newest = limits.chain(newest).min().unwrap_or(at);
@@ -280,11 +280,11 @@
 
     /// Returns the first feature that can't be rolled back, for a move to an older generation.
     fn irreversible_feature(&self, from: Generation, to: Generation) -> Option<&'static str> {
-        let dropped = self
+        let undone = self
             .features
             .iter()
             .filter(|f| to < f.since && f.since <= from);
-        dropped.filter(|f| !f.is_reversible).map(|f| f.name).next()
+        undone.filter(|f| !f.is_reversible).map(|f| f.name).next()
     }
 
     /// Returns the configured nodes, without those declared gone.
@@ -298,8 +298,8 @@
 
     /// Checks that the records of all nodes, reachable or not, declare support of a generation.
     fn check_supported(&self, view: &ClusterView, generation: Generation) -> Result<(), Blocker> {
-        for (node, seen) in self.active_nodes(view) {
-            match &seen.ability {
+        for (node, state) in self.active_nodes(view) {
+            match &state.ability {
                 None => return Err(Blocker::NoRecord(node.clone())),
                 Some(ability) if !ability.supports(generation) => {
                     return Err(Blocker::Unsupported(node.clone(), generation));
@@ -313,14 +313,14 @@
     /// Checks that all nodes are heard, match their records and know the current cluster record.
     fn check_up_to_date(&self, view: &ClusterView) -> Result<Vec<(String, u64)>, Blocker> {
         let mut nodes = Vec::new();
-        for (node, seen) in self.active_nodes(view) {
-            let is_up_to_date = seen.announcement.is_some_and(|announcement| {
-                announcement.started == seen.record_revision && announcement.knows == view.revision
+        for (node, state) in self.active_nodes(view) {
+            let is_up_to_date = state.announcement.is_some_and(|announcement| {
+                announcement.started == state.record_revision && announcement.knows == view.revision
             });
             if !is_up_to_date {
                 return Err(Blocker::NotCurrent(node.clone()));
             }
-            nodes.push((node.clone(), seen.record_revision));
+            nodes.push((node.clone(), state.record_revision));
         }
         Ok(nodes)
     }
--- a/crates/rollout/tests/exhaustive.rs
+++ b/crates/rollout/tests/exhaustive.rs
@@ -69,7 +69,7 @@
     /// Delayed writes.
     delayed: Vec<Write>,
     restarts: u8,
-    orders: bool,
+    rollback_ordered: bool,
 }
 
 /// An injected fault.
@@ -84,12 +84,12 @@
     NoListing,
 }
 
-fn cluster(cluster_key: ClusterKey) -> ClusterGeneration {
+fn cluster(key: ClusterKey) -> ClusterGeneration {
     use kiteyard_rollout::generation::Stage::*;
-    let stage = [Settled, Prepared, Soaking, Active, Migrating][cluster_key.2 as usize];
+    let stage = [Settled, Prepared, Soaking, Active, Migrating][key.2 as usize];
     ClusterGeneration {
-        from: cluster_key.0,
-        to: cluster_key.1,
+        from: key.0,
+        to: key.1,
         stage,
     }
 }
@@ -104,8 +104,8 @@
     }
 }
 
-fn reads(of: ClusterKey, fault: Fault) -> Vec<Generation> {
-    let cluster = cluster(of);
+fn read_formats(key: ClusterKey, fault: Fault) -> Vec<Generation> {
+    let cluster = cluster(key);
     match fault {
         Fault::NewFormatOnly if cluster.is_mixed() => vec![cluster.to],
         _ => cluster.read_generations().collect(),
@@ -118,7 +118,7 @@
 const MAX_STEPS: u8 = 10;
 
 impl State {
-    fn first() -> Self {
+    fn initial() -> Self {
         let process = |started| Process {
             most: 2,
             started,
@@ -131,12 +131,12 @@
             end: None,
             delayed: Vec::new(),
             restarts: 0,
-            orders: false,
+            rollback_ordered: false,
         }
     }
 
-    fn node_supports(&self, node: usize, of: ClusterKey) -> bool {
-        cluster(of).is_supported_by(&ability(self.processes[node].most))
+    fn node_supports(&self, node: usize, key: ClusterKey) -> bool {
+        cluster(key).is_supported_by(&ability(self.processes[node].most))
     }
 
     /// Returns the steps of the state machine if `node` leads, given what it knows.
@@ -144,10 +144,10 @@
         let leader = &self.processes[node];
         let no_old_records =
             fault == Fault::NoListing || self.end != Some(cluster(leader.knows.1).from);
-        let seen = |n: usize| {
+        let node_state = |n: usize| {
             let (most, started) = self.records[n];
             let process = &self.processes[n];
-            let seen = NodeState {
+            let state = NodeState {
                 ability: Some(ability(most)),
                 record_revision: started.into(),
                 announcement: (process.started > 0).then_some(NodeAnnouncement {
@@ -155,17 +155,17 @@
                     knows: process.knows.0.into(),
                 }),
             };
-            (format!("{n}"), seen)
+            (format!("{n}"), state)
         };
         let orders = Orders {
-            target: self.orders.then_some(1),
+            target: self.rollback_ordered.then_some(1),
             ..Orders::default()
         };
         let view = ClusterView {
             cluster: cluster(leader.knows.1),
             revision: leader.knows.0.into(),
             orders,
-            nodes: (0..NODES).map(seen).collect::<BTreeMap<_, _>>(),
+            nodes: (0..NODES).map(node_state).collect::<BTreeMap<_, _>>(),
             no_old_records,
         };
         let config = Config::parse("soak_s = 0", FEATURES).expect("a good file");
@@ -198,7 +198,7 @@
             if_cluster: knows.0,
         });
         writes.push(Write::Accept {
-            absent: reads(knows.1, fault),
+            absent: read_formats(knows.1, fault),
             if_cluster: knows.0,
         });
         if known.is_mixed() {
@@ -231,8 +231,8 @@
                 self.end.get_or_insert(*form);
             }
             Write::Accept { absent, if_cluster } => {
-                let elsewhere = |form| !absent.contains(&form);
-                if is_current(*if_cluster) && self.end.is_some_and(elsewhere) {
+                let is_unread = |form| !absent.contains(&form);
+                if is_current(*if_cluster) && self.end.is_some_and(is_unread) {
                     return Some("a job that has ended was accepted again");
                 }
             }
@@ -254,7 +254,7 @@
             // A process answers only from a cluster record that is known to be current.
             let answers =
                 process.knows.0 == self.cluster.0 && self.node_supports(node, process.knows.1);
-            if answers && !reads(process.knows.1, fault).contains(&end) {
+            if answers && !read_formats(process.knows.1, fault).contains(&end) {
                 return Some("the end of a job is not found in the formats that are read");
             }
             if answers && end > process.most {
@@ -316,9 +316,9 @@
                 None => Ok(state),
             });
         }
-        if !self.orders {
+        if !self.rollback_ordered {
             let mut state = self.clone();
-            state.orders = true;
+            state.rollback_ordered = true;
             all.push(Ok(state));
         }
         all
@@ -327,13 +327,13 @@
 
 /// Visits the reachable states; returns their number, whether both the upgrade and the rollback
 /// were completed, and the first violation.
-fn search(fault: Fault, most: usize) -> (usize, bool, Option<&'static str>) {
-    let mut seen = HashSet::from([State::first()]);
-    let mut queue = std::collections::VecDeque::from([State::first()]);
+fn search(fault: Fault, max_states: usize) -> (usize, bool, Option<&'static str>) {
+    let mut visited = HashSet::from([State::initial()]);
+    let mut queue = std::collections::VecDeque::from([State::initial()]);
     let (mut upgraded, mut rolled_back) = (false, false);
     while let Some(state) = queue.pop_front() {
         if let Some(violation) = state.violation(fault) {
-            return (seen.len(), upgraded && rolled_back, Some(violation));
+            return (visited.len(), upgraded && rolled_back, Some(violation));
         }
         upgraded |=
             state.cluster.1 == cluster_key(ClusterGeneration::settled(2)) && state.end == Some(2);
@@ -341,16 +341,16 @@
             state.cluster.0 > 5 && state.cluster.1 == cluster_key(ClusterGeneration::settled(1));
         for next in state.next(fault) {
             match next {
-                Err(violation) => return (seen.len(), upgraded && rolled_back, Some(violation)),
-                Ok(next) if seen.len() < most && !seen.contains(&next) => {
-                    seen.insert(next.clone());
+                Err(violation) => return (visited.len(), upgraded && rolled_back, Some(violation)),
+                Ok(next) if visited.len() < max_states && !visited.contains(&next) => {
+                    visited.insert(next.clone());
                     queue.push_back(next);
                 }
                 Ok(_) => {}
             }
         }
     }
-    (seen.len(), upgraded && rolled_back, None)
+    (visited.len(), upgraded && rolled_back, None)
 }
 
 #[test]
--- a/crates/rollout/tests/orders.rs
+++ b/crates/rollout/tests/orders.rs
@@ -91,10 +91,10 @@
 
 #[test]
 fn restarts_one_node_at_a_time_and_the_leader_last() {
-    let mut now = status();
+    let mut current = status();
     let mut order = Vec::new();
-    while let Ok(node) = restart_order::next_node(&now, Some("2")) {
-        let due = now
+    while let Ok(node) = restart_order::next_node(&current, Some("2")) {
+        let due = current
             .nodes
             .iter_mut()
             .find(|n| n.node == node)
@@ -104,7 +104,7 @@
     }
     assert_eq!(order, ["c", "a", "b"]);
     assert_eq!(
-        restart_order::next_node(&now, Some("2")),
+        restart_order::next_node(&current, Some("2")),
         Err(RestartBlocked::AllDone("2".into()))
     );
     let next_after = |change: &dyn Fn(&mut Status)| {
@@ -138,7 +138,7 @@
 }
 
 fn view(cluster: ClusterGeneration) -> ClusterView {
-    let seen = |started| NodeState {
+    let node_state = |started| NodeState {
         ability: Some(Ability {
             build: "1".into(),
             least: 1,
@@ -153,7 +153,7 @@
         cluster,
         revision: 9,
         orders: Orders::default(),
-        nodes: BTreeMap::from([("a".into(), seen(3)), ("b".into(), seen(4))]),
+        nodes: BTreeMap::from([("a".into(), node_state(3)), ("b".into(), node_state(4))]),
         no_old_records: false,
     }
 }
@@ -184,13 +184,13 @@
     // A node restarts within the soak: its record and its announcement are new.
     let mut restarted = soaking.clone();
     restarted.nodes.get_mut("b").expect("b").record_revision = 12;
-    let away = machine.step(s(109), &restarted);
-    assert!(matches!(&away[..], [Output::SoakRestarted(why)] if why.starts_with("b ")));
-    let told = NodeAnnouncement {
+    let interrupted = machine.step(s(109), &restarted);
+    assert!(matches!(&interrupted[..], [Output::SoakRestarted(why)] if why.starts_with("b ")));
+    let announcement = NodeAnnouncement {
         started: 12,
         knows: 9,
     };
-    restarted.nodes.get_mut("b").expect("b").announcement = Some(told);
+    restarted.nodes.get_mut("b").expect("b").announcement = Some(announcement);
     assert_eq!(machine.step(s(110), &restarted), [Output::SoakStarted]);
     assert_eq!(machine.blocker, Blocker::Soaking(s(120)));
     assert!(machine.step(s(119), &restarted).is_empty());
@@ -219,26 +219,26 @@
     down.cluster = ClusterGeneration::settled(2);
     assert_eq!(step(&down).0, prepared(2, 1));
     // A feature held back by one node is held back for all.
-    let mut held = settled(2);
-    let ability = held.nodes.get_mut("b").expect("b").ability.as_mut();
+    let mut held_back = settled(2);
+    let ability = held_back.nodes.get_mut("b").expect("b").ability.as_mut();
     ability.expect("an ability").held_to = Some(2);
-    assert_eq!(step(&held), (None, Blocker::AtTarget));
+    assert_eq!(step(&held_back), (None, Blocker::AtTarget));
     let mut paused = settled(1);
     paused.orders.paused = true;
     assert_eq!(step(&paused), (None, Blocker::Paused));
-    let mut silent = settled(1);
-    silent.nodes.get_mut("a").expect("a").ability = None;
-    assert_eq!(step(&silent), (None, Blocker::NoRecord("a".into())));
-    silent.orders.apply(&Order::Forget("a".into()));
-    assert_eq!(step(&silent).0, prepared(1, 2));
+    let mut undeclared = settled(1);
+    undeclared.nodes.get_mut("a").expect("a").ability = None;
+    assert_eq!(step(&undeclared), (None, Blocker::NoRecord("a".into())));
+    undeclared.orders.apply(&Order::Forget("a".into()));
+    assert_eq!(step(&undeclared).0, prepared(1, 2));
 }
 
 fn any_view() -> impl Strategy<Value = ClusterView> {
-    let told = prop::option::of((1..3u64, 8..10u64));
-    let told =
-        told.prop_map(|told| told.map(|(started, knows)| NodeAnnouncement { started, knows }));
-    let seen =
-        (prop::option::of(1..4u32), 1..3u64, told).prop_map(|(most, started, told)| NodeState {
+    let heard = prop::option::of((1..3u64, 8..10u64));
+    let heard =
+        heard.prop_map(|heard| heard.map(|(started, knows)| NodeAnnouncement { started, knows }));
+    let state =
+        (prop::option::of(1..4u32), 1..3u64, heard).prop_map(|(most, started, heard)| NodeState {
             ability: most.map(|most| Ability {
                 build: String::new(),
                 least: 1,
@@ -247,7 +247,7 @@
                 held_to: None,
             }),
             record_revision: started,
-            announcement: told,
+            announcement: heard,
         });
     let stages = prop::sample::select(vec![
         Stage::Prepared,
@@ -262,7 +262,7 @@
             false => moving(low + 1, low, stage),
         }),
     ];
-    let nodes = prop::collection::vec(seen, 1..4);
+    let nodes = prop::collection::vec(state, 1..4);
     let orders = (any::<bool>(), prop::option::of(1..4u32), any::<bool>());
     (cluster, nodes, orders, any::<bool>()).prop_map(|(cluster, nodes, orders, no_old_records)| {
         let named = nodes.into_iter().enumerate();
@@ -275,7 +275,7 @@
                 target: orders.1,
                 gone: gone.into_iter().collect(),
             },
-            nodes: named.map(|(at, seen)| (at.to_string(), seen)).collect(),
+            nodes: named.map(|(at, state)| (at.to_string(), state)).collect(),
             no_old_records,
         }
     })
@@ -295,32 +295,32 @@
         let mut machine = machine();
         machine.step(Duration::ZERO, &view);
         let later = Duration::from_secs(if soaked { 10 } else { 9 });
-        if let Some((next, named)) = stored(&machine.step(later, &view)) {
-            let now = view.cluster;
-            let counted: Vec<&NodeState> = view
+        if let Some((next, condition_count)) = stored(&machine.step(later, &view)) {
+            let current = view.cluster;
+            let active_nodes: Vec<&NodeState> = view
                 .nodes
                 .iter()
                 .filter(|(node, _)| !view.orders.gone.contains(*node))
-                .map(|(_, seen)| seen)
+                .map(|(_, state)| state)
                 .collect();
-            let able = |generation| counted.iter().all(|seen| {
-                seen.ability.as_ref().is_some_and(|a| a.supports(generation))
+            let all_support = |generation| active_nodes.iter().all(|state| {
+                state.ability.as_ref().is_some_and(|a| a.supports(generation))
             });
-            let here = counted.iter().all(|seen| {
-                seen.announcement
-                    == Some(NodeAnnouncement { started: seen.record_revision, knows: 9 })
+            let all_current = active_nodes.iter().all(|state| {
+                state.announcement
+                    == Some(NodeAnnouncement { started: state.record_revision, knows: 9 })
             });
             prop_assert!(!view.orders.paused && next.is_valid());
             prop_assert!(next.from.abs_diff(next.to) <= 1);
-            if next.is_mixed() && !now.is_mixed() {
-                prop_assert!(able(next.to) && here && named == counted.len());
+            if next.is_mixed() && !current.is_mixed() {
+                prop_assert!(all_support(next.to) && all_current && condition_count == active_nodes.len());
                 prop_assert!(soaked || next.to < next.from);
             }
-            if now.is_mixed() && !next.is_mixed() {
-                prop_assert!(view.no_old_records && next == ClusterGeneration::settled(now.to));
+            if current.is_mixed() && !next.is_mixed() {
+                prop_assert!(view.no_old_records && next == ClusterGeneration::settled(current.to));
             }
             if next.stage == Stage::Prepared {
-                prop_assert!(able(next.to));
+                prop_assert!(all_support(next.to));
             }
         }
     }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -193,7 +193,7 @@
                     kind,
                     stopping: placement.stopping(),
                     service: services.get(&key.0.job).copied(),
-                    has_room: self.has_capacity_elsewhere(id, placement, now),
+                    has_capacity_elsewhere: self.has_capacity_elsewhere(id, placement, now),
                     lost_work: unsaved_run_time(placement, now),
                 })
             })
