--- a/crates/scale-test/src/config.rs
+++ b/crates/scale-test/src/config.rs
@@ -236,7 +236,7 @@
 const MAX_WORKERS: usize = 20_000;
 const MAX_TEAMS: usize = 1_000;
 const MAX_DURATION_S: f64 = 7_200.0;
-const MAX_NAME_LENGTH: usize = 64;
+const MAX_NAME_LEN: usize = 64;
 /// Upper bound of all amounts, above any that a run on one machine can use.
 const MAX_AMOUNT: f64 = 1e6;
 
@@ -291,7 +291,7 @@
 
     fn check_name(&self) -> Result<(), ConfigError> {
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
-        let length = 1..=MAX_NAME_LENGTH;
+        let length = 1..=MAX_NAME_LEN;
         if !length.contains(&self.name.len()) || !self.name.chars().all(is_allowed) {
             return field_error(
                 "name",
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -196,16 +196,16 @@
 
     /// Returns controllers whose process has exited unexpectedly.
     pub fn exited(&mut self) -> Vec<usize> {
-        let mut ended = Vec::new();
+        let mut exited = Vec::new();
         for (index, child) in self.children.iter_mut().enumerate() {
-            let exited = child
+            let has_exited = child
                 .as_mut()
                 .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))));
-            if exited {
-                ended.push(index);
+            if has_exited {
+                exited.push(index);
             }
         }
-        ended
+        exited
     }
 }
 
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -62,7 +62,7 @@
 struct Slot {
     number: u64,
     zone: String,
-    rented: Duration,
+    rented_at: Duration,
     booted_at: Duration,
     worker: Mutex<HollowWorker>,
     changed: Notify,
@@ -73,7 +73,7 @@
 enum SlotState {
     Up,
     Failed,
-    Gone,
+    Released,
 }
 
 /// Counters since the start.
@@ -217,13 +217,13 @@
             lease: Duration::from_secs_f64(shared.config.lease_s),
         };
         let name = spec.name.clone();
-        let up = now + boot_time;
-        let worker = HollowWorker::new(spec, shared.jobs.clone(), shared.seed ^ number, up);
+        let booted_at = now + boot_time;
+        let worker = HollowWorker::new(spec, shared.jobs.clone(), shared.seed ^ number, booted_at);
         let slot = Arc::new(Slot {
             number,
             zone: zone.to_owned(),
-            rented: now,
-            booted_at: up,
+            rented_at: now,
+            booted_at,
             worker: Mutex::new(worker),
             changed: Notify::new(),
             state: Mutex::new(SlotState::Up),
@@ -483,7 +483,7 @@
             let attitude = match *lock(&slot.state) {
                 SlotState::Up if slot.booted_at > now => MachineState::Starting,
                 SlotState::Up => MachineState::Running,
-                SlotState::Failed | SlotState::Gone => MachineState::Failed,
+                SlotState::Failed | SlotState::Released => MachineState::Failed,
             };
             Machine {
                 uid: name.clone(),
@@ -492,7 +492,7 @@
                 field: slot.zone.clone(),
                 gusts: false,
                 attitude,
-                age_s: now.saturating_sub(slot.rented).as_secs_f64(),
+                age_s: now.saturating_sub(slot.rented_at).as_secs_f64(),
             }
         });
         let machines = machines.collect();
@@ -528,7 +528,7 @@
         for name in names {
             let slot = self.inner().by_name.get(name).cloned();
             let Some(slot) = slot else { continue };
-            self.stop(&slot, SlotState::Gone);
+            self.stop(&slot, SlotState::Released);
             let mut inner = self
                 .shared
                 .inner
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -51,7 +51,7 @@
     },
     /// The run was interrupted.
     #[error("run interrupted")]
-    Stopped,
+    Interrupted,
 }
 
 /// Participants of a run.
@@ -76,7 +76,7 @@
     let mut cell = Cell::start(config, directory).await?;
     tokio::select! {
         result = cell.measure(load_average_before) => Ok(result),
-        _ = tokio::signal::ctrl_c() => Err(RunError::Stopped),
+        _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
     }
 }
 
@@ -149,15 +149,15 @@
     }
 
     async fn measure(&mut self, load_average_before: f64) -> RunResult {
-        let start_time = self.observer.now();
-        let from = start_time + Duration::from_secs_f64(self.config.duration.warmup_s);
+        let started_at = self.observer.now();
+        let from = started_at + Duration::from_secs_f64(self.config.duration.warmup_s);
         let until = from + Duration::from_secs_f64(self.config.duration.measured_s);
         self.observer.set_window(from, until);
         let users = self.users.clone();
         let submission_task = tokio::spawn(async move { users.submit_until(until).await });
-        self.inject_faults(start_time, from).await;
+        self.inject_faults(started_at, from).await;
         let first = self.snapshot();
-        self.inject_faults(start_time, until).await;
+        self.inject_faults(started_at, until).await;
         let last = self.snapshot();
         submission_task.abort();
         let drain_until = until + Duration::from_secs_f64(self.config.duration.drain_s);
@@ -166,14 +166,14 @@
     }
 
     /// Injects the faults that are due until a time, and restarts killed controllers.
-    async fn inject_faults(&mut self, start_time: Duration, until: Duration) {
+    async fn inject_faults(&mut self, started_at: Duration, until: Duration) {
         let mut restarts: Vec<(Duration, usize)> = Vec::new();
         let restart_after = Duration::from_secs_f64(self.config.controllers.restart_s);
         loop {
             let now = self.observer.now();
             let mut due = Vec::new();
             self.config.faults.retain(|fault| {
-                let is_due = start_time + fault.at() <= now;
+                let is_due = started_at + fault.at() <= now;
                 if is_due {
                     due.push(fault.clone());
                 }
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -149,7 +149,7 @@
     requests: AtomicU64,
     refused: AtomicU64,
     traffic: Arc<Traffic>,
-    started: Instant,
+    started_at: Instant,
 }
 
 #[derive(Serialize)]
@@ -186,7 +186,7 @@
                 requests: AtomicU64::new(0),
                 refused: AtomicU64::new(0),
                 traffic: Arc::default(),
-                started: Instant::now(),
+                started_at: Instant::now(),
             }),
         };
         let handler = service.clone();
@@ -218,7 +218,7 @@
         let shared = &self.shared;
         shared.requests.fetch_add(1, Ordering::Relaxed);
         tokio::time::sleep(shared.settings.availability.latency).await;
-        let now = shared.started.elapsed();
+        let now = shared.started_at.elapsed();
         if shared.settings.availability.in_outage(now) {
             return Reply::new(503, r#"{"error":"trouble"}"#);
         }
--- a/crates/stand-ins/src/rate_limit.rs
+++ b/crates/stand-ins/src/rate_limit.rs
@@ -8,7 +8,7 @@
     rate: f64,
     burst: f64,
     tokens: f64,
-    refilled: Duration,
+    refilled_at: Duration,
 }
 
 impl RateLimit {
@@ -18,7 +18,7 @@
             rate,
             burst,
             tokens: burst,
-            refilled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 
@@ -30,9 +30,9 @@
 
     /// Takes `amount` if the bucket holds it; an amount above the burst is never admitted.
     pub fn admit(&mut self, now: Duration, amount: f64) -> bool {
-        let passed = now.saturating_sub(self.refilled).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate).min(self.burst);
-        self.refilled = self.refilled.max(now);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
         if self.tokens < amount {
             return false;
         }
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -133,7 +133,7 @@
     changed: Notify,
     counters: Counters,
     traffic: Arc<Traffic>,
-    started: Instant,
+    started_at: Instant,
 }
 
 #[derive(Deserialize)]
@@ -266,7 +266,7 @@
                 changed: Notify::new(),
                 counters: Counters::default(),
                 traffic: Arc::default(),
-                started: Instant::now(),
+                started_at: Instant::now(),
             }),
         };
         tokio::spawn(service.clone().expire_leases());
@@ -315,7 +315,7 @@
     }
 
     fn now(&self) -> Duration {
-        self.shared.started.elapsed()
+        self.shared.started_at.elapsed()
     }
 
     fn in_outage(&self) -> bool {
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -220,7 +220,7 @@
     seq: u64,
     token: u64,
     tasks: BTreeMap<(String, u64), WorkerTask>,
-    gone: bool,
+    released: bool,
 }
 
 struct WorkerTask {
@@ -288,7 +288,7 @@
     for name in body["perches"].as_array().into_iter().flatten() {
         let mut machines = cloud.machines.lock().expect("not poisoned");
         if let Some(worker) = machines.remove(name.as_str().unwrap_or_default()) {
-            worker.lock().expect("not poisoned").gone = true;
+            worker.lock().expect("not poisoned").released = true;
         }
     }
     json_response(200, &json!({}))
@@ -305,7 +305,7 @@
             seq: 0,
             token: 0,
             tasks: BTreeMap::new(),
-            gone: false,
+            released: false,
         }));
         let (shared, run_time) = (worker.clone(), self.run_time);
         let endpoint = serve(poem::endpoint::make(move |mut request: Request| {
@@ -347,7 +347,7 @@
     loop {
         let report = {
             let mut worker = worker.lock().expect("not poisoned");
-            if worker.gone {
+            if worker.released {
                 return;
             }
             worker.report().to_string()
