--- a/crates/licences/src/history.rs
+++ b/crates/licences/src/history.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Removes the oldest ended periods over the bound; an open one is never removed.
+    /// Removes the oldest ended periods beyond the bound; an open one is never removed.
     fn trim(&mut self) {
         while self.periods.len() > self.max {
             let ended = self
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -247,7 +247,7 @@
     assert_fault_detected(Fault::LimitLoweredAfterTheAnswer, bounds(2, 2, 1, &[0]));
 }
 
-/// This fault can't violate an invariant here: the lender counts a loan before its grant is sent,
+/// This fault violates no invariant: the lender counts a loan before its grant is sent,
 /// and the tasks of a former leader count against its successor's limit. The state machine waits
 /// for the answer nevertheless.
 #[test]
--- a/crates/rollout/src/state_machine.rs
+++ b/crates/rollout/src/state_machine.rs
@@ -64,7 +64,7 @@
     },
     /// All nodes are ready, and the soak has started.
     SoakStarted,
-    /// The soak was interrupted for this reason and starts over.
+    /// The soak was interrupted for this reason and restarts.
     SoakRestarted(String),
 }
 
@@ -287,7 +287,7 @@
         undone.filter(|f| !f.is_reversible).map(|f| f.name).next()
     }
 
-    /// Returns the configured nodes, without those declared gone.
+    /// Returns the configured nodes, without those declared removed.
     fn active_nodes<'a>(
         &self,
         view: &'a ClusterView,
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -44,7 +44,7 @@
     pub leads: bool,
     /// Whether it was heard recently.
     pub here: bool,
-    /// Whether operators declared it gone.
+    /// Whether operators declared it permanently removed.
     pub gone: bool,
     /// Its build; `None` if it has not declared one.
     pub build: Option<String>,
@@ -73,7 +73,7 @@
     pub paused: bool,
     /// Generation that operators ordered instead of the newest.
     pub target: Option<Generation>,
-    /// Nodes that operators declared gone.
+    /// Nodes that operators declared permanently removed.
     pub gone: BTreeSet<String>,
     /// All configured nodes, by name.
     pub nodes: Vec<NodeStatus>,
--- a/crates/rollout/tests/orders.rs
+++ b/crates/rollout/tests/orders.rs
@@ -132,7 +132,7 @@
         next_after(&|s| s.nodes[0].leads = false),
         Err(RestartBlocked::NoLeader)
     );
-    // A node declared gone is not waited for.
+    // A node declared removed is not waited for.
     let gone = next_after(&|s| (s.nodes[1].here, s.nodes[1].gone) = (false, true));
     assert_eq!(gone, Ok("c".into()));
 }
