--- a/tests/world/combined_faults.rs
+++ b/tests/world/combined_faults.rs
@@ -48,7 +48,7 @@
         self.push(begins + duration, Event::OutageEnded);
     }
 
-    /// Like `refusal_then_outage`, but nobody tells the leader to step down: it acts to the end of
+    /// Like `refusal_then_outage`, but no node tells the leader to step down: it acts to the end of
     /// its term, and the outage starts just after another node has claimed the leadership.
     pub fn outage_after_claim(&mut self, leader: usize, duration: Duration) {
         self.refused_until[leader] = self.now + duration;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Time at which a transaction without an answer is applied, if this is one.
+    /// Returns when a transaction is applied late and without an answer, or `None`; records claims.
     pub fn late_apply_time(&mut self, request: &StateRequest) -> Option<Duration> {
         let StateRequest::Txn { changes, .. } = request else {
             return None;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Whether a watch that does not wait counts as a proof without its events.
+    /// Whether a watch that does not wait is answered without events, as if none were missing.
     pub fn skips_watch_proof(&mut self, node: usize, defect: Defect) -> bool {
         match defect {
             Defect::UnverifiedAnswers => true,
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Cancels most services soon, through any node but this one.
+    /// Cancels most services after the given time, through any node but this one.
     pub fn withdraw_services(&mut self, not_by: usize, after: Duration) {
         for i in self.services() {
             if self.rng.random_bool(0.8) {
--- a/tests/world/controller_downtime.rs
+++ b/tests/world/controller_downtime.rs
@@ -17,9 +17,9 @@
 enum HandoverProgress {
     #[default]
     None,
-    /// The first leader was asked to step down at this time.
+    /// The first leader received a request to step down at this time.
     FirstAsked(Duration),
-    /// The second leader was asked to step down as well.
+    /// The second leader received one as well; the time is that of the first request.
     SecondAsked(Duration),
 }
 
@@ -84,7 +84,7 @@
 
 fn world(scale: Scale, seed: u64, defect: Defect, faults: &[(u64, Fault, u64)]) -> World {
     let mut world = World::with_scale(scale, seed, defect);
-    // Operators can ask a leader to step down only where rollouts are enabled.
+    // Operators can request a step-down only where rollouts are enabled.
     if faults.iter().any(|t| t.1 == Fault::HandOverAndBack) {
         world = world.with_rollout("4");
     }
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -98,8 +98,8 @@
     OldBuildReturns,
     /// Operators order a downgrade to the old storage format.
     Downgrade,
-    /// The leader's claim is deleted while the leader goes on leading its zone: the effect of an
-    /// unsafe handover.
+    /// The leader's claim is deleted while the leader continues to lead its zone: the effect of
+    /// an unsafe handover.
     ClaimDeletedEarly,
 }
 
--- a/tests/world/late_commands.rs
+++ b/tests/world/late_commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands that are delayed, unanswered, and executed once if token and session still
+//! Direct commands that are delayed, unanswered, and executed on arrival if token and session still
 //! match; and bursts of cancellations whose machines hang.
 
 use std::time::Duration;
@@ -20,7 +20,7 @@
     until: Duration,
     /// Commands that arrived after their worker had seen a later claim.
     pub after_newer_leader: u64,
-    /// Commands that arrived after their session was over.
+    /// Commands that arrived after their session had ended.
     pub after_session: u64,
     /// Machines that hung with a cancelled task on them.
     pub hung_with_cancelled: usize,
@@ -67,8 +67,8 @@
     }
 }
 
-/// Delays commands while machines hang beyond their lease or learn of a newer token by no report,
-/// and while leaders crash or are deposed.
+/// Delays commands while machines hang beyond their lease, or cannot report and so miss a newer
+/// token, and while leaders crash or are deposed.
 fn world(scale: Scale, seed: u64, defect: Defect) -> World {
     let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
     for (at, fault, seconds) in [
@@ -131,7 +131,7 @@
     assert_caught(Defect::AcceptsOldTokens);
 }
 
-/// Two bursts of cancellations over long tasks, whose machines hang within their lease and beyond
+/// Two bursts of cancellations of long tasks, whose machines hang within their lease and beyond
 /// it, and a leader that crashes.
 fn burst(seed: u64, defect: Defect) -> World {
     let mut world = World::with_scale(LONG, seed, defect).with_quick_restarts();
--- a/tests/world/late_writes.rs
+++ b/tests/world/late_writes.rs
@@ -59,8 +59,8 @@
     assert_caught(Defect::UnconditionalResults, &[LATE_WRITES], "shrank");
 }
 
-/// A claim that only checks that the key is absent could be applied after another claim has come
-/// and gone.
+/// A claim that only checks that the key is absent could be applied after another claim was made
+/// and deleted.
 #[test]
 fn a_claim_that_is_applied_late_never_stands() {
     let faults = [(Fault::LeaderCrash, 0), (Fault::AllCrash, 0)];
--- a/tests/world/leader_refusal.rs
+++ b/tests/world/leader_refusal.rs
@@ -42,7 +42,8 @@
     assert_rules_hold(Fault::OutageAfterClaim);
 }
 
-/// Guards against a term that grows with the claim alone and goes on without the cancellations.
+/// Guards against a leader whose term is extended by its claim alone, although it has not seen the
+/// cancellations.
 #[test]
 fn cancelled_tasks_stop_in_time_when_the_leaders_watch_is_silent() {
     assert_rules_hold(Fault::SilentWatch);
--- a/tests/world/liveness.rs
+++ b/tests/world/liveness.rs
@@ -11,16 +11,16 @@
     sim::{CPUS, Defect, Job, MEDIUM, Scale, World, ZONES},
 };
 
-/// With a lease of 15 s, the protocol's 90 s are six leases.
+/// Maximum wait in leases: the protocol allows 90 s for a lease of 15 s.
 const MAX_WAIT_LEASES: u32 = 6;
-/// Seconds in which the faults are active, where limits bind.
+/// Seconds in which the faults are active and team limits bind.
 const FAULT_SECONDS: std::ops::Range<u64> = 20..40;
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Since when each machine has had room for a waiting task of each job, without interruption.
+/// Tracks for how long each machine has continuously had room for a waiting task of each job.
 #[derive(Default)]
 pub struct Liveness {
-    /// Time by which all faults are over; waiting jobs are not checked where it is not set.
+    /// Time by which all faults have ended; waiting jobs are not checked if it is not set.
     pub check_from: Option<Duration>,
     next_check: Duration,
     room_since: BTreeMap<JobId, BTreeMap<String, Duration>>,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Records since when the machines have had room, and reports a violation where enough of them
-    /// had it for too long.
+    /// Records since when the machines have had room, and reports a violation if enough of them
+    /// have had it for too long.
     fn check_left_waiting(
         &mut self,
         id: JobId,
@@ -204,7 +204,7 @@
     }
 }
 
-/// Whether the minimum that may start of a job fits on these machines together.
+/// Whether these machines have room for all tasks of a gang, or for one task of any other job.
 fn fits_minimum(spec: &JobSpec, capacities: &[&FreeCapacity]) -> bool {
     if spec.kind != Kind::Gang {
         return !capacities.is_empty();
@@ -234,13 +234,13 @@
     }
 }
 
-/// Long enough after the last fault.
+/// Runs long enough after the last fault to show whether jobs are left waiting.
 const LONG_SETTLING: Scale = Scale {
     duration: Duration::from_secs(110),
     ..MEDIUM
 };
 
-/// Both teams have less than their jobs request.
+/// Team limits below what the jobs of both teams request.
 const AT_LIMIT: Scale = Scale {
     team_limit: 16.0,
     second_team_limit: 12.0,
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -124,7 +124,7 @@
     assert_caught(Defect::UnverifiedAnswers, "went_back");
 }
 
-/// Membership faults, run alone and in pairs in which the second fault meets the service while it
+/// Membership faults, run alone and in pairs in which the second fault hits the service while it
 /// recovers.
 const MEMBERSHIP_FAULTS: [(Fault, u64); 9] = [
     (Fault::LeaderLosesWorkers, 15),
@@ -246,7 +246,7 @@
     (Fault::LeaderIsolatedWithZone, 35),
 ];
 
-/// The last fault of a world ends longer than this before the end of the run.
+/// Maximum age of a job's last answer at the end of a run; all faults are over before that.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn assert_rules_hold_with_network_fault(fault: (Fault, u64)) {
--- a/tests/world/new_machines.rs
+++ b/tests/world/new_machines.rs
@@ -63,7 +63,7 @@
         let leader = self.leading();
         let end = self.now + ms(self.rng.random_range(0..400));
         self.push(end, Event::Crash(leader));
-        // The next leader does not hear from half of these machines at once.
+        // Half of these machines hang, so that they do not report to the next leader at first.
         if self.rng.random_bool(0.5) {
             self.hang(name, self.now + ms(4_500));
         }
--- a/tests/world/observer.rs
+++ b/tests/world/observer.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether the job was reported as cancelled longer ago than its tasks may go on.
+    /// Whether the job was reported as cancelled longer ago than its tasks may continue to run.
     fn cancelled_long_ago(&self, now: Duration, task: &TaskId) -> bool {
         let report = self.reports.get(&task.job);
         let at = report.and_then(|report| report.cancelled_at);
@@ -110,14 +110,14 @@
         found
     }
 
-    /// Time at which a user was first told that a dependency of this job is cancelled.
+    /// Time at which a dependency of this job was first reported as cancelled.
     fn orphaned_since(&self, id: &JobId) -> Option<Duration> {
         let ancestors = self.ancestors(id);
         let reports = ancestors.iter().filter_map(|id| self.reports.get(id));
         reports.filter_map(|report| report.cancelled_at).min()
     }
 
-    /// Whether a dependency was cancelled longer ago than this job's tasks may go on.
+    /// Whether a dependency was cancelled longer ago than this job's tasks may continue to run.
     fn orphaned_long_ago(&self, now: Duration, id: &JobId) -> bool {
         let since = self.orphaned_since(id);
         since.is_some_and(|since| now > since + self.cancel_within)
@@ -129,7 +129,7 @@
         !withdrawn(id) && self.ancestors(id).iter().any(withdrawn)
     }
 
-    /// Whether all tasks of all its dependencies are done.
+    /// Whether all tasks of all dependencies of the job are done.
     pub fn may_start(&self, spec: &JobSpec) -> bool {
         spec.needs.iter().all(|need| {
             let tasks = self.pipelines.get(need).map_or(0, |(tasks, _)| *tasks);
@@ -279,7 +279,7 @@
     /// job that depends on a cancelled one is accepted at any time.
     pub fn record_active(&mut self, now: Duration, id: &JobId, state: JobState) {
         if self.orphaned_long_ago(now, id) {
-            self.report_violation(now, "orphaned", format!("{id} told as {state:?}"));
+            self.report_violation(now, "orphaned", format!("{id} reported as {state:?}"));
         }
     }
 
--- a/tests/world/old_reports.rs
+++ b/tests/world/old_reports.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// Leaders change four times, once with a crash of all nodes, while reports are old.
+/// Leaders change four times, once with a crash of all nodes, while old reports arrive.
 fn world(scale: Scale, seed: u64, fault: Fault, defect: Defect) -> World {
     let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
     world = world.with_fault(12_000, fault, Duration::from_secs(45));
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -212,7 +212,7 @@
     }
 }
 
-/// The leader crashes at every write of the new format, just before and just after it.
+/// The leader crashes at every write of the new format, just before or just after the write.
 #[test]
 fn a_leader_may_crash_at_any_write_of_the_switch() {
     let upgraded = || {
@@ -365,8 +365,8 @@
     world
 }
 
-/// A leader that crashes while a zone is partitioned leaves its successor the time of the
-/// partition.
+/// A leader that crashes while a zone is partitioned has stored the time of the partition for its
+/// successor.
 #[test]
 fn a_successor_during_a_partition_does_not_wait_a_whole_lease_again() {
     let waits = |seed, generation| {
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -64,7 +64,7 @@
     /// Last time at which a leader had machines whose tasks it did not know.
     pub last_unresolved: Duration,
     last_told: Option<NodeAnnouncement>,
-    /// The node that was asked to step down, and whether that node is the one that crashes.
+    /// Node that received a request to step down, and whether that node is the one that crashes.
     pub step_down_node: Option<usize>,
     pub spare_successor: bool,
 }
@@ -302,8 +302,8 @@
         self.push(self.now + ms(700), Event::Drain(machines));
     }
 
-    /// Checks that no start command goes to a machine after its operator was told that it is
-    /// drained.
+    /// Checks that no start command goes to a machine after its drain was confirmed to the
+    /// operator.
     pub fn check_cordons(&mut self, output: &Output) {
         let starts = |commands: &[Command]| {
             let mut starts = commands.iter();
@@ -375,7 +375,7 @@
         request
     }
 
-    /// Whether a leader that removes a zone is told so without the write being applied.
+    /// Whether the removal of a zone is confirmed to the leader without the write being applied.
     pub fn fakes_zone_removal(&self, request: &StateRequest) -> bool {
         let StateRequest::Txn { changes, .. } = request else {
             return false;
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -101,7 +101,7 @@
     Stop(usize),
     /// The node's process restarts with a build from before generations.
     RestartOldBuild(usize),
-    /// The leader is asked to hand over.
+    /// The leader receives a request to step down.
     StepDown,
     /// A drain of these machines is requested until it is accepted.
     Drain(Vec<String>),
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Records that a user was told a state of the job.
+    /// Records that a state of the job was reported to a user.
     pub(super) fn record_stage_answer(&mut self, number: usize) {
         let now = self.now;
         self.pipelines.accepted.entry(number).or_insert(now);
@@ -251,7 +251,7 @@
         self.pipelines.counts.claims_while_waiting += u64::from(waiting);
     }
 
-    /// Jobs of pipelines of which nobody was told a terminal state.
+    /// Jobs of pipelines whose terminal state no user has seen.
     pub fn unfinished_stages(&self) -> Vec<(JobId, Option<JobState>)> {
         let all = self.pipelines.all.iter().flat_map(|p| &p.jobs);
         let left = all.filter(|number| !self.jobs[**number].ended);
@@ -315,7 +315,7 @@
         self
     }
 
-    /// Sends such a submission to any node, until it is refused.
+    /// Sends a submission with an unknown dependency to any node, repeatedly until it is refused.
     pub(super) fn submit_unknown_dependency(&mut self, number: usize) {
         if self.pipelines.unknown[number].refused {
             return;
--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Whether a user was told that this job has ended.
+    /// Whether this job was reported to a user as ended.
     fn has_ended(&self, id: &JobId) -> bool {
         let ended = |state| matches!(state, JobState::Done | JobState::Cancelled);
         self.observer.state(id).is_some_and(ended)
@@ -413,8 +413,8 @@
                     accepted_ms: 1,
                 };
                 event.value = serde_json::value::to_raw_value(&record).ok();
-                // Must be newer than the end: a node ignores what is older than an end that it
-                // stored.
+                // Must be newer than the terminal state: a node ignores events that are older
+                // than a terminal state it has stored.
                 event.revision += 1;
             }
         }
@@ -438,7 +438,7 @@
         self
     }
 
-    /// Jobs of which nobody was told a terminal state, with their teams and states.
+    /// Jobs whose terminal state no user has seen, with their teams and states.
     pub fn unfinished_jobs(&self) -> Vec<(JobId, String, Option<JobState>)> {
         let left = self.jobs.iter().filter(|job| !job.ended);
         let reported = left.map(|job| {
--- a/tests/world/sim/scale.rs
+++ b/tests/world/sim/scale.rs
@@ -78,7 +78,7 @@
     ..SMALL
 };
 
-/// Tasks that run for 12 to 46 s, so that those of one job end far apart.
+/// Tasks that run for 12 to 46 s, so that those of one job end at very different times.
 pub const LONG: Scale = Scale {
     duration_factor: 8,
     array_factor: 1,
--- a/tests/world/sim/state_service.rs
+++ b/tests/world/sim/state_service.rs
@@ -18,8 +18,8 @@
     ) {
         let now = self.now;
         if self.state_unreachable_until[node] > now {
-            // The sender has given up by then; half of the requests still arrive when the partition
-            // is over.
+            // The sender has given up by then; half of the requests still arrive after the
+            // partition.
             if self.rng.random_bool(0.5) {
                 let late = self.state_unreachable_until[node] + ms(self.rng.random_range(1..50));
                 self.push(late, Event::StateCall(node, 0, call, request));
@@ -90,7 +90,7 @@
 
     pub fn wake_watches(&mut self) {
         for (node, epoch, call, request, until) in std::mem::take(&mut self.watches) {
-            // Watches that are open when a node is partitioned return nothing more either.
+            // Expired watches, and open watches of a partitioned node, get no answer.
             if self.now >= until || self.state_unreachable_until[node] > self.now {
                 continue;
             }
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -185,7 +185,7 @@
                     Some((TaskPhase::Running, until))
                 }
                 TaskPhase::Waiting if now >= until => {
-                    // Running members of its gang make it run too.
+                    // With a complete gang, the branch above sets the task running instead.
                     Some((TaskPhase::Exited(ExitReason::Incomplete), now))
                 }
                 TaskPhase::Running if faulty => Some((TaskPhase::Exited(ExitReason::Error), now)),
