--- a/tests/world/fault_pairs.rs
+++ b/tests/world/fault_pairs.rs
@@ -89,7 +89,7 @@
     pairs(MEDIUM, 8);
 }
 
-/// Tasks of one job that end at different times, on machines that keep them when the leader changes.
+/// Tasks of one job end at different times, on machines that keep them when the leader changes.
 #[test]
 fn rules_hold_when_two_faults_coincide_over_long_tasks() {
     pairs(LONG, 8);
