--- a/tests/world/answers.rs
+++ b/tests/world/answers.rs
@@ -45,7 +45,7 @@
 fn assert_caught(defect: Defect, faults: &[(Fault, Duration)], rule: &str) {
     let hit = |seed| {
         let violations = world(SHORT, seed, defect, faults).observer.violations();
-        violations.iter().any(|b| b.starts_with(rule))
+        violations.iter().any(|v| v.starts_with(rule))
     };
     assert!((0..12).any(hit), "{defect:?} was not caught as {rule}");
 }
@@ -146,9 +146,9 @@
         world.liveness.check_from = Some(Duration::from_secs(10));
         world.run();
         let (done, cancelled) = world.ended_counts();
-        let left = world.unfinished_jobs();
+        let unfinished = world.unfinished_jobs();
         let counts = &world.requests.counts;
-        let context = format!("seed {seed}: {done}, {cancelled}, {counts:?}, {left:?}");
+        let context = format!("seed {seed}: {done}, {cancelled}, {counts:?}, {unfinished:?}");
         assert_eq!(
             world.observer.violations(),
             Vec::<String>::new(),
@@ -172,14 +172,14 @@
     ];
     for seed in seeds(2) {
         for (fault, duration) in failovers {
-            for before in [0, 400, 1_500] {
+            for delay_ms in [0, 400, 1_500] {
                 let mut world =
                     World::with_scale(MANY_JOBS, seed, Defect::None).with_quick_restarts();
                 for (fault, duration) in [POLLS, AT_COMPLETION] {
                     world = world.with_fault(3_000, fault, duration);
                 }
                 world = world.with_fault(20_000, fault, Duration::from_secs(duration));
-                world = world.with_fault(20_000 + before, Fault::CancelBurst, Duration::ZERO);
+                world = world.with_fault(20_000 + delay_ms, Fault::CancelBurst, Duration::ZERO);
                 world.run();
                 let context = format!("seed {seed}, {fault:?}, {:?}", world.requests.counts);
                 assert_eq!(
@@ -227,7 +227,7 @@
     let caught = |seed| {
         let violations = cancel_burst_at_refusal(seed, Defect::CountsRenewalFromAnswer);
         let violations = violations.observer.violations();
-        violations.iter().any(|b| b.starts_with("ran_cancelled"))
+        violations.iter().any(|v| v.starts_with("ran_cancelled"))
     };
     assert!((0..8).any(caught));
 }
--- a/tests/world/blocked_reports.rs
+++ b/tests/world/blocked_reports.rs
@@ -89,6 +89,6 @@
         let world = blocked_world(LONG, seed, Defect::IgnoresWorkerLeases);
         world.observer.violations()
     };
-    let caught = |seed| violations(seed).iter().any(|b| b.starts_with("ran_twice"));
+    let caught = |seed| violations(seed).iter().any(|v| v.starts_with("ran_twice"));
     assert!((0..6).any(caught));
 }
--- a/tests/world/combined_faults.rs
+++ b/tests/world/combined_faults.rs
@@ -41,11 +41,11 @@
     /// Makes the state service refuse the leader alone while users cancel services through the
     /// other nodes, and then makes it unavailable to all nodes for longer than `cancel_s`.
     pub fn refusal_then_outage(&mut self, leader: usize, duration: Duration) {
-        let begins = self.now + ms(self.rng.random_range(600..4_000));
+        let outage_start = self.now + ms(self.rng.random_range(600..4_000));
         self.refused_until[leader] = self.now + duration;
         self.withdraw_services(leader, ms(300));
-        self.push(begins, Event::OutageStarted);
-        self.push(begins + duration, Event::OutageEnded);
+        self.push(outage_start, Event::OutageStarted);
+        self.push(outage_start + duration, Event::OutageEnded);
     }
 
     /// Like `refusal_then_outage`, but no node tells the leader to step down: it acts to the end of
@@ -185,18 +185,18 @@
         if changes.iter().any(claims)
             && let Some(duration) = self.combined_faults.outage_at_claim.take()
         {
-            let begins = self.now + ms(self.rng.random_range(1..90));
-            self.push(begins, Event::OutageStarted);
-            self.push(begins + duration, Event::OutageEnded);
+            let outage_start = self.now + ms(self.rng.random_range(1..90));
+            self.push(outage_start, Event::OutageStarted);
+            self.push(outage_start + duration, Event::OutageEnded);
         }
     }
 
     /// Cancels most services after the given time, through any node but this one.
-    pub fn withdraw_services(&mut self, not_by: usize, after: Duration) {
+    pub fn withdraw_services(&mut self, excluded_node: usize, after: Duration) {
         for i in self.services() {
             if self.rng.random_bool(0.8) {
                 self.withdraw(i, self.now + after);
-                let node = (not_by + 1 + self.rng.random_range(0..NODES - 1)) % NODES;
+                let node = (excluded_node + 1 + self.rng.random_range(0..NODES - 1)) % NODES;
                 for again in [100, 900, 1_700] {
                     let at = self.now + after + ms(again + self.rng.random_range(0..400));
                     self.push(at, Event::UserPollAt(i, node));
--- a/tests/world/controller_downtime.rs
+++ b/tests/world/controller_downtime.rs
@@ -18,9 +18,9 @@
     #[default]
     None,
     /// The first leader received a request to step down at this time.
-    FirstAsked(Duration),
+    FirstRequested(Duration),
     /// The second leader received one as well; the time is that of the first request.
-    SecondAsked(Duration),
+    SecondRequested(Duration),
 }
 
 #[derive(Default)]
@@ -46,7 +46,7 @@
     /// the claim after that, and one restarts within a second.
     pub fn hand_over_and_back(&mut self, downtime: Duration) {
         self.controller_downtime.downtime = downtime;
-        self.controller_downtime.handover = HandoverProgress::FirstAsked(self.now);
+        self.controller_downtime.handover = HandoverProgress::FirstRequested(self.now);
         self.push(self.now, Event::StepDown);
     }
 
@@ -57,25 +57,25 @@
         }
         match self.controller_downtime.handover {
             HandoverProgress::None => {}
-            HandoverProgress::FirstAsked(from) => {
-                self.controller_downtime.handover = HandoverProgress::SecondAsked(from);
+            HandoverProgress::FirstRequested(from) => {
+                self.controller_downtime.handover = HandoverProgress::SecondRequested(from);
                 // A node can step down only after it has learned that it leads.
                 for again in 1..25 {
                     self.push(self.now + ms(again * 120), Event::StepDown);
                 }
             }
-            HandoverProgress::SecondAsked(from) => {
+            HandoverProgress::SecondRequested(from) => {
                 self.controller_downtime.handover = HandoverProgress::None;
                 self.controller_downtime.handed_back.push(self.now - from);
                 let end = self.now + ms(self.rng.random_range(0..60));
                 let first = self.rng.random_range(0..NODES);
                 for node in 0..NODES {
                     self.push(end, Event::Stop(node));
-                    let back = match node == first {
+                    let restart_delay = match node == first {
                         true => ms(self.rng.random_range(50..900)),
                         false => self.controller_downtime.downtime,
                     };
-                    self.push(end + back, Event::Restart(node));
+                    self.push(end + restart_delay, Event::Restart(node));
                 }
             }
         }
@@ -85,7 +85,7 @@
 fn world(scale: Scale, seed: u64, defect: Defect, faults: &[(u64, Fault, u64)]) -> World {
     let mut world = World::with_scale(scale, seed, defect);
     // Operators can request a step-down only where rollouts are enabled.
-    if faults.iter().any(|t| t.1 == Fault::HandOverAndBack) {
+    if faults.iter().any(|fault| fault.1 == Fault::HandOverAndBack) {
         world = world.with_rollout("4");
     }
     for (at, fault, duration) in faults {
@@ -117,7 +117,7 @@
 
 fn assert_caught(scale: Scale, defect: Defect, faults: &[(u64, Fault, u64)], rule: &str) {
     let violations = |seed| world(scale, seed, defect, faults).observer.violations();
-    let hit = (0..8).any(|seed| violations(seed).iter().any(|b| b.starts_with(rule)));
+    let hit = (0..8).any(|seed| violations(seed).iter().any(|v| v.starts_with(rule)));
     assert!(hit, "{defect:?} was not caught as {rule}");
 }
 
--- a/tests/world/draining.rs
+++ b/tests/world/draining.rs
@@ -95,7 +95,7 @@
         world.run();
         world.observer.violations()
     };
-    let hit = |seed| violations(seed).iter().any(|b| b.starts_with("cordoned"));
+    let hit = |seed| violations(seed).iter().any(|v| v.starts_with("cordoned"));
     assert!(
         (0..10).any(hit),
         "starts on cordoned machines were not caught"
--- a/tests/world/fault_pairs.rs
+++ b/tests/world/fault_pairs.rs
@@ -69,14 +69,14 @@
 }
 
 /// Runs every n-th world of all pairs of faults; the others run with `KITEYARD_WORLD_SEEDS`.
-fn pairs(scale: Scale, part: usize) {
-    let many = seeds(0).end;
+fn pairs(scale: Scale, nth: usize) {
+    let seed_count = seeds(0).end;
     let mut number = 0;
-    for seed in 0..many.max(1) {
+    for seed in 0..seed_count.max(1) {
         for first in FAULTS {
             for second in FAULTS {
                 number += 1;
-                if many > 0 || number % part == 0 {
+                if seed_count > 0 || number % nth == 0 {
                     run_faults(scale, seed, &[first, second]);
                 }
             }
@@ -91,7 +91,7 @@
 
 /// Tasks of one job end at different times, on machines that keep them when the leader changes.
 #[test]
-fn rules_hold_when_two_faults_coincide_over_long_tasks() {
+fn rules_hold_when_two_faults_coincide_with_long_tasks() {
     pairs(LONG, 8);
 }
 
--- a/tests/world/late_commands.rs
+++ b/tests/world/late_commands.rs
@@ -39,9 +39,9 @@
 
     /// Counts a direct command that arrives at a worker which has seen this token and session.
     pub fn count_late_command(&mut self, token: (u64, u64), session: (u64, u64)) {
-        let ((sent, seen), (meant, lives)) = (token, session);
-        self.late_commands.after_newer_leader += u64::from(sent >> 16 < seen >> 16);
-        self.late_commands.after_session += u64::from(meant < lives);
+        let ((sent_token, seen_token), (sent_session, seen_session)) = (token, session);
+        self.late_commands.after_newer_leader += u64::from(sent_token >> 16 < seen_token >> 16);
+        self.late_commands.after_session += u64::from(sent_session < seen_session);
     }
 
     /// Cancels most running jobs within 200 ms, and makes some machines with their tasks hang.
@@ -90,7 +90,7 @@
 #[test]
 fn rules_hold_when_commands_arrive_after_a_newer_leaders_or_their_session() {
     for seed in seeds(2) {
-        let (mut deposed, mut over, mut finished) = (0, 0, 0);
+        let (mut deposed, mut after_session, mut finished) = (0, 0, 0);
         for scale in [MEDIUM, LONG] {
             let world = world(scale, seed, Defect::None);
             let context = format!("seed {seed}");
@@ -101,7 +101,7 @@
             );
             finished += world.observer.finished;
             deposed += world.late_commands.after_newer_leader;
-            over += world.late_commands.after_session;
+            after_session += world.late_commands.after_session;
         }
         assert!(finished > 8, "seed {seed}: {finished} finished");
         assert!(
@@ -109,8 +109,8 @@
             "seed {seed}: {deposed} commands arrived after a newer leader's"
         );
         assert!(
-            over > 4,
-            "seed {seed}: {over} commands arrived after their session"
+            after_session > 4,
+            "seed {seed}: {after_session} commands arrived after their session"
         );
     }
 }
@@ -120,7 +120,7 @@
     let ran_twice = |scale, seed| {
         violations(scale, seed)
             .iter()
-            .any(|b| b.starts_with("ran_twice"))
+            .any(|v| v.starts_with("ran_twice"))
     };
     let caught = (0..8).any(|seed| ran_twice(MEDIUM, seed) || ran_twice(LONG, seed));
     assert!(caught, "{defect:?} was not caught");
@@ -157,12 +157,12 @@
 }
 
 #[test]
-fn a_cancelled_task_that_goes_on_after_its_machine_hung_is_caught() {
+fn a_cancelled_task_that_continues_after_its_machine_hung_is_caught() {
     let caught = |seed| {
         let violations = burst(seed, Defect::HungMachinesIgnoreStop)
             .observer
             .violations();
-        violations.iter().any(|b| b.starts_with("ran_cancelled"))
+        violations.iter().any(|v| v.starts_with("ran_cancelled"))
     };
     assert!((0..6).any(caught));
 }
--- a/tests/world/late_writes.rs
+++ b/tests/world/late_writes.rs
@@ -48,7 +48,7 @@
 fn assert_caught(defect: Defect, faults: &[(Fault, u64)], rule: &str) {
     let hit = |seed| {
         let violations = world(seed, defect, faults).observer.violations();
-        violations.iter().any(|b| b.starts_with(rule))
+        violations.iter().any(|v| v.starts_with(rule))
     };
     assert!((0..20).any(hit), "{defect:?} was not caught as {rule}");
 }
@@ -62,7 +62,7 @@
 /// A claim that only checks that the key is absent could be applied after another claim was made
 /// and deleted.
 #[test]
-fn a_claim_that_is_applied_late_never_stands() {
+fn a_claim_that_arrives_late_is_never_applied() {
     let faults = [(Fault::LeaderCrash, 0), (Fault::AllCrash, 0)];
     for seed in seeds(4) {
         let mut safe = world(seed, Defect::None, &faults);
--- a/tests/world/leader_refusal.rs
+++ b/tests/world/leader_refusal.rs
@@ -53,7 +53,7 @@
 fn a_term_that_grows_with_a_renewal_alone_is_caught() {
     let caught = |seed| {
         let violations = violations(seed, Fault::SilentWatch, Defect::RenewalExtendsTerm);
-        violations.iter().any(|b| b.starts_with("ran_cancelled"))
+        violations.iter().any(|v| v.starts_with("ran_cancelled"))
     };
     assert!((0..8).any(caught));
 }
--- a/tests/world/liveness.rs
+++ b/tests/world/liveness.rs
@@ -72,12 +72,12 @@
             |capacity: &&FreeCapacity| before.get(&capacity.machine).copied().unwrap_or(self.now);
         let updated: BTreeMap<String, Duration> = fitting_capacities
             .iter()
-            .map(|r| (r.machine.clone(), since(r)))
+            .map(|c| (c.machine.clone(), since(c)))
             .collect();
         let max_wait = self.scale.lease * MAX_WAIT_LEASES;
         let overdue = fitting_capacities
             .iter()
-            .filter(|r| self.now > since(r) + max_wait);
+            .filter(|c| self.now > since(c) + max_wait);
         let overdue: Vec<&FreeCapacity> = overdue.copied().collect();
         let spec = &self.jobs[number].spec;
         if fits_minimum(spec, &overdue) {
@@ -110,17 +110,17 @@
 
     /// Zones of the job's tasks on machines, with or without their image.
     fn task_zones(&self, spec: &JobSpec) -> Vec<usize> {
-        let held = self.workers.values().flat_map(|worker| {
+        let zones = self.workers.values().flat_map(|worker| {
             let tasks = worker.tasks.iter();
             let live = tasks.filter(|((task, _), t)| task.job == spec.id && !t.phase.exited());
             live.map(|_| worker.zone)
         });
-        held.collect()
+        zones.collect()
     }
 
     fn free_capacity(&self) -> Vec<FreeCapacity> {
-        let answers = |w: &&crate::sim::Worker| w.hung_until < self.now && w.notice.is_none();
-        let workers = self.workers.iter().filter(|(_, w)| answers(w));
+        let is_responsive = |w: &&crate::sim::Worker| w.hung_until < self.now && w.notice.is_none();
+        let workers = self.workers.iter().filter(|(_, w)| is_responsive(w));
         let capacities = workers.map(|(machine, worker)| {
             let live = worker.tasks.iter().filter(|(_, t)| !t.phase.exited());
             let used: f64 = live.map(|((task, _), _)| self.cpus_of(task)).sum();
@@ -175,9 +175,9 @@
     fn fetching_cpus(&self, team: &str) -> f64 {
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
         let fetching = tasks.filter(|(_, t)| !t.phase.exited() && !t.phase.has_image());
-        let team_of = |task: &TaskId| self.jobs.iter().find(|job| job.spec.id == task.job);
+        let job_of = |task: &TaskId| self.jobs.iter().find(|job| job.spec.id == task.job);
         let of_team = fetching
-            .filter(|((task, _), _)| team_of(task).is_some_and(|job| *job.spec.team == *team));
+            .filter(|((task, _), _)| job_of(task).is_some_and(|job| *job.spec.team == *team));
         of_team.map(|((task, _), _)| self.cpus_of(task)).sum()
     }
 
@@ -209,14 +209,14 @@
     if spec.kind != Kind::Gang {
         return !capacities.is_empty();
     }
-    let times =
+    let slots_on =
         |capacity: &&&FreeCapacity| ((capacity.free + 1e-6) / spec.need.cpus).floor() as u32;
     let by_zone: Vec<u32> = (0..ZONES.len())
         .map(|zone| {
             capacities
                 .iter()
-                .filter(|r| r.zone == zone)
-                .map(|r| times(&r))
+                .filter(|c| c.zone == zone)
+                .map(|c| slots_on(&c))
                 .sum()
         })
         .collect();
@@ -326,7 +326,7 @@
     let caught = |seed| {
         let world = world(LONG_SETTLING, seed, Defect::IdleMachinesSilent, &[]);
         let violations = world.observer.violations();
-        violations.iter().any(|b| b.starts_with("left_waiting"))
+        violations.iter().any(|v| v.starts_with("left_waiting"))
     };
     assert!((0..4).any(caught));
 }
@@ -345,7 +345,7 @@
             .observer
             .violations()
             .iter()
-            .any(|b| b.starts_with("quota"))
+            .any(|v| v.starts_with("quota"))
     };
     assert!((0..12).any(caught));
 }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -85,7 +85,7 @@
 
 fn assert_caught_in(scale: Scale, defect: Defect, rule: &str) {
     let violations_of = |seed| run(scale, seed, defect);
-    let hit = (100..160).any(|seed| violations_of(seed).iter().any(|b| b.starts_with(rule)));
+    let hit = (100..160).any(|seed| violations_of(seed).iter().any(|v| v.starts_with(rule)));
     assert!(hit, "{defect:?} was not caught as {rule}");
 }
 
@@ -290,7 +290,7 @@
     world.run();
     world.observer.check_answered(world.now, ANSWER_TIMEOUT);
     let violations = world.observer.violations();
-    assert!(violations.iter().any(|b| b.starts_with("forgotten")));
+    assert!(violations.iter().any(|v| v.starts_with("forgotten")));
 }
 
 #[test]
--- a/tests/world/new_machines.rs
+++ b/tests/world/new_machines.rs
@@ -54,15 +54,15 @@
     /// Crashes the leader if the machine on which a start was executed is new.
     pub fn crash_leader_on_start(&mut self, name: &str) {
         let new = self.new_machines.booted.get(name);
-        let new = new.is_some_and(|up| self.now < *up + MAX_NEW_MACHINE_AGE);
+        let new = new.is_some_and(|booted| self.now < *booted + MAX_NEW_MACHINE_AGE);
         if !new || self.now < self.new_machines.next_crash {
             return;
         }
         self.new_machines.next_crash = self.now + MIN_CRASH_INTERVAL;
         self.new_machines.leader_crashes += 1;
         let leader = self.leading();
-        let end = self.now + ms(self.rng.random_range(0..400));
-        self.push(end, Event::Crash(leader));
+        let crash_at = self.now + ms(self.rng.random_range(0..400));
+        self.push(crash_at, Event::Crash(leader));
         // Half of these machines hang, so that they do not report to the next leader at first.
         if self.rng.random_bool(0.5) {
             self.hang(name, self.now + ms(4_500));
@@ -111,6 +111,6 @@
             .observer
             .violations()
     };
-    let caught = |seed| violations(seed).iter().any(|b| b.starts_with("ran_twice"));
+    let caught = |seed| violations(seed).iter().any(|v| v.starts_with("ran_twice"));
     assert!((0..12).any(caught));
 }
--- a/tests/world/observer.rs
+++ b/tests/world/observer.rs
@@ -73,7 +73,7 @@
         if self
             .violations
             .iter()
-            .filter(|b| b.starts_with(rule))
+            .filter(|v| v.starts_with(rule))
             .count()
             < 5
         {
@@ -243,13 +243,13 @@
         state: JobState,
         before: Option<JobState>,
     ) {
-        let over = |state| matches!(state, JobState::Done | JobState::Cancelled);
+        let is_terminal = |state| matches!(state, JobState::Done | JobState::Cancelled);
         let id = &spec.id;
         if state == JobState::Done && !self.all_done(id, spec.tasks) {
             self.report_violation(now, "not_done", id.to_string());
         }
         if let Some(before) = before
-            && over(before)
+            && is_terminal(before)
             && before != state
         {
             self.report_violation(now, "went_back", format!("{id} {before:?} to {state:?}"));
@@ -257,13 +257,13 @@
         let with_dependency = self.cancelled_with_dependency(id);
         let report = self.reports.entry(id.clone()).or_default();
         let unrequested = state == JobState::Cancelled && !report.withdrawn && !with_dependency;
-        if state == JobState::Done && !report.state.is_some_and(over) {
+        if state == JobState::Done && !report.state.is_some_and(is_terminal) {
             self.finished += 1;
         }
         if state == JobState::Cancelled {
             report.cancelled_at.get_or_insert(now);
         }
-        if report.state.is_none_or(|s| !over(s)) {
+        if report.state.is_none_or(|s| !is_terminal(s)) {
             report.state = Some(state);
         }
         if unrequested {
@@ -314,7 +314,7 @@
         }
     }
 
-    pub fn known_without_submission(&mut self, now: Duration, id: &JobId) {
+    pub fn report_unsubmitted(&mut self, now: Duration, id: &JobId) {
         self.report_violation(now, "invented", id.to_string());
     }
 }
--- a/tests/world/old_reports.rs
+++ b/tests/world/old_reports.rs
@@ -63,13 +63,12 @@
         if self.now < self.old_reports.kept_until && self.rng.random_range(0..4) == 0 {
             self.old_reports.kept.push(report.clone());
         }
-        let assert_rules_hold =
-            self.now < self.old_reports.held_until && self.rng.random_range(0..12) == 0;
-        if assert_rules_hold {
+        let is_held = self.now < self.old_reports.held_until && self.rng.random_range(0..12) == 0;
+        if is_held {
             let claim = self.old_reports.claim;
             self.old_reports.held.push((claim, report.clone()));
         }
-        assert_rules_hold
+        is_held
     }
 
     /// Delivers the kept copies to every node after a claim, as the leader starts.
@@ -167,7 +166,7 @@
     let ran_twice = |scale, seed| {
         violations(scale, seed)
             .iter()
-            .any(|b| b.starts_with("ran_twice"))
+            .any(|v| v.starts_with("ran_twice"))
     };
     let caught = (0..8).any(|seed| ran_twice(MEDIUM, seed) || ran_twice(LONG, seed));
     assert!(caught, "{defect:?} was not caught with {fault:?}");
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -79,7 +79,7 @@
     for build in [world, packed] {
         let hit = |seed| {
             let violations = build(seed, defect, faults).observer.violations();
-            violations.iter().any(|b| b.starts_with(rule))
+            violations.iter().any(|v| v.starts_with(rule))
         };
         assert!((0..10).any(hit), "{defect:?} was not caught as {rule}");
     }
@@ -114,13 +114,13 @@
 fn pipelines_keep_the_rules_when_leaders_crash() {
     let mut claims = 0;
     for seed in seeds(2) {
-        let ends = [
+        let crashes = [
             (9_000, Fault::LeaderCrash, 0),
             (16_000, Fault::AllCrash, 0),
             (23_000, Fault::LeaderCrash, 0),
             (30_000, Fault::RepeatedCrashes, 0),
         ];
-        claims += assert_rules_hold(seed, &ends)
+        claims += assert_rules_hold(seed, &crashes)
             .pipelines
             .counts
             .claims_while_waiting;
@@ -131,12 +131,12 @@
 #[test]
 fn pipelines_keep_the_rules_when_the_state_service_is_unavailable_or_slow() {
     for seed in seeds(2) {
-        let away = [
+        let outages = [
             (8_000, Fault::StateOutage, 6_000),
             (20_000, Fault::StateSlow, 10_000),
             (33_000, Fault::StateOutage, 22_000),
         ];
-        assert_rules_hold(seed, &away);
+        assert_rules_hold(seed, &outages);
     }
 }
 
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -80,10 +80,10 @@
                 NEW_GENERATION,
                 &context,
             );
-            let back = upgraded(world(seed, Defect::None), order);
-            let back = back.with_order(90 * SECOND_MS, Order::Target(1));
+            let downgraded = upgraded(world(seed, Defect::None), order);
+            let downgraded = downgraded.with_order(90 * SECOND_MS, Order::Target(1));
             run_to(
-                back,
+                downgraded,
                 ClusterGeneration::default(),
                 &format!("{context} and back"),
             );
@@ -174,9 +174,9 @@
         world.observer.finished > 6,
         "{context}: too few jobs finished"
     );
-    let back = faults.iter().any(|(fault, _)| *fault == Fault::Downgrade);
+    let is_downgraded = faults.iter().any(|(fault, _)| *fault == Fault::Downgrade);
     let (end, single) = (world.cluster(), world.count_keys(TERMINAL_STATES_PREFIX));
-    match back {
+    match is_downgraded {
         true => assert!(end.to == 1, "{context}: {end:?}"),
         false => assert_eq!(
             (end, single),
@@ -302,7 +302,7 @@
     let hit = |violations: Vec<String>| {
         violations
             .iter()
-            .any(|b| rules.iter().any(|r| b.starts_with(r)))
+            .any(|v| rules.iter().any(|r| v.starts_with(r)))
     };
     let found = (0..30).position(|seed| hit(violations_of(seed)));
     assert!(found.is_some(), "{defect:?} was not caught as {rules:?}");
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -63,7 +63,7 @@
     pub returned: usize,
     /// Last time at which a leader had machines whose tasks it did not know.
     pub last_unresolved: Duration,
-    last_told: Option<NodeAnnouncement>,
+    last_announcement: Option<NodeAnnouncement>,
     /// Node that received a request to step down, and whether that node is the one that crashes.
     pub step_down_node: Option<usize>,
     pub spare_successor: bool,
@@ -90,7 +90,7 @@
             requested_drains: Vec::new(),
             cordoned: BTreeMap::new(),
             returned: 0,
-            last_told: None,
+            last_announcement: None,
             step_down_node: None,
             spare_successor: false,
         }
@@ -431,7 +431,7 @@
         };
         if !self.rollout.old_build[node] {
             if node == 2 && heartbeat.announced_state.is_some() {
-                self.rollout.last_told = heartbeat.announced_state;
+                self.rollout.last_announcement = heartbeat.announced_state;
             }
             return message;
         }
@@ -441,9 +441,12 @@
             Some(StateReply::Entry(entry)) => entry.version,
             _ => 0,
         };
-        let repeats_last_told = self.defect == Defect::SoakNotRestarted;
-        let told = self.rollout.last_told.filter(|_| repeats_last_told);
-        heartbeat.announced_state = told.map(|told| NodeAnnouncement { knows, ..told });
+        let repeats_last_announcement = self.defect == Defect::SoakNotRestarted;
+        let announcement = self
+            .rollout
+            .last_announcement
+            .filter(|_| repeats_last_announcement);
+        heartbeat.announced_state = announcement.map(|last| NodeAnnouncement { knows, ..last });
         message
     }
 }
--- a/tests/world/scarcity.rs
+++ b/tests/world/scarcity.rs
@@ -50,11 +50,12 @@
     /// Removes half of the machines in the zone that has the most machines with bound tasks.
     pub fn lose_machines(&mut self) {
         let zones = (0..ZONES.len()).map(|zone| self.bound_first(zone));
-        let bound = |names: &Vec<(bool, String)>| names.iter().filter(|(free, _)| !free).count();
+        let bound =
+            |names: &Vec<(bool, String)>| names.iter().filter(|(unbound, _)| !unbound).count();
         let mut names = zones.max_by_key(bound).unwrap_or_default();
         names.truncate(names.len().div_ceil(2));
-        for (elsewhere, name) in names {
-            self.scarcity.lost_with_bound_tasks += usize::from(!elsewhere);
+        for (unbound, name) in names {
+            self.scarcity.lost_with_bound_tasks += usize::from(!unbound);
             self.remove_worker(&name);
         }
     }
@@ -88,12 +89,12 @@
 
 /// Number of accepted jobs that have started, and of all accepted jobs, either urgent or not.
 fn started_jobs(world: &World, urgent: bool) -> (usize, usize) {
-    let of_kind = world.jobs.iter().filter(|job| {
+    let of_urgency = world.jobs.iter().filter(|job| {
         let is_cancelled = job.withdraw_at.is_some() && job.spec.kind != Kind::Service;
         job.accepted && !is_cancelled && (job.spec.priority == Priority::Production) == urgent
     });
     let has_started = |job: &&crate::sim::Job| world.observer.has_started(&job.spec.id);
-    let jobs: Vec<_> = of_kind.collect();
+    let jobs: Vec<_> = of_urgency.collect();
     (
         jobs.iter().filter(|job| has_started(job)).count(),
         jobs.len(),
@@ -102,8 +103,8 @@
 
 /// Whether nine of ten urgent jobs have started.
 fn most_urgent_started(world: &World) -> bool {
-    let (urgent, of_urgent) = started_jobs(world, true);
-    of_urgent > 5 && urgent * 10 >= of_urgent * 9
+    let (started, accepted) = started_jobs(world, true);
+    accepted > 5 && started * 10 >= accepted * 9
 }
 
 /// Nearly all urgent jobs start, and at least half of the others.
@@ -113,15 +114,15 @@
         for others in [&[][..], &[(30_000, Fault::LeaderCrash, 0)]] {
             let faults = [&[(10_000, Fault::SlowLinks, 50)], others].concat();
             let world = assert_rules_hold(CROWDED, seed, &faults);
-            let (other, of_others) = started_jobs(&world, false);
+            let (started, accepted) = started_jobs(&world, false);
             assert!(
                 most_urgent_started(&world),
                 "seed {seed}: {:?}",
                 started_jobs(&world, true)
             );
             assert!(
-                other * 2 >= of_others,
-                "seed {seed}: {other} of {of_others} other jobs started"
+                started * 2 >= accepted,
+                "seed {seed}: {started} of {accepted} other jobs started"
             );
         }
     }
@@ -141,7 +142,7 @@
     let caught = |seed| {
         let world = world(ROOMY, seed, Defect::IgnoresPlacement, &faults);
         let violations = world.observer.violations();
-        violations.iter().any(|b| b.starts_with("wrong_place"))
+        violations.iter().any(|v| v.starts_with("wrong_place"))
     };
     assert!((0..4).any(caught));
 }
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -284,8 +284,8 @@
 
     pub fn restart(&mut self, node: usize) {
         let settings = settings(node, &self.scale);
-        let more = u32::from(self.defect == Defect::MoreSeats);
-        let seats = self.scale.seats * (1 + more);
+        let extra = u32::from(self.defect == Defect::MoreSeats);
+        let seats = self.scale.seats * (1 + extra);
         let file = format!("[licence.solver]\nseats = {seats}\n");
         let licences = kiteyard_licences::config::Config::parse(&file).expect("valid config file");
         let options = Options {
@@ -317,10 +317,10 @@
     }
 
     pub fn step(&mut self, node: usize, input: Input) {
-        let passed = (self.now - self.started[node]).mul_f64(self.clock_rates[node]);
+        let elapsed = (self.now - self.started[node]).mul_f64(self.clock_rates[node]);
         let epoch = self.epochs[node];
         let clock = Clock {
-            now: passed,
+            now: elapsed,
             wall_ms: self.now.as_millis() as u64
                 + CLOCK_SKEW_STEP_MS * (node as u64 + epoch) % MAX_CLOCK_SKEW_MS,
         };
@@ -358,8 +358,8 @@
             } => {
                 // One in 300 requests is applied long after its sender has given up.
                 let late = self.rng.random_range(0..300) == 0;
-                let at = if let Some(held) = self.acceptance_delay(&request) {
-                    now + held
+                let at = if let Some(extra) = self.acceptance_delay(&request) {
+                    now + extra
                 } else if late {
                     now + delay + ms(4000)
                 } else {
@@ -434,12 +434,12 @@
             Event::DelayedOutputs(node, epoch, outputs) => {
                 for output in outputs {
                     // Users have given up by now; workers decide for themselves.
-                    let gone = |a: &Requester| matches!(a, Requester::User(..));
+                    let is_user = |requester: &Requester| matches!(requester, Requester::User(..));
                     if let Output::Answer { request, .. } = &output
                         && self
                             .pending_requests
                             .get(&(node, epoch, *request))
-                            .is_some_and(gone)
+                            .is_some_and(is_user)
                     {
                         continue;
                     }
@@ -483,8 +483,8 @@
                 }
             }
             Event::UserPoll(i) => {
-                let again = self.now + ms(self.rng.random_range(1200..4000));
-                self.push(again, Event::UserPoll(i));
+                let next_poll = self.now + ms(self.rng.random_range(1200..4000));
+                self.push(next_poll, Event::UserPoll(i));
                 let node = self.choose_node(i);
                 self.poll_job(i, node);
             }
@@ -530,8 +530,8 @@
     pub fn crash(&mut self, node: usize) {
         if self.nodes[node].take().is_some() {
             self.epochs[node] += 1;
-            let back = self.now + ms(self.rng.random_range(self.restart_delay_ms.clone()));
-            self.push(back, Event::Restart(node));
+            let restart_at = self.now + ms(self.rng.random_range(self.restart_delay_ms.clone()));
+            self.push(restart_at, Event::Restart(node));
         }
     }
 }
--- a/tests/world/sim/network.rs
+++ b/tests/world/sim/network.rs
@@ -28,18 +28,18 @@
         match self
             .partitions
             .iter()
-            .find(|c| c.node == node && c.zone == zone && c.until > now)
+            .find(|p| p.node == node && p.zone == zone && p.until > now)
         {
-            Some(cut) if cut.reset => None,
-            Some(cut) => Some(cut.until + delay),
+            Some(partition) if partition.reset => None,
+            Some(partition) => Some(partition.until + delay),
             None => Some(now + delay),
         }
     }
 
     /// Arrival time of a message between a node and a worker in that zone.
     pub(super) fn worker_path(&mut self, node: usize, zone: usize) -> Option<Duration> {
-        let apart = self.workers_unreachable_until[node];
+        let unreachable_until = self.workers_unreachable_until[node];
         let at = self.path(node, zone)?;
-        Some(at.max(apart) + self.link_delay())
+        Some(at.max(unreachable_until) + self.link_delay())
     }
 }
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -118,7 +118,7 @@
     /// Adds pipelines that start within the first 25 s, and independent jobs on which some of them
     /// depend as well.
     pub fn with_pipelines(mut self, count: usize) -> Self {
-        let plain: Vec<usize> = (0..2)
+        let independent: Vec<usize> = (0..2)
             .map(|_| self.add_pipeline_job(Vec::new(), false))
             .collect();
         for number in 0..count {
@@ -129,7 +129,7 @@
             for (stage, needs) in shape.iter().enumerate() {
                 let mut needs: Vec<usize> = needs.iter().map(|need| jobs[*need]).collect();
                 if stage == 1 && number % 4 == 3 {
-                    needs.push(plain[number % plain.len()]);
+                    needs.push(independent[number % independent.len()]);
                 }
                 let last = stage + 1 == shape.len();
                 jobs.push(self.add_pipeline_job(needs, last && number % 3 == 0));
@@ -148,7 +148,7 @@
     fn add_pipeline_job(&mut self, needs: Vec<usize>, late: bool) -> usize {
         let number = self.jobs.len();
         let mut job = self.make_job(number);
-        let begins = match needs.is_empty() {
+        let submit_at = match needs.is_empty() {
             true => ms(self.rng.random_range(1_000..25_000)),
             false => Duration::ZERO,
         };
@@ -171,7 +171,7 @@
         self.observer.register_pipeline_job(&job.spec);
         self.jobs.push(job);
         self.pipelines.unsubmitted.insert(number, late);
-        self.push(begins, Event::SubmitStage(number));
+        self.push(submit_at, Event::SubmitStage(number));
         number
     }
 
@@ -254,8 +254,8 @@
     /// Jobs of pipelines whose terminal state no user has seen.
     pub fn unfinished_stages(&self) -> Vec<(JobId, Option<JobState>)> {
         let all = self.pipelines.all.iter().flat_map(|p| &p.jobs);
-        let left = all.filter(|number| !self.jobs[**number].ended);
-        let reported = left.map(|number| {
+        let unfinished = all.filter(|number| !self.jobs[**number].ended);
+        let reported = unfinished.map(|number| {
             let id = &self.jobs[*number].spec.id;
             (id.clone(), self.observer.state(id))
         });
@@ -444,9 +444,9 @@
     if range.key() != key {
         return None;
     }
-    let ends: TerminalStates =
+    let states: TerminalStates =
         serde_json::from_str(text).expect("valid terminal states of a range");
-    ends.get(name)
+    states.get(name)
 }
 
 /// Removes the times of terminal states from a transaction, for `Defect::LosesTerminalTimes`.
--- a/tests/world/sim/random_faults.rs
+++ b/tests/world/sim/random_faults.rs
@@ -57,8 +57,8 @@
                 let node = self.rng.random_range(0..NODES);
                 if self.nodes[node].take().is_some() {
                     self.epochs[node] += 1;
-                    let back = now + ms(self.rng.random_range(20_000..60_000));
-                    self.push(back, Event::Restart(node));
+                    let restart_at = now + ms(self.rng.random_range(20_000..60_000));
+                    self.push(restart_at, Event::Restart(node));
                 }
             }
             10 => self.peers_refuse_until = now + ms(self.rng.random_range(5000..25_000)),
--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -108,9 +108,9 @@
                     self.requests.reported_ended.insert((node, id.clone()));
                 }
                 if *state == JobState::Cancelled {
-                    let (begins, ends) = self.requests.refusal_window;
+                    let (start, end) = self.requests.refusal_window;
                     let first = !self.requests.cancelled.contains_key(id);
-                    let during_refusal = first && begins <= self.now && self.now < ends;
+                    let during_refusal = first && start <= self.now && self.now < end;
                     self.requests.counts.confirmed_during_refusal += u64::from(during_refusal);
                     let cancelled = &mut self.requests.cancelled;
                     cancelled.entry(id.clone()).or_insert(self.now);
@@ -246,12 +246,12 @@
     /// Makes the state service refuse the leader alone while users cancel, and makes it unavailable
     /// to all nodes one second later.
     pub(crate) fn cancel_burst_at_refusal(&mut self, leader: usize, duration: Duration) {
-        let away = self.now + ms(1_000);
-        self.refused_until[leader] = away + duration;
-        self.requests.refusal_window = (self.now, away);
+        let outage_start = self.now + ms(1_000);
+        self.refused_until[leader] = outage_start + duration;
+        self.requests.refusal_window = (self.now, outage_start);
         self.cancel_burst();
-        self.push(away, Event::OutageStarted);
-        self.push(away + duration, Event::OutageEnded);
+        self.push(outage_start, Event::OutageStarted);
+        self.push(outage_start + duration, Event::OutageEnded);
     }
 
     /// Sends cancellations, polls and submissions when the last task of a job completes.
@@ -365,11 +365,11 @@
 
     /// Whether the answer to an applied transaction is lost.
     pub(super) fn loses_answer(&mut self, request: &StateRequest, reply: &StateReply) -> bool {
-        let carried_out = matches!(
+        let committed = matches!(
             (request, reply),
             (StateRequest::Txn { .. }, StateReply::Committed { .. })
         );
-        let lost = carried_out
+        let lost = committed
             && self.now < self.requests.unanswered_until
             && self.rng.random_range(0..4) == 0;
         self.requests.counts.answers_lost += u64::from(lost);
@@ -386,7 +386,7 @@
         else {
             return;
         };
-        let ends = changes
+        let ends_job = changes
             .iter()
             .any(|change| matches!(change, Change::Put { key, .. } if key.starts_with(TERMINAL_STATES_PREFIX) || key.starts_with(TERMINAL_RANGES_PREFIX)));
         let is_job_key =
@@ -395,7 +395,7 @@
             Defect::UnconditionalAcceptance => {
                 conditions.retain(|c| c.version > 0 || !is_job_key(&c.key));
             }
-            Defect::UnconditionalTerminalStates if ends => {
+            Defect::UnconditionalTerminalStates if ends_job => {
                 conditions.retain(|c| !is_job_key(&c.key))
             }
             _ => {}
@@ -430,8 +430,8 @@
             job.spec.spread = false;
             job.faulty = false;
             let at = ms(5_000) + interval * number as u32;
-            let soon = ms(self.rng.random_range(0..6_000));
-            job.withdraw_at = (number % 4 == 0).then_some(at + soon);
+            let withdraw_after = ms(self.rng.random_range(0..6_000));
+            job.withdraw_at = (number % 4 == 0).then_some(at + withdraw_after);
             self.jobs.push(job);
             self.push(at, Event::UserPoll(i));
         }
@@ -440,8 +440,8 @@
 
     /// Jobs whose terminal state no user has seen, with their teams and states.
     pub fn unfinished_jobs(&self) -> Vec<(JobId, String, Option<JobState>)> {
-        let left = self.jobs.iter().filter(|job| !job.ended);
-        let reported = left.map(|job| {
+        let unfinished = self.jobs.iter().filter(|job| !job.ended);
+        let reported = unfinished.map(|job| {
             let (id, team) = (&job.spec.id, job.spec.team.to_string());
             (id.clone(), team, self.observer.state(id))
         });
--- a/tests/world/sim/users.rs
+++ b/tests/world/sim/users.rs
@@ -236,7 +236,7 @@
                     _ => return,
                 };
                 if action == UserAction::UnknownJob {
-                    self.observer.known_without_submission(now, &spec.id);
+                    self.observer.report_unsubmitted(now, &spec.id);
                     return;
                 }
                 self.jobs[i].accepted = true;
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -159,18 +159,19 @@
         else {
             return None;
         };
-        let large = |change: &Change| match change {
+        let is_too_large = |change: &Change| match change {
             Change::Put { value, .. } => value.get().len() > limits.value_bytes,
             Change::Delete { .. } => false,
         };
-        let parts = changes.len() > limits.txn_ops || conditions.len() > 4 * limits.txn_ops;
-        if parts || changes.iter().any(large) {
+        let has_too_many_parts =
+            changes.len() > limits.txn_ops || conditions.len() > 4 * limits.txn_ops;
+        if has_too_many_parts || changes.iter().any(is_too_large) {
             self.rejected += 1;
             return Some(StateReply::Rejected);
         }
-        let passed = now.saturating_sub(self.allowance.refilled).as_secs_f64();
+        let elapsed = now.saturating_sub(self.allowance.refilled).as_secs_f64();
         self.allowance.refilled = now;
-        let changes_now = self.allowance.changes + passed * limits.changes_per_s;
+        let changes_now = self.allowance.changes + elapsed * limits.changes_per_s;
         self.allowance.changes = changes_now.min(limits.changes_per_s);
         let wanted = changes.len() as f64;
         if wanted > self.allowance.changes {
@@ -240,13 +241,13 @@
     }
 
     pub fn expire_leases(&mut self, now: Duration) {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.expires <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.leases.remove(&id);
             let keys: Vec<String> = self
                 .keys
