--- a/tests/world/answers.rs
+++ b/tests/world/answers.rs
@@ -43,11 +43,11 @@
 }
 
 fn assert_caught(defect: Defect, faults: &[(Fault, Duration)], rule: &str) {
-    let hit = |seed| {
+    let caught = |seed| {
         let violations = world(SHORT, seed, defect, faults).observer.violations();
         violations.iter().any(|v| v.starts_with(rule))
     };
-    assert!((0..12).any(hit), "{defect:?} was not caught as {rule}");
+    assert!((0..12).any(caught), "{defect:?} was not caught as {rule}");
 }
 
 const POLLS: (Fault, Duration) = (Fault::ImmediatePolls, FAULT_DURATION);
--- a/tests/world/controller_downtime.rs
+++ b/tests/world/controller_downtime.rs
@@ -117,8 +117,8 @@
 
 fn assert_caught(scale: Scale, defect: Defect, faults: &[(u64, Fault, u64)], rule: &str) {
     let violations = |seed| world(scale, seed, defect, faults).observer.violations();
-    let hit = (0..8).any(|seed| violations(seed).iter().any(|v| v.starts_with(rule)));
-    assert!(hit, "{defect:?} was not caught as {rule}");
+    let caught = (0..8).any(|seed| violations(seed).iter().any(|v| v.starts_with(rule)));
+    assert!(caught, "{defect:?} was not caught as {rule}");
 }
 
 /// Longer than a lease of 5 s, a leader term of about 14 s, and `cancel_s`.
--- a/tests/world/draining.rs
+++ b/tests/world/draining.rs
@@ -95,9 +95,9 @@
         world.run();
         world.observer.violations()
     };
-    let hit = |seed| violations(seed).iter().any(|v| v.starts_with("cordoned"));
+    let caught = |seed| violations(seed).iter().any(|v| v.starts_with("cordoned"));
     assert!(
-        (0..10).any(hit),
+        (0..10).any(caught),
         "starts on cordoned machines were not caught"
     );
 }
--- a/tests/world/late_writes.rs
+++ b/tests/world/late_writes.rs
@@ -46,11 +46,11 @@
 }
 
 fn assert_caught(defect: Defect, faults: &[(Fault, u64)], rule: &str) {
-    let hit = |seed| {
+    let caught = |seed| {
         let violations = world(seed, defect, faults).observer.violations();
         violations.iter().any(|v| v.starts_with(rule))
     };
-    assert!((0..20).any(hit), "{defect:?} was not caught as {rule}");
+    assert!((0..20).any(caught), "{defect:?} was not caught as {rule}");
 }
 
 /// An older set of results overwrites a newer one whose results the workers have forgotten.
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -85,8 +85,8 @@
 
 fn assert_caught_in(scale: Scale, defect: Defect, rule: &str) {
     let violations_of = |seed| run(scale, seed, defect);
-    let hit = (100..160).any(|seed| violations_of(seed).iter().any(|v| v.starts_with(rule)));
-    assert!(hit, "{defect:?} was not caught as {rule}");
+    let caught = (100..160).any(|seed| violations_of(seed).iter().any(|v| v.starts_with(rule)));
+    assert!(caught, "{defect:?} was not caught as {rule}");
 }
 
 #[test]
@@ -314,7 +314,7 @@
 
 #[test]
 fn seats_in_use_never_exceed_the_licence() {
-    let mut most = 0;
+    let mut max_used = 0;
     for seed in seeds(16) {
         let mut world = World::with_scale(LICENSED, seed, Defect::None);
         world.run();
@@ -327,9 +327,9 @@
             world.observer.finished > 2,
             "seed {seed}: too few jobs finished"
         );
-        most = most.max(world.observer.max_seats_used);
+        max_used = max_used.max(world.observer.max_seats_used);
     }
-    assert_eq!(most, LICENSED.seats, "seats were never all in use");
+    assert_eq!(max_used, LICENSED.seats, "seats were never all in use");
 }
 
 #[test]
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -77,11 +77,11 @@
 /// Asserts that the defect is caught with either form of stored terminal states.
 fn assert_caught(defect: Defect, faults: Faults, rule: &str) {
     for build in [world, packed] {
-        let hit = |seed| {
+        let caught = |seed| {
             let violations = build(seed, defect, faults).observer.violations();
             violations.iter().any(|v| v.starts_with(rule))
         };
-        assert!((0..10).any(hit), "{defect:?} was not caught as {rule}");
+        assert!((0..10).any(caught), "{defect:?} was not caught as {rule}");
     }
 }
 
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -299,13 +299,13 @@
         world.run();
         world.observer.violations()
     };
-    let hit = |violations: Vec<String>| {
+    let breaks_rule = |violations: Vec<String>| {
         violations
             .iter()
             .any(|v| rules.iter().any(|r| v.starts_with(r)))
     };
-    let found = (0..30).position(|seed| hit(violations_of(seed)));
-    assert!(found.is_some(), "{defect:?} was not caught as {rules:?}");
+    let caught = (0..30).position(|seed| breaks_rule(violations_of(seed)));
+    assert!(caught.is_some(), "{defect:?} was not caught as {rules:?}");
 }
 
 const LOSS_RULES: [&str; 3] = ["forgotten", "went_back", "ran_twice"];
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -128,7 +128,7 @@
     pub epochs: Vec<u64>,
     /// Restart delay of a crashed process in milliseconds.
     restart_delay_ms: std::ops::Range<u64>,
-    started: Vec<Duration>,
+    process_started: Vec<Duration>,
     clock_rates: Vec<f64>,
     pending_requests: HashMap<(usize, u64, RequestId), Requester>,
     pub next_request: RequestId,
@@ -187,7 +187,7 @@
             nodes: (0..NODES).map(|_| None).collect(),
             epochs: vec![0; NODES],
             restart_delay_ms: 1500..5000,
-            started: vec![Duration::ZERO; NODES],
+            process_started: vec![Duration::ZERO; NODES],
             clock_rates: vec![1.0; NODES],
             pending_requests: HashMap::new(),
             next_request: 0,
@@ -311,13 +311,13 @@
         self.frozen_until[node] = Duration::ZERO;
         self.pending_freezes[node] = None;
         self.epochs[node] += 1;
-        self.started[node] = self.now;
+        self.process_started[node] = self.now;
         self.clock_rates[node] = 1.0 + self.rng.random_range(0..5) as f64 * 1e-4;
         self.push(self.now, Event::Tick(node));
     }
 
     pub fn step(&mut self, node: usize, input: Input) {
-        let elapsed = (self.now - self.started[node]).mul_f64(self.clock_rates[node]);
+        let elapsed = (self.now - self.process_started[node]).mul_f64(self.clock_rates[node]);
         let epoch = self.epochs[node];
         let clock = Clock {
             now: elapsed,
