--- a/tests/world/controller_downtime.rs
+++ b/tests/world/controller_downtime.rs
@@ -26,7 +26,7 @@
 #[derive(Default)]
 pub struct ControllerDowntime {
     handover: HandoverProgress,
-    /// Time from the first handover to the stop of all nodes, for each run of the fault.
+    /// Time from the first request to step down to the second claim, for each run of the fault.
     handed_back: Vec<Duration>,
     /// Downtime of the other nodes after the next stop of all.
     downtime: Duration,
--- a/tests/world/observer.rs
+++ b/tests/world/observer.rs
@@ -287,7 +287,7 @@
         self.reports.entry(id.clone()).or_default().last_answer = now;
     }
 
-    /// Checks at the end, longer than `within` after all faults, that requests are answered again.
+    /// Checks at the end, longer than `within` after all faults, that requests are being answered.
     pub fn check_answered(&mut self, now: Duration, within: Duration) {
         let unanswered =
             |report: &JobReport| !report.withdrawn && now > report.last_answer + within;
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -64,8 +64,9 @@
     /// Last time at which a leader had machines whose tasks it did not know.
     pub last_unresolved: Duration,
     last_announcement: Option<NodeAnnouncement>,
-    /// Node that received a request to step down, and whether that node is the one that crashes.
+    /// Node that received a request to step down.
     pub step_down_node: Option<usize>,
+    /// Whether that node crashes instead of its successor.
     pub spare_successor: bool,
 }
 
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -91,7 +91,7 @@
     OutageStarted,
     OutageEnded,
     Crash(usize),
-    /// Processes that start from now on read these announced limits.
+    /// Processes that start later read these announced limits.
     AnnounceLimits(AnnouncedLimits),
     InjectFault(Fault, Duration),
     /// The node's process crashes and restarts with support for that generation.
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -21,7 +21,7 @@
 
 use super::{Defect, Event, NODES, Requester, World, ms, users::UserAction};
 
-/// Interval of the checks whether a job's dependencies allow its submission.
+/// Interval at which a job's dependencies are checked before its submission.
 const CHECK_INTERVAL: Duration = ms(50);
 /// Interval between repeated submissions that depend on an unknown job.
 const UNKNOWN_RETRY_INTERVAL: Duration = ms(1_500);
--- a/tests/world/sim/scale.rs
+++ b/tests/world/sim/scale.rs
@@ -31,7 +31,7 @@
     pub team_limit: f64,
     /// Limit of the second team, or 0 for none.
     pub second_team_limit: f64,
-    /// Interval at which a worker checks its lease, tasks and reports.
+    /// Interval at which a worker checks its lease and its tasks, and reports if a report is due.
     pub worker_interval: Duration,
     pub value_kb: f64,
     /// Limits of the state service that the settings announce.
