--- a/tests/world/combined_faults.rs
+++ b/tests/world/combined_faults.rs
@@ -26,9 +26,9 @@
     /// Users don't poll these nodes until then.
     avoided_until: [Duration; NODES],
     /// A quarter of all transactions gets no answer and is applied later, until then.
-    late_until: Duration,
+    writes_late_until: Duration,
     /// A third of all direct commands and of their answers is delayed until then.
-    held_until: Duration,
+    commands_held_until: Duration,
     /// Every claim that a node sent, unchanged.
     claims: Vec<StateRequest>,
     /// Users whose last request has not been answered yet, and the node it was sent to.
@@ -59,7 +59,7 @@
 
     /// Makes the leader's own watch return nothing, while all other requests are answered and users
     /// cancel through the other nodes.
-    pub fn silent_watch(&mut self, leader: usize, duration: Duration) {
+    pub fn silence_watch(&mut self, leader: usize, duration: Duration) {
         self.combined_faults.silent_until[leader] = self.now + duration;
         self.combined_faults.avoided_until[leader] = self.now + duration;
         self.withdraw_services(leader, ms(500));
@@ -86,13 +86,16 @@
         if changes.iter().any(claims) {
             self.combined_faults.claims.push(request.clone());
         }
-        let late = self.now < self.combined_faults.late_until && self.rng.random_range(0..4) == 0;
+        let late =
+            self.now < self.combined_faults.writes_late_until && self.rng.random_range(0..4) == 0;
         late.then(|| self.now + ms(self.rng.random_range(2_000..12_000)))
     }
 
     /// Delay of a direct command to a worker, or of its answer.
     pub fn command_delay(&mut self) -> Duration {
-        match self.now < self.combined_faults.held_until && self.rng.random_range(0..3) == 0 {
+        match self.now < self.combined_faults.commands_held_until
+            && self.rng.random_range(0..3) == 0
+        {
             true => ms(self.rng.random_range(1_500..40_000)),
             false => Duration::ZERO,
         }
@@ -100,12 +103,12 @@
 
     /// Delays commands while reports and their answers pass, and cancels services.
     pub fn hold_commands(&mut self, leader: usize, until: Duration) {
-        self.combined_faults.held_until = until;
+        self.combined_faults.commands_held_until = until;
         self.withdraw_services(leader, ms(2_000));
     }
 
-    pub fn late_writes(&mut self, until: Duration) {
-        self.combined_faults.late_until = until;
+    pub fn delay_writes(&mut self, until: Duration) {
+        self.combined_faults.writes_late_until = until;
     }
 
     /// Replays every claim ever sent while nobody leads; returns whether one is applied.
--- a/tests/world/fault_pairs.rs
+++ b/tests/world/fault_pairs.rs
@@ -69,7 +69,7 @@
 }
 
 /// Runs every n-th world of all pairs of faults; the others run with `KITEYARD_WORLD_SEEDS`.
-fn pairs(scale: Scale, nth: usize) {
+fn run_pairs(scale: Scale, nth: usize) {
     let seed_count = seeds(0).end;
     let mut number = 0;
     for seed in 0..seed_count.max(1) {
@@ -86,13 +86,13 @@
 
 #[test]
 fn rules_hold_when_two_faults_coincide() {
-    pairs(MEDIUM, 8);
+    run_pairs(MEDIUM, 8);
 }
 
 /// Tasks of one job end at different times, on machines that keep them when the leader changes.
 #[test]
 fn rules_hold_when_two_faults_coincide_with_long_tasks() {
-    pairs(LONG, 8);
+    run_pairs(LONG, 8);
 }
 
 #[test]
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -206,10 +206,10 @@
                 self.isolate_node((leader + 1) % NODES, until);
             }
             Fault::HeldCommands => self.hold_commands(leader, until),
-            Fault::LateWrites => self.late_writes(until),
+            Fault::LateWrites => self.delay_writes(until),
             Fault::RefusalThenOutage => self.refusal_then_outage(leader, duration),
             Fault::OutageAfterClaim => self.outage_after_claim(leader, duration),
-            Fault::SilentWatch => self.silent_watch(leader, duration),
+            Fault::SilentWatch => self.silence_watch(leader, duration),
             Fault::CancelBurst => self.cancel_burst(),
             Fault::CancelBurstAtRefusal => self.cancel_burst_at_refusal(leader, duration),
             Fault::ImmediatePolls => self.requests.polls_until = until,
--- a/tests/world/late_commands.rs
+++ b/tests/world/late_commands.rs
@@ -133,7 +133,7 @@
 
 /// Two bursts of cancellations of long tasks, whose machines hang within their lease and beyond
 /// it, and a leader that crashes.
-fn burst(seed: u64, defect: Defect) -> World {
+fn burst_world(seed: u64, defect: Defect) -> World {
     let mut world = World::with_scale(LONG, seed, defect).with_quick_restarts();
     for (at, fault, hang) in [
         (20_000, Fault::CancelAndHang, 4_000),
@@ -151,7 +151,7 @@
 #[test]
 fn cancelled_tasks_stop_in_time_when_their_machines_hang() {
     for seed in seeds(4) {
-        let violations = burst(seed, Defect::None).observer.violations();
+        let violations = burst_world(seed, Defect::None).observer.violations();
         assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -159,7 +159,7 @@
 #[test]
 fn a_cancelled_task_that_continues_after_its_machine_hung_is_caught() {
     let caught = |seed| {
-        let violations = burst(seed, Defect::HungMachinesIgnoreStop)
+        let violations = burst_world(seed, Defect::HungMachinesIgnoreStop)
             .observer
             .violations();
         violations.iter().any(|v| v.starts_with("ran_cancelled"))
--- a/tests/world/new_machines.rs
+++ b/tests/world/new_machines.rs
@@ -31,7 +31,7 @@
     /// Removes every second machine, so that new ones are provisioned.
     pub fn boot_new_machines(&mut self, until: Duration) {
         self.new_machines.until = until;
-        self.late_writes(until);
+        self.delay_writes(until);
         let names: Vec<String> = self.workers.keys().step_by(2).cloned().collect();
         for name in names {
             self.remove_machine(&name);
--- a/tests/world/observer.rs
+++ b/tests/world/observer.rs
@@ -204,7 +204,7 @@
         self.report_violation(now, "unlisted", format!("{task} on {machine}"));
     }
 
-    pub fn task_ended(&mut self, task: &TaskId, machine: &str, done: bool) {
+    pub fn record_task_end(&mut self, task: &TaskId, machine: &str, done: bool) {
         if self.running.get(task).is_some_and(|r| r.machine == machine) {
             self.running.remove(task);
         }
--- a/tests/world/old_reports.rs
+++ b/tests/world/old_reports.rs
@@ -47,7 +47,7 @@
         self.old_reports.held_until = until;
     }
 
-    fn old_report(&mut self, node: usize, at: Duration, mut report: WorkerReport) {
+    fn deliver_old_report(&mut self, node: usize, at: Duration, mut report: WorkerReport) {
         match self.defect {
             Defect::AcceptsDuplicateReports => report.seq += 20,
             Defect::OldReportsCarryNewToken => report.token = self.old_reports.claim << 16,
@@ -81,7 +81,7 @@
         for report in std::mem::take(&mut self.old_reports.kept) {
             for node in 0..NODES {
                 let at = self.now + ms(self.rng.random_range(1..900));
-                self.old_report(node, at, report.clone());
+                self.deliver_old_report(node, at, report.clone());
                 self.old_reports.copies_after_claim += 1;
             }
         }
@@ -103,7 +103,7 @@
         self.old_reports.held = held;
         for (_, report) in due {
             let at = self.now + ms(self.rng.random_range(20..2_000));
-            self.old_report(node, at, report);
+            self.deliver_old_report(node, at, report);
             self.old_reports.held_after_action += 1;
         }
     }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -34,7 +34,7 @@
 }
 
 /// Like `world`, with the terminal states of jobs stored by ranges of ids.
-fn packed(seed: u64, defect: Defect, faults: Faults) -> World {
+fn packed_world(seed: u64, defect: Defect, faults: Faults) -> World {
     let world = World::with_scale(PIPELINES, seed, defect).with_quick_restarts();
     let mut world = run(world.with_packed_terminal_states(), faults);
     assert!(defect != Defect::None || world.count_keys(TERMINAL_RANGES_PREFIX) > 0);
@@ -54,10 +54,10 @@
 
 /// Asserts that no rule is broken and that all pipelines are done or cancelled.
 fn assert_rules_hold(seed: u64, faults: Faults) -> World {
-    checked(world(seed, Defect::None, faults), seed, faults)
+    assert_rules_hold_in(world(seed, Defect::None, faults), seed, faults)
 }
 
-fn checked(world: World, seed: u64, faults: Faults) -> World {
+fn assert_rules_hold_in(world: World, seed: u64, faults: Faults) -> World {
     let counts = &world.pipelines.counts;
     let context = format!("seed {seed}, {faults:?}, {counts:?}");
     assert_eq!(
@@ -76,7 +76,7 @@
 
 /// Asserts that the defect is caught with either form of stored terminal states.
 fn assert_caught(defect: Defect, faults: Faults, rule: &str) {
-    for build in [world, packed] {
+    for build in [world, packed_world] {
         let caught = |seed| {
             let violations = build(seed, defect, faults).observer.violations();
             violations.iter().any(|v| v.starts_with(rule))
@@ -202,7 +202,7 @@
 
 #[test]
 fn terminal_states_without_their_time_are_caught() {
-    for build in [world, packed] {
+    for build in [world, packed_world] {
         let world = build(0, Defect::LosesTerminalTimes, &[]);
         assert!(!world.pipelines.without_time.is_empty());
     }
@@ -235,8 +235,8 @@
     for seed in seeds(1) {
         let mut timed = 0;
         for faults in all {
-            let world = packed(seed, Defect::None, faults);
-            timed += checked(world, seed, faults)
+            let world = packed_world(seed, Defect::None, faults);
+            timed += assert_rules_hold_in(world, seed, faults)
                 .pipelines
                 .counts
                 .timed_terminal_states;
@@ -257,7 +257,7 @@
             world = world.with_upgrade(14_000 + 5_000 * node as u64, node, 2);
         }
         let world = run(world, &[]);
-        let mut world = checked(world, seed, &[]);
+        let mut world = assert_rules_hold_in(world, seed, &[]);
         assert!(
             world.count_keys(TERMINAL_RANGES_PREFIX) > 0,
             "seed {seed}: never switched to packed terminal states"
--- a/tests/world/sim/cloud.rs
+++ b/tests/world/sim/cloud.rs
@@ -104,7 +104,7 @@
         if let Some(worker) = self.workers.remove(name) {
             for ((task, _), t) in worker.tasks {
                 if t.phase.has_image() {
-                    self.observer.task_ended(&task, name, false);
+                    self.observer.record_task_end(&task, name, false);
                 }
             }
         }
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -338,7 +338,7 @@
         self.push(at, Event::NodeInput(node, epoch, input));
     }
 
-    pub(super) fn unknown_dependency_answered(&mut self, number: usize, answer: &Answer) {
+    pub(super) fn handle_unknown_dependency_answer(&mut self, number: usize, answer: &Answer) {
         let unknown = &mut self.pipelines.unknown[number];
         match answer {
             Answer::Impossible(_) => {
--- a/tests/world/sim/requests.rs
+++ b/tests/world/sim/requests.rs
@@ -337,7 +337,7 @@
         spec
     }
 
-    pub(super) fn unrunnable_answered(
+    pub(super) fn handle_unrunnable_answer(
         &mut self,
         node: usize,
         reason: usize,
--- a/tests/world/sim/users.rs
+++ b/tests/world/sim/users.rs
@@ -195,10 +195,10 @@
                 }
             }
             Requester::Unrunnable(reason, id) => {
-                self.unrunnable_answered(node, reason, &id, &answer)
+                self.handle_unrunnable_answer(node, reason, &id, &answer)
             }
             Requester::UnknownDependency(number) => {
-                self.unknown_dependency_answered(number, &answer)
+                self.handle_unknown_dependency_answer(number, &answer)
             }
             Requester::User(i, action, before) => {
                 self.combined_faults.unanswered.remove(&i);
--- a/tests/world/sim/workers.rs
+++ b/tests/world/sim/workers.rs
@@ -129,7 +129,7 @@
         worker.next_report = now;
         for ((task, _), t) in std::mem::take(&mut worker.tasks) {
             if t.phase.has_image() {
-                self.observer.task_ended(&task, name, false);
+                self.observer.record_task_end(&task, name, false);
             }
         }
     }
@@ -217,11 +217,11 @@
                             index,
                         };
                         self.completed_tasks.insert(task.clone());
-                        self.observer.task_ended(&task, "", true);
+                        self.observer.record_task_end(&task, "", true);
                     }
                     self.on_task_done(&key.0.job);
                 }
-                self.observer.task_ended(&key.0, name, done);
+                self.observer.record_task_end(&key.0, name, done);
             }
             let worker = self.workers.get_mut(name).expect("known worker");
             worker.tasks.insert(key, WorkerTask { phase, until });
@@ -512,7 +512,7 @@
                         _ => t.phase = TaskPhase::Exited(ExitReason::Stopped { saved: false }),
                     }
                     if had_image {
-                        self.observer.task_ended(task, name, false);
+                        self.observer.record_task_end(task, name, false);
                     }
                 }
                 Command::Forget { task, attempt } => {
