--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -15,8 +15,8 @@
 const BASE: Units = 10;
 const GUARANTEE: Units = 3;
 const INTERVAL: u64 = 5;
-/// Rounds of messages after the loss ends until every base is back: a lost grant is resent,
-/// accepted and returned, and the lender receives the return.
+/// Rounds of messages until every base is recovered once message loss has ended: a lost grant is
+/// resent, accepted and returned, and the lender receives the return.
 const ROUNDS_TO_RECOVER: u64 = 3;
 
 struct Cells {
@@ -173,9 +173,9 @@
             .map(|(cell, requested)| (CellId(cell), request(requested)))
             .collect();
         let parts = divide(free, &requests);
-        let given: Units = parts.iter().map(|part| part.1).sum();
+        let divided: Units = parts.iter().map(|part| part.1).sum();
         let requested: Units = requests.values().map(|request| request.units).sum();
-        prop_assert_eq!(given, free.div_ceil(2).min(requested));
+        prop_assert_eq!(divided, free.div_ceil(2).min(requested));
         prop_assert!(parts.iter().all(|(cell, units)| *units <= requests[cell].units));
         prop_assert_eq!(parts.iter().map(|part| part.0).collect::<BTreeSet<_>>().len(), parts.len());
     }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -2,8 +2,8 @@
 //! and reordered messages, lost answers to writes, leader failovers, clock skew and lost records.
 //!
 //! Messages are never removed from the network, so any of them may be delivered never, late or
-//! twice. Units in use are always at their maximum: each leader whose term may last starts tasks up
-//! to its limit at once, and a round may find any smaller amount.
+//! twice. Units in use are always at their maximum: each leader whose term may not have ended
+//! starts tasks up to its limit at once, and a round may observe any smaller amount.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
@@ -149,12 +149,12 @@
         for cell in 0..bounds.shares.len() {
             let clock = bounds.clocks[combination % bounds.clocks.len()];
             combination /= bounds.clocks.len();
-            let (machine, _) =
+            let (state_machine, _) =
                 Cell::new(config(bounds, CellId(cell as u16))).expect("a valid configuration");
             world.sites.push(Site {
                 id: CellId(cell as u16),
                 leader: Leader {
-                    cell: machine,
+                    cell: state_machine,
                     clock,
                 },
                 former_leader: None,
@@ -407,16 +407,16 @@
         );
     }
 
-    /// Starts a new leader, which claims and reads. Writes of the old one depend on its claim.
-    fn restart(&mut self, bounds: &Bounds, cell: usize, clock: i64, lost: bool) {
+    /// Starts a new leader, which claims and reads. Writes of the former one depend on its claim.
+    fn restart(&mut self, bounds: &Bounds, cell: usize, clock: i64, loses_record: bool) {
         self.restarts -= 1;
-        let (machine, _) =
+        let (state_machine, _) =
             Cell::new(config(bounds, CellId(cell as u16))).expect("a valid configuration");
         let site = &mut self.sites[cell];
         let old = std::mem::replace(
             &mut site.leader,
             Leader {
-                cell: machine,
+                cell: state_machine,
                 clock,
             },
         );
@@ -427,7 +427,7 @@
         } else {
             site.delayed.clear();
         }
-        if lost {
+        if loses_record {
             self.lost_records -= 1;
             site.stored = None;
             site.revision += 1;
@@ -438,14 +438,14 @@
         }
     }
 
-    /// Raises the units in use to the limit of every leader whose term may last.
+    /// Raises the units in use to the limit of every leader whose term may not have ended.
     fn saturate_usage(&mut self, bounds: &Bounds) {
         for site in &mut self.sites {
             site.in_use = site.in_use.max(site.limit(bounds, self.time));
         }
     }
 
-    /// Drops writes whose condition can't hold again and messages about loans that are over. Loan
+    /// Drops writes whose condition can't hold again and messages about ended loans. Loan
     /// numbers only grow, so no reachable violation is lost.
     fn prune(&mut self, bounds: &Bounds) {
         for site in &mut self.sites {
@@ -528,7 +528,7 @@
         max_limit.max(self.faulty_limit(bounds, time).unwrap_or(0))
     }
 
-    /// Returns the limit by the record before or after the write in flight, if a fault says so.
+    /// Returns the limit of the record before or after the write in flight, if a fault uses it.
     fn faulty_limit(&self, bounds: &Bounds, time: u64) -> Option<Units> {
         let write = self.in_flight.as_ref()?;
         let record = match bounds.fault? {
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -1,9 +1,9 @@
 //! Progress of a new leader in hearing the machines that are stored as holding tasks.
 //!
-//! The free capacity of a machine is unknown until it was heard. Stopping a task, renting a
-//! machine or returning one before that may be needless, as capacity may already be there. So
-//! these actions wait, by zone, for the machines that are still likely to be heard soon. Starts
-//! on machines that were heard don't wait.
+//! The free capacity of a machine is unknown until it is heard. Stopping a task, renting a machine
+//! or returning one before that may be needless, as enough capacity may exist already. So these
+//! actions wait, by zone, for the machines that are still likely to be heard soon. Starts on
+//! machines that were heard don't wait.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -21,14 +21,15 @@
 pub struct ZoneCounts {
     /// Number of machines in the stored state.
     pub stored: usize,
-    /// Of these, machines neither heard, nor proven empty, nor asked without an answer.
+    /// Number of these that are waited for: not heard, not proven empty, not listed as failed, and
+    /// without unanswered commands.
     pub silent: usize,
     /// Whether the zone is unreachable, so that its machines are not waited for.
     pub unreachable: bool,
 }
 
-/// A zone is not waited for once at most one machine in this many is silent: if the others have
-/// no capacity, the last ones are unlikely to have any.
+/// A zone is no longer waited for once at most one machine in this many is silent: if the others
+/// have no capacity, the last ones are unlikely to have any.
 const STRAGGLERS_ONE_IN: usize = 10;
 
 /// The stage of a zone's reconciliation.
@@ -76,7 +77,7 @@
 
 #[derive(Debug, Clone)]
 struct Zone {
-    count: ZoneCounts,
+    counts: ZoneCounts,
     stage: Stage,
     /// Time of the last decrease of the number of silent machines.
     last_progress: Option<Duration>,
@@ -118,8 +119,8 @@
             }
             Input::Counts(counts) => {
                 self.has_counts = true;
-                for (name, count) in counts {
-                    outputs.extend(self.update_zone(now, name, count));
+                for (name, zone_counts) in counts {
+                    outputs.extend(self.update_zone(now, name, zone_counts));
                 }
                 if !self.reconciled && self.zones.values().all(|z| z.stage != Stage::Waiting) {
                     self.reconciled = true;
@@ -131,26 +132,26 @@
         outputs
     }
 
-    fn update_zone(&mut self, now: Duration, name: Arc<str>, count: ZoneCounts) -> Option<Output> {
+    fn update_zone(&mut self, now: Duration, name: Arc<str>, counts: ZoneCounts) -> Option<Output> {
         let zone = self.zones.entry(name.clone()).or_insert(Zone {
-            count,
+            counts,
             stage: Stage::Waiting,
-            last_progress: (count.silent < count.stored).then_some(now),
+            last_progress: (counts.silent < counts.stored).then_some(now),
         });
-        if count.silent < zone.count.silent {
+        if counts.silent < zone.counts.silent {
             zone.last_progress = Some(now);
         }
-        zone.count = count;
+        zone.counts = counts;
         let is_timed_out = now >= self.started_at + self.limits.max;
         let is_stalled = zone
             .last_progress
             .is_some_and(|at| now >= at + self.limits.quiet);
-        let only_stragglers = count.silent * STRAGGLERS_ONE_IN <= count.stored;
-        let stage = match (zone.stage, count.silent) {
-            // A zone that was given up on is not waited for again.
+        let only_stragglers = counts.silent * STRAGGLERS_ONE_IN <= counts.stored;
+        let stage = match (zone.stage, counts.silent) {
+            // An overdue zone is not waited for again.
             (Stage::Waiting | Stage::Overdue, 0) | (Stage::Reconciled, _) => Stage::Reconciled,
             (Stage::Overdue, _) => Stage::Overdue,
-            _ if is_timed_out || is_stalled || count.unreachable || only_stragglers => {
+            _ if is_timed_out || is_stalled || counts.unreachable || only_stragglers => {
                 Stage::Overdue
             }
             _ => Stage::Waiting,
@@ -160,8 +161,8 @@
         changed.then_some(Output::Stage {
             zone: name,
             stage,
-            heard: count.stored - count.silent.min(count.stored),
-            stored: count.stored,
+            heard: counts.stored - counts.silent.min(counts.stored),
+            stored: counts.stored,
         })
     }
 
@@ -177,7 +178,7 @@
     }
 
     /// Returns whether the cloud's list, which may contain unknown machines requested earlier, is
-    /// still waited for. The wait is no longer than that for a worker.
+    /// still waited for. The wait lasts at most as long as that for a worker.
     pub fn is_list_pending(&self, now: Duration) -> bool {
         !self.listed && now < self.started_at + self.limits.max
     }
@@ -185,7 +186,7 @@
     /// Returns each zone with its stage, machines heard and machines stored.
     pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, Stage, usize, usize)> {
         self.zones.iter().map(|(name, zone)| {
-            let ZoneCounts { stored, silent, .. } = zone.count;
+            let ZoneCounts { stored, silent, .. } = zone.counts;
             (name, zone.stage, stored - silent.min(stored), stored)
         })
     }
--- a/crates/rollout/src/state_machine.rs
+++ b/crates/rollout/src/state_machine.rs
@@ -2,7 +2,7 @@
 //!
 //! Each step is a stored record, written conditional on the previous record and on the leader's
 //! claim (both added by the caller). The step that activates the new format is also conditional
-//! on every node's own record as it was seen: a node that has restarted since wrote another
+//! on every node's own record as it was read: a node that has restarted since has written another
 //! one, and the step fails.
 
 use std::{collections::BTreeMap, time::Duration};
@@ -64,11 +64,11 @@
     },
     /// All nodes are ready, and the soak has started.
     SoakStarted,
-    /// The soak was interrupted for this reason and starts over.
+    /// The soak was interrupted for this reason and restarts.
     SoakRestarted(String),
 }
 
-/// The reason why the next step is not taken.
+/// Reason why the next step is not taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Blocker {
     /// The cluster is at its target generation.
@@ -83,11 +83,11 @@
     NotCurrent(String),
     /// The soak lasts until this time.
     Soaking(Duration),
-    /// A feature on the way can't be rolled back.
+    /// The move would undo a feature that can't be rolled back.
     Irreversible(&'static str),
     /// Old records remain to be rewritten.
     Migrating,
-    /// Nothing: the step is being stored.
+    /// No blocker: the step is being stored.
     StepIssued,
 }
 
@@ -119,14 +119,14 @@
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Returns the generation to move to from a settled one.
+    /// Returns the generation to move to next from a settled one.
     fn target(&self, view: &ClusterView) -> Generation {
         let at = view.cluster.from;
         let newest = self.features.iter().map(|f| f.since).max();
         // A feature held back at any node is held back for the cluster.
         let abilities = self
             .active_nodes(view)
-            .filter_map(|(_, seen)| seen.ability.as_ref());
+            .filter_map(|(_, state)| state.ability.as_ref());
         let limits = abilities.filter_map(|ability| ability.held_to).min();
         let limits = limits.into_iter().chain(self.config.held_to(self.features));
         let newest = limits.chain(newest).min().unwrap_or(at);
@@ -228,8 +228,8 @@
                 }
                 Ok(nodes) => self.continue_soak(now, nodes, outputs, with_stage(Stage::Active)),
             },
-            // These steps don't require all nodes: writes of a process that has not seen the
-            // switch fail.
+            // These steps don't require all nodes: writes of a process that has not read the
+            // new record fail.
             Stage::Active => store(
                 outputs,
                 with_stage(Stage::Migrating),
@@ -280,14 +280,14 @@
 
     /// Returns the first feature that can't be rolled back, for a move to an older generation.
     fn irreversible_feature(&self, from: Generation, to: Generation) -> Option<&'static str> {
-        let dropped = self
+        let undone = self
             .features
             .iter()
             .filter(|f| to < f.since && f.since <= from);
-        dropped.filter(|f| !f.is_reversible).map(|f| f.name).next()
+        undone.filter(|f| !f.is_reversible).map(|f| f.name).next()
     }
 
-    /// Returns the configured nodes, without those declared gone.
+    /// Returns the configured nodes, without those declared removed.
     fn active_nodes<'a>(
         &self,
         view: &'a ClusterView,
@@ -298,8 +298,8 @@
 
     /// Checks that the records of all nodes, reachable or not, declare support of a generation.
     fn check_supported(&self, view: &ClusterView, generation: Generation) -> Result<(), Blocker> {
-        for (node, seen) in self.active_nodes(view) {
-            match &seen.ability {
+        for (node, state) in self.active_nodes(view) {
+            match &state.ability {
                 None => return Err(Blocker::NoRecord(node.clone())),
                 Some(ability) if !ability.supports(generation) => {
                     return Err(Blocker::Unsupported(node.clone(), generation));
@@ -313,14 +313,14 @@
     /// Checks that all nodes are heard, match their records and know the current cluster record.
     fn check_up_to_date(&self, view: &ClusterView) -> Result<Vec<(String, u64)>, Blocker> {
         let mut nodes = Vec::new();
-        for (node, seen) in self.active_nodes(view) {
-            let is_up_to_date = seen.announcement.is_some_and(|announcement| {
-                announcement.started == seen.record_revision && announcement.knows == view.revision
+        for (node, state) in self.active_nodes(view) {
+            let is_up_to_date = state.announcement.is_some_and(|announcement| {
+                announcement.started == state.record_revision && announcement.knows == view.revision
             });
             if !is_up_to_date {
                 return Err(Blocker::NotCurrent(node.clone()));
             }
-            nodes.push((node.clone(), seen.record_revision));
+            nodes.push((node.clone(), state.record_revision));
         }
         Ok(nodes)
     }
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -14,7 +14,7 @@
     procfs::{self, ProcessSample},
 };
 
-/// Keeps idle machines, so that the size of the fleet stays as configured.
+/// Idle time before a machine is released, in boot times; keeps the fleet at its configured size.
 const IDLE_BOOTS: &str = "1000";
 const GANG_WAIT_S: f64 = 40.0;
 const GANG_PEER_S: f64 = 5.0;
@@ -196,16 +196,16 @@
 
     /// Returns controllers whose process has exited unexpectedly.
     pub fn exited(&mut self) -> Vec<usize> {
-        let mut ended = Vec::new();
+        let mut exited = Vec::new();
         for (index, child) in self.children.iter_mut().enumerate() {
-            let exited = child
+            let has_exited = child
                 .as_mut()
                 .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))));
-            if exited {
-                ended.push(index);
+            if has_exited {
+                exited.push(index);
             }
         }
-        ended
+        exited
     }
 }
 
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -21,7 +21,7 @@
     store::{Change, Condition, Event, Item, Store, TxnError},
 };
 
-/// Interval of the expiry of leases, and of the check whether an outage has ended.
+/// Interval between checks for expired leases and for the end of an outage.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_WATCH_WAIT_MS: u64 = 60_000;
 const DEFAULT_PAGE_ITEMS: usize = 1_000;
@@ -133,7 +133,7 @@
     changed: Notify,
     counters: Counters,
     traffic: Arc<Traffic>,
-    started: Instant,
+    started_at: Instant,
 }
 
 #[derive(Deserialize)]
@@ -266,7 +266,7 @@
                 changed: Notify::new(),
                 counters: Counters::default(),
                 traffic: Arc::default(),
-                started: Instant::now(),
+                started_at: Instant::now(),
             }),
         };
         tokio::spawn(service.clone().expire_leases());
@@ -315,7 +315,7 @@
     }
 
     fn now(&self) -> Duration {
-        self.shared.started.elapsed()
+        self.shared.started_at.elapsed()
     }
 
     fn in_outage(&self) -> bool {
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -152,7 +152,7 @@
                 is_empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
             if can_release && pause.is_none() {
                 info!(machine = %id, why = "drained", "machine marked for release");
-                let machine = self.machines.get_mut(&id).expect("just seen");
+                let machine = self.machines.get_mut(&id).expect("known machine");
                 machine.state = MachineState::Leaving;
             }
             for key in stop {
@@ -193,7 +193,7 @@
                     kind,
                     stopping: placement.stopping(),
                     service: services.get(&key.0.job).copied(),
-                    has_room: self.has_capacity_elsewhere(id, placement, now),
+                    has_capacity_elsewhere: self.has_capacity_elsewhere(id, placement, now),
                     lost_work: unsaved_run_time(placement, now),
                 })
             })
--- a/src/core/heartbeat_forwarding.rs
+++ b/src/core/heartbeat_forwarding.rs
@@ -94,27 +94,27 @@
             return;
         };
         let now = self.now();
-        let is_cut_from_leader = self.is_cut_from_leader(&report, claim);
-        if is_cut_from_leader {
+        let is_partitioned_from_leader = self.is_partitioned_from_leader(&report, claim);
+        if is_partitioned_from_leader {
             self.membership
                 .nodes
                 .record_stranded_worker(&report.machine, now);
             self.record_heartbeat(&report.machine, &report.zone, HeartbeatPath::Report);
         }
-        if is_cut_from_leader && !self.reaches_leader() {
+        if is_partitioned_from_leader && !self.reaches_leader() {
             match self.leader_stores_heartbeats() {
-                // No node can forward the report, and the leader stays the leader: the worker
+                // No node can forward the report, and the leader is not replaced: the worker
                 // tries the other nodes.
                 true => self.answer(request, Answer::Redirect(None)),
                 false => self.hold_report(request, report),
             }
             return;
         }
-        if is_cut_from_leader && self.is_forwarding_full(&report.machine) {
+        if is_partitioned_from_leader && self.is_forwarding_full(&report.machine) {
             self.answer(request, Answer::Redirect(None));
             return;
         }
-        if !is_cut_from_leader {
+        if !is_partitioned_from_leader {
             self.forwarded
                 .redirected
                 .insert(report.machine.clone(), now);
@@ -159,7 +159,7 @@
     /// leader's address. A worker stays with the node that answers it, so it is redirected to the
     /// leader again from time to time; otherwise it would depend on two nodes and the connection
     /// between them forever.
-    fn is_cut_from_leader(&mut self, report: &WorkerReport, claim: u64) -> bool {
+    fn is_partitioned_from_leader(&mut self, report: &WorkerReport, claim: u64) -> bool {
         let now = self.now();
         let knows_token = report.token >> 16 == claim;
         if !self.reaches_leader() && self.leader_stores_heartbeats() {
@@ -172,7 +172,7 @@
         }
         match self.forwarded.redirected.get(&report.machine) {
             Some(at) => now < *at + self.config.worker_lease_bound * 2,
-            None if knows_token && self.workers_have_moved(claim) => {
+            None if knows_token && self.have_workers_moved(claim) => {
                 self.forwarded
                     .redirected
                     .insert(report.machine.clone(), now);
@@ -183,7 +183,7 @@
     }
 
     /// Returns whether no further report may be forwarded. The whole fleet may report here at once;
-    /// workers whose lease is half over can't wait and get twice the limit.
+    /// workers whose lease has half elapsed can't wait and get twice the limit.
     fn is_forwarding_full(&self, machine: &MachineId) -> bool {
         let half_lease = self.config.worker_lease_bound / 2;
         let last_answer = self.forwarded.answered_at.get(machine);
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -90,7 +90,7 @@
     /// Machine kinds that the cloud refused, and the time until which none are requested.
     refused: HashMap<MachineKind, Duration>,
     /// Adaptive bound on the number of open requests.
-    pace: RequestWindow,
+    request_window: RequestWindow,
     /// Released machines and the time of their release; the cloud's list lags behind.
     released: BTreeMap<MachineId, Duration>,
 }
@@ -112,7 +112,7 @@
             next_call: Duration::ZERO,
             releasing: BTreeSet::new(),
             refused: HashMap::new(),
-            pace: RequestWindow::new(MAX_OPEN_REQUESTS),
+            request_window: RequestWindow::new(MAX_OPEN_REQUESTS),
             released: BTreeMap::new(),
         }
     }
@@ -124,7 +124,7 @@
 
     /// Returns whether the adaptive bound allows another open request.
     pub(super) fn may_request(&self) -> bool {
-        self.open.len() < self.pace.window()
+        self.open.len() < self.request_window.window()
     }
 
     /// Returns the requests without a final answer.
@@ -204,7 +204,7 @@
                 self.plan_scale_out(now);
             }
         }
-        let unresponsive = self.plan_unresponsive_returns(now);
+        let unresponsive = self.plan_unresponsive_releases(now);
         if !unresponsive.is_empty() {
             self.provisioning
                 .releasing
@@ -307,14 +307,14 @@
 
     fn provision_reply(&mut self, request: &ProvisioningRequest, reply: CloudReply, now: Duration) {
         let kind = request.kind();
-        self.provisioning.pace.step(match reply {
+        self.provisioning.request_window.step(match reply {
             CloudReply::Provisioned(_) => Outcome::Done,
             CloudReply::NoCapacity => Outcome::Refused,
             _ => Outcome::Unclear,
         });
         match reply {
             CloudReply::Provisioned(ids) => {
-                info!(request = %request.id, got = ids.len(), asked = request.count, "machines provisioned");
+                info!(request = %request.id, count = ids.len(), requested = request.count, "machines provisioned");
                 if (ids.len() as u32) < request.count {
                     self.provisioning.refused.insert(kind, now + REFUSAL_TTL);
                 }
@@ -410,7 +410,7 @@
         }
         for (id, why) in marked {
             info!(machine = %id, why, "machine marked for release");
-            let machine = self.machines.get_mut(&id).expect("just listed");
+            let machine = self.machines.get_mut(&id).expect("known machine");
             machine.state = MachineState::Leaving;
             machine.unresolved = false;
         }
--- a/tests/world/combined_faults.rs
+++ b/tests/world/combined_faults.rs
@@ -26,9 +26,9 @@
     /// Users don't poll these nodes until then.
     avoided_until: [Duration; NODES],
     /// A quarter of all transactions gets no answer and is applied later, until then.
-    late_until: Duration,
+    writes_late_until: Duration,
     /// A third of all direct commands and of their answers is delayed until then.
-    held_until: Duration,
+    commands_held_until: Duration,
     /// Every claim that a node sent, unchanged.
     claims: Vec<StateRequest>,
     /// Users whose last request has not been answered yet, and the node it was sent to.
@@ -41,14 +41,14 @@
     /// Makes the state service refuse the leader alone while users cancel services through the
     /// other nodes, and then makes it unavailable to all nodes for longer than `cancel_s`.
     pub fn refusal_then_outage(&mut self, leader: usize, duration: Duration) {
-        let begins = self.now + ms(self.rng.random_range(600..4_000));
+        let outage_start = self.now + ms(self.rng.random_range(600..4_000));
         self.refused_until[leader] = self.now + duration;
         self.withdraw_services(leader, ms(300));
-        self.push(begins, Event::OutageStarted);
-        self.push(begins + duration, Event::OutageEnded);
+        self.push(outage_start, Event::OutageStarted);
+        self.push(outage_start + duration, Event::OutageEnded);
     }
 
-    /// Like `refusal_then_outage`, but nobody tells the leader to step down: it acts to the end of
+    /// Like `refusal_then_outage`, but no node tells the leader to step down: it acts to the end of
     /// its term, and the outage starts just after another node has claimed the leadership.
     pub fn outage_after_claim(&mut self, leader: usize, duration: Duration) {
         self.refused_until[leader] = self.now + duration;
@@ -59,7 +59,7 @@
 
     /// Makes the leader's own watch return nothing, while all other requests are answered and users
     /// cancel through the other nodes.
-    pub fn silent_watch(&mut self, leader: usize, duration: Duration) {
+    pub fn silence_watch(&mut self, leader: usize, duration: Duration) {
         self.combined_faults.silent_until[leader] = self.now + duration;
         self.combined_faults.avoided_until[leader] = self.now + duration;
         self.withdraw_services(leader, ms(500));
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Time at which a transaction without an answer is applied, if this is one.
+    /// Returns when a transaction is applied late and without an answer, or `None`; records claims.
     pub fn late_apply_time(&mut self, request: &StateRequest) -> Option<Duration> {
         let StateRequest::Txn { changes, .. } = request else {
             return None;
@@ -86,13 +86,16 @@
         if changes.iter().any(claims) {
             self.combined_faults.claims.push(request.clone());
         }
-        let late = self.now < self.combined_faults.late_until && self.rng.random_range(0..4) == 0;
+        let late =
+            self.now < self.combined_faults.writes_late_until && self.rng.random_range(0..4) == 0;
         late.then(|| self.now + ms(self.rng.random_range(2_000..12_000)))
     }
 
     /// Delay of a direct command to a worker, or of its answer.
     pub fn command_delay(&mut self) -> Duration {
-        match self.now < self.combined_faults.held_until && self.rng.random_range(0..3) == 0 {
+        match self.now < self.combined_faults.commands_held_until
+            && self.rng.random_range(0..3) == 0
+        {
             true => ms(self.rng.random_range(1_500..40_000)),
             false => Duration::ZERO,
         }
@@ -100,12 +103,12 @@
 
     /// Delays commands while reports and their answers pass, and cancels services.
     pub fn hold_commands(&mut self, leader: usize, until: Duration) {
-        self.combined_faults.held_until = until;
+        self.combined_faults.commands_held_until = until;
         self.withdraw_services(leader, ms(2_000));
     }
 
-    pub fn late_writes(&mut self, until: Duration) {
-        self.combined_faults.late_until = until;
+    pub fn delay_writes(&mut self, until: Duration) {
+        self.combined_faults.writes_late_until = until;
     }
 
     /// Replays every claim ever sent while nobody leads; returns whether one is applied.
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Whether a watch that does not wait counts as a proof without its events.
+    /// Whether a watch that does not wait is answered without events, as if none were missing.
     pub fn skips_watch_proof(&mut self, node: usize, defect: Defect) -> bool {
         match defect {
             Defect::UnverifiedAnswers => true,
@@ -185,18 +188,18 @@
         if changes.iter().any(claims)
             && let Some(duration) = self.combined_faults.outage_at_claim.take()
         {
-            let begins = self.now + ms(self.rng.random_range(1..90));
-            self.push(begins, Event::OutageStarted);
-            self.push(begins + duration, Event::OutageEnded);
+            let outage_start = self.now + ms(self.rng.random_range(1..90));
+            self.push(outage_start, Event::OutageStarted);
+            self.push(outage_start + duration, Event::OutageEnded);
         }
     }
 
-    /// Cancels most services soon, through any node but this one.
-    pub fn withdraw_services(&mut self, not_by: usize, after: Duration) {
+    /// Cancels most services after the given time, through any node but this one.
+    pub fn withdraw_services(&mut self, excluded_node: usize, after: Duration) {
         for i in self.services() {
             if self.rng.random_bool(0.8) {
                 self.withdraw(i, self.now + after);
-                let node = (not_by + 1 + self.rng.random_range(0..NODES - 1)) % NODES;
+                let node = (excluded_node + 1 + self.rng.random_range(0..NODES - 1)) % NODES;
                 for again in [100, 900, 1_700] {
                     let at = self.now + after + ms(again + self.rng.random_range(0..400));
                     self.push(at, Event::UserPollAt(i, node));
--- a/tests/world/controller_downtime.rs
+++ b/tests/world/controller_downtime.rs
@@ -17,16 +17,16 @@
 enum HandoverProgress {
     #[default]
     None,
-    /// The first leader was asked to step down at this time.
-    FirstAsked(Duration),
-    /// The second leader was asked to step down as well.
-    SecondAsked(Duration),
+    /// The first leader received a request to step down at this time.
+    FirstRequested(Duration),
+    /// The second leader received one as well; the time is that of the first request.
+    SecondRequested(Duration),
 }
 
 #[derive(Default)]
 pub struct ControllerDowntime {
     handover: HandoverProgress,
-    /// Time from the first handover to the stop of all nodes, for each run of the fault.
+    /// Time from the first request to step down to the second claim, for each run of the fault.
     handed_back: Vec<Duration>,
     /// Downtime of the other nodes after the next stop of all.
     downtime: Duration,
@@ -46,7 +46,7 @@
     /// the claim after that, and one restarts within a second.
     pub fn hand_over_and_back(&mut self, downtime: Duration) {
         self.controller_downtime.downtime = downtime;
-        self.controller_downtime.handover = HandoverProgress::FirstAsked(self.now);
+        self.controller_downtime.handover = HandoverProgress::FirstRequested(self.now);
         self.push(self.now, Event::StepDown);
     }
 
@@ -57,25 +57,25 @@
         }
         match self.controller_downtime.handover {
             HandoverProgress::None => {}
-            HandoverProgress::FirstAsked(from) => {
-                self.controller_downtime.handover = HandoverProgress::SecondAsked(from);
+            HandoverProgress::FirstRequested(from) => {
+                self.controller_downtime.handover = HandoverProgress::SecondRequested(from);
                 // A node can step down only after it has learned that it leads.
                 for again in 1..25 {
                     self.push(self.now + ms(again * 120), Event::StepDown);
                 }
             }
-            HandoverProgress::SecondAsked(from) => {
+            HandoverProgress::SecondRequested(from) => {
                 self.controller_downtime.handover = HandoverProgress::None;
                 self.controller_downtime.handed_back.push(self.now - from);
                 let end = self.now + ms(self.rng.random_range(0..60));
                 let first = self.rng.random_range(0..NODES);
                 for node in 0..NODES {
                     self.push(end, Event::Stop(node));
-                    let back = match node == first {
+                    let restart_delay = match node == first {
                         true => ms(self.rng.random_range(50..900)),
                         false => self.controller_downtime.downtime,
                     };
-                    self.push(end + back, Event::Restart(node));
+                    self.push(end + restart_delay, Event::Restart(node));
                 }
             }
         }
@@ -84,8 +84,8 @@
 
 fn world(scale: Scale, seed: u64, defect: Defect, faults: &[(u64, Fault, u64)]) -> World {
     let mut world = World::with_scale(scale, seed, defect);
-    // Operators can ask a leader to step down only where rollouts are enabled.
-    if faults.iter().any(|t| t.1 == Fault::HandOverAndBack) {
+    // Operators can request a step-down only where rollouts are enabled.
+    if faults.iter().any(|fault| fault.1 == Fault::HandOverAndBack) {
         world = world.with_rollout("4");
     }
     for (at, fault, duration) in faults {
@@ -117,8 +117,8 @@
 
 fn assert_caught(scale: Scale, defect: Defect, faults: &[(u64, Fault, u64)], rule: &str) {
     let violations = |seed| world(scale, seed, defect, faults).observer.violations();
-    let hit = (0..8).any(|seed| violations(seed).iter().any(|b| b.starts_with(rule)));
-    assert!(hit, "{defect:?} was not caught as {rule}");
+    let caught = (0..8).any(|seed| violations(seed).iter().any(|v| v.starts_with(rule)));
+    assert!(caught, "{defect:?} was not caught as {rule}");
 }
 
 /// Longer than a lease of 5 s, a leader term of about 14 s, and `cancel_s`.
--- a/tests/world/late_commands.rs
+++ b/tests/world/late_commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands that are delayed, unanswered, and executed once if token and session still
+//! Direct commands that are delayed, unanswered, and executed on arrival if token and session still
 //! match; and bursts of cancellations whose machines hang.
 
 use std::time::Duration;
@@ -20,7 +20,7 @@
     until: Duration,
     /// Commands that arrived after their worker had seen a later claim.
     pub after_newer_leader: u64,
-    /// Commands that arrived after their session was over.
+    /// Commands that arrived after their session had ended.
     pub after_session: u64,
     /// Machines that hung with a cancelled task on them.
     pub hung_with_cancelled: usize,
@@ -39,9 +39,9 @@
 
     /// Counts a direct command that arrives at a worker which has seen this token and session.
     pub fn count_late_command(&mut self, token: (u64, u64), session: (u64, u64)) {
-        let ((sent, seen), (meant, lives)) = (token, session);
-        self.late_commands.after_newer_leader += u64::from(sent >> 16 < seen >> 16);
-        self.late_commands.after_session += u64::from(meant < lives);
+        let ((sent_token, seen_token), (sent_session, seen_session)) = (token, session);
+        self.late_commands.after_newer_leader += u64::from(sent_token >> 16 < seen_token >> 16);
+        self.late_commands.after_session += u64::from(sent_session < seen_session);
     }
 
     /// Cancels most running jobs within 200 ms, and makes some machines with their tasks hang.
@@ -67,8 +67,8 @@
     }
 }
 
-/// Delays commands while machines hang beyond their lease or learn of a newer token by no report,
-/// and while leaders crash or are deposed.
+/// Delays commands while machines hang beyond their lease, or cannot report and so miss a newer
+/// token, and while leaders crash or are deposed.
 fn world(scale: Scale, seed: u64, defect: Defect) -> World {
     let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
     for (at, fault, seconds) in [
@@ -90,7 +90,7 @@
 #[test]
 fn rules_hold_when_commands_arrive_after_a_newer_leaders_or_their_session() {
     for seed in seeds(2) {
-        let (mut deposed, mut over, mut finished) = (0, 0, 0);
+        let (mut deposed, mut after_session, mut finished) = (0, 0, 0);
         for scale in [MEDIUM, LONG] {
             let world = world(scale, seed, Defect::None);
             let context = format!("seed {seed}");
@@ -101,7 +101,7 @@
             );
             finished += world.observer.finished;
             deposed += world.late_commands.after_newer_leader;
-            over += world.late_commands.after_session;
+            after_session += world.late_commands.after_session;
         }
         assert!(finished > 8, "seed {seed}: {finished} finished");
         assert!(
@@ -109,8 +109,8 @@
             "seed {seed}: {deposed} commands arrived after a newer leader's"
         );
         assert!(
-            over > 4,
-            "seed {seed}: {over} commands arrived after their session"
+            after_session > 4,
+            "seed {seed}: {after_session} commands arrived after their session"
         );
     }
 }
@@ -120,7 +120,7 @@
     let ran_twice = |scale, seed| {
         violations(scale, seed)
             .iter()
-            .any(|b| b.starts_with("ran_twice"))
+            .any(|v| v.starts_with("ran_twice"))
     };
     let caught = (0..8).any(|seed| ran_twice(MEDIUM, seed) || ran_twice(LONG, seed));
     assert!(caught, "{defect:?} was not caught");
@@ -131,9 +131,9 @@
     assert_caught(Defect::AcceptsOldTokens);
 }
 
-/// Two bursts of cancellations over long tasks, whose machines hang within their lease and beyond
+/// Two bursts of cancellations of long tasks, whose machines hang within their lease and beyond
 /// it, and a leader that crashes.
-fn burst(seed: u64, defect: Defect) -> World {
+fn burst_world(seed: u64, defect: Defect) -> World {
     let mut world = World::with_scale(LONG, seed, defect).with_quick_restarts();
     for (at, fault, hang) in [
         (20_000, Fault::CancelAndHang, 4_000),
@@ -151,18 +151,18 @@
 #[test]
 fn cancelled_tasks_stop_in_time_when_their_machines_hang() {
     for seed in seeds(4) {
-        let violations = burst(seed, Defect::None).observer.violations();
+        let violations = burst_world(seed, Defect::None).observer.violations();
         assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
 #[test]
-fn a_cancelled_task_that_goes_on_after_its_machine_hung_is_caught() {
+fn a_cancelled_task_that_continues_after_its_machine_hung_is_caught() {
     let caught = |seed| {
-        let violations = burst(seed, Defect::HungMachinesIgnoreStop)
+        let violations = burst_world(seed, Defect::HungMachinesIgnoreStop)
             .observer
             .violations();
-        violations.iter().any(|b| b.starts_with("ran_cancelled"))
+        violations.iter().any(|v| v.starts_with("ran_cancelled"))
     };
     assert!((0..6).any(caught));
 }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -85,8 +85,8 @@
 
 fn assert_caught_in(scale: Scale, defect: Defect, rule: &str) {
     let violations_of = |seed| run(scale, seed, defect);
-    let hit = (100..160).any(|seed| violations_of(seed).iter().any(|b| b.starts_with(rule)));
-    assert!(hit, "{defect:?} was not caught as {rule}");
+    let caught = (100..160).any(|seed| violations_of(seed).iter().any(|v| v.starts_with(rule)));
+    assert!(caught, "{defect:?} was not caught as {rule}");
 }
 
 #[test]
@@ -124,7 +124,7 @@
     assert_caught(Defect::UnverifiedAnswers, "went_back");
 }
 
-/// Membership faults, run alone and in pairs in which the second fault meets the service while it
+/// Membership faults, run alone and in pairs in which the second fault hits the service while it
 /// recovers.
 const MEMBERSHIP_FAULTS: [(Fault, u64); 9] = [
     (Fault::LeaderLosesWorkers, 15),
@@ -246,7 +246,7 @@
     (Fault::LeaderIsolatedWithZone, 35),
 ];
 
-/// The last fault of a world ends longer than this before the end of the run.
+/// Maximum age of a job's last answer at the end of a run; all faults are over before that.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn assert_rules_hold_with_network_fault(fault: (Fault, u64)) {
@@ -290,7 +290,7 @@
     world.run();
     world.observer.check_answered(world.now, ANSWER_TIMEOUT);
     let violations = world.observer.violations();
-    assert!(violations.iter().any(|b| b.starts_with("forgotten")));
+    assert!(violations.iter().any(|v| v.starts_with("forgotten")));
 }
 
 #[test]
@@ -314,7 +314,7 @@
 
 #[test]
 fn seats_in_use_never_exceed_the_licence() {
-    let mut most = 0;
+    let mut max_used = 0;
     for seed in seeds(16) {
         let mut world = World::with_scale(LICENSED, seed, Defect::None);
         world.run();
@@ -327,9 +327,9 @@
             world.observer.finished > 2,
             "seed {seed}: too few jobs finished"
         );
-        most = most.max(world.observer.max_seats_used);
+        max_used = max_used.max(world.observer.max_seats_used);
     }
-    assert_eq!(most, LICENSED.seats, "seats were never all in use");
+    assert_eq!(max_used, LICENSED.seats, "seats were never all in use");
 }
 
 #[test]
--- a/tests/world/observer.rs
+++ b/tests/world/observer.rs
@@ -73,7 +73,7 @@
         if self
             .violations
             .iter()
-            .filter(|b| b.starts_with(rule))
+            .filter(|v| v.starts_with(rule))
             .count()
             < 5
         {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether the job was reported as cancelled longer ago than its tasks may go on.
+    /// Whether the job was reported as cancelled longer ago than its tasks may continue to run.
     fn cancelled_long_ago(&self, now: Duration, task: &TaskId) -> bool {
         let report = self.reports.get(&task.job);
         let at = report.and_then(|report| report.cancelled_at);
@@ -110,14 +110,14 @@
         found
     }
 
-    /// Time at which a user was first told that a dependency of this job is cancelled.
+    /// Time at which a dependency of this job was first reported as cancelled.
     fn orphaned_since(&self, id: &JobId) -> Option<Duration> {
         let ancestors = self.ancestors(id);
         let reports = ancestors.iter().filter_map(|id| self.reports.get(id));
         reports.filter_map(|report| report.cancelled_at).min()
     }
 
-    /// Whether a dependency was cancelled longer ago than this job's tasks may go on.
+    /// Whether a dependency was cancelled longer ago than this job's tasks may continue to run.
     fn orphaned_long_ago(&self, now: Duration, id: &JobId) -> bool {
         let since = self.orphaned_since(id);
         since.is_some_and(|since| now > since + self.cancel_within)
@@ -129,7 +129,7 @@
         !withdrawn(id) && self.ancestors(id).iter().any(withdrawn)
     }
 
-    /// Whether all tasks of all its dependencies are done.
+    /// Whether all tasks of all dependencies of the job are done.
     pub fn may_start(&self, spec: &JobSpec) -> bool {
         spec.needs.iter().all(|need| {
             let tasks = self.pipelines.get(need).map_or(0, |(tasks, _)| *tasks);
@@ -204,7 +204,7 @@
         self.report_violation(now, "unlisted", format!("{task} on {machine}"));
     }
 
-    pub fn task_ended(&mut self, task: &TaskId, machine: &str, done: bool) {
+    pub fn record_task_end(&mut self, task: &TaskId, machine: &str, done: bool) {
         if self.running.get(task).is_some_and(|r| r.machine == machine) {
             self.running.remove(task);
         }
@@ -243,13 +243,13 @@
         state: JobState,
         before: Option<JobState>,
     ) {
-        let over = |state| matches!(state, JobState::Done | JobState::Cancelled);
+        let is_terminal = |state| matches!(state, JobState::Done | JobState::Cancelled);
         let id = &spec.id;
         if state == JobState::Done && !self.all_done(id, spec.tasks) {
             self.report_violation(now, "not_done", id.to_string());
         }
         if let Some(before) = before
-            && over(before)
+            && is_terminal(before)
             && before != state
         {
             self.report_violation(now, "went_back", format!("{id} {before:?} to {state:?}"));
@@ -257,13 +257,13 @@
         let with_dependency = self.cancelled_with_dependency(id);
         let report = self.reports.entry(id.clone()).or_default();
         let unrequested = state == JobState::Cancelled && !report.withdrawn && !with_dependency;
-        if state == JobState::Done && !report.state.is_some_and(over) {
+        if state == JobState::Done && !report.state.is_some_and(is_terminal) {
             self.finished += 1;
         }
         if state == JobState::Cancelled {
             report.cancelled_at.get_or_insert(now);
         }
-        if report.state.is_none_or(|s| !over(s)) {
+        if report.state.is_none_or(|s| !is_terminal(s)) {
             report.state = Some(state);
         }
         if unrequested {
@@ -279,7 +279,7 @@
     /// job that depends on a cancelled one is accepted at any time.
     pub fn record_active(&mut self, now: Duration, id: &JobId, state: JobState) {
         if self.orphaned_long_ago(now, id) {
-            self.report_violation(now, "orphaned", format!("{id} told as {state:?}"));
+            self.report_violation(now, "orphaned", format!("{id} reported as {state:?}"));
         }
     }
 
@@ -287,7 +287,7 @@
         self.reports.entry(id.clone()).or_default().last_answer = now;
     }
 
-    /// Checks at the end, longer than `within` after all faults, that requests are answered again.
+    /// Checks at the end, longer than `within` after all faults, that requests are being answered.
     pub fn check_answered(&mut self, now: Duration, within: Duration) {
         let unanswered =
             |report: &JobReport| !report.withdrawn && now > report.last_answer + within;
@@ -314,7 +314,7 @@
         }
     }
 
-    pub fn known_without_submission(&mut self, now: Duration, id: &JobId) {
+    pub fn report_unsubmitted(&mut self, now: Duration, id: &JobId) {
         self.report_violation(now, "invented", id.to_string());
     }
 }
--- a/tests/world/rolling.rs
+++ b/tests/world/rolling.rs
@@ -80,10 +80,10 @@
                 NEW_GENERATION,
                 &context,
             );
-            let back = upgraded(world(seed, Defect::None), order);
-            let back = back.with_order(90 * SECOND_MS, Order::Target(1));
+            let downgraded = upgraded(world(seed, Defect::None), order);
+            let downgraded = downgraded.with_order(90 * SECOND_MS, Order::Target(1));
             run_to(
-                back,
+                downgraded,
                 ClusterGeneration::default(),
                 &format!("{context} and back"),
             );
@@ -174,9 +174,9 @@
         world.observer.finished > 6,
         "{context}: too few jobs finished"
     );
-    let back = faults.iter().any(|(fault, _)| *fault == Fault::Downgrade);
+    let is_downgraded = faults.iter().any(|(fault, _)| *fault == Fault::Downgrade);
     let (end, single) = (world.cluster(), world.count_keys(TERMINAL_STATES_PREFIX));
-    match back {
+    match is_downgraded {
         true => assert!(end.to == 1, "{context}: {end:?}"),
         false => assert_eq!(
             (end, single),
@@ -212,7 +212,7 @@
     }
 }
 
-/// The leader crashes at every write of the new format, just before and just after it.
+/// The leader crashes at every write of the new format, just before or just after the write.
 #[test]
 fn a_leader_may_crash_at_any_write_of_the_switch() {
     let upgraded = || {
@@ -299,13 +299,13 @@
         world.run();
         world.observer.violations()
     };
-    let hit = |violations: Vec<String>| {
+    let breaks_rule = |violations: Vec<String>| {
         violations
             .iter()
-            .any(|b| rules.iter().any(|r| b.starts_with(r)))
+            .any(|v| rules.iter().any(|r| v.starts_with(r)))
     };
-    let found = (0..30).position(|seed| hit(violations_of(seed)));
-    assert!(found.is_some(), "{defect:?} was not caught as {rules:?}");
+    let caught = (0..30).position(|seed| breaks_rule(violations_of(seed)));
+    assert!(caught.is_some(), "{defect:?} was not caught as {rules:?}");
 }
 
 const LOSS_RULES: [&str; 3] = ["forgotten", "went_back", "ran_twice"];
@@ -365,8 +365,8 @@
     world
 }
 
-/// A leader that crashes while a zone is partitioned leaves its successor the time of the
-/// partition.
+/// A leader that crashes while a zone is partitioned has stored the time of the partition for its
+/// successor.
 #[test]
 fn a_successor_during_a_partition_does_not_wait_a_whole_lease_again() {
     let waits = |seed, generation| {
--- a/tests/world/sim/mod.rs
+++ b/tests/world/sim/mod.rs
@@ -91,7 +91,7 @@
     OutageStarted,
     OutageEnded,
     Crash(usize),
-    /// Processes that start from now on read these announced limits.
+    /// Processes that start later read these announced limits.
     AnnounceLimits(AnnouncedLimits),
     InjectFault(Fault, Duration),
     /// The node's process crashes and restarts with support for that generation.
@@ -101,7 +101,7 @@
     Stop(usize),
     /// The node's process restarts with a build from before generations.
     RestartOldBuild(usize),
-    /// The leader is asked to hand over.
+    /// The leader receives a request to step down.
     StepDown,
     /// A drain of these machines is requested until it is accepted.
     Drain(Vec<String>),
@@ -128,7 +128,7 @@
     pub epochs: Vec<u64>,
     /// Restart delay of a crashed process in milliseconds.
     restart_delay_ms: std::ops::Range<u64>,
-    started: Vec<Duration>,
+    process_started: Vec<Duration>,
     clock_rates: Vec<f64>,
     pending_requests: HashMap<(usize, u64, RequestId), Requester>,
     pub next_request: RequestId,
@@ -187,7 +187,7 @@
             nodes: (0..NODES).map(|_| None).collect(),
             epochs: vec![0; NODES],
             restart_delay_ms: 1500..5000,
-            started: vec![Duration::ZERO; NODES],
+            process_started: vec![Duration::ZERO; NODES],
             clock_rates: vec![1.0; NODES],
             pending_requests: HashMap::new(),
             next_request: 0,
@@ -284,8 +284,8 @@
 
     pub fn restart(&mut self, node: usize) {
         let settings = settings(node, &self.scale);
-        let more = u32::from(self.defect == Defect::MoreSeats);
-        let seats = self.scale.seats * (1 + more);
+        let extra = u32::from(self.defect == Defect::MoreSeats);
+        let seats = self.scale.seats * (1 + extra);
         let file = format!("[licence.solver]\nseats = {seats}\n");
         let licences = kiteyard_licences::config::Config::parse(&file).expect("valid config file");
         let options = Options {
@@ -311,16 +311,16 @@
         self.frozen_until[node] = Duration::ZERO;
         self.pending_freezes[node] = None;
         self.epochs[node] += 1;
-        self.started[node] = self.now;
+        self.process_started[node] = self.now;
         self.clock_rates[node] = 1.0 + self.rng.random_range(0..5) as f64 * 1e-4;
         self.push(self.now, Event::Tick(node));
     }
 
     pub fn step(&mut self, node: usize, input: Input) {
-        let passed = (self.now - self.started[node]).mul_f64(self.clock_rates[node]);
+        let elapsed = (self.now - self.process_started[node]).mul_f64(self.clock_rates[node]);
         let epoch = self.epochs[node];
         let clock = Clock {
-            now: passed,
+            now: elapsed,
             wall_ms: self.now.as_millis() as u64
                 + CLOCK_SKEW_STEP_MS * (node as u64 + epoch) % MAX_CLOCK_SKEW_MS,
         };
@@ -358,8 +358,8 @@
             } => {
                 // One in 300 requests is applied long after its sender has given up.
                 let late = self.rng.random_range(0..300) == 0;
-                let at = if let Some(held) = self.acceptance_delay(&request) {
-                    now + held
+                let at = if let Some(extra) = self.acceptance_delay(&request) {
+                    now + extra
                 } else if late {
                     now + delay + ms(4000)
                 } else {
@@ -434,12 +434,12 @@
             Event::DelayedOutputs(node, epoch, outputs) => {
                 for output in outputs {
                     // Users have given up by now; workers decide for themselves.
-                    let gone = |a: &Requester| matches!(a, Requester::User(..));
+                    let is_user = |requester: &Requester| matches!(requester, Requester::User(..));
                     if let Output::Answer { request, .. } = &output
                         && self
                             .pending_requests
                             .get(&(node, epoch, *request))
-                            .is_some_and(gone)
+                            .is_some_and(is_user)
                     {
                         continue;
                     }
@@ -483,8 +483,8 @@
                 }
             }
             Event::UserPoll(i) => {
-                let again = self.now + ms(self.rng.random_range(1200..4000));
-                self.push(again, Event::UserPoll(i));
+                let next_poll = self.now + ms(self.rng.random_range(1200..4000));
+                self.push(next_poll, Event::UserPoll(i));
                 let node = self.choose_node(i);
                 self.poll_job(i, node);
             }
@@ -530,8 +530,8 @@
     pub fn crash(&mut self, node: usize) {
         if self.nodes[node].take().is_some() {
             self.epochs[node] += 1;
-            let back = self.now + ms(self.rng.random_range(self.restart_delay_ms.clone()));
-            self.push(back, Event::Restart(node));
+            let restart_at = self.now + ms(self.rng.random_range(self.restart_delay_ms.clone()));
+            self.push(restart_at, Event::Restart(node));
         }
     }
 }
--- a/tests/world/sim/pipelines.rs
+++ b/tests/world/sim/pipelines.rs
@@ -21,7 +21,7 @@
 
 use super::{Defect, Event, NODES, Requester, World, ms, users::UserAction};
 
-/// Interval of the checks whether a job's dependencies allow its submission.
+/// Interval at which a job's dependencies are checked before its submission.
 const CHECK_INTERVAL: Duration = ms(50);
 /// Interval between repeated submissions that depend on an unknown job.
 const UNKNOWN_RETRY_INTERVAL: Duration = ms(1_500);
@@ -118,7 +118,7 @@
     /// Adds pipelines that start within the first 25 s, and independent jobs on which some of them
     /// depend as well.
     pub fn with_pipelines(mut self, count: usize) -> Self {
-        let plain: Vec<usize> = (0..2)
+        let independent: Vec<usize> = (0..2)
             .map(|_| self.add_pipeline_job(Vec::new(), false))
             .collect();
         for number in 0..count {
@@ -129,7 +129,7 @@
             for (stage, needs) in shape.iter().enumerate() {
                 let mut needs: Vec<usize> = needs.iter().map(|need| jobs[*need]).collect();
                 if stage == 1 && number % 4 == 3 {
-                    needs.push(plain[number % plain.len()]);
+                    needs.push(independent[number % independent.len()]);
                 }
                 let last = stage + 1 == shape.len();
                 jobs.push(self.add_pipeline_job(needs, last && number % 3 == 0));
@@ -148,7 +148,7 @@
     fn add_pipeline_job(&mut self, needs: Vec<usize>, late: bool) -> usize {
         let number = self.jobs.len();
         let mut job = self.make_job(number);
-        let begins = match needs.is_empty() {
+        let submit_at = match needs.is_empty() {
             true => ms(self.rng.random_range(1_000..25_000)),
             false => Duration::ZERO,
         };
@@ -171,7 +171,7 @@
         self.observer.register_pipeline_job(&job.spec);
         self.jobs.push(job);
         self.pipelines.unsubmitted.insert(number, late);
-        self.push(begins, Event::SubmitStage(number));
+        self.push(submit_at, Event::SubmitStage(number));
         number
     }
 
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Records that a user was told a state of the job.
+    /// Records that a state of the job was reported to a user.
     pub(super) fn record_stage_answer(&mut self, number: usize) {
         let now = self.now;
         self.pipelines.accepted.entry(number).or_insert(now);
@@ -251,11 +251,11 @@
         self.pipelines.counts.claims_while_waiting += u64::from(waiting);
     }
 
-    /// Jobs of pipelines of which nobody was told a terminal state.
+    /// Jobs of pipelines whose terminal state no user has seen.
     pub fn unfinished_stages(&self) -> Vec<(JobId, Option<JobState>)> {
         let all = self.pipelines.all.iter().flat_map(|p| &p.jobs);
-        let left = all.filter(|number| !self.jobs[**number].ended);
-        let reported = left.map(|number| {
+        let unfinished = all.filter(|number| !self.jobs[**number].ended);
+        let reported = unfinished.map(|number| {
             let id = &self.jobs[*number].spec.id;
             (id.clone(), self.observer.state(id))
         });
@@ -315,7 +315,7 @@
         self
     }
 
-    /// Sends such a submission to any node, until it is refused.
+    /// Sends a submission with an unknown dependency to any node, repeatedly until it is refused.
     pub(super) fn submit_unknown_dependency(&mut self, number: usize) {
         if self.pipelines.unknown[number].refused {
             return;
@@ -338,7 +338,7 @@
         self.push(at, Event::NodeInput(node, epoch, input));
     }
 
-    pub(super) fn unknown_dependency_answered(&mut self, number: usize, answer: &Answer) {
+    pub(super) fn handle_unknown_dependency_answer(&mut self, number: usize, answer: &Answer) {
         let unknown = &mut self.pipelines.unknown[number];
         match answer {
             Answer::Impossible(_) => {
@@ -444,9 +444,9 @@
     if range.key() != key {
         return None;
     }
-    let ends: TerminalStates =
+    let states: TerminalStates =
         serde_json::from_str(text).expect("valid terminal states of a range");
-    ends.get(name)
+    states.get(name)
 }
 
 /// Removes the times of terminal states from a transaction, for `Defect::LosesTerminalTimes`.
--- a/tests/world/sim/scale.rs
+++ b/tests/world/sim/scale.rs
@@ -31,7 +31,7 @@
     pub team_limit: f64,
     /// Limit of the second team, or 0 for none.
     pub second_team_limit: f64,
-    /// Interval at which a worker checks its lease, tasks and reports.
+    /// Interval at which a worker checks its lease and its tasks, and reports if a report is due.
     pub worker_interval: Duration,
     pub value_kb: f64,
     /// Limits of the state service that the settings announce.
@@ -78,7 +78,7 @@
     ..SMALL
 };
 
-/// Tasks that run for 12 to 46 s, so that those of one job end far apart.
+/// Tasks that run for 12 to 46 s, so that those of one job end at very different times.
 pub const LONG: Scale = Scale {
     duration_factor: 8,
     array_factor: 1,
