--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The client program's parts: what to ask, when to ask again, and what a job file says.
+//! Library of the command-line client: requests, their retries, and job files.
 
 #![warn(missing_docs, unreachable_pub)]
 
-pub mod ask;
 pub mod client;
 pub mod job;
+pub mod retry;
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -1,4 +1,4 @@
-//! The program around the library: arguments, files and exit codes.
+//! Command line of the scale test: arguments, files and exit codes.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -15,33 +15,33 @@
     run::{RunError, run},
 };
 
-/// What was asked for can't be done as it is written.
+/// Exit code for invalid arguments or files.
 const EXIT_USAGE: u8 = 2;
 
-/// Measures one cell of kiteyard on one machine.
+/// Measure one cell of kiteyard on one machine.
 #[derive(Debug, Parser)]
 #[command(name = "scale-test", version)]
 struct Cli {
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Debug, Subcommand)]
-enum Verb {
-    /// Run what the file says, once
+enum Command {
+    /// Run the cell that a file describes, once
     Run {
         file: PathBuf,
-        /// Where results, and the controllers' settings and logs, are written
+        /// Directory for results, and for the controllers' settings and logs
         #[arg(long, default_value = "scale-results")]
         out: PathBuf,
     },
-    /// Run the file's cell with several sizes of its fleet, or several loads, one after another
+    /// Run the cell with several fleet sizes or several loads, one after another
     Sweep {
         file: PathBuf,
-        /// Numbers of workers; teams and load go with them
+        /// Numbers of workers; quotas and load scale with them
         #[arg(long, value_delimiter = ',')]
         workers: Vec<usize>,
-        /// Task starts a second that are asked for, for each worker
+        /// Task starts per second and worker that the submitted jobs require
         #[arg(long, value_delimiter = ',', conflicts_with = "workers")]
         starts_per_worker: Vec<f64>,
         #[arg(long, default_value = "scale-results")]
@@ -51,17 +51,17 @@
     Report {
         #[arg(required = true)]
         results: Vec<PathBuf>,
-        /// What the lines go along
+        /// Quantity that the lines are fitted over
         #[arg(long, value_enum, default_value = "workers")]
-        by: By,
-        /// Also tell what the lines give there
+        by: FitAxis,
+        /// Also print the values of the lines there
         #[arg(long)]
         at: Option<f64>,
     },
 }
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
-enum By {
+enum FitAxis {
     Workers,
     Starts,
 }
@@ -72,33 +72,33 @@
     Config { path: String, error: ConfigError },
     #[error("{path}: {error}")]
     File { path: String, error: std::io::Error },
-    #[error("{path}: not a result: {error}")]
+    #[error("{path}: not a result file: {error}")]
     NotAResult {
         path: String,
         error: serde_json::Error,
     },
-    #[error("sweep: give `--workers` or `--starts-per-worker`")]
-    NothingToSweep,
+    #[error("sweep: `--workers` or `--starts-per-worker` is required")]
+    MissingSweepValues,
     #[error(transparent)]
     Run(#[from] RunError),
-    #[error("{0} rules were broken or controllers ended; see the result")]
-    Broken(usize),
+    #[error("{0} rule violations or unexpected controller exits; see the result")]
+    RulesBroken(usize),
 }
 
 impl Failure {
     fn exit_code(&self) -> ExitCode {
         match self {
-            Self::Config { .. } | Self::NothingToSweep | Self::File { .. } => {
+            Self::Config { .. } | Self::MissingSweepValues | Self::File { .. } => {
                 ExitCode::from(EXIT_USAGE)
             }
-            Self::NotAResult { .. } | Self::Run(_) | Self::Broken(_) => ExitCode::FAILURE,
+            Self::NotAResult { .. } | Self::Run(_) | Self::RulesBroken(_) => ExitCode::FAILURE,
         }
     }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    match carry_out(cli.verb) {
+    match execute(cli.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("scale-test: {failure}");
@@ -107,14 +107,14 @@
     }
 }
 
-fn carry_out(verb: Verb) -> Result<(), Failure> {
-    match verb {
-        Verb::Run { file, out } => {
+fn execute(command: Command) -> Result<(), Failure> {
+    match command {
+        Command::Run { file, out } => {
             let config = load(&file)?;
             let name = config.name.clone();
             run_all(&[(name, config)], &out)
         }
-        Verb::Sweep {
+        Command::Sweep {
             file,
             workers,
             starts_per_worker,
@@ -124,14 +124,14 @@
             let runs = sweep(&file, &config, &workers, &starts_per_worker)?;
             run_all(&runs, &out)
         }
-        Verb::Report { results, by, at } => {
+        Command::Report { results, by, at } => {
             let results: Vec<RunResult> = results
                 .iter()
                 .map(|path| read_result(path))
                 .collect::<Result<_, _>>()?;
             let axis = match by {
-                By::Workers => Axis::Workers,
-                By::Starts => Axis::StartsPerSecond,
+                FitAxis::Workers => Axis::Workers,
+                FitAxis::Starts => Axis::StartsPerSecond,
             };
             print!("{}", report(&results, axis, at));
             Ok(())
@@ -139,7 +139,7 @@
     }
 }
 
-/// The runs of a sweep with their names, all of them checked before the first begins.
+/// Returns the named runs of a sweep, all of them checked before the first one starts.
 fn sweep(
     file: &Path,
     config: &Config,
@@ -147,7 +147,7 @@
     starts_per_worker: &[f64],
 ) -> Result<Vec<(String, Config)>, Failure> {
     if workers.is_empty() && starts_per_worker.is_empty() {
-        return Err(Failure::NothingToSweep);
+        return Err(Failure::MissingSweepValues);
     }
     let by_workers = workers.iter().map(|count| {
         let name = format!("{}-{count}-workers", config.name);
@@ -155,7 +155,7 @@
     });
     let by_starts = starts_per_worker.iter().map(|starts| {
         let name = format!("{}-{starts}-starts", config.name);
-        (name, config.with_starts(*starts))
+        (name, config.with_starts_per_worker(*starts))
     });
     let runs = by_workers.chain(by_starts).map(|(name, changed)| {
         let changed = changed.map_err(|error| Failure::Config {
@@ -168,9 +168,9 @@
 }
 
 fn run_all(runs: &[(String, Config)], out: &Path) -> Result<(), Failure> {
-    let mut broken = 0;
+    let mut violation_count = 0;
     for (name, config) in runs {
-        // A runtime of its own, so that nothing of one run goes on in the next.
+        // Each run has its own runtime, so that no task of one run continues in the next.
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(HARNESS_THREADS)
             .enable_all()
@@ -180,16 +180,16 @@
         runtime.shutdown_background();
         let result = result?;
         write_result(&out.join(format!("{name}.json")), &result)?;
-        broken += result.violations.len() + result.controllers_ended.len();
+        violation_count += result.violations.len() + result.controllers_ended.len();
         print!("{}", runs_table(&[&result]));
     }
-    match broken {
+    match violation_count {
         0 => Ok(()),
-        _ => Err(Failure::Broken(broken)),
+        _ => Err(Failure::RulesBroken(violation_count)),
     }
 }
 
-/// Threads of hollow workers, stand-ins and users; the controllers need cores, too.
+/// Threads of hollow workers, stand-ins and users; the other cores are left to the controllers.
 const HARNESS_THREADS: usize = 3;
 
 fn load(path: &Path) -> Result<Config, Failure> {
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -1,5 +1,5 @@
-//! A small HTTP server and client on hyper that count every byte of their connections,
-//! headers included.
+//! Small HTTP server and client on hyper that count every byte of their connections, headers
+//! included.
 
 use std::{
     convert::Infallible,
@@ -25,10 +25,10 @@
     task::JoinHandle,
 };
 
-/// Accepting is tried again after so long when it fails, as it does without free sockets.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, which happens when the process has no free sockets.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Bytes that went over a group of connections, headers included; what TCP and IP add is not.
+/// Bytes of a group of connections, with HTTP headers and without those of TCP and IP.
 #[derive(Debug, Default)]
 pub struct Traffic {
     received: AtomicU64,
@@ -36,18 +36,18 @@
 }
 
 impl Traffic {
-    /// Bytes received so far.
+    /// Returns the bytes received.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent so far.
+    /// Returns the bytes sent.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 }
 
-/// A TCP stream whose bytes are counted.
+/// TCP stream whose bytes are counted.
 struct CountedStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
@@ -117,23 +117,23 @@
     }
 }
 
-/// A request as the stand-ins see it.
+/// Request as a handler receives it.
 #[derive(Debug)]
-pub struct Asked {
-    /// The method.
+pub struct IncomingRequest {
+    /// Method.
     pub method: Method,
-    /// The path, without the query.
+    /// Path, without the query.
     pub path: String,
-    /// The query as it stands in the request.
+    /// Query, not decoded.
     pub query: String,
-    /// The body.
+    /// Body.
     pub body: Bytes,
-    /// The address that the client connected to.
-    pub local: SocketAddr,
+    /// Address that the client connected to.
+    pub local_addr: SocketAddr,
 }
 
-impl Asked {
-    /// A value from the query, as it stands there.
+impl IncomingRequest {
+    /// Returns a value of the query, not decoded.
     pub fn query(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -143,17 +143,17 @@
     }
 }
 
-/// Status and JSON body of an answer.
+/// Status and JSON body of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The JSON text.
+    /// JSON text.
     pub body: String,
 }
 
 impl Reply {
-    /// A reply with a body that is JSON already.
+    /// Creates a reply with a body that is already JSON.
     pub fn new(status: u16, body: impl Into<String>) -> Self {
         Self {
             status,
@@ -161,17 +161,17 @@
         }
     }
 
-    /// The request is not of the form that the interface takes.
+    /// Creates the reply to a malformed request.
     pub(crate) fn malformed() -> Self {
         Self::new(400, r#"{"error":"malformed"}"#)
     }
 
-    /// The request is over a limit.
+    /// Creates the reply to a request over a rate limit.
     pub(crate) fn too_many_requests() -> Self {
         Self::new(429, r#"{"error":"too many requests"}"#)
     }
 
-    /// A reply with a value as its body.
+    /// Creates a reply with a value serialized as its body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Self {
         Self::new(status, serde_json::to_string(body).unwrap_or_default())
     }
@@ -180,12 +180,12 @@
 /// Serves every connection of the listener until the task is dropped.
 pub async fn serve<H, F>(listener: TcpListener, traffic: Arc<Traffic>, handler: H)
 where
-    H: Fn(Asked) -> F + Clone + Send + Sync + 'static,
+    H: Fn(IncomingRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Reply> + Send + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_AGAIN).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let traffic = traffic.clone();
@@ -195,28 +195,28 @@
 
 async fn serve_connection<H, F>(stream: TcpStream, traffic: Arc<Traffic>, handler: H)
 where
-    H: Fn(Asked) -> F + Clone + Send + Sync + 'static,
+    H: Fn(IncomingRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Reply> + Send + 'static,
 {
-    let Ok(local) = stream.local_addr() else {
+    let Ok(local_addr) = stream.local_addr() else {
         return;
     };
     let _ = stream.set_nodelay(true);
     let stream = CountedStream { stream, traffic };
-    let service = service_fn(move |request| answer(request, local, handler.clone()));
-    // A client that goes away in the middle is nothing to report.
+    let service = service_fn(move |request| handle_request(request, local_addr, handler.clone()));
+    // A client may disconnect at any time; that is no error.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn answer<H, F>(
+async fn handle_request<H, F>(
     request: Request<Incoming>,
-    local: SocketAddr,
+    local_addr: SocketAddr,
     handler: H,
 ) -> Result<Response<Full<Bytes>>, Infallible>
 where
-    H: Fn(Asked) -> F,
+    H: Fn(IncomingRequest) -> F,
     F: Future<Output = Reply>,
 {
     let (head, body) = request.into_parts();
@@ -224,14 +224,14 @@
         Ok(body) => body.to_bytes(),
         Err(_) => Bytes::new(),
     };
-    let asked = Asked {
+    let request = IncomingRequest {
         method: head.method,
         path: head.uri.path().to_owned(),
         query: head.uri.query().unwrap_or_default().to_owned(),
         body,
-        local,
+        local_addr,
     };
-    let reply = handler(asked).await;
+    let reply = handler(request).await;
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
     *response.status_mut() = http::StatusCode::from_u16(reply.status).unwrap_or_default();
     let json = http::HeaderValue::from_static("application/json");
@@ -241,40 +241,40 @@
     Ok(response)
 }
 
-/// One connection to a server, opened when it is needed and kept until it fails.
+/// Connection to a server, opened on demand and kept until it fails.
 pub struct Connection {
-    to: SocketAddr,
+    address: SocketAddr,
     traffic: Arc<Traffic>,
-    open: Option<Open>,
+    open: Option<OpenConnection>,
 }
 
-struct Open {
+struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
 impl Connection {
-    /// A connection that is not opened yet.
-    pub fn new(to: SocketAddr, traffic: Arc<Traffic>) -> Self {
+    /// Creates a connection that is not yet open.
+    pub fn new(address: SocketAddr, traffic: Arc<Traffic>) -> Self {
         Self {
-            to,
+            address,
             traffic,
             open: None,
         }
     }
 
-    /// The server's address.
-    pub fn to(&self) -> SocketAddr {
-        self.to
+    /// Returns the server's address.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
-    /// Status and body of the answer, or none; then the connection is closed.
+    /// Sends a request and returns status and body; closes the connection if there is no response.
     pub async fn call(
         &mut self,
         method: Method,
@@ -283,20 +283,20 @@
         timeout: Duration,
     ) -> Option<(u16, Bytes)> {
         let exchange = self.exchange(method, path, body);
-        let answer = tokio::time::timeout(timeout, exchange).await.ok().flatten();
-        if answer.is_none() {
+        let response = tokio::time::timeout(timeout, exchange).await.ok().flatten();
+        if response.is_none() {
             self.open = None;
         }
-        answer
+        response
     }
 
     async fn exchange(&mut self, method: Method, path: &str, body: Bytes) -> Option<(u16, Bytes)> {
-        let to = self.to;
+        let address = self.address;
         let sender = self.sender().await?;
         let request = Request::builder()
             .method(method)
             .uri(path)
-            .header(http::header::HOST, to.to_string())
+            .header(http::header::HOST, address.to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .ok()?;
@@ -306,20 +306,20 @@
         Some((status, body))
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection, or opens a new one.
     async fn sender(&mut self) -> Option<&mut SendRequest<Full<Bytes>>> {
-        let usable = match &mut self.open {
+        let is_usable = match &mut self.open {
             Some(open) => open.sender.ready().await.is_ok(),
             None => false,
         };
-        if !usable {
+        if !is_usable {
             self.open = Some(self.connect().await?);
         }
         self.open.as_mut().map(|open| &mut open.sender)
     }
 
-    async fn connect(&self) -> Option<Open> {
-        let stream = TcpStream::connect(self.to).await.ok()?;
+    async fn connect(&self) -> Option<OpenConnection> {
+        let stream = TcpStream::connect(self.address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let traffic = self.traffic.clone();
         let stream = TokioIo::new(CountedStream { stream, traffic });
@@ -327,6 +327,6 @@
         let driver = tokio::spawn(async move {
             let _ = connection.await;
         });
-        Some(Open { sender, driver })
+        Some(OpenConnection { sender, driver })
     }
 }
--- a/src/core/cluster/mod.rs
+++ b/src/core/cluster/mod.rs
@@ -6,8 +6,8 @@
 //!
 //! A task whose start was sent counts as gone from its machine only after one of these events: a
 //! newer report that the start can't have overtaken, a new session of the worker, the end of the
-//! worker's lease as proven by the claim, or the return of the machine. Until then the task may
-//! still run there and must not be started elsewhere.
+//! worker's lease, confirmed by a verification of the claim, or the release of the machine. Until
+//! then the task may still run there and must not be started elsewhere.
 
 mod leases;
 mod placement;
@@ -59,12 +59,12 @@
     pub machines: BTreeMap<MachineId, Machine>,
     /// Jobs with waiting tasks, in scheduling order.
     pub queue: Queue,
-    /// Machines being rented and returned.
+    /// Machines being rented and released.
     pub(super) provisioning: Provisioning,
     /// Time until which an unresponsive machine may hold tasks that a previous leader started.
     pub(super) previous_leases_end: Duration,
     /// Latest time at which the claim is known to have been valid.
-    pub claim_proven_at: Duration,
+    pub claim_verified_at: Duration,
     /// Last attempt number given to a start, see `next_attempt`.
     last_attempt: u64,
     /// Earliest time of the next scheduling pass.
@@ -77,7 +77,7 @@
     pub(super) counts: Counts,
     /// Time at which the counters are logged next.
     pub(super) next_log: Duration,
-    /// Time of day, in milliseconds.
+    /// Unix time in milliseconds.
     pub wall_ms: u64,
     /// Deviation of run times from their estimates by job class, as a logarithm.
     pub runtime_corrections: HashMap<Arc<str>, f64>,
@@ -100,11 +100,12 @@
     pub(super) reconciler: Reconciler,
     /// Zones whose machines must not be sent starts.
     pub(super) start_blocked_zones: BTreeSet<Arc<str>>,
-    /// Ends of the leases that a previous leader left unanswered, by zone.
+    /// Earlier ends of previous leaders' leases, for zones whose workers have not been answered for
+    /// a while.
     zone_lease_ends: BTreeMap<Arc<str>, Duration>,
     pub(super) zones_to_probe: BTreeSet<Arc<str>>,
-    /// Returned machines that the node has yet to forget.
-    pub(super) returned_machines: Vec<MachineId>,
+    /// Released machines that the node has yet to forget.
+    pub(super) released_machines: Vec<MachineId>,
     /// Rate at which tasks start.
     pub(super) start_rate: StartRate,
     /// Statistics of usual job arrivals.
@@ -127,7 +128,7 @@
     pub assignment_index: Vec<(u32, ShardRecord, u64)>,
     /// Time by which every lease renewed by a previous leader has expired.
     pub previous_leases_end: Duration,
-    /// The same time for zones that have not been answered for a while.
+    /// Earlier such times by zone, for zones whose workers have not been answered for a while.
     pub zone_lease_ends: BTreeMap<Arc<str>, Duration>,
 }
 
@@ -150,7 +151,7 @@
 pub struct Counts {
     /// Tasks placed on machines.
     pub starts: u64,
-    /// Tasks preempted by tasks of a higher priority.
+    /// Tasks preempted for other jobs.
     pub victims: u64,
     /// Machines nominated for waiting tasks.
     pub nominations: u64,
@@ -224,7 +225,7 @@
             logged_drains_pause: None,
             leading_since: now,
             reconciler: Reconciler::new(&config, now),
-            claim_proven_at: Duration::ZERO,
+            claim_verified_at: Duration::ZERO,
             last_attempt: claim << 24,
             next_pass: Duration::ZERO,
             next_round: Duration::ZERO,
@@ -237,7 +238,7 @@
             licence_ledger: None,
             reachability: Reachability::default(),
             zones_to_probe: BTreeSet::new(),
-            returned_machines: Vec::new(),
+            released_machines: Vec::new(),
             start_rate: StartRate::new(config.report_interval),
             arrivals: Arrivals::default(),
             closed_priority: None,
@@ -330,7 +331,7 @@
                 if task.job != *id {
                     return true;
                 }
-                placement.foreign = true;
+                placement.is_orphaned = true;
                 placement.stop = Some(Stop::new(Duration::ZERO, now));
                 placement.phase != Phase::Decided
             });
@@ -345,11 +346,11 @@
         }
     }
 
-    /// Removes a returned machine together with its tasks.
+    /// Removes a released machine together with its tasks.
     pub fn remove_machine(&mut self, id: &MachineId, now: Duration) {
         self.end_session(id, now);
         if let Some(machine) = self.machines.remove(id) {
-            self.returned_machines.push(id.clone());
+            self.released_machines.push(id.clone());
             self.assignment_index.remove_machine(&machine);
         }
     }
--- a/src/core/cluster/placement.rs
+++ b/src/core/cluster/placement.rs
@@ -72,11 +72,11 @@
     }
 
     /// Stops the remaining tasks of a gang; it restarts once all of them are gone.
-    pub fn break_gang(&mut self, id: &JobId, grace: Duration, now: Duration) {
+    pub fn stop_gang(&mut self, id: &JobId, grace: Duration, now: Duration) {
         let mut unsent = Vec::new();
         for machine in self.machines.values_mut() {
             machine.tasks.retain(|(task, _), p| {
-                if task.job != *id || p.foreign || p.exited() {
+                if task.job != *id || p.is_orphaned || p.exited() {
                     return true;
                 }
                 if p.phase == Phase::Decided {
@@ -93,13 +93,13 @@
     }
 
     /// Requests the stop of a task, or withdraws a start that was not sent yet.
-    pub fn stop(&mut self, id: &MachineId, key: &AttemptKey, grace: Duration, now: Duration) {
-        let gang = self
+    pub fn stop_task(&mut self, id: &MachineId, key: &AttemptKey, grace: Duration, now: Duration) {
+        let is_gang = self
             .jobs
             .get(&key.0.job)
             .is_some_and(|job| job.spec.kind == Kind::Gang);
-        if gang {
-            self.break_gang(&key.0.job.clone(), grace, now);
+        if is_gang {
+            self.stop_gang(&key.0.job.clone(), grace, now);
             return;
         }
         let Some(machine) = self.machines.get_mut(id) else {
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Places a waiting task on a machine.
-    pub fn place(&mut self, id: &MachineId, task: TaskId, attempt: u64, now: Duration) {
+    /// Records the placement of a waiting task on a machine.
+    pub fn record_placement(&mut self, id: &MachineId, task: TaskId, attempt: u64, now: Duration) {
         let job = self.jobs.get_mut(&task.job).expect("job of a waiting task");
         job.slots[task.index as usize] = Slot::Placed(id.clone());
         job.placed += 1;
@@ -140,7 +140,7 @@
                 since: now,
                 running_since: None,
                 stop: None,
-                foreign: false,
+                is_orphaned: false,
                 start_sent_seq: 0,
             },
         );
@@ -157,7 +157,7 @@
         if placement.phase == Phase::Seen(TaskPhase::Running) {
             running += 1;
         }
-        placement.foreign = true;
+        placement.is_orphaned = true;
         placement.stop.get_or_insert(Stop::new(Duration::ZERO, now));
     }
     running
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -10,9 +10,9 @@
 
 use crate::settings::{CLOCK_MARGIN, MAX_CLOCK_DRIFT, Settings, Team, seconds};
 
-/// Divisors of the state service's request rate: the proofs of all nodes together use one request
-/// in six, and the followers' watches one in five.
-const PROOF_RATE_DIVISOR: f64 = 6.0;
+/// Divisors of the state service's request rate: the cache syncs of all nodes together use one
+/// request in six, and the followers' watches one in five.
+const SYNC_RATE_DIVISOR: f64 = 6.0;
 const WATCH_RATE_DIVISOR: f64 = 5.0;
 /// Share of the state service's change rate that the leader plans with.
 const WRITE_SHARE: f64 = 0.9;
@@ -23,7 +23,7 @@
 const MAX_LEADER_TTL: Duration = Duration::from_secs(30);
 
 /// Lower bound of the limit on waiting requests: all machines of a fleet may report to one node at
-/// once, even on a small host.
+/// the same time, even on a small host.
 const MIN_WAITING_REQUESTS: usize = 4096;
 /// Limit on the tasks listed in all waiting reports of a node: the larger of a minimum and a number
 /// per socket. The tasks take memory, and a host that allows more sockets has more of it.
@@ -77,7 +77,7 @@
     pub objectives: Vec<crate::settings::Objective>,
     pub report_interval: Duration,
     pub gang_wait: Duration,
-    /// Time after the last answer to a worker by which its lease has certainly expired.
+    /// Time after the last answer to a worker by which its lease has expired in any case.
     pub worker_lease_bound: Duration,
     /// Duration of the leader's own lease.
     pub leader_ttl: Duration,
@@ -86,15 +86,15 @@
     pub renew_interval: Duration,
     /// Time that each machine adds to the pause between two leader rounds.
     pub round_pause_per_machine: Duration,
-    /// Time without a heartbeat after which the leader is considered failed. A restarted process
-    /// is mostly back before that, with more state than any other node. The rest of a worker's
-    /// lease has to suffice for another node to take over and answer the worker.
+    /// Time without a heartbeat after which the leader is considered failed. A restarted process is
+    /// usually back before that, and has more state than any other node. The rest of a worker's
+    /// lease must be long enough for another node to take over and answer the worker.
     pub leader_silence_limit: Duration,
-    /// Minimum time between two requests that prove this node's cache.
+    /// Minimum time between two requests that verify that this node's cache is current.
     pub sync_interval: Duration,
     /// Minimum time between two watches of a follower. The leader does not pause between watches.
     pub watch_interval: Duration,
-    /// Rate of all writes in changes per second; users' submissions come first.
+    /// Rate of all writes in changes per second; users' submissions take precedence.
     pub write_rate: f64,
     /// The same after the announced reduction of the state service's limits, if there is one.
     pub announced_write_rate: Option<f64>,
@@ -159,7 +159,7 @@
             round_pause_per_machine: ROUND_PAUSE_PER_MACHINE
                 .div_f64(params.resources.cpu_share.clamp(0.05, 1.0)),
             renew_interval: (leader_ttl / 8).min(Duration::from_millis(1500)),
-            sync_interval: seconds(PROOF_RATE_DIVISOR * node_count as f64 / params.state.rps),
+            sync_interval: seconds(SYNC_RATE_DIVISOR * node_count as f64 / params.state.rps),
             watch_interval: seconds(WATCH_RATE_DIVISOR * node_count as f64 / params.state.rps),
             write_rate: params.state.write_rps * WRITE_SHARE,
             announced_write_rate: announced_rps.map(|rate| rate * WRITE_SHARE),
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -1,11 +1,10 @@
 //! Job dependencies.
 //!
-//! Every node keeps a graph of the active jobs, built from what it reads and watches in the
-//! state service. A job that needs others may start once the stored terminal state of each of
-//! them is done; that a job is no longer active proves nothing. A job that needs a cancelled
-//! one, directly or through others, counts as cancelled: every node derives that from the
-//! stored terminal state. The leader also stores terminal states for such jobs, but only to
-//! clean up.
+//! Every node keeps a graph of the active jobs, built from what it reads and watches in the state
+//! service. A job that needs others may start once the stored terminal state of each of them is
+//! done; that a job is no longer active does not show that it is done. A job that needs a cancelled
+//! one, directly or through others, counts as cancelled: every node derives that from the stored
+//! terminal state. The leader also stores terminal states for such jobs, but only to clean up.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -40,7 +39,7 @@
 }
 
 impl Dependencies {
-    /// Whether any active job needs this one.
+    /// Returns whether any active job needs this one.
     pub fn has_dependents(&self, id: &JobId) -> bool {
         self.graph.has_dependents(id)
     }
@@ -58,7 +57,7 @@
 /// Time within which capacity for one more task usually becomes free.
 const CAPACITY_WAIT: Duration = Duration::from_secs(10);
 
-/// Expected time from when a job may start until its terminal state is stored.
+/// Returns the expected time from when a job may start until its terminal state is stored.
 fn expected_duration(run_time: Duration) -> Duration {
     run_time.mul_f64(RUN_TIME_FACTOR) + STAGE_OVERHEAD
 }
@@ -75,7 +74,7 @@
     }
 }
 
-/// Deadline of the job in Unix milliseconds.
+/// Returns the deadline of the job in Unix milliseconds.
 fn deadline_ms(spec: &JobSpec, accepted_ms: u64) -> Option<u64> {
     let deadline = crate::settings::seconds(spec.deadline_s?);
     Some(accepted_ms.saturating_add(deadline.as_millis() as u64))
@@ -144,7 +143,7 @@
             match output {
                 Output::Ready { id, since_ms } => {
                     if let Some(cluster) = &mut self.cluster {
-                        cluster.release_job(&id, since_ms);
+                        cluster.unblock_job(&id, since_ms);
                     }
                 }
                 Output::Cancelled { id } => {
@@ -182,7 +181,7 @@
             return;
         };
         if let Status::Ready { since_ms } = graph.status(id) {
-            cluster.release_job(id, since_ms);
+            cluster.unblock_job(id, since_ms);
         }
         if let Some(urgency) = graph.urgency(id) {
             cluster.set_urgency(id, urgency);
@@ -203,13 +202,13 @@
         let now = self.now();
         let dependencies = &mut self.dependencies;
         dependencies.lookups.retain(|_, retry_at| *retry_at > now);
-        let free = MAX_LOOKUPS.saturating_sub(dependencies.lookups.len());
-        if free == 0 {
+        let available = MAX_LOOKUPS.saturating_sub(dependencies.lookups.len());
+        if available == 0 {
             return;
         }
         let unknown = dependencies.graph.unknown_ends();
         let wanted = unknown.filter(|id| !dependencies.lookups.contains_key(*id));
-        let wanted: Vec<JobId> = wanted.take(free).cloned().collect();
+        let wanted: Vec<JobId> = wanted.take(available).cloned().collect();
         for id in wanted {
             if self.cache.jobs.contains_key(&id) || self.cache.is_unreadable(&id) {
                 continue;
@@ -254,16 +253,16 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        question: JobQuery,
+        query: JobQuery,
     ) {
-        let read = TerminalRead::new(request, id, question, &self.cache.generation);
+        let read = TerminalRead::new(request, id, query, &self.cache.generation);
         self.read_terminal_state(read);
     }
 }
 
 impl ClusterState {
     /// Unblocks a job whose dependencies are all done. Its waiting time counts from `since_ms`.
-    pub fn release_job(&mut self, id: &JobId, since_ms: u64) {
+    pub fn unblock_job(&mut self, id: &JobId, since_ms: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -304,9 +303,9 @@
         self.requeue();
     }
 
-    /// Whether a job with an inherited priority would still finish in time if it waited for free
-    /// capacity. It does not preempt then: victims lose work, and capacity becomes free all the
-    /// time.
+    /// Returns whether a job with an inherited priority would still finish in time if it waited for
+    /// free capacity. It does not preempt then: victims lose work, and capacity becomes free all
+    /// the time.
     pub(super) fn has_time_before_preempting(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
--- a/src/core/licences.rs
+++ b/src/core/licences.rs
@@ -1,9 +1,9 @@
 //! Counted licences in the leader's cluster state: a limit in addition to the team limits.
 //!
-//! A seat is in use from the placement of a task until the task is proven gone, so that it may
-//! start elsewhere. Seat holders are therefore not tracked separately: each pass gives the
-//! ledger the seats of all placements, and those that unresponsive machines may hold after a
-//! failover. The ledger adds what only it knows, such as seats that are returned late.
+//! A seat is in use from the placement of a task until the task is proven gone and may start
+//! elsewhere. Seat holders are therefore not tracked separately: each pass gives the ledger the
+//! seats of all placements, and those that unresponsive machines may hold after a failover. The
+//! ledger adds what only it knows, such as seats that are returned late.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -81,7 +81,7 @@
         let Some(ledger) = &mut self.licence_ledger else {
             return;
         };
-        let mut held = BTreeMap::new();
+        let mut holders = BTreeMap::new();
         let mut maybe = Needs::new();
         let mut has_unknown_holders = false;
         for machine in self.machines.values() {
@@ -90,7 +90,7 @@
                     Some(spec) if spec.licences.is_empty() => {}
                     Some(spec) => {
                         let holder = (spec.team.to_string(), spec.licences.clone());
-                        held.insert(attempt_of(task, *attempt), holder);
+                        holders.insert(attempt_of(task, *attempt), holder);
                     }
                     None => has_unknown_holders = true,
                 }
@@ -117,14 +117,14 @@
                 maybe.insert(licence.to_owned(), u32::MAX / 4);
             }
         }
-        ledger.step(now, Input::Holders(held));
+        ledger.step(now, Input::Holders(holders));
         let machine = UNRESOLVED_MACHINES.to_owned();
         let needs = maybe;
         ledger.step(now, Input::MayHold { machine, needs });
     }
 
-    /// Number of further tasks of the job that free seats suffice for. Seats for nominations of
-    /// other jobs of equal or higher priority do not count as free.
+    /// Returns the number of further tasks of the job for which the free seats suffice. Seats for
+    /// nominations of other jobs of equal or higher priority do not count as free.
     pub(super) fn tasks_within_seats(&self, spec: &JobSpec, now: Duration) -> u32 {
         let (Some(ledger), false) = (&self.licence_ledger, spec.licences.is_empty()) else {
             return u32::MAX;
@@ -136,11 +136,11 @@
                     && job.spec.priority >= spec.priority
                     && !job.nominations.is_empty()
             });
-            let held = nominated.map(|job| {
+            let reserved_seats = nominated.map(|job| {
                 let seats_per_task = job.spec.licences.get(licence).copied().unwrap_or(0);
                 seats_per_task.saturating_mul(job.nominations.len() as u32)
             });
-            free.saturating_sub(held.fold(0, u32::saturating_add)) / seats
+            free.saturating_sub(reserved_seats.fold(0, u32::saturating_add)) / seats
         });
         fits.min().unwrap_or(u32::MAX)
     }
--- a/src/core/migrate.rs
+++ b/src/core/migrate.rs
@@ -66,7 +66,8 @@
         self.total_rewritten
     }
 
-    /// Number of records found and not yet rewritten, or `None` before the first listing.
+    /// Returns the number of records found and not yet rewritten, or `None` before the first
+    /// listing.
     pub fn remaining(&self) -> Option<u64> {
         (self.listed || self.found > 0).then(|| self.found.saturating_sub(self.rewritten))
     }
@@ -115,9 +116,9 @@
         if terminal_states::layout(generation.from) == terminal_states::layout(generation.to) {
             migration.is_finished = true;
         }
-        let passed = now.saturating_sub(migration.refilled_at).as_secs_f64();
+        let elapsed = now.saturating_sub(migration.refilled_at).as_secs_f64();
         migration.refilled_at = now;
-        migration.allowance = (migration.allowance + passed * rate).min(max_ops as f64);
+        migration.allowance = (migration.allowance + elapsed * rate).min(max_ops as f64);
         if migration.request_in_flight || migration.is_finished || now < migration.retry_at {
             return;
         }
@@ -138,7 +139,7 @@
             return;
         };
         let range = pending.range().clone();
-        // Writes that someone waits for come first, and so do terminal states of jobs.
+        // Writes that users or tasks wait for take precedence, as do terminal states of jobs.
         if migration.allowance < 1.0
             || !self.write_queue.has_spare_budget()
             || !self.ranges.is_available(&range, now)
@@ -176,7 +177,7 @@
             mut conditions,
             changes,
             range,
-            states: ends,
+            states,
             records,
         } = rewrite;
         conditions.push(if_version(GENERATION_KEY, revision));
@@ -184,9 +185,9 @@
         migration.allowance -= changes.len() as f64;
         self.write_queue.charge(changes.len() as f64);
         self.ranges.mark_busy(&range);
-        let step = MigrationRequest::Rewrite(range, ends, records as u64);
+        let request = MigrationRequest::Rewrite(range, states, records as u64);
         self.call(
-            Purpose::Migrate((revision, claim), step),
+            Purpose::Migrate((revision, claim), request),
             StateRequest::Txn {
                 conditions,
                 changes,
@@ -197,17 +198,17 @@
     pub(super) fn migration_answered(
         &mut self,
         scope: (u64, u64),
-        step: MigrationRequest,
+        request: MigrationRequest,
         reply: StateReply,
     ) {
         let now = self.now();
-        if let MigrationRequest::Rewrite(range, ends, _) = &step {
+        if let MigrationRequest::Rewrite(range, states, _) = &request {
             match &reply {
                 StateReply::Committed { revision } => {
                     // An empty range is stored by deleting its key.
                     let known = terminal_states::KnownRange {
-                        version: if ends.is_empty() { 0 } else { *revision },
-                        states: ends.clone(),
+                        version: if states.is_empty() { 0 } else { *revision },
+                        states: states.clone(),
                     };
                     self.ranges.forget(range);
                     self.ranges.update(range.clone(), known);
@@ -220,7 +221,7 @@
             return;
         }
         self.rollout.migration.request_in_flight = false;
-        match (step, reply) {
+        match (request, reply) {
             (MigrationRequest::List, StateReply::Entries { entries, more, .. }) => {
                 self.queue_old_records(&entries, more);
             }
@@ -229,11 +230,11 @@
                     self.rollout.migration.retry_at = now + RETRY_DELAY * 4;
                 }
             }
-            (MigrationRequest::Rewrite(range, ends, records), StateReply::Committed { .. }) => {
+            (MigrationRequest::Rewrite(range, states, records), StateReply::Committed { .. }) => {
                 let migration = &mut self.rollout.migration;
                 migration.total_rewritten += records;
                 migration.rewritten += records;
-                let is_empty = ends.is_empty();
+                let is_empty = states.is_empty();
                 let front = migration.queue.front();
                 if matches!(front, Some(PendingRange::Unpack(r)) if *r == range && is_empty) {
                     migration.queue.pop_front();
@@ -270,9 +271,10 @@
                     1
                 }),
                 None => JobIdRange::from_key(&entry.key).and_then(|range| {
-                    let ends: terminal_states::TerminalStates = serde_json::from_str(text).ok()?;
+                    let states: terminal_states::TerminalStates =
+                        serde_json::from_str(text).ok()?;
                     migration.queue.push_back(PendingRange::Unpack(range));
-                    Some(ends.len() as u64)
+                    Some(states.len() as u64)
                 }),
             };
             match read {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -69,8 +69,11 @@
 
 pub use message::{Answer, CallId, Clock, INTERNAL, Input, Output, RequestId};
 
+/// Timeout of a request to the state service. For a watch, its wait is added.
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time after which the state service answers a watch without events.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
+/// Delay before a failed request to the state service is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Minimum time between two periodic rounds of the leader.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
@@ -79,8 +82,8 @@
 
 /// Requests that result from a round of the leader.
 struct RoundWork {
-    /// A decision waits for a new proof of the claim.
-    needs_proof: bool,
+    /// A decision waits for a new verification of the claim.
+    needs_verification: bool,
     direct_commands: Vec<DirectCommands>,
     cloud_request: Option<CloudRequest>,
 }
@@ -91,6 +94,8 @@
         cluster.run_pass(now);
     }
 }
+
+/// Controller node: its state cache, its role and everything that waits for an answer.
 pub struct Node {
     config: Arc<Config>,
     clock: Clock,
@@ -265,10 +270,10 @@
     }
 
     fn run_leader_round(&mut self) {
-        let proven = self.claim_verified_at();
+        let verified_at = self.claim_verified_at();
         self.schedule_next_round();
         self.update_reachability();
-        let Some(work) = self.plan_leader_round(proven) else {
+        let Some(work) = self.plan_leader_round(verified_at) else {
             return;
         };
         for direct in work.direct_commands {
@@ -277,7 +282,7 @@
         if let Some(request) = work.cloud_request {
             self.call_cloud(request);
         }
-        if work.needs_proof {
+        if work.needs_verification {
             self.expedite_verification();
         }
         self.drive_write_queue();
@@ -293,15 +298,15 @@
     }
 
     /// Plans a round. Returns `None` if this node has just stopped leading.
-    fn plan_leader_round(&mut self, proven: Duration) -> Option<RoundWork> {
+    fn plan_leader_round(&mut self, verified_at: Duration) -> Option<RoundWork> {
         let now = self.now();
         let cluster = self.cluster.as_mut()?;
-        cluster.claim_proven_at = proven;
+        cluster.claim_verified_at = verified_at;
         cluster.tick(now);
-        let needs_proof = cluster.needs_claim_proof(now);
+        let needs_verification = cluster.needs_claim_verification(now);
         run_due_pass(cluster, now);
         Some(RoundWork {
-            needs_proof,
+            needs_verification,
             direct_commands: cluster.direct_commands(now),
             cloud_request: cluster.due_cloud_request(now),
         })
@@ -365,7 +370,7 @@
             }
         }
         if let Some(cluster) = &mut self.cluster
-            && let Some(next) = cluster.cloud_reply(request, reply, now)
+            && let Some(next) = cluster.apply_cloud_reply(request, reply, now)
         {
             self.call_cloud(next);
         }
@@ -404,7 +409,11 @@
                 renewal_sent,
                 sent,
             } => self.verification_answered(claim, renewal_sent, sent, reply),
-            Purpose::Claim { lease, sent, prior } => self.claim_answered(lease, sent, prior, reply),
+            Purpose::Claim {
+                lease,
+                sent,
+                previous,
+            } => self.claim_answered(lease, sent, previous, reply),
             Purpose::Probe => self.probe_answered(&reply),
             Purpose::StoredHeartbeat => self.heartbeat_write_answered(),
             Purpose::StoreSettledClaim => self.settled_claim_answered(),
@@ -413,9 +422,13 @@
                 request,
                 spec,
                 accepted_ms,
-                tries,
-            } => self.accepted(request, spec, accepted_ms, tries, reply),
-            Purpose::Cancel { request, id, ends } => self.cancelled(request, id, ends, reply),
+                attempts,
+            } => self.accepted(request, spec, accepted_ms, attempts, reply),
+            Purpose::Cancel {
+                request,
+                id,
+                states,
+            } => self.cancelled(request, id, states, reply),
             Purpose::ReadTerminalState(read) => self.terminal_state_read(*read, reply),
             Purpose::ReadDependency(check) => self.dependency_read(*check, &reply),
             Purpose::ReadRange { request, id, then } => {
@@ -424,14 +437,14 @@
             Purpose::Announce => self.announced(&reply),
             Purpose::StoreGeneration => self.generation_stored(&reply),
             Purpose::Order { request } => self.order_stored(request, &reply),
-            Purpose::Migrate(scope, step) => self.migration_answered(scope, step, reply),
+            Purpose::Migrate(scope, request) => self.migration_answered(scope, request, reply),
             Purpose::StoreDrains { request, drains } => {
                 self.handle_drains_stored(request, drains, &reply);
             }
             Purpose::StorePartitions { claim, record } => {
                 self.partitioned_zones_answered(claim, record, &reply)
             }
-            Purpose::Failover(loading) => self.failover_read_answered(loading, reply),
+            Purpose::Failover(read) => self.failover_read_answered(read, reply),
             Purpose::QueuedWrite(write) => self.write_answered(write, reply),
             Purpose::StoreTypes | Purpose::Cloud(_) | Purpose::Direct(_) => {}
         }
@@ -452,8 +465,8 @@
     }
 
     fn sync_answered(&mut self, reply: StateReply) {
-        let proven = self.apply_watch_reply(reply);
-        self.synced(proven);
+        let is_current = self.apply_watch_reply(reply);
+        self.synced(is_current);
     }
 
     fn cache_terminal_state(&mut self, id: JobId, record: TerminalRecord) {
@@ -492,7 +505,7 @@
             return None;
         }
         run_due_pass(cluster, now);
-        Some(match cluster.report(report, now) {
+        Some(match cluster.process_report(report, now) {
             Some((token, commands)) => Answer::Commands { token, commands },
             None => Answer::Redirect(None),
         })
--- a/src/core/partitioned_zones.rs
+++ b/src/core/partitioned_zones.rs
@@ -69,8 +69,8 @@
     write_in_flight: bool,
     /// Zones listed by a write that is in flight or whose result is unknown.
     unconfirmed: BTreeSet<Arc<str>>,
-    /// Listed zones that were heard again and should be removed from the list.
-    heard_again: BTreeSet<Arc<str>>,
+    /// Listed zones that are reachable again and should be removed from the list.
+    reachable_again: BTreeSet<Arc<str>>,
     deferred: Vec<DeferredReport>,
     /// Number of tasks listed by the deferred reports.
     deferred_tasks: usize,
@@ -80,7 +80,7 @@
 /// Time for which a report waits until its zone is removed from the list: less than the second
 /// that another node waits for a forwarded report, and less than a worker waits.
 const DEFER_TIMEOUT: Duration = Duration::from_millis(900);
-/// Delay before a zone that was heard again may be listed again.
+/// Delay before a zone that became reachable again may be listed again.
 const RELIST_DELAY: Duration = Duration::from_secs(5);
 
 impl Node {
@@ -107,7 +107,7 @@
     /// Marks a listed zone for removal after a heartbeat from one of its machines.
     pub(super) fn record_zone_heartbeat(&mut self, zone: &Arc<str>) {
         if self.is_partitioned(zone) {
-            self.partitioned_zones.heard_again.insert(zone.clone());
+            self.partitioned_zones.reachable_again.insert(zone.clone());
         }
     }
 
@@ -219,7 +219,7 @@
             // Late writes of a lost claim fail. As long as the claim may become valid again, as
             // after an outage, a write without a reply may still be executed.
             self.partitioned_zones.unconfirmed.clear();
-            self.partitioned_zones.heard_again.clear();
+            self.partitioned_zones.reachable_again.clear();
         }
         if !self.is_leader() {
             return;
@@ -231,11 +231,11 @@
         };
         if !listed.is_empty() || !unconfirmed.is_empty() || !cluster.start_blocked_zones.is_empty()
         {
-            let withheld: BTreeSet<Arc<str>> = listed.keys().chain(unconfirmed).cloned().collect();
-            // The machines of a zone that is no longer withheld may not have changed, so their
+            let blocked: BTreeSet<Arc<str>> = listed.keys().chain(unconfirmed).cloned().collect();
+            // The machines of a zone that is no longer blocked may not have changed, so their
             // reports alone would not return the waiting jobs to the heap.
-            if withheld != cluster.start_blocked_zones {
-                cluster.start_blocked_zones = withheld;
+            if blocked != cluster.start_blocked_zones {
+                cluster.start_blocked_zones = blocked;
                 cluster.requeue();
             }
         }
@@ -244,7 +244,9 @@
         }
         let mut zones = self.cache.partitioned_zones.0.zones.clone();
         let stores_zones = self.stores_partitioned_zones();
-        zones.retain(|zone, _| stores_zones && !self.partitioned_zones.heard_again.contains(zone));
+        zones.retain(|zone, _| {
+            stores_zones && !self.partitioned_zones.reachable_again.contains(zone)
+        });
         if stores_zones && self.has_previous_leader_stopped() {
             for zone in self.newly_partitioned() {
                 let last = self.last_answered(&zone);
@@ -281,10 +283,10 @@
     /// or a previous one.
     fn last_answered(&self, zone: &Arc<str>) -> Duration {
         let own_answer = self.partitioned_zones.answered_at.get(zone).copied();
-        let recording = self.partitioned_zones.recording_since.unwrap_or(self.now());
+        let recording_since = self.partitioned_zones.recording_since.unwrap_or(self.now());
         own_answer
             .unwrap_or_default()
-            .max(recording)
+            .max(recording_since)
             .max(self.election.previous_leader_stopped_at())
     }
 
@@ -335,7 +337,7 @@
             if has_removed {
                 self.partitioned_zones.retry_at = now + RELIST_DELAY;
             }
-            self.partitioned_zones.heard_again.clear();
+            self.partitioned_zones.reachable_again.clear();
             self.partitioned_zones.unconfirmed.clear();
             if *revision > self.cache.partitioned_zones.1 {
                 self.cache.partitioned_zones = (record, *revision);
@@ -346,7 +348,7 @@
     /// Returns the time by which the leases in each listed zone have expired, for a new leader.
     pub(super) fn zone_lease_ends(&self) -> BTreeMap<Arc<str>, Duration> {
         let now = self.now();
-        // Both ends of the interval were read from clocks that may be off by `wall_error`.
+        // Both ends of the interval were read from clocks that may be off by the maximum error.
         let lease = self.config.worker_lease_bound + self.config.max_wall_clock_error * 2;
         let zones = self.cache.partitioned_zones.0.zones.iter();
         let lease_ends = zones.map(|(zone, at)| {
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -25,8 +25,9 @@
 /// All changes of the stored state that this build supports.
 pub const FEATURES: &[Feature] = &[PACKED_TERMINAL_STATES, PARTITIONED_ZONES_FEATURE, DRAINS];
 
-/// Feature name of jobs that depend on others. It has no generation of its own, since the records
-/// of all other jobs keep their form. A build without it can't read such a job and stays a standby.
+/// Feature name of jobs that depend on others. The feature has no generation of its own, since the
+/// records of all other jobs keep their form. A build without it can't read such a job, and a node
+/// with that build does not lead.
 pub const JOB_DEPENDENCIES: &str = "job-dependencies";
 
 /// Operator's request to a node.
@@ -92,7 +93,7 @@
 
 impl Node {
     /// Returns whether the stored records are of a generation that is unknown or that this
-    /// process can't read. If so, it can't prove anything about jobs.
+    /// process can't read. If so, it can't verify anything about jobs.
     pub(super) fn cannot_read_state(&self) -> bool {
         !self
             .cache
@@ -102,7 +103,7 @@
             || self.cache.unreadable.contains_key(GENERATION_KEY)
     }
 
-    /// Reason why this node accepts no requests and does not lead, if there is one.
+    /// Returns the reason why this node accepts no requests and does not lead, if there is one.
     pub(super) fn refusal_reason(&self) -> Option<String> {
         if let Some(key) = self.cache.unreadable.keys().next() {
             return Some(format!("{key} can't be read, a newer build is needed"));
@@ -132,11 +133,11 @@
     pub(super) fn all_support_dependencies(&self) -> bool {
         let gone = &self.cache.orders.0.gone;
         let mut nodes = self.configured_nodes().filter(|node| !gone.contains(*node));
-        let knows = |node: &String| {
+        let supports = |node: &String| {
             let ability = self.cache.nodes.get(node).and_then(|(a, _)| a.as_ref());
             ability.is_some_and(|a| a.features.iter().any(|name| name == JOB_DEPENDENCIES))
         };
-        self.rollout.state_machine.is_none() || nodes.all(knows)
+        self.rollout.state_machine.is_none() || nodes.all(supports)
     }
 
     /// Logs a key outside the watched prefix whose value can't be parsed, unless it was the last
@@ -168,7 +169,7 @@
     }
 
     /// Returns the node that should lead next: of those that the state service answers and that
-    /// can read the stored records, the one that hears from most workers.
+    /// can read the stored records, the one that most machines reach.
     fn successor(&self) -> Option<String> {
         let (nodes, now) = (&self.membership.nodes, self.now());
         let can_lead = |node: &String| {
@@ -186,13 +187,13 @@
         let reason = self.refusal_reason();
         if reason != self.rollout.logged_refusal {
             match &reason {
-                Some(why) => error!(why, "refuses to serve and to lead"),
-                None => info!("serves requests again"),
+                Some(why) => error!(why, "serving no requests and not leading"),
+                None => info!("serving requests again"),
             }
             self.rollout.logged_refusal = reason;
         }
         if self.rollout.logged_refusal.is_some() && self.claim().is_some() {
-            self.step_down("it can't read the stored state");
+            self.step_down("this node can't read the stored state");
         }
         if self.rollout.state_machine.is_none() {
             return;
@@ -280,7 +281,7 @@
         }
     }
 
-    /// Returns what a heartbeat says about this process's rollout state.
+    /// Returns the rollout state of this process for its heartbeats, once its record is stored.
     pub(super) fn announced_state(&self) -> Option<NodeAnnouncement> {
         let started = self.rollout.announced_revision;
         (started > 0).then_some(NodeAnnouncement {
@@ -322,7 +323,7 @@
             };
             let told = match *node == self.config.node {
                 true => self.announced_state(),
-                false => self.membership.nodes.told(node, now),
+                false => self.membership.nodes.announced_state(node, now),
             };
             let seen = NodeState {
                 ability,
@@ -366,7 +367,7 @@
                 self.answer(request, Answer::Later { retry });
             }
             RolloutAction::StepDown => {
-                self.step_down("an operator asked it to step down");
+                self.step_down("an operator requested a step-down");
                 let status = Box::new(self.rollout_status());
                 self.answer(request, Answer::Rollout(status));
             }
@@ -412,7 +413,7 @@
         );
     }
 
-    /// Reason why an order is invalid, if it is.
+    /// Returns the reason why an order is invalid, if it is.
     fn order_error(&self, order: &Order) -> Option<String> {
         match order {
             Order::Forget(node) if !self.configured_nodes().any(|known| known == node) => {
@@ -453,8 +454,8 @@
         self.answer(request, answer);
     }
 
-    /// Estimated seconds until the present stage ends, if known: the rest of the soak, or the time
-    /// to rewrite the records found so far at the configured share of the change rate.
+    /// Estimates the seconds until the present stage ends, if possible: the rest of the soak, or
+    /// the time to rewrite the records found so far at the configured share of the change rate.
     fn estimated_remaining_s(&self, soaked: Duration) -> Option<f64> {
         let config = self.config.options.rollout.as_ref()?;
         match self.cache.generation.0.stage {
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -47,7 +47,7 @@
         claim: u64,
         ended: Vec<(JobId, TerminalRecord)>,
         /// The jobs' range with its new content, if terminal states are stored by range.
-        ends: Option<(JobIdRange, TerminalStates)>,
+        states: Option<(JobIdRange, TerminalStates)>,
         keys: Vec<String>,
     },
     /// Reads a range of terminal states before it is written.
@@ -77,6 +77,7 @@
     pub(super) has_new_replies: bool,
 }
 
+/// Maximum number of concurrent requests: writes, and the reads that they depend on.
 const MAX_WRITES_IN_FLIGHT: u32 = 6;
 /// Maximum number of times the pause doubles while a rejected write can't be made smaller.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
@@ -84,7 +85,8 @@
 const PROGRESS_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
 /// Minimum time between two writes of a range of terminal states. Submissions in the range are
-/// conditional on its key. The protocol allows `done` to be 3 s late.
+/// conditional on its key, so each write may make some of them conflict. The protocol allows
+/// `done` to be 3 s late.
 const RANGE_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Write with its conditions and changes.
@@ -190,10 +192,10 @@
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
         self.present_rate = self.write_rate.rate_at(now);
-        self.allowance = (self.allowance + passed * self.present_rate).min(self.present_rate);
+        self.allowance = (self.allowance + elapsed * self.present_rate).min(self.present_rate);
     }
 
     /// Handles a write that was refused because of the rate limit.
@@ -201,7 +203,7 @@
         self.write_rate.reduce(now);
     }
 
-    /// Handles a rejected write; `smaller` tells whether the next one will be smaller.
+    /// Handles a rejected write; `smaller` is set if the next one will be smaller.
     pub fn rejected(&mut self, smaller: bool) {
         self.unsplittable_rejections = match smaller {
             true => 0,
@@ -209,7 +211,7 @@
         };
     }
 
-    /// Delay before the next write after a failed one.
+    /// Returns the delay before the next write after a failed one.
     fn pause(&self) -> Duration {
         RETRY_DELAY * 2_u32.pow(self.unsplittable_rejections.min(MAX_PAUSE_DOUBLINGS))
     }
@@ -273,11 +275,13 @@
 
     /// Rereads one shard of the assignment index after a write with an unknown outcome.
     fn reread_shard(&mut self, claim: u64) -> bool {
-        let unsure = self
+        let unverified = self
             .cluster
             .as_mut()
-            .and_then(|l| l.assignment_index.next_unverified());
-        let Some(shard) = unsure else { return false };
+            .and_then(|cluster| cluster.assignment_index.next_unverified());
+        let Some(shard) = unverified else {
+            return false;
+        };
         let key = shard_key(shard);
         self.write_queue.in_flight += 1;
         let write = Purpose::QueuedWrite(QueuedWrite::RereadShard { claim, shard });
@@ -295,8 +299,9 @@
             .jobs
             .iter_mut()
             .filter(|(_, job)| !job.saving && !job.is_complete());
-        let mut unsure = idle.filter_map(|(id, job)| Some((id, job.saved.next_unverified()?, job)));
-        let Some((id, chunk, job)) = unsure.next() else {
+        let mut unverified =
+            idle.filter_map(|(id, job)| Some((id, job.saved.next_unverified()?, job)));
+        let Some((id, chunk, job)) = unverified.next() else {
             return false;
         };
         job.saving = true;
@@ -406,7 +411,7 @@
         let write = QueuedWrite::Finish {
             claim,
             ended,
-            ends: terminal_write.states,
+            states: terminal_write.states,
             keys: remaining_keys,
         };
         Some((write, conditions, changes))
@@ -485,12 +490,12 @@
             self.write_queue.unsplittable_rejections = 0;
         }
         match &write {
-            QueuedWrite::Finish { ended, ends, .. } => {
+            QueuedWrite::Finish { ended, states, .. } => {
                 for (id, record) in ended.iter().filter(|_| committed) {
                     self.cache_terminal_state(id.clone(), *record);
                     self.cache.job_end_committed(id, revision);
                 }
-                if let Some((range, _)) = ends {
+                if let Some((range, _)) = states {
                     let pause = if committed {
                         RANGE_WRITE_INTERVAL
                     } else {
@@ -498,7 +503,7 @@
                     };
                     self.ranges.release(range, now + pause, now);
                 }
-                self.range_written(&ended[0].0, ends.clone(), &reply);
+                self.range_written(&ended[0].0, states.clone(), &reply);
             }
             QueuedWrite::ReadRange { range, .. } => {
                 let is_known = self.cache_range(range, &reply).is_some();
@@ -520,7 +525,11 @@
             | QueuedWrite::ReadRange { claim, .. }
             | QueuedWrite::DeleteGarbage { claim, .. } => *claim,
         };
-        let Some(cluster) = self.cluster.as_mut().filter(|l| l.claim == claim) else {
+        let Some(cluster) = self
+            .cluster
+            .as_mut()
+            .filter(|cluster| cluster.claim == claim)
+        else {
             return;
         };
         self.write_queue.in_flight = self.write_queue.in_flight.saturating_sub(1);
@@ -535,7 +544,7 @@
                     StateReply::Missing => Some(0),
                     _ => None,
                 };
-                cluster.assignment_index.reread(shard, version);
+                cluster.assignment_index.record_reread(shard, version);
             }
             QueuedWrite::Progress {
                 id, set, chunks, ..
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,4 @@
-//! Answers of a node that can't serve: users are told at once when to retry, workers wait for
-//! a leader.
+//! Answers of a node that can't serve: users get a retry delay at once, workers wait for a leader.
 
 mod node_settings;
 mod worker_reports;
@@ -91,7 +90,7 @@
     assert!(is_later(&step(&mut node, 4, submission())));
 
     // When the state service refuses the write, or does not answer it.
-    let call = types.expect("machine types are asked for");
+    let call = types.expect("a request for the machine types");
     let reply = CloudReply::Types(wire::cloud::parse_types(FLAVORS).expect("types"));
     let outputs = step(&mut node, 5, Input::Cloud { call, reply });
     let stored = outputs.iter().find_map(|output| match output {
@@ -232,7 +231,7 @@
     }]
 }
 
-/// Returns the number under which a node relays the report of a worker that comes back to it.
+/// Returns the relay number with which a node forwards the report of a worker that returns to it.
 fn relay_number(node: &mut Node, machine: &str) -> u64 {
     let heartbeat = NodeHeartbeat {
         claim: 9,
@@ -258,14 +257,14 @@
     relay.expect("a relay")
 }
 
-/// The answer to a report that a former process relayed is not delivered to a worker of the
-/// restarted process. Without the incarnation, both would use the same relay number.
+/// The answer to a report that the previous process forwarded is not delivered to a worker of
+/// the restarted process. Without the incarnation, both would use the same relay number.
 #[test]
 fn an_answer_to_a_previous_process_is_dropped() {
     let delivered = |incarnations: [u32; 2]| {
-        let [(mut former, _), (mut next, _)] =
+        let [(mut previous, _), (mut next, _)] =
             incarnations.map(|incarnation| loaded_as(incarnation, led_by_n1()));
-        let relay = relay_number(&mut former, "vm-1");
+        let relay = relay_number(&mut previous, "vm-1");
         relay_number(&mut next, "vm-2");
         let answer = Some(Answer::Commands {
             token: 9 << 16,
@@ -281,8 +280,8 @@
     assert_eq!(delivered([1, 2]), None);
 }
 
-/// A leader that this node can't hear, but whose stored heartbeat changes: workers are
-/// redirected to it, and those that come back from it are not held up.
+/// If a leader is unreachable for this node but its stored heartbeat changes, workers are
+/// redirected to it, and those that come back from it are not held.
 #[test]
 fn workers_are_redirected_to_a_leader_known_only_by_its_stored_heartbeat() {
     let (mut node, watch) = loaded(led_by_n1());
@@ -292,7 +291,7 @@
     };
     let stored_heartbeat = StoredHeartbeat {
         claim: 9,
-        machines_heard: 5,
+        reachable_machines: 5,
     };
     let reply = StateReply::Events {
         events: vec![Event {
@@ -315,7 +314,7 @@
         first_answer(&step(&mut node, 8_600, at(2))),
         Some((2, next))
     );
-    // Another node hears the leader, and can relay: between two zones that can't reach each
+    // Another node reaches the leader and forwards reports: between two zones that can't reach each
     // other, workers that were redirected to the leader itself lost their leases.
     let heartbeat = NodeHeartbeat {
         claim: 9,
@@ -323,10 +322,10 @@
     };
     let (from, message) = ("n2".to_owned(), PeerMessage::Heartbeat(heartbeat));
     step(&mut node, 8_700, Input::Peer { from, message });
-    let relayer = Answer::Redirect(Some("n2".into()));
+    let forwarder = Answer::Redirect(Some("n2".into()));
     assert_eq!(
         first_answer(&step(&mut node, 8_800, at(4))),
-        Some((4, relayer))
+        Some((4, forwarder))
     );
     // The leader is silent again: a report waits for the next leader.
     assert_eq!(first_answer(&step(&mut node, 20_000, at(3))), None);
@@ -383,12 +382,12 @@
         panic!("the worker is answered");
     };
     assert_eq!(sent, Answer::Redirect(None));
-    let relayed = PeerMessage::Reported {
+    let forwarded = PeerMessage::Reported {
         relay: 3,
         answer: Some(commands),
     };
     let to = "n1".to_owned();
-    let message = relayed;
+    let message = forwarded;
     let Ok(Output::Peer { message, .. }) = (Output::Peer { to, message }).after_term_expired()
     else {
         panic!("the other node is answered");
--- a/tests/scale_run.rs
+++ b/tests/scale_run.rs
@@ -1,9 +1,9 @@
-//! A short scale run: real controllers, hollow workers, limits that bind, and faults.
+//! Short scale test with real controllers, hollow workers, limits that take effect, and faults.
 
 use kiteyard_scale_test::{config::Config, run::run};
 
-/// Three controllers, of which the first is started again, twelve machines, of which two
-/// fail, and two teams that may each use a third of the fleet.
+/// Three controllers, of which the first is restarted, twelve machines, of which two fail, and
+/// two teams, each limited to a third of the fleet.
 const SHORT: &str = r#"
 name = "short"
 [duration]
@@ -61,11 +61,11 @@
 "#;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_short_run_keeps_the_rules_and_does_each_job() {
-    let mut config = Config::parse(SHORT).expect("a good file");
+async fn a_short_run_breaks_no_rule_and_completes_each_job() {
+    let mut config = Config::parse(SHORT).expect("valid configuration");
     config.binary = env!("CARGO_BIN_EXE_kiteyard").into();
     let directory = std::env::temp_dir().join(format!("kiteyard-scale-{}", std::process::id()));
-    let result = run(&config, &directory).await.expect("a run");
+    let result = run(&config, &directory).await.expect("completed run");
     std::fs::remove_dir_all(&directory).expect("settings and logs were written there");
     assert_eq!(result.violations, []);
     assert_eq!(result.controllers_ended, [0; 0]);
--- a/tests/scheduling/cluster.rs
+++ b/tests/scheduling/cluster.rs
@@ -74,7 +74,7 @@
             boot_s: 30.0,
             zones: vec![Arc::from("a"), Arc::from("b")],
         }];
-        let found = StoredClusterState {
+        let stored = StoredClusterState {
             jobs: &BTreeMap::new(),
             progress: BTreeMap::new(),
             assignment_index,
@@ -83,7 +83,7 @@
         };
         let now = Duration::from_secs(100);
         Self {
-            cluster: ClusterState::new(Arc::new(config), 5, Arc::new(types), found, now),
+            cluster: ClusterState::new(Arc::new(config), 5, Arc::new(types), stored, now),
             now,
             seq: 0,
             running: BTreeMap::new(),
@@ -102,7 +102,10 @@
 
     pub fn report_in_session(&mut self, name: &str, session: u64) -> Vec<Command> {
         let report = self.build_report(name, session, self.cluster.token);
-        let (_, commands) = self.cluster.report(&report, self.now).expect("in time");
+        let (_, commands) = self
+            .cluster
+            .process_report(&report, self.now)
+            .expect("in time");
         commands
     }
 
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Starts the decided tasks, as the workers would.
+    /// Starts the placed tasks, as the workers would.
     pub fn start_placed_tasks(&mut self) {
         let machines = self.cluster.machines.values_mut();
         for machine in machines {
--- a/tests/scheduling/provisioning.rs
+++ b/tests/scheduling/provisioning.rs
@@ -66,11 +66,11 @@
     let mut released = Vec::new();
     for _ in 0..seconds * 4 {
         c.now += Duration::from_millis(250);
-        c.cluster.claim_proven_at = c.now;
+        c.cluster.claim_verified_at = c.now;
         c.cluster.tick(c.now);
         match c.cluster.due_cloud_request(c.now) {
             Some(list @ CloudRequest::List { .. }) => {
-                c.cluster.cloud_reply(&list, list_reply(names), c.now);
+                c.cluster.apply_cloud_reply(&list, list_reply(names), c.now);
             }
             Some(CloudRequest::Release { machines }) => {
                 released.extend(machines.iter().map(|m| m.to_string()));
@@ -83,7 +83,7 @@
 
 /// A reclaimed machine is known to be gone once a list omits it, and need not wait for its
 /// worker's lease. Neither a list that may be older than the one that showed the machine,
-/// nor any list while the machine reports, proves that it is gone.
+/// nor any list while the machine reports, shows that it is gone.
 #[test]
 fn a_silent_machine_missing_from_the_list_is_gone() {
     let mut c = Cluster::new(4.0);
@@ -115,15 +115,16 @@
         let release = CloudRequest::Release {
             machines: machines.collect(),
         };
-        c.cluster.cloud_reply(&release, CloudReply::Released, c.now);
+        c.cluster
+            .apply_cloud_reply(&release, CloudReply::Released, c.now);
     }
     c.running.insert("vm-000007".into(), Vec::new());
     let copy = c.build_report("vm-000007", 1, c.cluster.token);
-    assert!(c.cluster.report(&copy, c.now).is_none());
+    assert!(c.cluster.process_report(&copy, c.now).is_none());
     assert!(!c.cluster.machines.contains_key("vm-000007"));
 }
 
-/// Where GPUs are scarce, free CPUs don't tell how full a machine is.
+/// If GPUs are scarce, free CPUs don't show how full a machine is.
 #[test]
 fn the_share_of_a_machine_is_its_largest_resource_share() {
     let whole = Resources {
@@ -156,20 +157,22 @@
     for chunk in names.chunks(100) {
         let machines = chunk.iter().map(|name| Arc::from(name.as_str())).collect();
         let request = CloudRequest::Release { machines };
-        c.cluster.cloud_reply(&request, CloudReply::Released, c.now);
+        c.cluster
+            .apply_cloud_reply(&request, CloudReply::Released, c.now);
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     // A list is due next.
     let list_requested = (0..40).any(|_| {
         c.now += Duration::from_millis(250);
-        c.cluster.claim_proven_at = c.now;
+        c.cluster.claim_verified_at = c.now;
         c.cluster.tick(c.now);
         let Some(request) = c.cluster.due_cloud_request(c.now) else {
             return false;
         };
         let is_list = matches!(request, CloudRequest::List { .. });
         if is_list {
-            c.cluster.cloud_reply(&request, list_reply(&names), c.now);
+            c.cluster
+                .apply_cloud_reply(&request, list_reply(&names), c.now);
         }
         is_list
     });
