--- a/crates/job-graph/src/job.rs
+++ b/crates/job-graph/src/job.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::contribution::{Contribution, Contributions};
-use crate::message::{End, JobFacts, Outcome, Urgency};
+use crate::message::{JobFacts, Outcome, TerminalState, Urgency};
 
 /// An active job.
 #[derive(Debug, Clone)]
@@ -20,8 +20,8 @@
     pub(crate) contribution: Option<Contribution>,
     /// Number of needs that are not known to be done.
     pub(crate) not_done: usize,
-    /// Set once a direct or transitive need is cancelled. Ends never change, so this is never
-    /// reset.
+    /// Set once a direct or transitive need is cancelled. Never reset, since terminal states
+    /// never change.
     pub(crate) cancelled: bool,
     /// Position in the topological order: above every active job that it needs.
     pub(crate) level: i64,
@@ -58,8 +58,8 @@
     pub(crate) dependents: BTreeSet<Id>,
     /// Contributions of these jobs to its urgency.
     pub(crate) contributions: Contributions,
-    /// End of the job, if known; always `None` while it is active.
-    pub(crate) end: Option<End>,
+    /// Terminal state of the job, if known; always `None` while it is active.
+    pub(crate) terminal_state: Option<TerminalState>,
 }
 
 impl<Id> Default for NeededJob<Id> {
@@ -67,7 +67,7 @@
         NeededJob {
             dependents: BTreeSet::new(),
             contributions: Contributions::default(),
-            end: None,
+            terminal_state: None,
         }
     }
 }
@@ -75,6 +75,7 @@
 impl<Id> NeededJob<Id> {
     /// Returns whether the job is known to have ended with this outcome.
     pub(crate) fn ended_as(&self, outcome: Outcome) -> bool {
-        self.end.is_some_and(|end| end.outcome == outcome)
+        self.terminal_state
+            .is_some_and(|state| state.outcome == outcome)
     }
 }
--- a/crates/recovery/src/request_window.rs
+++ b/crates/recovery/src/request_window.rs
@@ -2,7 +2,7 @@
 //! shrinks when they are not.
 //!
 //! A new leader does not know what the previous one requested. With many failovers in a row,
-//! each leader sends at most as many requests as are answered.
+//! each leader's outstanding requests stay limited by those that are answered.
 
 /// Adaptive limit on the requests that are outstanding at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -51,7 +51,7 @@
     #[test]
     fn window_grows_with_answers_within_its_bounds() {
         let mut window = RequestWindow::new(6);
-        let seen: Vec<usize> = [
+        let windows: Vec<usize> = [
             Outcome::Done,
             Outcome::Refused,
             Outcome::Done,
@@ -63,7 +63,7 @@
             window.window()
         })
         .collect();
-        assert_eq!(seen, [2, 2, 4, 6]);
+        assert_eq!(windows, [2, 2, 4, 6]);
         for _ in 0..9 {
             window.step(Outcome::Unclear);
         }
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -112,11 +112,12 @@
 pub trait Machines: Send + Sync + 'static {
     /// Returns the machine types on offer.
     fn types(&self) -> Vec<MachineType>;
-    /// Returns machines in the order of their names, after `after`, and whether there are more.
+    /// Returns machines in the order of their names, from the one after `after`, and whether there
+    /// are more.
     fn list(&self, after: &str, limit: usize) -> (Vec<Machine>, bool);
     /// Rents machines and returns their names; none if there is no capacity.
     fn rent(&self, rental: &Rental) -> Vec<String>;
-    /// Takes machines back; unknown names are ignored.
+    /// Releases machines; unknown names are ignored.
     fn release(&self, names: &[String]);
 }
 
@@ -148,7 +149,7 @@
     requests: AtomicU64,
     refused: AtomicU64,
     traffic: Arc<Traffic>,
-    started: Instant,
+    started_at: Instant,
 }
 
 #[derive(Serialize)]
@@ -185,7 +186,7 @@
                 requests: AtomicU64::new(0),
                 refused: AtomicU64::new(0),
                 traffic: Arc::default(),
-                started: Instant::now(),
+                started_at: Instant::now(),
             }),
         };
         let handler = service.clone();
@@ -217,7 +218,7 @@
         let shared = &self.shared;
         shared.requests.fetch_add(1, Ordering::Relaxed);
         tokio::time::sleep(shared.settings.availability.latency).await;
-        let now = shared.started.elapsed();
+        let now = shared.started_at.elapsed();
         if shared.settings.availability.in_outage(now) {
             return Reply::new(503, r#"{"error":"trouble"}"#);
         }
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -136,8 +136,8 @@
     pub machines: Vec<MachineCapacity>,
     /// Zones of the machines.
     all_zones: Vec<Arc<str>>,
-    /// Indexes of machines that are not full, and some that have become full since. Under high load
-    /// nearly all are full, and thousands of waiting jobs each look for one.
+    /// Indexes of the machines that are not full, and of some that have become full since. Under
+    /// high load nearly all are full, and thousands of waiting jobs each search for one.
     open_machines: Vec<usize>,
     /// Like `open_machines`, for free GPUs.
     open_gpu_machines: Vec<usize>,
@@ -318,7 +318,9 @@
 }
 
 /// Returns the jobs listed for machines whose tasks are not known yet.
-pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
+pub(super) fn jobs_on_unresolved_machines(
+    machines: &BTreeMap<MachineId, Machine>,
+) -> HashSet<JobId> {
     let unresolved_machines = machines.values().filter(|m| m.unresolved);
     unresolved_machines
         .flat_map(|m| m.assignment.possible_jobs().cloned())
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -3,7 +3,7 @@
 //!
 //! A report counts only if it is newer than all others seen of its session, and a task missing from
 //! it is gone only if the report can't have been overtaken by the task's start. The end of an
-//! attempt never releases its task twice, since the task may already run elsewhere by then.
+//! attempt never releases its task twice, since the task may already run elsewhere.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -28,7 +28,8 @@
     ) -> Option<(u64, Vec<Command>)> {
         let id = report.machine.clone();
         if self.provisioning.was_released(&id) {
-            // The machine no longer exists: the report was delayed, and nobody waits for an answer.
+            // The machine no longer exists: the report was delayed, and no worker waits for its
+            // answer.
             debug!(machine = %id, "ignoring report of a released machine");
             return None;
         }
@@ -130,8 +131,8 @@
 
     /// Removes a task that a report shows to be gone.
     fn remove_missing(&mut self, id: &MachineId, key: &AttemptKey, now: Duration) {
-        let machine = self.machines.get_mut(id).expect("still there");
-        let placement = machine.tasks.remove(key).expect("just listed");
+        let machine = self.machines.get_mut(id).expect("known machine");
+        let placement = machine.tasks.remove(key).expect("known task");
         if !machine.busy() {
             machine.idle_since = now;
         }
@@ -153,7 +154,7 @@
             self.adopt_task(id, &key, phase, now);
         }
         let machine = self.machines.get_mut(id).expect("known machine");
-        let placement = machine.tasks.get_mut(&key).expect("adopted");
+        let placement = machine.tasks.get_mut(&key).expect("adopted task");
         let before = placement.phase;
         if matches!(before, Phase::Sent { .. }) && !is_adopted {
             self.start_rate.record_start(now);
@@ -232,15 +233,15 @@
     /// or an orphaned one that is to be stopped.
     fn adopt_task(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
         let decision = self.decide_adoption(&key.0, phase);
-        let is_ours = decision == AdoptionDecision::Adopt;
+        let is_adopted = decision == AdoptionDecision::Adopt;
         let job = self.jobs.get_mut(&key.0.job);
         let spec = job.as_ref().map(|job| job.spec.clone());
-        if let (Some(job), true) = (job, is_ours) {
+        if let (Some(job), true) = (job, is_adopted) {
             job.slots[key.0.index as usize] = Slot::Placed(id.clone());
             job.placed += 1;
         }
         let machine = self.machines.get_mut(id).expect("known machine");
-        let stop = (!is_ours).then_some(Stop::new(Duration::ZERO, now));
+        let stop = (!is_adopted).then_some(Stop::new(Duration::ZERO, now));
         machine.tasks.insert(
             key.clone(),
             Placement {
@@ -253,7 +254,7 @@
                 since: now,
                 running_since: None,
                 stop,
-                is_orphaned: !is_ours,
+                is_orphaned: !is_adopted,
                 start_sent_seq: 0,
             },
         );
@@ -287,7 +288,7 @@
 
 impl Machine {
     /// Returns whether a report belongs to an expired session or is older than one already seen: it
-    /// was delayed, and nobody waits for its answer.
+    /// was delayed, and no worker waits for its answer.
     fn is_late(&self, report: &WorkerReport) -> bool {
         report.session <= self.expired_session
             || report.session < self.session
--- a/src/core/rollout.rs
+++ b/src/core/rollout.rs
@@ -47,12 +47,12 @@
     announced_revision: u64,
     announcing: bool,
     announce_retry_at: Duration,
-    /// The write of a new generation record is in flight.
+    /// Whether the write of a new generation record is in flight.
     step_in_flight: bool,
     next_step_at: Duration,
     /// Reason why this node does not act, as last logged.
     logged_refusal: Option<String>,
-    /// Time until which this node does not claim the leadership, after it gave it away.
+    /// Time until which this node does not claim the leadership, after it gave it up.
     claim_blocked_until: Duration,
     /// Last key outside the watched prefix whose value could not be parsed.
     last_unreadable_key: Option<String>,
@@ -106,7 +106,7 @@
     /// Returns the reason why this node accepts no requests and does not lead, if there is one.
     pub(super) fn refusal_reason(&self) -> Option<String> {
         if let Some(key) = self.cache.unreadable.keys().next() {
-            return Some(format!("{key} can't be read, a newer build is needed"));
+            return Some(format!("{key} can't be read; a newer build is needed"));
         }
         let cluster = &self.cache.generation.0;
         let needs = cluster.required_generation();
@@ -144,7 +144,7 @@
     /// one logged.
     pub(super) fn report_unreadable(&mut self, key: &str) {
         if self.rollout.last_unreadable_key.as_deref() != Some(key) {
-            error!(key, "a record can't be read, a newer build is needed");
+            error!(key, "a record can't be read; a newer build is needed");
             self.rollout.last_unreadable_key = Some(key.to_owned());
         }
     }
@@ -230,8 +230,10 @@
                         if_version(LEADER_KEY, claim),
                         if_version(GENERATION_KEY, view.revision),
                     ];
-                    let seen = nodes.iter();
-                    conditions.extend(seen.map(|(node, at)| if_version(node_key(node), *at)));
+                    let records = nodes.iter();
+                    conditions.extend(
+                        records.map(|(node, revision)| if_version(node_key(node), *revision)),
+                    );
                     self.call(
                         Purpose::StoreGeneration,
                         StateRequest::Txn {
@@ -316,21 +318,21 @@
     fn rollout_view(&self) -> ClusterView {
         let now = self.now();
         let (cluster, revision) = self.cache.generation;
-        let seen = |node: &String| {
-            let (ability, started) = match self.cache.nodes.get(node) {
-                Some((ability, started)) => (ability.clone(), *started),
+        let node_state = |node: &String| {
+            let (ability, record_revision) = match self.cache.nodes.get(node) {
+                Some((ability, record_revision)) => (ability.clone(), *record_revision),
                 None => (None, 0),
             };
-            let told = match *node == self.config.node {
+            let announcement = match *node == self.config.node {
                 true => self.announced_state(),
                 false => self.membership.nodes.announced_state(node, now),
             };
-            let seen = NodeState {
+            let state = NodeState {
                 ability,
-                record_revision: started,
-                announcement: told,
+                record_revision,
+                announcement,
             };
-            (node.clone(), seen)
+            (node.clone(), state)
         };
         ClusterView {
             cluster,
@@ -338,7 +340,7 @@
             orders: self.cache.orders.0.clone(),
             nodes: self
                 .configured_nodes()
-                .map(seen)
+                .map(node_state)
                 .collect::<BTreeMap<_, _>>(),
             no_old_records: self.rollout.migration.is_finished(revision)
                 && self.has_no_newer_records(),
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -55,14 +55,14 @@
     id: JobId,
     request: RequestId,
     query: JobQuery,
-    /// Places that remain to be read.
-    places: Vec<Layout>,
-    /// Revision of the generation record from which the places were derived.
+    /// Layouts that remain to be read.
+    layouts: Vec<Layout>,
+    /// Revision of the generation record from which the layouts were derived.
     generation: u64,
 }
 
 impl TerminalRead {
-    /// Covers every place where this generation may store the terminal state.
+    /// Covers every layout in which this generation may store the terminal state.
     pub(super) fn new(
         request: RequestId,
         id: JobId,
@@ -73,7 +73,7 @@
             id,
             request,
             query,
-            places: terminal_states::layouts(cluster),
+            layouts: terminal_states::layouts(cluster),
             generation: *generation,
         }
     }
@@ -343,7 +343,7 @@
                     .is_none_or(|zone| t.zones.iter().any(|z| **z == **zone))
         });
         if !fits {
-            return Some("no allowed machine type has room for a task".into());
+            return Some("no allowed machine type has capacity for a task".into());
         }
         let concurrent_tasks = match spec.kind {
             Kind::Array => 1,
@@ -485,12 +485,12 @@
                 return;
             }
             // Cancelled or not, depending on a terminal state that is not cached yet.
-            Status::Unknown { mut ends } if !matches!(query, JobQuery::Withdraw) => {
-                if let Some(end) = ends.pop() {
+            Status::Unknown { mut unread_jobs } if !matches!(query, JobQuery::Withdraw) => {
+                if let Some(unread_job) = unread_jobs.pop() {
                     let pending = PendingQuery { request, id, query };
                     self.look_up_terminal_state(
                         request,
-                        end,
+                        unread_job,
                         JobQuery::ForDependent(Box::new(pending)),
                     );
                 }
@@ -611,9 +611,9 @@
         }
     }
 
-    /// Reads the first of the remaining places, or confirms the generation after the last one.
+    /// Reads the first of the remaining layouts, or confirms the generation after the last one.
     pub(super) fn read_terminal_state(&mut self, read: TerminalRead) {
-        let request = match read.places.first() {
+        let request = match read.layouts.first() {
             Some(Layout::Single) => StateRequest::Get {
                 key: terminal_key(&read.id),
             },
@@ -630,7 +630,7 @@
     }
 
     pub(super) fn terminal_state_read(&mut self, mut read: TerminalRead, reply: StateReply) {
-        let found = match (read.places.first(), &reply) {
+        let found = match (read.layouts.first(), &reply) {
             (Some(Layout::Single), StateReply::Missing) => None,
             (Some(Layout::Single), StateReply::Entry(entry)) => {
                 match terminal_states::parse_single(entry.value.get()) {
@@ -685,8 +685,8 @@
             }
             return;
         }
-        read.places.remove(0);
-        match read.places.is_empty() && read.generation == 0 {
+        read.layouts.remove(0);
+        match read.layouts.is_empty() && read.generation == 0 {
             // Without a generation record, no terminal state has ever been moved.
             true => self.answer_unknown_job(read),
             false => self.read_terminal_state(read),
@@ -694,7 +694,7 @@
     }
 
     /// Caches a terminal state that was read at this revision. It takes precedence over the
-    /// active job, which may still be in the cache or come back by an older event.
+    /// active job, which may still be in the cache or be restored by an older event.
     fn terminal_state_found(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
         let now = self.now();
         self.cache_terminal_state(id.clone(), record);
--- a/src/core/write_queue.rs
+++ b/src/core/write_queue.rs
@@ -73,7 +73,7 @@
     refilled_at: Duration,
     in_flight: u32,
     retry_at: Duration,
-    /// A write was answered, so writes that depend on it can be sent at once.
+    /// Whether a write was answered, so that writes that depend on it can be sent at once.
     pub(super) has_new_replies: bool,
 }
 
@@ -216,7 +216,7 @@
         RETRY_DELAY * 2_u32.pow(self.unsplittable_rejections.min(MAX_PAUSE_DOUBLINGS))
     }
 
-    /// Returns whether the budget has room for optional writes.
+    /// Returns whether the budget allows optional writes.
     pub fn has_spare_budget(&self) -> bool {
         self.allowance > self.present_rate / 4.0
     }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -31,7 +31,7 @@
     br#"{"frames": [{"label": "m", "cpus": 8.0, "gpus": 0.0, "mem_gb": 32.0, "fields": ["a"]}]}"#;
 
 fn submission() -> Input {
-    let spec = wire::user::parse_submission(JOB.as_bytes(), false).expect("a good submission");
+    let spec = wire::user::parse_submission(JOB.as_bytes(), false).expect("a valid submission");
     Input::Submit {
         request: 7,
         spec: Arc::new(spec),
@@ -281,7 +281,7 @@
 }
 
 /// If a leader is unreachable for this node but its stored heartbeat changes, workers are
-/// redirected to it, and those that come back from it are not held.
+/// redirected to it, and those that return from it are not held.
 #[test]
 fn workers_are_redirected_to_a_leader_known_only_by_its_stored_heartbeat() {
     let (mut node, watch) = loaded(led_by_n1());
@@ -332,7 +332,7 @@
 }
 
 /// Guards against redirecting workers while there is no leader: some were redirected to the
-/// node that was gone, and their leases expired meanwhile.
+/// node that had stopped, and their leases expired meanwhile.
 #[test]
 fn a_report_without_a_leader_waits_until_there_is_one() {
     let (mut node, watch) = loaded(led_by_n1());
@@ -371,7 +371,7 @@
 
 /// A process that was suspended after its decision sends no commands when it resumes.
 #[test]
-fn commands_are_withheld_once_the_term_is_over() {
+fn commands_are_not_sent_after_the_term_has_ended() {
     let commands = Answer::Commands {
         token: 5 << 16,
         commands: Vec::new(),
@@ -406,12 +406,12 @@
         session: 1,
         commands: Vec::new(),
     };
-    let withheld = Output::Direct { call: 4, direct }.after_term_expired();
+    let outcome = Output::Direct { call: 4, direct }.after_term_expired();
     let unclear = |input: Box<Input>| {
         let reply = DirectReply::Unclear;
         format!("{input:?}") == format!("{:?}", Input::Direct { call: 4, reply })
     };
-    assert!(withheld.is_err_and(unclear));
+    assert!(outcome.is_err_and(unclear));
     // Answers to users don't depend on leadership.
     assert!(is_later(&[answer(Answer::Later {
         retry: Duration::from_secs(1)
--- a/tests/world/leader_refusal.rs
+++ b/tests/world/leader_refusal.rs
@@ -42,7 +42,8 @@
     assert_rules_hold(Fault::OutageAfterClaim);
 }
 
-/// Guards against a term that grows with the claim alone and goes on without the cancellations.
+/// Guards against a leader whose term is extended by its claim alone, although it has not seen the
+/// cancellations.
 #[test]
 fn cancelled_tasks_stop_in_time_when_the_leaders_watch_is_silent() {
     assert_rules_hold(Fault::SilentWatch);
@@ -52,7 +53,7 @@
 fn a_term_that_grows_with_a_renewal_alone_is_caught() {
     let caught = |seed| {
         let violations = violations(seed, Fault::SilentWatch, Defect::RenewalExtendsTerm);
-        violations.iter().any(|b| b.starts_with("ran_cancelled"))
+        violations.iter().any(|v| v.starts_with("ran_cancelled"))
     };
     assert!((0..8).any(caught));
 }
--- a/tests/world/old_reports.rs
+++ b/tests/world/old_reports.rs
@@ -47,7 +47,7 @@
         self.old_reports.held_until = until;
     }
 
-    fn old_report(&mut self, node: usize, at: Duration, mut report: WorkerReport) {
+    fn deliver_old_report(&mut self, node: usize, at: Duration, mut report: WorkerReport) {
         match self.defect {
             Defect::AcceptsDuplicateReports => report.seq += 20,
             Defect::OldReportsCarryNewToken => report.token = self.old_reports.claim << 16,
@@ -63,13 +63,12 @@
         if self.now < self.old_reports.kept_until && self.rng.random_range(0..4) == 0 {
             self.old_reports.kept.push(report.clone());
         }
-        let assert_rules_hold =
-            self.now < self.old_reports.held_until && self.rng.random_range(0..12) == 0;
-        if assert_rules_hold {
+        let is_held = self.now < self.old_reports.held_until && self.rng.random_range(0..12) == 0;
+        if is_held {
             let claim = self.old_reports.claim;
             self.old_reports.held.push((claim, report.clone()));
         }
-        assert_rules_hold
+        is_held
     }
 
     /// Delivers the kept copies to every node after a claim, as the leader starts.
@@ -82,7 +81,7 @@
         for report in std::mem::take(&mut self.old_reports.kept) {
             for node in 0..NODES {
                 let at = self.now + ms(self.rng.random_range(1..900));
-                self.old_report(node, at, report.clone());
+                self.deliver_old_report(node, at, report.clone());
                 self.old_reports.copies_after_claim += 1;
             }
         }
@@ -104,13 +103,13 @@
         self.old_reports.held = held;
         for (_, report) in due {
             let at = self.now + ms(self.rng.random_range(20..2_000));
-            self.old_report(node, at, report);
+            self.deliver_old_report(node, at, report);
             self.old_reports.held_after_action += 1;
         }
     }
 }
 
-/// Leaders change four times, once with a crash of all nodes, while reports are old.
+/// Leaders change four times, once with a crash of all nodes, while old reports arrive.
 fn world(scale: Scale, seed: u64, fault: Fault, defect: Defect) -> World {
     let mut world = World::with_scale(scale, seed, defect).with_quick_restarts();
     world = world.with_fault(12_000, fault, Duration::from_secs(45));
@@ -167,7 +166,7 @@
     let ran_twice = |scale, seed| {
         violations(scale, seed)
             .iter()
-            .any(|b| b.starts_with("ran_twice"))
+            .any(|v| v.starts_with("ran_twice"))
     };
     let caught = (0..8).any(|seed| ran_twice(MEDIUM, seed) || ran_twice(LONG, seed));
     assert!(caught, "{defect:?} was not caught with {fault:?}");
--- a/tests/world/rollout.rs
+++ b/tests/world/rollout.rs
@@ -63,9 +63,10 @@
     pub returned: usize,
     /// Last time at which a leader had machines whose tasks it did not know.
     pub last_unresolved: Duration,
-    last_told: Option<NodeAnnouncement>,
-    /// The node that was asked to step down, and whether that node is the one that crashes.
+    last_announcement: Option<NodeAnnouncement>,
+    /// Node that received a request to step down.
     pub step_down_node: Option<usize>,
+    /// Whether that node crashes instead of its successor.
     pub spare_successor: bool,
 }
 
@@ -90,7 +91,7 @@
             requested_drains: Vec::new(),
             cordoned: BTreeMap::new(),
             returned: 0,
-            last_told: None,
+            last_announcement: None,
             step_down_node: None,
             spare_successor: false,
         }
@@ -302,8 +303,8 @@
         self.push(self.now + ms(700), Event::Drain(machines));
     }
 
-    /// Checks that no start command goes to a machine after its operator was told that it is
-    /// drained.
+    /// Checks that no start command goes to a machine after its drain was confirmed to the
+    /// operator.
     pub fn check_cordons(&mut self, output: &Output) {
         let starts = |commands: &[Command]| {
             let mut starts = commands.iter();
@@ -375,7 +376,7 @@
         request
     }
 
-    /// Whether a leader that removes a zone is told so without the write being applied.
+    /// Whether the removal of a zone is confirmed to the leader without the write being applied.
     pub fn fakes_zone_removal(&self, request: &StateRequest) -> bool {
         let StateRequest::Txn { changes, .. } = request else {
             return false;
@@ -431,7 +432,7 @@
         };
         if !self.rollout.old_build[node] {
             if node == 2 && heartbeat.announced_state.is_some() {
-                self.rollout.last_told = heartbeat.announced_state;
+                self.rollout.last_announcement = heartbeat.announced_state;
             }
             return message;
         }
@@ -441,9 +442,12 @@
             Some(StateReply::Entry(entry)) => entry.version,
             _ => 0,
         };
-        let repeats_last_told = self.defect == Defect::SoakNotRestarted;
-        let told = self.rollout.last_told.filter(|_| repeats_last_told);
-        heartbeat.announced_state = told.map(|told| NodeAnnouncement { knows, ..told });
+        let repeats_last_announcement = self.defect == Defect::SoakNotRestarted;
+        let announcement = self
+            .rollout
+            .last_announcement
+            .filter(|_| repeats_last_announcement);
+        heartbeat.announced_state = announcement.map(|last| NodeAnnouncement { knows, ..last });
         message
     }
 }
