--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command-line flags and variables of the program.
+//! Command-line flags and environment variables.
 
 use std::{
     path::{Path, PathBuf},
@@ -16,39 +16,39 @@
 #[derive(Debug, Parser)]
 #[command(name = "kiteyard", version)]
 pub struct Cli {
-    /// Settings file (JSON) that the platform hands over
+    /// Settings file of the platform (JSON)
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
 
-    /// Licences with counted seats (TOML); without it, submissions' `licences` are ignored
+    /// Licence configuration (TOML); without it, `licences` of submissions are ignored
     #[arg(long, value_name = "FILE")]
     pub licences: Option<PathBuf>,
 
-    /// Roll out changes of the stored state (TOML); without it, none is switched on
+    /// Rollout configuration for new state formats (TOML); without it, none is enabled
     #[arg(long, value_name = "FILE")]
     pub rollout: Option<PathBuf>,
 
-    /// Budgets of disruption by team (TOML); without it, machines can't be drained
+    /// Disruption budgets by team (TOML); without it, machines can't be drained
     #[arg(long, value_name = "FILE")]
     pub maintenance: Option<PathBuf>,
 
-    /// Check the settings file, and the other files given, and exit
+    /// Validate the settings file and the other given files, and exit
     #[arg(long)]
     pub check: bool,
 
-    /// How much is logged on standard error: error, info or debug
+    /// Log level on standard error: error, info or debug
     #[arg(long, env = "LOG_LEVEL", default_value = "info", value_name = "LEVEL")]
     pub log_level: tracing::Level,
 
-    /// How long a machine may be idle before it is returned, in times of what another takes to boot
+    /// Idle time after which a machine is released, as a multiple of the boot time of its type
     #[arg(long, env = "KITEYARD_IDLE_BOOTS", default_value_t = 2.0, value_name = "TIMES", value_parser = times)]
     pub idle_boots: f64,
 
-    /// Grace in seconds for tasks stopped to make room
+    /// Grace period in seconds for preempted tasks
     #[arg(long, env = "KITEYARD_GRACE_S", default_value_t = 10.0, value_name = "SECONDS", value_parser = seconds)]
     pub grace_s: f64,
 
-    /// Tasks of one service that may be stopping at a time before it counts as a breach
+    /// Tasks of one service that may be stopping at a time; more violate its disruption budget
     #[arg(
         long,
         env = "KITEYARD_DISRUPTION_BUDGET",
@@ -57,7 +57,7 @@
     )]
     pub disruption_budget: u32,
 
-    /// Seconds after which a gang that waits keeps what room there is from its equals
+    /// Seconds after which a waiting gang reserves free capacity against jobs of equal priority
     #[arg(long, env = "KITEYARD_GATHER_AFTER_S", default_value_t = 60.0, value_name = "SECONDS", value_parser = seconds)]
     pub gather_after_s: f64,
 }
@@ -76,7 +76,7 @@
     }
 }
 
-/// A file of the operators', if one is named, or what is wrong with it.
+/// Loads an optional configuration file.
 fn checked<T, E: std::fmt::Display>(
     path: Option<&Path>,
     what: &str,
@@ -90,19 +90,19 @@
 }
 
 impl Cli {
-    /// The licences, or what is wrong with their file.
+    /// Loads the licence configuration.
     pub fn licences(&self) -> Result<Option<Arc<kiteyard_licences::config::Config>>, String> {
         let parse = kiteyard_licences::config::Config::parse;
         checked(self.licences.as_deref(), "licences", parse)
     }
 
-    /// How changes of the stored state are rolled out, or what is wrong with the file.
+    /// Loads the rollout configuration.
     pub fn rollout(&self) -> Result<Option<Arc<kiteyard_rollout::config::Config>>, String> {
         let parse = |text: &str| kiteyard_rollout::config::Config::parse(text, FEATURES);
         checked(self.rollout.as_deref(), "rollout", parse)
     }
 
-    /// Budgets of disruption, or what is wrong with the file.
+    /// Loads the disruption budgets.
     pub fn maintenance(&self) -> Result<Option<Arc<kiteyard_maintenance::config::Config>>, String> {
         let tasks = self.disruption_budget;
         let parse = |text: &str| kiteyard_maintenance::config::Config::parse(text, tasks);
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -1,4 +1,4 @@
-//! Renting and returning machines.
+//! Provisioning and releasing machines.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -52,13 +52,13 @@
     Provisioned(Vec<MachineId>),
     NoCapacity,
     Released,
-    /// Not executed: over the limit or in an outage.
+    /// Not executed: rate limited, or the cloud has an outage.
     Refused,
-    /// No answer: it may have been executed, or may be later.
+    /// No answer: the request may have been executed, or may still be.
     Unclear,
 }
 
-/// A rental that has no final answer yet.
+/// Provisioning request without a final answer.
 #[derive(Debug)]
 struct Open {
     rental: ProvisioningRequest,
@@ -66,30 +66,30 @@
     next_try: Duration,
 }
 
-/// What the leader has going with the cloud.
+/// State of the leader's requests to the cloud.
 #[derive(Debug)]
 pub struct Provisioning {
-    /// Begins the name of every rental, so that no other leader uses it.
+    /// Prefix of every request ID, unique to this leader.
     prefix: String,
     request_count: u64,
     open: Vec<Open>,
     listing: Option<Vec<ListedMachine>>,
-    /// When the last list that was read whole was asked for.
+    /// Time at which the last completely read list was requested.
     pub(super) list_read: Option<Duration>,
     list_asked: Duration,
     next_list: Duration,
     next_types: Duration,
     next_plan: Duration,
     pub(super) next_consolidation: Duration,
-    /// When a task waited last.
+    /// Time at which a task was last seen waiting.
     pub(super) waited_at: Duration,
     next_call: Duration,
     releasing: BTreeSet<MachineId>,
-    /// Kinds of machine that were refused, until when they are not asked for again.
+    /// Machine kinds that the cloud refused, and the time until which none are requested.
     refused: HashMap<MachineKind, Duration>,
-    /// How many scale-out requests may be without an answer.
+    /// Adaptive bound on the number of open requests.
     pace: Pace,
-    /// Machines that were returned; the list may still show them for a while.
+    /// Released machines and the time of their release; the cloud's list lags behind.
     returned: BTreeMap<MachineId, Duration>,
 }
 
@@ -115,22 +115,22 @@
         }
     }
 
-    /// The cloud has taken it back. Names are never used again.
+    /// Returns whether the machine was released. The cloud never reuses a machine ID.
     pub(super) fn was_returned(&self, id: &MachineId) -> bool {
         self.returned.contains_key(id)
     }
 
-    /// No more orders than the cloud answers.
+    /// Returns whether the adaptive bound allows another open request.
     pub(super) fn may_request(&self) -> bool {
         self.open.len() < self.pace.window()
     }
 
-    /// Rentals without a final answer.
+    /// Returns the requests without a final answer.
     pub(super) fn open_requests(&self) -> impl Iterator<Item = &ProvisioningRequest> {
         self.open.iter().map(|open| &open.rental)
     }
 
-    /// Takes an order, and says the name that it gets.
+    /// Queues a request, and returns the ID assigned to it.
     pub(super) fn open_request(&mut self, mut rental: ProvisioningRequest) -> &str {
         self.request_count += 1;
         rental.request = format!("{}-{}", self.prefix, self.request_count);
@@ -150,7 +150,7 @@
         self.refused.retain(|_, until| *until > now);
     }
 
-    /// What was refused lately, and for how long that still counts.
+    /// Returns the refusals in effect, with the time that each one has left.
     pub(super) fn refusals(&self, now: Duration) -> Vec<(MachineKind, Duration)> {
         let left = self
             .refused
@@ -160,7 +160,7 @@
         left.map(|(kind, left)| (kind.clone(), left)).collect()
     }
 
-    /// What the previous leader was refused is not asked for again at once.
+    /// Takes over the refusals that the previous leader received.
     pub(super) fn restore_refusals(
         &mut self,
         refused: Vec<(MachineKind, Duration)>,
@@ -173,14 +173,14 @@
         }
     }
 
-    /// The machine is being returned.
+    /// Returns whether a release of the machine is in flight.
     pub(super) fn is_being_returned(&self, id: &MachineId) -> bool {
         self.releasing.contains(id)
     }
 }
 
 impl ClusterState {
-    /// The next request to the cloud, if one is due. Calls are spaced evenly.
+    /// Returns the next request to the cloud, if one is due. Requests are spaced evenly.
     pub fn cloud_work(&mut self, now: Duration) -> Option<CloudRequest> {
         if now < self.provisioning.next_call {
             return None;
@@ -194,7 +194,7 @@
         if now >= self.provisioning.next_plan {
             self.provisioning.next_plan = now + Duration::from_millis(500);
             self.value_images();
-            // One that hears nobody can't tell what is needed.
+            // A leader that receives no reports can't tell which machines are needed.
             if !self.reachability.is_uncertain {
                 self.plan_scale_in(now);
                 self.plan_drains(now);
@@ -220,14 +220,14 @@
             .machines
             .values()
             .filter(|m| m.standing == Standing::Leaving && m.tasks.is_empty() && !m.unresolved)
-            // Off the assignment index first: a next leader need not wait for it then.
+            // Removed from the assignment index first, so that a new leader doesn't wait for it.
             .filter(|m| !m.assignment.stored)
             .filter(|m| !self.provisioning.releasing.contains(&m.id))
             .map(|m| m.id.clone())
             .take(100)
             .collect();
         if !leaving.is_empty() {
-            info!(machines = ?leaving, "scale in");
+            info!(machines = ?leaving, "releasing machines");
             self.provisioning.releasing.extend(leaving.iter().cloned());
             return Some(CloudRequest::Release { machines: leaving });
         }
@@ -258,13 +258,13 @@
                 for id in machines {
                     self.provisioning.releasing.remove(id);
                     if matches!(reply, CloudReply::Released) {
-                        // All that was on it is gone by the time of the answer.
+                        // Nothing runs on the machine any more once the cloud has answered.
                         self.machine_gone(id, now);
                         self.provisioning.returned.insert(id.clone(), now);
                     }
                 }
-                // The list may show them yet, and copies of what they sent may come: those
-                // that were returned last are kept, whatever their names.
+                // The list may still show released machines, and late copies of their reports
+                // may arrive: the latest releases are kept, whatever the machines' names.
                 while self.provisioning.returned.len() > RETURNED_KEPT {
                     let oldest = self.provisioning.returned.iter().min_by_key(|(_, at)| **at);
                     let Some(oldest) = oldest.map(|(id, _)| id.clone()) else {
@@ -303,7 +303,12 @@
         });
         match reply {
             CloudReply::Provisioned(ids) => {
-                info!(request = %rental.request, got = ids.len(), asked = rental.count, "scaled out");
+                info!(
+                    request = %rental.request,
+                    got = ids.len(),
+                    asked = rental.count,
+                    "machines provisioned"
+                );
                 if (ids.len() as u32) < rental.count {
                     self.provisioning.refused.insert(kind, now + REFUSED_FOR);
                 }
@@ -317,7 +322,7 @@
                 self.provisioning.open.retain(|o| o.rental != *rental);
             }
             _ => {
-                // The same name again: it never rents twice.
+                // Retried under the same ID, which the cloud executes at most once.
                 for open in &mut self.provisioning.open {
                     if open.rental == *rental {
                         open.in_flight = false;
@@ -355,8 +360,8 @@
         }
     }
 
-    /// Which machines are to go: those that never came up, failed, stay silent,
-    /// fail many jobs, or have nothing to do.
+    /// Marks the machines to release: those that failed, did not boot in time, are
+    /// unresponsive, fail tasks repeatedly, or are idle.
     fn plan_scale_in(&mut self, now: Duration) {
         let unresolved = self.unresolved();
         let boot: HashMap<Arc<str>, f64> = self
@@ -375,7 +380,7 @@
                     leave.push((m.id.clone(), "failed"));
                 }
                 Standing::Booting if !m.unresolved && now > m.first_seen + boot_limit => {
-                    leave.push((m.id.clone(), "never came up"));
+                    leave.push((m.id.clone(), "boot timed out"));
                 }
                 Standing::Lost if now > silent + self.config.worker_lease_bound * 5 => {
                     leave.push((m.id.clone(), "unresponsive"));
@@ -389,15 +394,15 @@
             leave.extend(idle.map(|id| (id, "idle")));
         }
         for (id, why) in leave {
-            info!(machine = %id, why, "leaving");
+            info!(machine = %id, why, "machine marked for release");
             let machine = self.machines.get_mut(&id).expect("just listed");
             machine.standing = Standing::Leaving;
             machine.unresolved = false;
         }
     }
 
-    /// Idle machines that can go without taking the spare room for services: the
-    /// dearest first, and among them those without images that services want.
+    /// Idle machines that can be released while spare capacity for services remains: the
+    /// most expensive first, and at equal prices those with the least useful images.
     fn idle_machines(&self, now: Duration) -> Vec<MachineId> {
         let mut idle: Vec<&Machine> = self
             .machines
@@ -418,7 +423,7 @@
                 0
             }
         };
-        // Room for two replicas of each class, and for what is about to come.
+        // Capacity for two replicas of each service class, and for the expected arrivals.
         let services = self.services().into_iter().map(|spec| (spec, 2));
         let wanted: Vec<(Arc<JobSpec>, u32)> = services.chain(self.expected()).collect();
         let mut spare: Vec<(Arc<JobSpec>, u32)> = Vec::new();
@@ -441,15 +446,15 @@
         go
     }
 
-    /// How long a machine may stay idle: what it costs meanwhile is weighed
-    /// against the time and money that another one takes to boot.
+    /// Time that a machine may stay idle: a multiple of its boot time, since the cost of
+    /// keeping it is weighed against the time and money to boot a new one.
     pub(super) fn idle_time(&self, machine_type: &str) -> Duration {
         let boot = self.types.iter().find(|t| &*t.name == machine_type);
         let boot = crate::settings::seconds(boot.map_or(0.0, |t| t.boot_s));
         boot.mul_f64(self.config.options.idle_boots)
     }
 
-    /// The largest service of each class that is active.
+    /// The largest active service of each class.
     fn services(&self) -> Vec<Arc<JobSpec>> {
         let mut by_class: BTreeMap<Arc<str>, Arc<JobSpec>> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.kind == Kind::Service) {
@@ -471,9 +476,9 @@
     }
 }
 
-/// Rentals without a final answer at a time.
+/// Maximum number of provisioning requests without a final answer.
 const OPEN_MOST: usize = 8;
-/// Returned machines whose names are kept: the cloud's list may show all of a fleet yet.
+/// Number of released machines to remember: the cloud's list may still show a whole fleet.
 const RETURNED_KEPT: usize = 16_384;
-/// What the cloud refused is not asked for again for so long.
+/// Time during which a refused machine kind is not requested again.
 const REFUSED_FOR: Duration = Duration::from_secs(15);
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -1,4 +1,4 @@
-//! What is to be rented: for waiting work that neither running nor booting machines take.
+//! Planning of new machines for waiting work that neither running nor booting machines take.
 
 pub mod arrivals;
 mod plan;
@@ -20,14 +20,14 @@
     reconciliation::DeferredAction,
 };
 
-/// Waiting tasks of one job that need room that is not there.
+/// Waiting tasks of one job that need additional capacity.
 struct Demand {
     spec: Arc<JobSpec>,
     tasks: u32,
 }
 
 impl ClusterState {
-    /// Rents for waiting work that neither running nor booting machines will take soon.
+    /// Requests machines for waiting work that running and booting machines won't take soon.
     pub(super) fn plan_scale_out(&mut self, now: Duration) {
         self.provisioning.forget_refusals(now);
         if self.unlisted(now) || self.starts_rejected() {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Hands an order to the cloud in calls of as many machines as one call may ask for.
+    /// Splits an order into provisioning requests of at most the allowed size.
     fn submit_order(&mut self, order: ScaleOutOrder) {
         let ScaleOutOrder { kind, job, .. } = order;
         let MachineKind { zone, spot, .. } = &kind;
@@ -57,15 +57,23 @@
                 count,
             };
             let request = self.provisioning.open_request(rental);
-            info!(request, kind = %kind.machine_type, %zone, spot, count, %job, "scale out");
+            info!(
+                request,
+                kind = %kind.machine_type,
+                %zone,
+                spot,
+                count,
+                %job,
+                "requesting machines"
+            );
         }
     }
 
-    /// Machines by kind for all that waits, in as few calls as the cloud takes: one call
-    /// for each job kept a fleet that begins with nothing waiting for calls.
+    /// Plans machines by kind for all waiting work, to need as few requests as possible: with
+    /// one request per job, the request rate delayed the scale-out of an empty fleet.
     fn plan_orders(&mut self, now: Duration) -> Vec<ScaleOutOrder> {
         let mut plan = ScaleOutPlan::default();
-        // Gangs that have to stay in one zone may wait though there is room for a part.
+        // A gang bound to one zone may wait while idle machines have room for a part of it.
         let mut idle = UpcomingCapacity::default();
         for machine in self.machines.values() {
             plan.count_machines(&machine.zone, 1);
@@ -86,7 +94,7 @@
         plan.into_orders()
     }
 
-    /// Orders machines for the tasks that neither coming nor idle room takes.
+    /// Orders machines for the tasks that neither upcoming nor idle capacity takes.
     fn plan_demand(
         &mut self,
         mut demand: Demand,
@@ -121,8 +129,8 @@
         }
     }
 
-    /// Asks for room for what usually comes until a machine has booted, where that is to
-    /// start sooner than it could on a machine that is asked for then.
+    /// Orders machines for the expected arrivals of classes whose objective is shorter than
+    /// the boot of a machine requested on arrival.
     fn order_ahead(&self, now: Duration, plan: &mut ScaleOutPlan) {
         let expected = self.expected();
         if expected.is_empty() {
@@ -155,15 +163,15 @@
         }
     }
 
-    /// The largest machine that the job may use.
+    /// Size of the largest machine type that the job may use.
     fn largest(&self, spec: &JobSpec) -> Resources {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
         let largest = types.max_by_key(|t| spec.need.times_in(&t.size));
         largest.map(|t| t.size).unwrap_or_default()
     }
 
-    /// Tasks by class that usually come until a machine has booted, of those classes that
-    /// can't wait for one.
+    /// Expected arrivals by class during the boot of a machine, for the classes that can't
+    /// wait for one.
     pub(super) fn expected(&self) -> Vec<(Arc<JobSpec>, u32)> {
         let within = |spec: &JobSpec| match self.patience(spec) > 0.0 {
             true => Duration::ZERO,
@@ -186,8 +194,8 @@
             .unwrap_or_default()
     }
 
-    /// Waiting tasks by job, the most important first. Of finite work only what
-    /// the machines that are up will not have done by the time new ones are.
+    /// Waiting tasks by job, the highest priority first. Of arrays, only the tasks that the
+    /// machines that are up won't have completed by the time new ones have booted.
     fn demands(&self, now: Duration) -> Vec<Demand> {
         let finite = self.batch_capacity();
         let silent = jobs_on_unresolved(&self.machines);
@@ -211,7 +219,7 @@
                 let share = spec.need.share_of(&finite);
                 if share.is_finite() {
                     let work = share * spec.estimate_s.max(1.0) * f64::from(waiting);
-                    // What is cleared while a new machine boots needs no machine.
+                    // Work completed while a new machine boots needs no new machine.
                     let over = (ahead + work - self.patience(spec)).max(0.0);
                     ahead += work;
                     let horizon = SCALE_OUT_HORIZON.as_secs_f64().max(spec.estimate_s);
@@ -219,8 +227,7 @@
                     tasks = waiting.min(wanted.ceil() as u32);
                 }
             }
-            // A machine for what the team may not run, or has no seats for, would stand
-            // idle.
+            // A machine for tasks beyond the team's limit or licence seats would stay idle.
             tasks = tasks.min(self.seats_for(spec, now));
             if let Some(left) = left.get_mut(&spec.team) {
                 tasks = tasks.min(spec.need.times_in(left));
@@ -236,9 +243,8 @@
         demands
     }
 
-    /// For how long, in seconds, the machines that are up may go on clearing a job's tasks
-    /// before more are asked for. Where they are to start sooner than a new machine has
-    /// booted and fetched the image, every moment counts.
+    /// Seconds of work that may be queued for the machines that are up before new ones are
+    /// requested: zero if the wait objective is shorter than boot and image fetch.
     fn patience(&self, spec: &JobSpec) -> f64 {
         let aims = self.config.objectives.iter();
         let aims = aims.filter(|o| o.kind == "wait" && *o.class == *spec.class);
@@ -247,7 +253,7 @@
         left.clamp(0.0, SCALE_OUT_HORIZON.as_secs_f64())
     }
 
-    /// What teams with a limit may still run.
+    /// Resources that teams with a limit may still use.
     fn limits_left(&self) -> HashMap<Arc<str>, Resources> {
         let most = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         let teams = self.config.teams.iter();
@@ -272,8 +278,8 @@
         left
     }
 
-    /// The cheapest way to hold the tasks, where the cloud has not refused it: the kind of
-    /// machine, and how many. `there` tells how many tasks a zone has room for already.
+    /// Returns the cheapest machine kind for the tasks that the cloud has not refused, and the
+    /// number of machines. `there` returns the number of tasks that already fit in a zone.
     fn choose_machine_kind(
         &self,
         demand: &Demand,
@@ -301,7 +307,7 @@
                     {
                         continue;
                     }
-                    // A gang is of use only whole.
+                    // A gang runs only as a whole.
                     let most = match spec.one_zone {
                         true => u32::MAX,
                         false => ZONE_BATCH_MOST,
@@ -324,7 +330,7 @@
     }
 }
 
-/// A zone where all of a job's tasks find room.
+/// Returns a zone that has room for all tasks of a job.
 fn whole_in(
     spec: &JobSpec,
     tasks: u32,
@@ -339,10 +345,9 @@
     zones.min_by_key(|zone| !whole(zone)).filter(whole).cloned()
 }
 
-/// Machines of one zone that a job's tasks ask for at a time: more would put all of them
-/// there.
+/// Maximum number of machines ordered in one zone at a time, to spread a job over zones.
 const ZONE_BATCH_MOST: u32 = 16;
-/// Machines that one call may ask for, by the protocol.
+/// Maximum number of machines in one provisioning request, by the protocol.
 const CALL_MOST: u32 = 50;
-/// Waiting work that the machines do within this time needs no new ones.
+/// Waiting work that the existing machines complete within this time needs no new ones.
 const SCALE_OUT_HORIZON: Duration = Duration::from_secs(20);
--- a/src/core/scale_out/arrivals.rs
+++ b/src/core/scale_out/arrivals.rs
@@ -1,22 +1,22 @@
-//! How much of each class comes, so that room is there before it does.
+//! Arrival rate of each job class, used to provision capacity ahead of demand.
 //!
-//! A class that is to start sooner than a machine boots and fetches can't wait for machines
-//! that are asked for when it comes. What came in each of the last spans of time is
-//! counted by when it was accepted, so that a next leader knows it too; the one in the
-//! middle counts: neither a rush, as when a day begins, nor a pause tells what is usual.
+//! A class with an objective shorter than boot and image fetch can't wait for machines that
+//! are requested on arrival. Arrivals are counted per time window by their acceptance time,
+//! so that a new leader computes the same counts. The median of the last windows is the
+//! expected rate, which neither a burst, as at the start of a day, nor a pause distorts.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use crate::core::job::JobSpec;
 
 const SPAN: Duration = Duration::from_secs(10);
-/// Spans that are looked at, before the one that is not over.
+/// Number of completed windows that are considered.
 const SPANS: usize = 5;
 
 struct Class {
-    /// The one that came last stands for all.
+    /// Latest job of the class, which represents all of them.
     spec: Arc<JobSpec>,
-    /// Tasks by span.
+    /// Number of tasks by window.
     tasks: BTreeMap<u64, u32>,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Tasks of each class that usually come within that time.
+    /// Number of tasks of each class expected within the given time.
     pub fn expected(
         &self,
         now_ms: u64,
@@ -88,7 +88,7 @@
         assert_eq!(after(&[500, 80, 4, 5, 6]), 12);
         assert_eq!(after(&[4, 5, 6, 0, 0]), 8);
         assert_eq!(after(&[5, 5, 5, 0, 0, 0, 0]), 0);
-        // Nothing is known yet.
+        // Too few windows to estimate a rate.
         assert_eq!(after(&[500, 80]), 0);
     }
 }
--- a/src/core/scale_out/plan.rs
+++ b/src/core/scale_out/plan.rs
@@ -1,5 +1,4 @@
-//! One plan of scale-out requests: the room that is about to be there, and the machines asked for
-//! so far.
+//! Scale-out plan: upcoming capacity, and the machines ordered so far.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -9,7 +8,7 @@
     machine::MachineKind,
 };
 
-/// Machines of one kind to ask the cloud for.
+/// Machines of one kind to request from the cloud.
 pub struct ScaleOutOrder {
     pub kind: MachineKind,
     pub count: u32,
@@ -17,28 +16,28 @@
     pub job: JobId,
 }
 
-/// What one pass over the waiting work asks for, and the room that counts as coming meanwhile.
+/// Orders of one pass over the waiting work, and the capacity that is taken into account.
 #[derive(Default)]
 pub struct ScaleOutPlan {
-    /// Room on machines that boot or are asked for.
+    /// Capacity of machines that are booting or requested.
     pub coming: UpcomingCapacity,
-    /// Machines by zone, those that are asked for included.
+    /// Number of machines by zone, including those that are ordered.
     machines_in_zone: HashMap<Arc<str>, usize>,
     orders: Vec<ScaleOutOrder>,
 }
 
 impl ScaleOutPlan {
-    /// Counts machines of a zone.
+    /// Adds to the number of machines in a zone.
     pub fn count_machines(&mut self, zone: &Arc<str>, count: usize) {
         *self.machines_in_zone.entry(zone.clone()).or_insert(0) += count;
     }
 
-    /// How many machines a zone has, or will have by this plan.
+    /// Returns the number of machines in a zone, including those that are ordered.
     pub fn machines_in(&self, zone: &str) -> usize {
         self.machines_in_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// Asks for machines of that size; one order is kept for each kind.
+    /// Orders machines of this kind and size; orders for the same kind are merged.
     pub fn order(&mut self, kind: &MachineKind, size: Resources, count: u32, job: &JobSpec) {
         self.coming.add(kind, size, count);
         self.count_machines(&kind.zone, count as usize);
--- a/src/core/scale_out/upcoming_capacity.rs
+++ b/src/core/scale_out/upcoming_capacity.rs
@@ -1,5 +1,5 @@
-//! Rooms that are about to be there, those that are alike counted together: what a plan
-//! of scale-out requests fills first, and adds to with each machine that it asks for.
+//! Free capacity of idle, booting and requested machines, grouped by kind and free
+//! resources. A scale-out plan fills it first, and adds every machine that it orders.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 }
 
 impl Alike {
-    /// How many tasks of the job each of them takes.
+    /// Returns the number of tasks of the job that fit on each machine.
     fn slots(&self, spec: &JobSpec, zone: Option<&str>) -> u32 {
         let MachineKind {
             machine_type,
@@ -55,14 +55,14 @@
         self.0.iter().map(|alike| &alike.kind.zone)
     }
 
-    /// Tasks of the job that find room, in one zone where one is named.
+    /// Returns the number of tasks of the job that fit, in one zone if one is given.
     pub fn takes(&self, spec: &JobSpec, zone: Option<&str>) -> u32 {
         let takes = |a: &Alike| a.slots(spec, zone).saturating_mul(a.count);
         self.0.iter().map(takes).fold(0, u32::saturating_add)
     }
 
-    /// Takes in up to that many tasks, and says how many are left. Rooms with little left
-    /// come first: whole ones stay whole for those who need them so.
+    /// Places up to that many tasks, and returns the number that did not fit. Machines with
+    /// the least room are filled first, which keeps empty ones for tasks that need all of it.
     pub fn fill(&mut self, spec: &JobSpec, zone: Option<&str>, mut tasks: u32) -> u32 {
         let rooms = self.0.iter().enumerate();
         let mut order: Vec<(u32, usize)> = rooms
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Rooms counted together take what a list of single ones takes.
+    /// Checks grouped capacity against a plain list of machines.
     #[test]
     fn rooms_counted_together_take_what_single_ones_take() {
         let mut rng = StdRng::seed_from_u64(11);
@@ -177,7 +177,7 @@
                 assert_eq!(ahead.takes(&spec, zone), takes);
                 let left = ahead.fill(&spec, zone, asked);
                 assert_eq!(left, asked.saturating_sub(takes));
-                // Which of them were filled is open; go on from what is left.
+                // Any machines may have been filled: continue with the remaining capacity.
                 plain.clear();
                 for alike in &ahead.0 {
                     let one = (alike.kind.clone(), alike.free);
@@ -187,8 +187,8 @@
         }
     }
 
-    /// Each small job took a whole room, and what was left of them was counted as room for
-    /// arrays, which then asked for no machines of their own.
+    /// Guards against small jobs that take a machine each: the rest of those machines was
+    /// counted as capacity for arrays, for which no machines were then ordered.
     #[test]
     fn small_jobs_share_a_room_and_leave_the_others_whole() {
         let kind = kind("a", false);
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -1,5 +1,5 @@
 //! Users' requests. Any node answers them: jobs live in the state service, and
-//! an answer is given only from a copy proven as new as the question.
+//! a node answers only from a state cache that is known to be as recent as the request.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -16,31 +16,31 @@
     terminal_states::{self, KnownRange, Place, Range},
 };
 
-/// What is to be answered about a job once its state is known for sure.
+/// Request about a job, answered once the job's state has been confirmed.
 #[derive(Debug, Clone)]
 pub enum Question {
     Status,
-    /// A submission of a job that may be known, and how often it was tried to store it.
+    /// Submission of a job that may exist already, and the number of attempts to store it.
     Repeat(Arc<JobSpec>, u8),
-    /// A submission that can never run, unless the job was accepted before.
+    /// Submission to be rejected with this reason, unless the job was accepted before.
     Reject(String),
     Withdraw,
-    /// A submission names this job.
+    /// A submission names this job as a dependency.
     Named(Box<NeedsCheck>),
-    /// Somebody asks about a job that needs this one.
+    /// Request about a job that depends on this one.
     NeededBy(Box<PendingQuestion>),
 }
 
-/// A submission of which it is not known yet whether all jobs that it names were accepted.
+/// Submission whose dependencies are not all known to have been accepted yet.
 #[derive(Debug, Clone)]
 pub struct NeedsCheck {
     request: RequestId,
     spec: Arc<JobSpec>,
-    /// Those that are still to be looked for, the next one last.
+    /// Dependencies that remain to be checked, the next one last.
     unchecked: Vec<JobId>,
 }
 
-/// A question about a job, and who asks.
+/// Job query and the request that it answers.
 #[derive(Debug, Clone)]
 pub struct PendingQuestion {
     request: RequestId,
@@ -48,20 +48,20 @@
     question: Question,
 }
 
-/// The end of a job that is looked for.
+/// Search for the stored terminal state of a job.
 #[derive(Debug)]
 pub struct TerminalRead {
     id: JobId,
     request: RequestId,
     question: Question,
-    /// Where it still may be.
+    /// Places that remain to be read.
     places: Vec<Place>,
-    /// The revision of the generation's record that these places follow from.
+    /// Revision of the generation record from which the places were derived.
     generation: u64,
 }
 
 impl TerminalRead {
-    /// Begins with the first place where the end may be in this generation.
+    /// Covers every place where this generation may store the terminal state.
     pub(super) fn new(
         request: RequestId,
         id: JobId,
@@ -80,15 +80,15 @@
 
 #[derive(Debug, Default)]
 pub struct UserRequests {
-    /// Not covered by a proof yet.
+    /// Queries that wait for the next sync of the state cache.
     unproven: Vec<PendingQuestion>,
-    /// Covered by the proof under way.
+    /// Queries that the sync in flight covers.
     proving: Vec<PendingQuestion>,
     in_flight: bool,
     next_sync: Duration,
 }
 
-/// A write that needs to know the end of no job in a range.
+/// Write that needs the contents of a terminal state range first.
 #[derive(Debug, Clone)]
 pub enum AfterRangeRead {
     Accept(Arc<JobSpec>, u8),
@@ -96,7 +96,7 @@
 }
 
 const RETRY: Duration = Duration::from_secs(1);
-/// How often a submission is tried that something else came before.
+/// Attempts to store a submission that conflicts with other writes.
 const TRIES: u8 = 4;
 
 impl Node {
@@ -127,9 +127,9 @@
         });
     }
 
-    /// Looks for each job that a submission names, and stores the submission once all are
-    /// known to have been accepted. One that is cancelled meanwhile does no harm: the new job
-    /// is cancelled with it, whichever is stored first.
+    /// Checks each dependency of a submission, and stores the submission once all of them are
+    /// known to have been accepted. A dependency that is cancelled meanwhile does no harm: the
+    /// new job is cancelled with it, whichever write comes first.
     fn check_needs(&mut self, mut check: NeedsCheck) {
         while let Some(need) = check.unchecked.last() {
             if let Some(job) = self.cache.jobs.get(need) {
@@ -153,7 +153,7 @@
         self.accept(check.request, check.spec, 0);
     }
 
-    /// Answers that the job can never run, unless it was accepted before.
+    /// Rejects a submission because of a dependency, unless the job was accepted before.
     fn refuse_need(&mut self, check: NeedsCheck, why: &str) {
         let Some(need) = check.unchecked.last() else {
             return;
@@ -163,7 +163,7 @@
         self.queue_question(check.request, id, Question::Reject(reason));
     }
 
-    /// Whether a job that a submission names is active, as read just now.
+    /// Handles the read of a dependency's job record.
     pub(super) fn need_read(&mut self, mut check: NeedsCheck, reply: &StateReply) {
         let Some(need) = check.unchecked.last().cloned() else {
             return;
@@ -184,7 +184,7 @@
                     }
                 }
             }
-            // Not active now: if it was accepted before, its end was stored by now.
+            // Not active: if it was ever accepted, its terminal state is stored by now.
             StateReply::Missing => {
                 let request = check.request;
                 self.look_for_end(request, need, Question::Named(Box::new(check)));
@@ -193,15 +193,15 @@
         }
     }
 
-    /// Stores a job on condition that nothing is stored of it, in any form: of the
-    /// generation that this node knows, or the write fails.
+    /// Stores a job on condition that no record of it exists in any format, and that the
+    /// generation is the one this node knows.
     fn accept(&mut self, request: RequestId, spec: Arc<JobSpec>, tries: u8) {
         let id = spec.id.clone();
         let (cluster, generation) = self.cache.cluster;
         let Some(absence) = terminal_states::absence_conditions(&cluster, &id, &self.ranges) else {
             let range = Range::of(&id).0;
             match self.ranges.get(&range).is_some() {
-                // It has an end.
+                // The range holds a terminal state of this job.
                 true => self.queue_question(request, id, Question::Repeat(spec, TRIES)),
                 false => self.read_range(request, id, AfterRangeRead::Accept(spec, tries)),
             }
@@ -251,7 +251,7 @@
         }
     }
 
-    /// What a range holds, as read just now; none where that is not known.
+    /// Caches the contents of a range that was just read. Returns `None` if they are unknown.
     pub(super) fn learn_range(&mut self, range: &Range, reply: &StateReply) -> Option<KnownRange> {
         let known = match reply {
             StateReply::Missing => KnownRange::default(),
@@ -272,17 +272,17 @@
         Some(known)
     }
 
-    /// Why a job's record can never be stored, if it can't.
+    /// Returns the reason why a job's record is too large to be stored, if it is.
     fn never_stored(&self, spec: &Arc<JobSpec>) -> Option<String> {
         let record = JobRecord {
             spec: spec.clone(),
             accepted_ms: self.clock.wall_ms,
         };
         let (bytes, most) = (encoded_len(&record), self.limits.value_bytes);
-        (bytes > most).then(|| format!("its record has {bytes} bytes, at most {most} are stored"))
+        (bytes > most).then(|| format!("job record has {bytes} bytes; at most {most} are allowed"))
     }
 
-    /// Why a job can never run, if it can't.
+    /// Returns the reason why a job can never run, if there is one.
     fn reason_it_never_runs(&self, spec: &JobSpec, types: &[MachineType]) -> Option<String> {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return Some("unknown team".into());
@@ -296,7 +296,7 @@
                     .is_none_or(|zone| t.zones.iter().any(|z| **z == **zone))
         });
         if !fits {
-            return Some("a task fits no allowed machine type".into());
+            return Some("no allowed machine type has room for a task".into());
         }
         let at_once = match spec.kind {
             Kind::Array => 1,
@@ -309,13 +309,13 @@
             };
             let wanted = u64::from(*seats) * u64::from(at_once);
             if wanted > u64::from(licence.most_for(&spec.team)) {
-                return Some(format!("more seats of {name} than the team can have"));
+                return Some(format!("needs more seats of {name} than the team may use"));
             }
         }
         let sum = Resources::default().plus_times(&spec.need, f64::from(at_once));
         let over = |limit: f64, value: f64| limit > 0.0 && value > limit + 1e-6;
         (over(team.cpus_max, sum.cpus) || over(team.gpus_max, sum.gpus))
-            .then(|| "more than the team's limit".into())
+            .then(|| "exceeds the team's limit".into())
     }
 
     pub(super) fn accepted(
@@ -335,7 +335,7 @@
                 }
                 self.answer(request, Answer::Accepted(id));
             }
-            // The job is known, or the range or the generation has changed.
+            // The job exists already, or the range or the generation has changed.
             StateReply::Conflict => {
                 self.ranges.forget(&Range::of(&id).0);
                 self.queue_question(request, id, Question::Repeat(spec, tries + 1));
@@ -396,7 +396,7 @@
         }
     }
 
-    /// The cache is newer than the question.
+    /// Answers a query from a cache that is more recent than the request.
     fn resolve(&mut self, pending: PendingQuestion) {
         let PendingQuestion {
             request,
@@ -404,7 +404,7 @@
             question,
         } = pending;
         if self.cannot_read_state() || self.cache.is_unreadable(&id) {
-            // What is stored of it says something that this process can't know.
+            // The stored record has a format that this build can't read.
             self.answer(request, Answer::Later { retry: RETRY });
             return;
         }
@@ -413,8 +413,8 @@
                 self.answer_terminal_state(request, &id, &question, record);
                 return;
             }
-            // Neither active nor known to be over: its end, if it had one, was
-            // stored with its removal from the active ones.
+            // Neither active nor in a known terminal state: a terminal state is stored in
+            // the same transaction that deletes the active job.
             self.look_for_end(request, id, question);
             return;
         };
@@ -423,7 +423,7 @@
                 self.answer_terminal_state(request, &id, &question, TerminalRecord::cancelled(0));
                 return;
             }
-            // Whether it is cancelled depends on an end that is not known here yet.
+            // Cancelled or not, depending on a terminal state that is not cached yet.
             Status::Unknown { mut ends } if !matches!(question, Question::Withdraw) => {
                 if let Some(end) = ends.pop() {
                     let pending = PendingQuestion {
@@ -450,24 +450,24 @@
             Question::Status => self.answer(request, Answer::Status(id, state, done, running)),
             Question::Withdraw => self.cancel(request, id),
             Question::Repeat(spec, _) if !self.names_the_same(&id, &spec) => {
-                let reason = "waits_on: not the jobs that were named when it was accepted";
+                let reason = "waits_on: differs from the accepted submission";
                 self.answer(request, Answer::Impossible(reason.into()));
             }
             _ => self.answer(request, Answer::Known(id, state)),
         }
     }
 
-    /// A repeated submission names the same jobs as the accepted one, in any order.
+    /// Returns whether a repeated submission names the same dependencies, in any order.
     fn names_the_same(&self, id: &JobId, spec: &JobSpec) -> bool {
         let named = |spec: &JobSpec| spec.needs.iter().cloned().collect::<BTreeSet<JobId>>();
         let accepted = self.cache.jobs.get(id);
         accepted.is_none_or(|job| named(&job.record.spec) == named(spec))
     }
 
-    /// Stores a job's end as cancelled, in the form that is written now.
+    /// Stores a job as cancelled, in the format of the current generation.
     pub(super) fn cancel(&mut self, request: RequestId, id: JobId) {
         let Some(job) = self.cache.jobs.get(&id) else {
-            // It ended while its range was read.
+            // The job ended while its range was read.
             self.queue_question(request, id, Question::Withdraw);
             return;
         };
@@ -522,13 +522,13 @@
                 }
                 self.answer(request, Answer::Known(id, JobState::Cancelled));
             }
-            // Done or cancelled meanwhile: asked again.
+            // Done or cancelled meanwhile: query the job again.
             StateReply::Conflict => self.queue_question(request, id, Question::Withdraw),
             _ => self.answer(request, Answer::Later { retry: RETRY }),
         }
     }
 
-    /// What came of a write that would change a range.
+    /// Updates the cached range after the write of a job's terminal state.
     pub(super) fn range_written(
         &mut self,
         id: &JobId,
@@ -545,7 +545,7 @@
         }
     }
 
-    /// Looks for the end of a job at the first of the places that are left.
+    /// Reads the first of the remaining places, or confirms the generation after the last one.
     pub(super) fn read_terminal_state(&mut self, read: TerminalRead) {
         let request = match read.places.first() {
             Some(Place::Single) => StateRequest::Get {
@@ -554,7 +554,7 @@
             Some(Place::Packed) => StateRequest::Get {
                 key: Range::of(&read.id).0.key(),
             },
-            // It was nowhere. That says something only if nothing moved meanwhile.
+            // Found nowhere, which is conclusive only if the generation has not changed.
             None => StateRequest::Txn {
                 conditions: vec![when(GENERATION, read.generation)],
                 changes: Vec::new(),
@@ -606,14 +606,14 @@
         }
         read.places.remove(0);
         match read.places.is_empty() && read.generation == 0 {
-            // The record of the generation is stored long before anything moves.
+            // Without a generation record, no terminal state has ever been moved.
             true => self.answer_unknown_job(read),
             false => self.read_terminal_state(read),
         }
     }
 
-    /// The stored end of a job was read, in a record of this revision. The job may still be
-    /// active in the cache, or become so by an older change: the end counts from now on.
+    /// Caches a terminal state that was read at this revision. It takes precedence over the
+    /// active job, which may still be in the cache or come back by an older event.
     fn end_read(&mut self, id: &JobId, record: TerminalRecord, revision: u64) {
         let now = self.now();
         self.cache_terminal_state(id.clone(), record);
@@ -623,7 +623,7 @@
         }
     }
 
-    /// A job of which nothing is stored.
+    /// Answers a query about a job that is not stored anywhere.
     fn answer_unknown_job(&mut self, read: TerminalRead) {
         let request = read.request;
         match read.question {
--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service and the cloud.
+//! HTTP client for the state service, the cloud and direct commands to workers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -25,7 +25,7 @@
 
 type Http = HttpClient<HttpConnector, Full<Bytes>>;
 
-/// The largest answer that is read.
+/// Maximum size of a response body.
 const ANSWER_MOST: usize = 8 << 20;
 const DIRECT_TIMEOUT: Duration = Duration::from_secs(1);
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
@@ -109,12 +109,12 @@
 }
 
 impl Client {
-    /// News for the node from this side, after what is under way.
+    /// Queues an input for the node, behind the results that are already queued.
     pub fn tell(&self, input: Input) {
         let _ = self.results.send(input);
     }
 
-    /// Commands straight to a worker.
+    /// Sends commands directly to a worker.
     pub fn direct(&self, call: CallId, direct: &Direct) {
         let body = wire::worker::commands(direct.token, Some(direct.session), &direct.commands);
         let path = "/do".to_owned();
@@ -131,7 +131,7 @@
     }
 }
 
-/// One request and its answer, or none within the time.
+/// Sends a request, and returns the response unless it fails or times out.
 async fn exchange(
     http: Http,
     to: SocketAddr,
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, clocks and timers around the core. Nothing is decided here.
+//! Sockets, clocks and timers around the core. All decisions are made in the core.
 
 mod client;
 mod peer;
@@ -28,25 +28,25 @@
     settings::Settings,
 };
 
-/// How often the core is asked whether anything is due.
+/// Interval between ticks of the core.
 const TICK: Duration = Duration::from_millis(40);
 
-/// A process that is asked to end has this time to hand over and to answer what it has
-/// taken.
+/// Time between a SIGTERM and the end of the process, to hand over leadership and to answer
+/// the requests in flight.
 const RETIRES: Duration = Duration::from_millis(800);
 
-/// A request from outside, with the place its answer goes to.
+/// Request received by the server, with the channel for its answer.
 pub struct Call {
     pub make: Box<dyn FnOnce(RequestId) -> Input + Send>,
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// Serves until the process is ended.
+/// Runs the node until the process is terminated.
 pub async fn serve(settings: Settings, options: Options) -> std::io::Result<()> {
     let licensed = options.licences.is_some();
     let asked_to_end = Arc::new(AtomicBool::new(false));
     if options.rollout.is_some() {
-        // Without it the process ends at once, as on any other signal.
+        // Without a rollout configuration, SIGTERM ends the process at once.
         signal_hook::flag::register(signal_hook::consts::SIGTERM, asked_to_end.clone())?;
     }
     let config = Config::new(&settings, options);
@@ -75,7 +75,7 @@
             let mut next_request: RequestId = 0;
             let mut retired = None;
             loop {
-                // A fixed order, so that the same events give the same run.
+                // Polled in a fixed order, so that runs are reproducible.
                 tokio::select! {
                     biased;
                     _ = tick.tick() => {
@@ -122,7 +122,7 @@
         let outputs = self.node.borrow_mut().step(clock, input);
         let until = self.node.borrow().may_act_until();
         for output in outputs {
-            // Time is looked at again: the process may have stood still meanwhile.
+            // The process may have been suspended since the clock was read.
             let late = clock.now < until && self.started.elapsed() >= until;
             let output = match late {
                 true => output.withheld(),
@@ -138,7 +138,7 @@
             match output {
                 Output::Answer { request, answer } => {
                     if let Some(waiting) = self.waiting.borrow_mut().remove(&request) {
-                        // The asker may have gone; nobody else needs the answer.
+                        // The client may have disconnected, and then needs no answer.
                         let _ = waiting.send(answer);
                     }
                 }
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -1,6 +1,6 @@
-//! Lines between nodes. Each node dials every other one and only writes on the
-//! connections it dialled; what can't be sent now is dropped, since whoever
-//! waits for an answer has a time limit.
+//! Connections between nodes. Each node connects to every other one, and only writes on
+//! those connections. Messages that can't be sent immediately are dropped, since every
+//! sender that waits for an answer has a timeout.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,8 +18,8 @@
     wire::peer::Line,
 };
 
-/// Bytes of the lines that wait for one peer, and so of the longest line: what a leader of
-/// 6,000 machines knows of them is about a megabyte.
+/// Maximum size of the lines queued for one peer, and so of a single line: a leader's hints
+/// about 6,000 machines take about a megabyte.
 const QUEUED_BYTES_MOST: usize = 4 << 20;
 const LINE_MOST: u64 = QUEUED_BYTES_MOST as u64;
 const RETRY: Duration = Duration::from_millis(300);
@@ -30,14 +30,14 @@
     queues: Vec<(String, Queue)>,
 }
 
-/// Lines that wait for one peer, bounded by their number and their bytes.
+/// Sending end of a peer's line queue, which is bounded by lines and bytes.
 struct Queue {
     lines: Sender<String>,
     bytes: Rc<Cell<usize>>,
 }
 
 impl Queue {
-    /// Drops the line where there is no room for it.
+    /// Queues a line, or drops it if the queue is full.
     fn push(&self, line: String) {
         let length = line.len();
         let bytes = self.bytes.get() + length;
@@ -47,7 +47,7 @@
     }
 }
 
-/// The other end of a queue.
+/// Receiving end of a peer's line queue.
 struct Queued {
     lines: Receiver<String>,
     bytes: Rc<Cell<usize>>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A queue for so many lines.
+/// Creates a queue of at most this number of lines.
 fn queue(lines_most: usize) -> (Queue, Queued) {
     let (lines, received) = channel(lines_most);
     let bytes = Rc::new(Cell::new(0));
@@ -79,7 +79,7 @@
 }
 
 impl Peers {
-    /// Dials every peer; so many lines may wait for each.
+    /// Starts a connection task for each peer, with a queue of at most this number of lines.
     pub fn new(settings: &Settings, lines_most: usize) -> Self {
         let queues = settings
             .peers
@@ -105,7 +105,7 @@
             && let Ok(mut text) = serde_json::to_string(&line)
         {
             text.push('\n');
-            // A full queue means that the peer can't be reached.
+            // The queue is full only if the peer is unreachable, and then the line is dropped.
             queue.push(text);
         }
     }
@@ -119,19 +119,19 @@
                 return;
             }
         }
-        // Lines that waited meanwhile are too old to be of use.
+        // Lines queued while the peer was unreachable are outdated.
         lines.clear();
         sleep(RETRY).await;
     }
 }
 
-/// Writes lines until the connection fails; none once there will be no more.
+/// Writes lines until the connection fails. Returns `None` once the queue is closed.
 async fn talk(mut stream: TcpStream, lines: &mut Queued) -> Option<()> {
     let mut byte = [0u8; 1];
     loop {
         let line = tokio::select! {
             biased;
-            // Nothing is ever sent back: this ends when the peer does.
+            // The peer never sends anything, so the read returns when the connection closes.
             _ = stream.read(&mut byte) => return Some(()),
             line = lines.next() => line?,
         };
@@ -160,7 +160,7 @@
     }
 }
 
-/// A line of which only the sender is understood.
+/// Line whose message has an unknown format.
 #[derive(serde::Deserialize)]
 struct Unknown {
     from: String,
@@ -178,12 +178,12 @@
             _ => return,
         }
         let Ok(line) = serde_json::from_slice::<Line>(&text) else {
-            // A newer build may say what this one does not know: the rest of what it says
-            // is still heard. What is no JSON comes from something else.
+            // A newer build may send messages that this one does not know: they are ignored,
+            // and the connection is kept. Anything but JSON does not come from a node.
             match serde_json::from_slice::<Unknown>(&text) {
                 Ok(unknown) if !told => {
                     told = true;
-                    info!(from = %unknown.from, "a line of another build, passed over");
+                    info!(from = %unknown.from, "ignoring messages of an unknown type");
                 }
                 Ok(_) => {}
                 Err(_) => return,
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -1,4 +1,4 @@
-//! What users, workers and the load balancer reach.
+//! HTTP server for users, workers and the load balancer.
 
 use std::{
     io::ErrorKind,
@@ -26,19 +26,18 @@
 };
 
 const BODY_MOST: usize = 64 * 1024;
-/// Longer than the core takes to give up on any call of its own.
+/// Time limit for an answer of the core, longer than the timeout of any call it makes.
 const ANSWER_WITHIN: Duration = Duration::from_secs(4);
 const IDLE_CONNECTION: Duration = Duration::from_secs(60);
 
-/// A process that is started again at once may find its address still taken: it is tried
-/// for so long, so often.
+/// Time limit for binding an address, which may still be in use after a quick restart.
 const BIND_WITHIN: Duration = Duration::from_secs(10);
 const BIND_AGAIN: Duration = Duration::from_millis(20);
-/// Connections that may wait to be accepted, of those that a node may have in all.
+/// Bounds on the length of the accept queue.
 const BACKLOG: std::ops::RangeInclusive<usize> = 128..=8192;
 
-/// Listens on the address. A fleet that lost its node comes back all at once, so the
-/// number of connections that may wait goes by how many `sockets` there may be.
+/// Binds a listener. All workers of a lost node reconnect at the same time, so the length of
+/// the accept queue follows the limit on `sockets`.
 pub async fn bind(addr: SocketAddr, sockets: usize) -> std::io::Result<TcpListener> {
     let backlog = sockets.clamp(*BACKLOG.start(), *BACKLOG.end()) as u32;
     let since = Instant::now();
@@ -49,12 +48,12 @@
             Err(error) => error,
         };
         if error.kind() != ErrorKind::AddrInUse || since.elapsed() > BIND_WITHIN {
-            let what = format!("can't listen on {addr}: {error}");
+            let what = format!("cannot listen on {addr}: {error}");
             return Err(std::io::Error::new(error.kind(), what));
         }
         if !told {
             told = true;
-            info!(%addr, within = ?BIND_WITHIN, "address in use: tried again");
+            info!(%addr, within = ?BIND_WITHIN, "address in use; retrying");
         }
         tokio::time::sleep(BIND_AGAIN).await;
     }
@@ -65,7 +64,7 @@
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // Connections of the former process that are closing don't keep the address.
+    // Closing connections of a previous process must not block the address.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
     socket.listen(backlog)
@@ -75,11 +74,11 @@
 struct Api {
     calls: mpsc::Sender<Call>,
     in_work: Arc<Semaphore>,
-    /// Licences are counted here.
+    /// Whether licences are configured.
     licensed: bool,
 }
 
-/// Serves so many requests at a time; others are asked to come again.
+/// Serves a limited number of concurrent requests; others are told to retry later.
 pub async fn serve(
     listener: TcpListener,
     calls: mpsc::Sender<Call>,
@@ -232,7 +231,7 @@
     }
 
     async fn about(&self, request: &Request, make: fn(RequestId, JobId) -> Input) -> Response {
-        // An id of another form was never accepted.
+        // A job with an invalid ID was never accepted.
         match JobId::parse(&request.path_params::<String>().unwrap_or_default()) {
             Some(id) => self.api.ask(move |request| make(request, id)).await,
             None => respond(Answer::NotFound),
@@ -257,7 +256,7 @@
     }
 }
 
-/// The body, unless it is larger than the protocol allows.
+/// Reads the body, unless it is larger than the protocol allows.
 async fn read(request: Request) -> Result<Vec<u8>, Response> {
     let too_large = || {
         text(
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! kiteyard: a cluster scheduler with priorities, preemption and nominations.
 //!
-//! `core` decides, `io` carries out, and `wire` knows the messages.
+//! `core` makes the decisions, `io` performs them, and `wire` encodes and decodes messages.
 
 pub mod cli;
 pub mod core;
--- a/src/main.rs
+++ b/src/main.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// What is wrong with the flags, without the usage that follows it.
+/// Returns the error message of the argument parser on one line, without the usage text.
 fn one_line(error: &str) -> String {
     let what = error.split("\n\n").next().unwrap_or(error);
     let words: Vec<&str> = what.split_whitespace().collect();
@@ -41,7 +41,7 @@
     if cli.check {
         return Ok(());
     }
-    // Libraries only speak up when something is wrong.
+    // Libraries log errors only.
     let levels = Targets::new()
         .with_default(Level::ERROR)
         .with_target("kiteyard", cli.log_level);
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's interface.
+//! Messages of the cloud API.
 
 use std::sync::Arc;
 
@@ -139,7 +139,7 @@
     Some((machines, page.more))
 }
 
-/// Reads an answer. Whatever is not understood counts as unclear.
+/// Decodes a response. One that can't be decoded counts as an unclear outcome.
 pub fn decode(request: &CloudRequest, status: u16, body: &[u8]) -> CloudReply {
     let reply = match (status, request) {
         (429, _) => Some(CloudReply::Refused),
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The messages of every interface. This is the only place that knows the
-//! protocol's own field names; the rest of the program uses the field's terms.
+//! Messages of every interface. Only this module knows the protocol's field names; the
+//! rest of the program uses ordinary scheduling terms.
 
 pub mod cloud;
 pub mod peer;
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -1,4 +1,4 @@
-//! What controller nodes tell one another: one JSON object a line.
+//! Messages between controller nodes: one JSON object per line.
 
 use serde::{Deserialize, Serialize};
 
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,4 +1,4 @@
-//! The state service's interface.
+//! Messages of the state service API.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
     error: String,
 }
 
-/// The error of a transaction that puts a key under a lease that has ended.
+/// Error of a transaction that attaches a key to a lease that has expired.
 const NO_SUCH_LEASE: &str = "no such lease";
 
 #[derive(Debug, Deserialize)]
@@ -81,7 +81,7 @@
     mark: u64,
 }
 
-/// Method, path and body of a request.
+/// Returns the method, path and body of a request.
 pub fn encode(request: &StateRequest) -> (http::Method, String, Option<String>) {
     use http::Method;
     match request {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Reads an answer. Whatever is not understood counts as unclear.
+/// Decodes a response. One that can't be decoded counts as an unclear outcome.
 pub fn decode(
     request: &StateRequest,
     status: u16,
@@ -163,13 +163,13 @@
     }
 }
 
-/// Only a put under a lease can be refused because that lease has ended.
+/// Returns whether a request puts a key under a lease, and so can fail for an expired one.
 fn puts_under_lease(request: &StateRequest) -> bool {
     let leased = |change: &Change| matches!(change, Change::Put { lease: Some(_), .. });
     matches!(request, StateRequest::Txn { changes, .. } if changes.iter().any(leased))
 }
 
-/// The body says that the lease has ended. Errors of any other form are about the request.
+/// Returns whether the body reports an expired lease. Other errors concern the request.
 fn names_lease(body: &[u8]) -> bool {
     let error: Result<ErrorBody, _> = serde_json::from_slice(body);
     error.is_ok_and(|body| body.error == NO_SUCH_LEASE)
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,4 +1,4 @@
-//! What users send and receive.
+//! Messages of the user API.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -65,44 +65,44 @@
     BestEffort,
 }
 
-/// Seats by licence, each a whole number above zero.
+/// Parses the number of seats by licence, each a positive integer.
 fn parse_licences(value: serde_json::Value) -> Result<BTreeMap<String, u32>, String> {
     let serde_json::Value::Object(entries) = value else {
-        return Err("licences: not an object".into());
+        return Err("licences: expected a JSON object".into());
     };
     let mut licences = BTreeMap::new();
     for (name, seats) in entries {
         let seats = seats.as_u64().and_then(|n| u32::try_from(n).ok());
         let Some(seats) = seats.filter(|n| *n > 0) else {
-            return Err(format!("licences.{name}: not a whole number above zero"));
+            return Err(format!("licences.{name}: expected a positive integer"));
         };
         licences.insert(name, seats);
     }
     Ok(licences)
 }
 
-/// The jobs that a job waits for: each named once, and none of them itself.
+/// Parses the dependencies of a job: each named once, and none of them the job itself.
 fn parse_needs(id: &JobId, names: Vec<String>) -> Result<Vec<JobId>, String> {
     let mut needs = Vec::new();
     let mut seen = BTreeSet::new();
     for (index, name) in names.iter().enumerate() {
-        let need = JobId::parse(name).ok_or(format!("waits_on[{index}]: not a job id"))?;
+        let need = JobId::parse(name).ok_or(format!("waits_on[{index}]: invalid job id"))?;
         if need == *id {
-            return Err(format!("waits_on[{index}]: names the job itself"));
+            return Err(format!("waits_on[{index}]: job depends on itself"));
         }
         if !seen.insert(need.clone()) {
-            return Err(format!("waits_on[{index}]: names {need} again"));
+            return Err(format!("waits_on[{index}]: duplicate of {need}"));
         }
         needs.push(need);
     }
     Ok(needs)
 }
 
-/// Reads a submission's fields; an error names the field that it is about.
+/// Deserializes a submission; an error names the field that it concerns.
 fn read_submission(body: &[u8]) -> Result<Submission, String> {
-    // Serde would take a list of the values, in the order of the fields, as well.
+    // Serde would also accept an array of the values in field order.
     if !body.trim_ascii_start().starts_with(b"{") {
-        return Err("not an object".into());
+        return Err("expected a JSON object".into());
     }
     let json = &mut serde_json::Deserializer::from_slice(body);
     let submission = serde_path_to_error::deserialize(&mut *json).map_err(|e| e.to_string())?;
@@ -110,11 +110,10 @@
     Ok(submission)
 }
 
-/// A job as its user asked for it, or what is wrong with the request. Licences are
-/// ignored where none are counted.
+/// Parses and validates a submission. Its licences are ignored unless `licensed` is set.
 pub fn parse_submission(body: &[u8], licensed: bool) -> Result<JobSpec, String> {
     let s = read_submission(body)?;
-    let id = JobId::parse(&s.uid).ok_or("uid: not a job id")?;
+    let id = JobId::parse(&s.uid).ok_or("uid: invalid job id")?;
     if !(1..=100_000).contains(&s.strings) {
         return Err("strings: out of range".into());
     }
@@ -201,7 +200,7 @@
     }
 }
 
-/// The body that tells a user a job's state, with counts where they are asked for.
+/// Encodes a job's state, with the counts of completed and running tasks if given.
 pub fn job_answer(id: &JobId, state: JobState, counts: Option<(u32, u32)>) -> String {
     let answer = JobAnswer {
         uid: id.as_str(),
@@ -213,7 +212,7 @@
     serde_json::to_string(&answer).unwrap_or_default()
 }
 
-/// The body that tells a user which jobs a job still waits for.
+/// Encodes the state of a pending job and the jobs that it still waits for.
 pub fn waiting_answer(id: &JobId, waits_on: &[JobId]) -> String {
     let answer = JobAnswer {
         uid: id.as_str(),
@@ -225,8 +224,8 @@
     serde_json::to_string(&answer).unwrap_or_default()
 }
 
-/// How each licence stands. `fresh` is told by the leader within its term; what another
-/// node tells is as old as it says.
+/// Encodes the use of each licence. `fresh` marks an answer of the leader within its term;
+/// other nodes give the age of their information.
 pub fn licences_answer(view: &[LicenceView], age: Option<Duration>) -> String {
     let answer = serde_json::json!({
         "licences": view,
@@ -236,12 +235,12 @@
     answer.to_string()
 }
 
-/// How a rollout stands.
+/// Encodes the status of a rollout.
 pub fn rollout_answer(status: &Status) -> String {
     serde_json::to_string(status).unwrap_or_default()
 }
 
-/// Machines that are to be emptied, or would be: one a line, as the protocol bounds lines.
+/// Encodes machines that are draining, or planned to: one per line, as line length is bounded.
 pub fn drains_answer(machines: &[MachineView]) -> String {
     let lines = machines
         .iter()
@@ -258,12 +257,12 @@
     by_s: Option<f64>,
 }
 
-/// What an operator wants done about machines.
+/// Parses an operator's drain request.
 pub fn parse_drain(order: &str, body: &[u8]) -> Result<maintenance::Ask, String> {
     let parsed: DrainOrder = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let by = match parsed.by_s {
         Some(by) if !(0.0..=30.0 * 86_400.0).contains(&by) => {
-            return Err("by_s: must be 0 to 30 days in seconds".into());
+            return Err("by_s: must be between 0 and 2592000 seconds (30 days)".into());
         }
         by => by.map(Duration::from_secs_f64),
     };
@@ -272,11 +271,11 @@
         "plan" => Ok(maintenance::Ask::Plan(machines)),
         "start" => Ok(maintenance::Ask::Start { machines, by }),
         "cancel" => Ok(maintenance::Ask::Cancel(machines)),
-        _ => Err(format!("no order {order}")),
+        _ => Err(format!("unknown drain order `{order}`")),
     }
 }
 
-/// What an operator orders, from the rest of the path after `/rollout/`.
+/// Parses an operator's rollout order from the path after `/rollout/`.
 pub fn parse_order(path: &str) -> Result<Ask, String> {
     let (order, what) = path.split_once('/').unwrap_or((path, ""));
     let order = match (order, what) {
@@ -287,9 +286,9 @@
         ("forget", node) if !node.is_empty() => Order::Forget(node.to_owned()),
         ("target", generation) => {
             let generation = generation.parse();
-            Order::Target(generation.map_err(|_| "generation: not a whole number".to_owned())?)
+            Order::Target(generation.map_err(|_| "generation: expected an integer".to_owned())?)
         }
-        _ => return Err(format!("no order {path}")),
+        _ => return Err(format!("unknown rollout order `{path}`")),
     };
     Ok(Ask::Order(order))
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,4 +1,4 @@
-//! What workers report and what they are told.
+//! Messages between nodes and workers: reports and commands.
 
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -39,20 +39,23 @@
     Ok(Option::<bool>::deserialize(deserializer)?.unwrap_or(false))
 }
 
-/// A worker's report, or what is wrong with it.
+/// Parses and validates a worker's report.
 pub fn parse_report(body: &[u8]) -> Result<WorkerReport, String> {
     let r: Report<'_> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     if r.perch.is_empty() || r.perch.len() > 100 || r.perch.contains(char::is_whitespace) {
-        return Err("perch: not a machine name".into());
+        return Err("perch: invalid machine name".into());
     }
-    let addr = r.endpoint.parse().map_err(|_| "endpoint: not an address")?;
+    let addr = r
+        .endpoint
+        .parse()
+        .map_err(|_| "endpoint: invalid address")?;
     if r.launch == 0 {
-        return Err("launch: starts at 1".into());
+        return Err("launch: must be 1 or more".into());
     }
     let mut tasks = Vec::with_capacity(r.strings.len());
     let mut job = None;
     for entry in &r.strings {
-        let task = parse_task(entry.string, &mut job).ok_or("string: not a task")?;
+        let task = parse_task(entry.string, &mut job).ok_or("string: invalid task id")?;
         let phase = match entry.attitude {
             "pulling" => TaskPhase::Fetching,
             "waiting" => TaskPhase::Waiting,
@@ -68,7 +71,7 @@
                 "no_such" => ExitReason::Unknown,
                 _ => ExitReason::Error,
             }),
-            _ => return Err("attitude: unknown".into()),
+            _ => return Err("attitude: unknown value".into()),
         };
         tasks.push(ReportedTask {
             task,
@@ -90,7 +93,7 @@
     })
 }
 
-/// A task's name. Most tasks of a report are of the same job as the one before.
+/// Parses a task ID. Reuses the previous job ID, which most tasks of a report share.
 fn parse_task(text: &str, last: &mut Option<JobId>) -> Option<TaskId> {
     let (job, index) = text.rsplit_once('/')?;
     let job = match last {
@@ -122,7 +125,7 @@
     glide_s: Option<f64>,
 }
 
-/// The body of a report's answer, or with a session of a direct command.
+/// Encodes the answer to a report or, with a session, a direct command request.
 pub fn commands(token: u64, session: Option<u64>, commands: &[Command]) -> String {
     let signals = commands
         .iter()
@@ -152,7 +155,7 @@
     serde_json::to_string(&answer).unwrap_or_default()
 }
 
-/// The body that sends a worker to another node.
+/// Encodes a redirect of a worker to another node, or to any node if none is given.
 pub fn redirect(node: Option<&str>) -> String {
     match node {
         Some(node) => serde_json::json!({ "spotter": node }).to_string(),
@@ -160,7 +163,7 @@
     }
 }
 
-/// Reads the answer to direct commands.
+/// Decodes the response to direct commands.
 pub fn decode_direct(status: u16, body: &[u8]) -> DirectReply {
     match (status, parse_report(body)) {
         (200, Ok(report)) => DirectReply::Executed(report),
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,5 @@
-//! What a node answers while it can't serve: users at once, with when to come
-//! back; workers once there is a leader.
+//! Answers of a node that can't serve: users are told at once when to retry, workers wait for
+//! a leader.
 
 mod node_settings;
 mod worker_reports;
@@ -63,7 +63,7 @@
     })
 }
 
-/// A submission is never held back so that its user does not ask again.
+/// A submission that can't be stored is answered immediately, so that its user retries.
 #[test]
 fn a_submission_that_cannot_be_taken_is_answered_in_the_same_step() {
     let settings = node_settings::with_peers(2);
@@ -71,7 +71,7 @@
     let is_list = |request: &StateRequest| matches!(request, StateRequest::List { .. });
     let is_accept = |request: &StateRequest| matches!(request, StateRequest::Txn { conditions, .. } if conditions.iter().any(|c| c.key == "live/job/run-000001"));
 
-    // Before anything is known.
+    // Before the state cache is loaded.
     let outputs = step(&mut node, 1, Input::Tick);
     let load = state_call(&outputs, is_list).expect("the live keys are read");
     assert!(is_later(&step(&mut node, 2, submission())));
@@ -90,7 +90,7 @@
     let watch = state_call(&outputs, |r| matches!(r, StateRequest::Watch { .. }));
     assert!(is_later(&step(&mut node, 4, submission())));
 
-    // When the state service refuses the change, or does not answer it.
+    // When the state service refuses the write, or does not answer it.
     let call = types.expect("machine types are asked for");
     let reply = CloudReply::Types(wire::cloud::parse_types(FLAVORS).expect("types"));
     let outputs = step(&mut node, 5, Input::Cloud { call, reply });
@@ -126,7 +126,7 @@
     }
 }
 
-/// A node that has read the live keys, and its watch.
+/// Returns a node that has loaded the live keys, and its watch.
 fn loaded(entries: Vec<Entry>) -> (Node, CallId) {
     loaded_as(0, entries)
 }
@@ -155,7 +155,7 @@
     matches!(request, StateRequest::Watch { wait, .. } if wait.is_zero())
 }
 
-/// Polls share one proof, and those that find no room are answered at once.
+/// Status polls share one sync request, and those beyond the queue limit are answered at once.
 #[test]
 fn a_storm_of_polls_costs_one_request_and_waits_in_bounds() {
     let (mut node, _) = loaded(Vec::new());
@@ -182,8 +182,8 @@
     assert!((5_000..10_000).contains(&refused), "{refused} refused");
 }
 
-/// Every change ends every node's watch: asking again at once, all of them together
-/// used up the requests that submissions need.
+/// Every change ends the watch of every node: with immediate repeats, the watches used up the
+/// request rate that submissions need.
 #[test]
 fn a_watch_that_brought_events_is_not_repeated_at_once() {
     let (mut node, mut watch) = loaded(Vec::new());
@@ -201,7 +201,7 @@
         watches += usize::from(next.is_some());
         watch = next.unwrap_or(watch);
     }
-    // 80 requests a second, of which one in five is for the watches of three nodes.
+    // 80 requests a second, one fifth of them for the watches of three nodes.
     assert!((5..=12).contains(&watches), "{watches} in 2 s");
 }
 
@@ -232,7 +232,7 @@
     }]
 }
 
-/// The number under which a node relays the report of a worker that comes back to it.
+/// Returns the number under which a node relays the report of a worker that comes back to it.
 fn relays(node: &mut Node, machine: &str) -> u64 {
     let heartbeat = NodeHeartbeat {
         claim: 9,
@@ -258,8 +258,8 @@
     relay.expect("a relay")
 }
 
-/// What the leader answers to a report that the former process relayed is not given to
-/// a worker of the next one. With one and the same number it would be.
+/// The answer to a report that a former process relayed is not delivered to a worker of the
+/// restarted process. Without the incarnation, both would use the same relay number.
 #[test]
 fn an_answer_to_the_process_before_is_nobodys() {
     let given = |incarnations: [u32; 2]| {
@@ -278,8 +278,8 @@
     assert_eq!(given([1, 2]), None);
 }
 
-/// A leader that is not heard, but writes that it lives: workers are sent there, and those
-/// that come from there are not held up.
+/// A leader that this node can't hear, but whose stored heartbeat changes: workers are
+/// redirected to it, and those that come back from it are not held up.
 #[test]
 fn workers_are_sent_to_a_leader_that_only_the_state_service_hears() {
     let (mut node, watch) = loaded(led_by_n1());
@@ -306,8 +306,8 @@
     );
     let next = Answer::Redirect(None);
     assert_eq!(answered(&step(&mut node, 8_600, at(2))), Some((2, next)));
-    // Another node hears it, and can relay: between two zones that can't reach each other,
-    // workers that were sent to the leader itself lost their leases.
+    // Another node hears the leader, and can relay: between two zones that can't reach each
+    // other, workers that were redirected to the leader itself lost their leases.
     let heartbeat = NodeHeartbeat {
         claim: 9,
         ..NodeHeartbeat::default()
@@ -316,12 +316,12 @@
     step(&mut node, 8_700, Input::Peer { from, message });
     let relayer = Answer::Redirect(Some("n2".into()));
     assert_eq!(answered(&step(&mut node, 8_800, at(4))), Some((4, relayer)));
-    // It is silent again: a report waits for whoever leads next.
+    // The leader is silent again: a report waits for the next leader.
     assert_eq!(answered(&step(&mut node, 20_000, at(3))), None);
 }
 
-/// Workers that lost the leader were sent on for as long as no other node led, some
-/// of them to the node that was gone, and their leases ran out on the way.
+/// Guards against redirecting workers while there is no leader: some were redirected to the
+/// node that was gone, and their leases expired meanwhile.
 #[test]
 fn a_worker_without_a_leader_waits_until_there_is_one() {
     let (mut node, watch) = loaded(led_by_n1());
@@ -335,7 +335,7 @@
         request,
         report: report.clone(),
     };
-    // The time is up: it is sent to a node that is alive, not to its next one.
+    // At the time limit it is redirected to a node that is alive, not just to any other one.
     assert_eq!(answered(&step(&mut node, 3_000, at(1))), None);
     assert_eq!(answered(&step(&mut node, 6_000, heartbeat(alive))), None);
     let outputs = step(&mut node, 6_500, Input::Tick);
@@ -355,7 +355,7 @@
     assert_eq!(answered(&outputs), to("n2").map(|answer| (2, answer)));
 }
 
-/// A process that stood still after it had decided commands nobody when it goes on.
+/// A process that was suspended after its decision sends no commands when it resumes.
 #[test]
 fn commands_are_withheld_once_the_term_is_over() {
     let commands = Answer::Commands {
@@ -396,7 +396,7 @@
         format!("{input:?}") == format!("{:?}", Input::Direct { call: 4, reply })
     };
     assert!(withheld.is_err_and(unclear));
-    // What users are told does not rest on leading.
+    // Answers to users don't depend on leadership.
     assert!(is_later(&[answer(Answer::Later {
         retry: Duration::from_secs(1)
     })
--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback against the stand-ins.
+//! End-to-end tests of the program on loopback, against the stand-ins.
 
 use std::process::Command;
 
@@ -101,7 +101,7 @@
             "{method} {path}"
         );
     }
-    // Accepted once, known from then on, also after its end.
+    // Accepted once, and known from then on, even after its completion.
     let (status, body) = site
         .ask(0, Method::POST, "/work", Some(good.to_string()))
         .await;
@@ -166,7 +166,7 @@
         body["running"] == 1
     })
     .await;
-    // One node after another is lost for a while; new work goes on.
+    // One node after another is down for a while; new work is still done.
     for i in 0..3 {
         site.kill(i);
         let id = format!("run-00001{i}");
@@ -176,7 +176,7 @@
     }
 }
 
-/// A process that is back at once may find its address still taken, and waits for it.
+/// A process that restarts quickly may find its address still in use, and retries.
 #[tokio::test]
 async fn an_address_that_is_still_taken_is_tried_again() {
     let mut site = Site::of("taken", vec![Build::default()]).await;
@@ -184,7 +184,7 @@
     site.kill(0);
     let former = std::net::TcpListener::bind(site.nodes[0].0).expect("the address");
     site.launch(0);
-    // The peers' address comes after the users': it is not listened on yet.
+    // The peer address is bound after the API address, so it is not bound yet.
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     let child = site.running[0].as_mut().expect("a process");
     assert!(child.try_wait().expect("its state").is_none(), "it ended");
@@ -231,7 +231,7 @@
     let mut odd = settings.clone();
     odd["unheard_of"] = json!({"a": 1});
     assert!(check(&odd).0);
-    // The file of licences is read as well, and the line of what is wrong is named.
+    // The licence file is validated as well, and the error names the line.
     let licences = path.with_extension("toml");
     std::fs::write(&licences, "[licence.solver]\nseats = -1\n").expect("a file");
     let file = |path: &std::path::Path| path.display().to_string();
@@ -260,8 +260,8 @@
     let _ = std::fs::remove_file(&path);
 }
 
-/// What a leader tells of 6,000 machines with long names is more than a megabyte in one
-/// line: a node that does not read it loses the connection, and each report relayed on it.
+/// A leader's hints about 6,000 machines with long names take more than a megabyte in one
+/// line: a node with a lower limit drops the connection, and each report relayed on it.
 #[tokio::test]
 async fn a_line_between_nodes_may_name_a_whole_fleet() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
