--- a/src/cli.rs
+++ b/src/cli.rs
@@ -41,11 +41,11 @@
     pub log_level: tracing::Level,
 
     /// Idle time after which a machine is released, as a multiple of the boot time of its type
-    #[arg(long, env = "KITEYARD_IDLE_BOOTS", default_value_t = 2.0, value_name = "TIMES", value_parser = times)]
+    #[arg(long, env = "KITEYARD_IDLE_BOOTS", default_value_t = 2.0, value_name = "TIMES", value_parser = parse_multiple)]
     pub idle_boots: f64,
 
     /// Grace period in seconds for preempted tasks
-    #[arg(long, env = "KITEYARD_GRACE_S", default_value_t = 10.0, value_name = "SECONDS", value_parser = seconds)]
+    #[arg(long, env = "KITEYARD_GRACE_S", default_value_t = 10.0, value_name = "SECONDS", value_parser = parse_seconds)]
     pub grace_s: f64,
 
     /// Tasks of one service that may be stopping at a time; more violate its disruption budget
@@ -58,18 +58,18 @@
     pub disruption_budget: u32,
 
     /// Seconds after which a waiting gang reserves free capacity against jobs of equal priority
-    #[arg(long, env = "KITEYARD_GATHER_AFTER_S", default_value_t = 60.0, value_name = "SECONDS", value_parser = seconds)]
+    #[arg(long, env = "KITEYARD_GATHER_AFTER_S", default_value_t = 60.0, value_name = "SECONDS", value_parser = parse_seconds)]
     pub gather_after_s: f64,
 }
 
-fn times(text: &str) -> Result<f64, String> {
+fn parse_multiple(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
         Ok(value) if (0.0..=1000.0).contains(&value) => Ok(value),
         _ => Err("expected a number between 0 and 1000".into()),
     }
 }
 
-fn seconds(text: &str) -> Result<f64, String> {
+fn parse_seconds(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
         Ok(value) if (0.0..=86_400.0).contains(&value) => Ok(value),
         _ => Err("expected seconds between 0 and 86400".into()),
@@ -77,14 +77,14 @@
 }
 
 /// Loads an optional configuration file.
-fn checked<T, E: std::fmt::Display>(
+fn load_config<T, E: std::fmt::Display>(
     path: Option<&Path>,
-    what: &str,
+    name: &str,
     parse: impl Fn(&str) -> Result<T, E>,
 ) -> Result<Option<Arc<T>>, String> {
     let Some(path) = path else { return Ok(None) };
     let text = std::fs::read_to_string(path)
-        .map_err(|error| format!("cannot read {what} {}: {error}", path.display()))?;
+        .map_err(|error| format!("cannot read {name} {}: {error}", path.display()))?;
     let config = parse(&text).map_err(|error| format!("{}: {error}", path.display()))?;
     Ok(Some(Arc::new(config)))
 }
@@ -93,20 +93,21 @@
     /// Loads the licence configuration.
     pub fn licences(&self) -> Result<Option<Arc<kiteyard_licences::config::Config>>, String> {
         let parse = kiteyard_licences::config::Config::parse;
-        checked(self.licences.as_deref(), "licences", parse)
+        load_config(self.licences.as_deref(), "licences", parse)
     }
 
     /// Loads the rollout configuration.
     pub fn rollout(&self) -> Result<Option<Arc<kiteyard_rollout::config::Config>>, String> {
         let parse = |text: &str| kiteyard_rollout::config::Config::parse(text, FEATURES);
-        checked(self.rollout.as_deref(), "rollout", parse)
+        load_config(self.rollout.as_deref(), "rollout", parse)
     }
 
     /// Loads the disruption budgets.
     pub fn maintenance(&self) -> Result<Option<Arc<kiteyard_maintenance::config::Config>>, String> {
-        let tasks = self.disruption_budget;
-        let parse = |text: &str| kiteyard_maintenance::config::Config::parse(text, tasks);
-        checked(self.maintenance.as_deref(), "maintenance", parse)
+        let disruption_budget = self.disruption_budget;
+        let parse =
+            |text: &str| kiteyard_maintenance::config::Config::parse(text, disruption_budget);
+        load_config(self.maintenance.as_deref(), "maintenance", parse)
     }
 
     pub fn options(&self) -> Options {
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -8,7 +8,7 @@
 
 use kiteyard_rollout::generation::Ability;
 
-use crate::settings::{DRIFT, MARGIN, Settings, Team, seconds};
+use crate::settings::{CLOCK_MARGIN, MAX_CLOCK_DRIFT, Settings, Team, seconds};
 
 /// Of the requests that the state service takes, all nodes' proofs together use
 /// one in so many, and so do the followers' watches.
@@ -126,9 +126,9 @@
     pub fn new(settings: &Settings, options: Options) -> Self {
         let params = &settings.params;
         let workers = &params.workers;
-        let nodes = settings.nodes();
+        let nodes = settings.node_count();
         let next_writes = params.state.next.as_ref().and_then(|next| next.write_rps);
-        let leader_ttl = workers.left_to_cancel().min(TTL_MOST);
+        let leader_ttl = workers.max_cancellation_lag().min(TTL_MOST);
         Self {
             node: settings.node.clone(),
             nodes,
@@ -150,7 +150,9 @@
             gang_wait: seconds(workers.gang_wait_s),
             worker_lease_bound: workers.lease_bound(),
             leader_ttl,
-            leader_term: leader_ttl.mul_f64(1.0 - 2.0 * DRIFT).saturating_sub(MARGIN),
+            leader_term: leader_ttl
+                .mul_f64(1.0 - 2.0 * MAX_CLOCK_DRIFT)
+                .saturating_sub(CLOCK_MARGIN),
             leader_silence_limit: super::heartbeat::leader_silence_limit(seconds(workers.lease_s)),
             round_per_machine: ROUND_PER_MACHINE
                 .div_f64(params.resources.cpu_share.clamp(0.05, 1.0)),
--- a/src/core/limits.rs
+++ b/src/core/limits.rs
@@ -13,7 +13,7 @@
     config::Config,
     store::{Change, StateRequest},
 };
-use crate::settings::TXN_OPS_LEAST;
+use crate::settings::MIN_TXN_OPS;
 
 /// Values of this size are never split further.
 const VALUE_FLOOR: usize = 512;
@@ -72,8 +72,8 @@
     pub fn rejected(&mut self, size: &WriteSize, now: Duration) -> bool {
         self.tell(size, now);
         let before = (self.value_bytes, self.txn_ops);
-        if size.changes > TXN_OPS_LEAST {
-            self.txn_ops = self.txn_ops.min(size.changes / 2).max(TXN_OPS_LEAST);
+        if size.changes > MIN_TXN_OPS {
+            self.txn_ops = self.txn_ops.min(size.changes / 2).max(MIN_TXN_OPS);
         } else if size.value_bytes > VALUE_FLOOR {
             let half = (size.value_bytes / 2).max(VALUE_FLOOR);
             self.value_bytes = self.value_bytes.min(half);
--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -26,7 +26,7 @@
 type Http = HttpClient<HttpConnector, Full<Bytes>>;
 
 /// Maximum size of a response body.
-const ANSWER_MOST: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 const DIRECT_TIMEOUT: Duration = Duration::from_secs(1);
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -78,15 +78,15 @@
         let (method, path, body) = match &request {
             CloudRequest::Types => (Method::GET, "/flavors".to_owned(), None),
             CloudRequest::List { after } => (Method::GET, wire::cloud::list_path(after), None),
-            CloudRequest::Provision(rental) => (
+            CloudRequest::Provision(provision) => (
                 Method::POST,
                 "/hosts".to_owned(),
-                Some(wire::cloud::rental(rental)),
+                Some(wire::cloud::provision_body(provision)),
             ),
             CloudRequest::Release { machines } => (
                 Method::POST,
                 "/hosts/release".to_owned(),
-                Some(wire::cloud::release(machines)),
+                Some(wire::cloud::release_body(machines)),
             ),
         };
         let reply = exchange(
@@ -110,13 +110,14 @@
 
 impl Client {
     /// Queues an input for the node, behind the results that are already queued.
-    pub fn tell(&self, input: Input) {
+    pub fn send_input(&self, input: Input) {
         let _ = self.results.send(input);
     }
 
     /// Sends commands directly to a worker.
     pub fn direct(&self, call: CallId, direct: &Direct) {
-        let body = wire::worker::commands(direct.token, Some(direct.session), &direct.commands);
+        let body =
+            wire::worker::commands_body(direct.token, Some(direct.session), &direct.commands);
         let path = "/do".to_owned();
         let (http, body) = (self.http.clone(), Some(body));
         let reply = exchange(http, direct.addr, Method::POST, path, body, DIRECT_TIMEOUT);
@@ -157,7 +158,7 @@
             .get(RETRY_AFTER)
             .and_then(|v| v.to_str().ok()?.parse::<f64>().ok())
             .map(crate::settings::seconds);
-        let body = Limited::new(response.into_body(), ANSWER_MOST)
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
             .ok()?
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -29,62 +29,62 @@
 };
 
 /// Interval between ticks of the core.
-const TICK: Duration = Duration::from_millis(40);
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Time between a SIGTERM and the end of the process, to hand over leadership and to answer
 /// the requests in flight.
-const RETIRES: Duration = Duration::from_millis(800);
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(800);
 
 /// Request received by the server, with the channel for its answer.
-pub struct Call {
-    pub make: Box<dyn FnOnce(RequestId) -> Input + Send>,
+pub struct IncomingRequest {
+    pub into_input: Box<dyn FnOnce(RequestId) -> Input + Send>,
     pub answer: oneshot::Sender<Answer>,
 }
 
 /// Runs the node until the process is terminated.
 pub async fn serve(settings: Settings, options: Options) -> std::io::Result<()> {
     let licensed = options.licences.is_some();
-    let asked_to_end = Arc::new(AtomicBool::new(false));
+    let shutdown_requested = Arc::new(AtomicBool::new(false));
     if options.rollout.is_some() {
         // Without a rollout configuration, SIGTERM ends the process at once.
-        signal_hook::flag::register(signal_hook::consts::SIGTERM, asked_to_end.clone())?;
+        signal_hook::flag::register(signal_hook::consts::SIGTERM, shutdown_requested.clone())?;
     }
     let config = Config::new(&settings, options);
-    let requests_most = config.requests_most;
-    let (calls, mut incoming) = mpsc::channel::<Call>(requests_most);
+    let max_requests = config.requests_most;
+    let (calls, mut incoming) = mpsc::channel::<IncomingRequest>(max_requests);
     let sockets = settings.params.resources.sockets;
     let listener = server::bind(settings.listen, sockets).await?;
     let peer_listener = server::bind(settings.peer_listen, sockets).await?;
-    let tasks = tokio::task::LocalSet::new();
-    tasks
+    let local_set = tokio::task::LocalSet::new();
+    local_set
         .run_until(async move {
-            tokio::task::spawn_local(server::serve(listener, calls, licensed, requests_most));
+            tokio::task::spawn_local(server::serve(listener, calls, licensed, max_requests));
             let (results, mut replies) = mpsc::unbounded_channel::<Input>();
-            let peers = settings.peers.len();
-            tokio::task::spawn_local(peer::listen(peer_listener, peers * 4, results.clone()));
+            let peer_count = settings.peers.len();
+            tokio::task::spawn_local(peer::listen(peer_listener, peer_count * 4, results.clone()));
             let client = client::Client::new(&settings, results);
-            let mut tick = tokio::time::interval(TICK);
+            let mut tick = tokio::time::interval(TICK_INTERVAL);
             tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
             let driver = Driver {
                 node: RefCell::new(Node::new(config)),
                 waiting: RefCell::default(),
                 started: Instant::now(),
                 client: Rc::new(client),
-                peers: peer::Peers::new(&settings, requests_most),
+                peers: peer::Peers::new(&settings, max_requests),
             };
             let mut next_request: RequestId = 0;
-            let mut retired = None;
+            let mut retired_at = None;
             loop {
                 // Polled in a fixed order, so that runs are reproducible.
                 tokio::select! {
                     biased;
                     _ = tick.tick() => {
-                        if asked_to_end.load(Ordering::Relaxed) {
-                            let at = *retired.get_or_insert_with(|| {
+                        if shutdown_requested.load(Ordering::Relaxed) {
+                            let since = *retired_at.get_or_insert_with(|| {
                                 driver.step(Input::Retire);
                                 Instant::now()
                             });
-                            if at.elapsed() > RETIRES {
+                            if since.elapsed() > SHUTDOWN_GRACE {
                                 return Ok(());
                             }
                         }
@@ -94,7 +94,7 @@
                     Some(call) = incoming.recv() => {
                         next_request += 1;
                         driver.waiting.borrow_mut().insert(next_request, call.answer);
-                        driver.step((call.make)(next_request));
+                        driver.step((call.into_input)(next_request));
                     }
                 }
             }
@@ -123,15 +123,15 @@
         let until = self.node.borrow().may_act_until();
         for output in outputs {
             // The process may have been suspended since the clock was read.
-            let late = clock.now < until && self.started.elapsed() >= until;
-            let output = match late {
+            let is_late = clock.now < until && self.started.elapsed() >= until;
+            let output = match is_late {
                 true => output.withheld(),
                 false => Ok(output),
             };
             let output = match output {
                 Ok(output) => output,
                 Err(input) => {
-                    self.client.tell(*input);
+                    self.client.send_input(*input);
                     continue;
                 }
             };
--- a/src/io/peer.rs
+++ b/src/io/peer.rs
@@ -20,40 +20,40 @@
 
 /// Maximum size of the lines queued for one peer, and so of a single line: a leader's hints
 /// about 6,000 machines take about a megabyte.
-const QUEUED_BYTES_MOST: usize = 4 << 20;
-const LINE_MOST: u64 = QUEUED_BYTES_MOST as u64;
-const RETRY: Duration = Duration::from_millis(300);
-const WITHIN: Duration = Duration::from_secs(1);
+const MAX_QUEUED_BYTES: usize = 4 << 20;
+const MAX_LINE_BYTES: u64 = MAX_QUEUED_BYTES as u64;
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+const IO_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub struct Peers {
     from: String,
-    queues: Vec<(String, Queue)>,
+    queues: Vec<(String, QueueSender)>,
 }
 
 /// Sending end of a peer's line queue, which is bounded by lines and bytes.
-struct Queue {
+struct QueueSender {
     lines: Sender<String>,
     bytes: Rc<Cell<usize>>,
 }
 
-impl Queue {
+impl QueueSender {
     /// Queues a line, or drops it if the queue is full.
     fn push(&self, line: String) {
         let length = line.len();
         let bytes = self.bytes.get() + length;
-        if bytes <= QUEUED_BYTES_MOST && self.lines.try_send(line).is_ok() {
+        if bytes <= MAX_QUEUED_BYTES && self.lines.try_send(line).is_ok() {
             self.bytes.set(bytes);
         }
     }
 }
 
 /// Receiving end of a peer's line queue.
-struct Queued {
+struct QueueReceiver {
     lines: Receiver<String>,
     bytes: Rc<Cell<usize>>,
 }
 
-impl Queued {
+impl QueueReceiver {
     async fn next(&mut self) -> Option<String> {
         let line = self.lines.recv().await?;
         self.bytes.set(self.bytes.get() - line.len());
@@ -68,25 +68,25 @@
 }
 
 /// Creates a queue of at most this number of lines.
-fn queue(lines_most: usize) -> (Queue, Queued) {
-    let (lines, received) = channel(lines_most);
+fn bounded_queue(max_lines: usize) -> (QueueSender, QueueReceiver) {
+    let (lines, received) = channel(max_lines);
     let bytes = Rc::new(Cell::new(0));
-    let queued = Queued {
+    let receiver = QueueReceiver {
         lines: received,
         bytes: bytes.clone(),
     };
-    (Queue { lines, bytes }, queued)
+    (QueueSender { lines, bytes }, receiver)
 }
 
 impl Peers {
     /// Starts a connection task for each peer, with a queue of at most this number of lines.
-    pub fn new(settings: &Settings, lines_most: usize) -> Self {
+    pub fn new(settings: &Settings, max_lines: usize) -> Self {
         let queues = settings
             .peers
             .iter()
             .map(|peer| {
-                let (queue, lines) = queue(lines_most);
-                tokio::task::spawn_local(dial(peer.addr, lines));
+                let (queue, lines) = bounded_queue(max_lines);
+                tokio::task::spawn_local(connect_loop(peer.addr, lines));
                 (peer.node.clone(), queue)
             })
             .collect();
@@ -111,22 +111,22 @@
     }
 }
 
-async fn dial(addr: SocketAddr, mut lines: Queued) {
+async fn connect_loop(addr: SocketAddr, mut lines: QueueReceiver) {
     loop {
-        if let Ok(Ok(stream)) = timeout(WITHIN, TcpStream::connect(addr)).await {
+        if let Ok(Ok(stream)) = timeout(IO_TIMEOUT, TcpStream::connect(addr)).await {
             let _ = stream.set_nodelay(true);
-            if talk(stream, &mut lines).await.is_none() {
+            if write_lines(stream, &mut lines).await.is_none() {
                 return;
             }
         }
         // Lines queued while the peer was unreachable are outdated.
         lines.clear();
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// Writes lines until the connection fails. Returns `None` once the queue is closed.
-async fn talk(mut stream: TcpStream, lines: &mut Queued) -> Option<()> {
+async fn write_lines(mut stream: TcpStream, lines: &mut QueueReceiver) -> Option<()> {
     let mut byte = [0u8; 1];
     loop {
         let line = tokio::select! {
@@ -135,21 +135,21 @@
             _ = stream.read(&mut byte) => return Some(()),
             line = lines.next() => line?,
         };
-        match timeout(WITHIN, stream.write_all(line.as_bytes())).await {
+        match timeout(IO_TIMEOUT, stream.write_all(line.as_bytes())).await {
             Ok(Ok(())) => {}
             _ => return Some(()),
         }
     }
 }
 
-pub async fn listen(listener: TcpListener, most: usize, inputs: UnboundedSender<Input>) {
-    let room = std::sync::Arc::new(tokio::sync::Semaphore::new(most));
+pub async fn listen(listener: TcpListener, max_connections: usize, inputs: UnboundedSender<Input>) {
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(max_connections));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
         let inputs = inputs.clone();
@@ -162,17 +162,17 @@
 
 /// Line whose message has an unknown format.
 #[derive(serde::Deserialize)]
-struct Unknown {
+struct UnknownLine {
     from: String,
 }
 
 async fn read_lines(stream: TcpStream, inputs: UnboundedSender<Input>) {
     let mut reader = BufReader::new(stream);
     let mut text = Vec::new();
-    let mut told = false;
+    let mut is_logged = false;
     loop {
         text.clear();
-        let mut limited = (&mut reader).take(LINE_MOST);
+        let mut limited = (&mut reader).take(MAX_LINE_BYTES);
         match limited.read_until(b'\n', &mut text).await {
             Ok(n) if n > 0 && text.last() == Some(&b'\n') => {}
             _ => return,
@@ -180,9 +180,9 @@
         let Ok(line) = serde_json::from_slice::<Line>(&text) else {
             // A newer build may send messages that this one does not know: they are ignored,
             // and the connection is kept. Anything but JSON does not come from a node.
-            match serde_json::from_slice::<Unknown>(&text) {
-                Ok(unknown) if !told => {
-                    told = true;
+            match serde_json::from_slice::<UnknownLine>(&text) {
+                Ok(unknown) if !is_logged => {
+                    is_logged = true;
                     info!(from = %unknown.from, "ignoring messages of an unknown type");
                 }
                 Ok(_) => {}
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -19,43 +19,43 @@
 };
 use tracing::info;
 
-use super::Call;
+use super::IncomingRequest;
 use crate::{
     core::{Answer, Input, RequestId, job::JobId, maintenance, rollout::Ask},
     wire,
 };
 
-const BODY_MOST: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Time limit for an answer of the core, longer than the timeout of any call it makes.
-const ANSWER_WITHIN: Duration = Duration::from_secs(4);
-const IDLE_CONNECTION: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time limit for binding an address, which may still be in use after a quick restart.
-const BIND_WITHIN: Duration = Duration::from_secs(10);
-const BIND_AGAIN: Duration = Duration::from_millis(20);
+const BIND_TIMEOUT: Duration = Duration::from_secs(10);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Bounds on the length of the accept queue.
-const BACKLOG: std::ops::RangeInclusive<usize> = 128..=8192;
+const BACKLOG_BOUNDS: std::ops::RangeInclusive<usize> = 128..=8192;
 
 /// Binds a listener. All workers of a lost node reconnect at the same time, so the length of
 /// the accept queue follows the limit on `sockets`.
 pub async fn bind(addr: SocketAddr, sockets: usize) -> std::io::Result<TcpListener> {
-    let backlog = sockets.clamp(*BACKLOG.start(), *BACKLOG.end()) as u32;
+    let backlog = sockets.clamp(*BACKLOG_BOUNDS.start(), *BACKLOG_BOUNDS.end()) as u32;
     let since = Instant::now();
-    let mut told = false;
+    let mut is_logged = false;
     loop {
         let error = match listen(addr, backlog) {
             Ok(listener) => return Ok(listener),
             Err(error) => error,
         };
-        if error.kind() != ErrorKind::AddrInUse || since.elapsed() > BIND_WITHIN {
-            let what = format!("cannot listen on {addr}: {error}");
-            return Err(std::io::Error::new(error.kind(), what));
+        if error.kind() != ErrorKind::AddrInUse || since.elapsed() > BIND_TIMEOUT {
+            let message = format!("cannot listen on {addr}: {error}");
+            return Err(std::io::Error::new(error.kind(), message));
         }
-        if !told {
-            told = true;
-            info!(%addr, within = ?BIND_WITHIN, "address in use; retrying");
+        if !is_logged {
+            is_logged = true;
+            info!(%addr, within = ?BIND_TIMEOUT, "address in use; retrying");
         }
-        tokio::time::sleep(BIND_AGAIN).await;
+        tokio::time::sleep(BIND_RETRY_INTERVAL).await;
     }
 }
 
@@ -72,8 +72,8 @@
 
 #[derive(Clone)]
 struct Api {
-    calls: mpsc::Sender<Call>,
-    in_work: Arc<Semaphore>,
+    calls: mpsc::Sender<IncomingRequest>,
+    permits: Arc<Semaphore>,
     /// Whether licences are configured.
     licensed: bool,
 }
@@ -81,46 +81,46 @@
 /// Serves a limited number of concurrent requests; others are told to retry later.
 pub async fn serve(
     listener: TcpListener,
-    calls: mpsc::Sender<Call>,
+    calls: mpsc::Sender<IncomingRequest>,
     licensed: bool,
-    requests_most: usize,
+    max_requests: usize,
 ) -> std::io::Result<()> {
     let acceptor = TcpAcceptor::from_tokio(listener)?;
     let api = Api {
         calls,
-        in_work: Arc::new(Semaphore::new(requests_most)),
+        permits: Arc::new(Semaphore::new(max_requests)),
         licensed,
     };
     Server::new_with_acceptor(acceptor)
-        .idle_timeout(IDLE_CONNECTION)
+        .idle_timeout(IDLE_TIMEOUT)
         .run(routes(api))
         .await
 }
 
 fn routes(api: Api) -> impl Endpoint {
-    let on = |handle: Handle| Served {
+    let endpoint = |handler: Handler| ApiEndpoint {
         api: api.clone(),
-        handle,
+        handler,
     };
     Route::new()
-        .at("/work", post(on(Handle::Submit)))
-        .at("/work/:id", get(on(Handle::Status)))
-        .at("/work/:id/withdraw", post(on(Handle::Withdraw)))
-        .at("/licences", get(on(Handle::Licences)))
-        .at("/rollout", get(on(Handle::Rollout)))
-        .at("/rollout/:order", post(on(Handle::Order)))
-        .at("/rollout/:order/:what", post(on(Handle::Order)))
-        .at("/drains", get(on(Handle::Drains)))
-        .at("/drains/:order", post(on(Handle::Drain)))
-        .at("/ready", get(on(Handle::Ready)))
-        .at("/checkin", post(on(Handle::Report)))
+        .at("/work", post(endpoint(Handler::Submit)))
+        .at("/work/:id", get(endpoint(Handler::Status)))
+        .at("/work/:id/withdraw", post(endpoint(Handler::Withdraw)))
+        .at("/licences", get(endpoint(Handler::Licences)))
+        .at("/rollout", get(endpoint(Handler::Rollout)))
+        .at("/rollout/:order", post(endpoint(Handler::Order)))
+        .at("/rollout/:order/:what", post(endpoint(Handler::Order)))
+        .at("/drains", get(endpoint(Handler::Drains)))
+        .at("/drains/:order", post(endpoint(Handler::Drain)))
+        .at("/ready", get(endpoint(Handler::Ready)))
+        .at("/checkin", post(endpoint(Handler::Report)))
         .catch_all_error(|error| async move {
-            text(error.status(), wire::user::error_answer(&error.to_string()))
+            json_response(error.status(), wire::user::error_body(&error.to_string()))
         })
 }
 
 #[derive(Clone, Copy)]
-enum Handle {
+enum Handler {
     Submit,
     Status,
     Withdraw,
@@ -133,52 +133,52 @@
     Drain,
 }
 
-struct Served {
+struct ApiEndpoint {
     api: Api,
-    handle: Handle,
+    handler: Handler,
 }
 
-impl Endpoint for Served {
+impl Endpoint for ApiEndpoint {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
-        let Ok(_permit) = self.api.in_work.try_acquire() else {
-            return Ok(later(Duration::from_secs(1)));
+        let Ok(_permit) = self.api.permits.try_acquire() else {
+            return Ok(retry_later(Duration::from_secs(1)));
         };
-        Ok(match self.handle {
-            Handle::Submit => self.submit(request).await,
-            Handle::Report => self.report(request).await,
-            Handle::Status => {
-                self.about(&request, |request, id| Input::Status { request, id })
+        Ok(match self.handler {
+            Handler::Submit => self.submit(request).await,
+            Handler::Report => self.report(request).await,
+            Handler::Status => {
+                self.job_request(&request, |request, id| Input::Status { request, id })
                     .await
             }
-            Handle::Withdraw => {
-                self.about(&request, |request, id| Input::Withdraw { request, id })
+            Handler::Withdraw => {
+                self.job_request(&request, |request, id| Input::Withdraw { request, id })
                     .await
             }
-            Handle::Ready => self.api.ask(|request| Input::Ready { request }).await,
-            Handle::Licences => self.api.ask(|request| Input::Licences { request }).await,
-            Handle::Rollout => self.rollout(Ask::Status).await,
-            Handle::Drains => self.maintenance(maintenance::Ask::Status).await,
-            Handle::Drain => {
+            Handler::Ready => self.api.ask(|request| Input::Ready { request }).await,
+            Handler::Licences => self.api.ask(|request| Input::Licences { request }).await,
+            Handler::Rollout => self.rollout(Ask::Status).await,
+            Handler::Drains => self.maintenance(maintenance::Ask::Status).await,
+            Handler::Drain => {
                 let order = request.path_params::<String>().unwrap_or_default();
-                match read(request)
+                match read_body(request)
                     .await
                     .map(|body| wire::user::parse_drain(&order, &body))
                 {
                     Ok(Ok(ask)) => self.maintenance(ask).await,
                     Ok(Err(message)) => {
-                        text(StatusCode::BAD_REQUEST, wire::user::error_answer(&message))
+                        json_response(StatusCode::BAD_REQUEST, wire::user::error_body(&message))
                     }
                     Err(response) => response,
                 }
             }
-            Handle::Order => {
+            Handler::Order => {
                 let path = request.uri().path();
                 match wire::user::parse_order(path.trim_start_matches("/rollout/")) {
                     Ok(ask) => self.rollout(ask).await,
                     Err(message) => {
-                        text(StatusCode::BAD_REQUEST, wire::user::error_answer(&message))
+                        json_response(StatusCode::BAD_REQUEST, wire::user::error_body(&message))
                     }
                 }
             }
@@ -186,9 +186,9 @@
     }
 }
 
-impl Served {
+impl ApiEndpoint {
     async fn submit(&self, request: Request) -> Response {
-        let body = match read(request).await {
+        let body = match read_body(request).await {
             Ok(body) => body,
             Err(response) => return response,
         };
@@ -199,7 +199,9 @@
                     .ask(move |request| Input::Submit { request, spec })
                     .await
             }
-            Err(message) => text(StatusCode::BAD_REQUEST, wire::user::error_answer(&message)),
+            Err(message) => {
+                json_response(StatusCode::BAD_REQUEST, wire::user::error_body(&message))
+            }
         }
     }
 
@@ -216,7 +218,7 @@
     }
 
     async fn report(&self, request: Request) -> Response {
-        let body = match read(request).await {
+        let body = match read_body(request).await {
             Ok(body) => body,
             Err(response) => return response,
         };
@@ -226,69 +228,75 @@
                     .ask(move |request| Input::Report { request, report })
                     .await
             }
-            Err(message) => text(StatusCode::BAD_REQUEST, wire::user::error_answer(&message)),
+            Err(message) => {
+                json_response(StatusCode::BAD_REQUEST, wire::user::error_body(&message))
+            }
         }
     }
 
-    async fn about(&self, request: &Request, make: fn(RequestId, JobId) -> Input) -> Response {
+    async fn job_request(
+        &self,
+        request: &Request,
+        into_input: fn(RequestId, JobId) -> Input,
+    ) -> Response {
         // A job with an invalid ID was never accepted.
         match JobId::parse(&request.path_params::<String>().unwrap_or_default()) {
-            Some(id) => self.api.ask(move |request| make(request, id)).await,
-            None => respond(Answer::NotFound),
+            Some(id) => self.api.ask(move |request| into_input(request, id)).await,
+            None => answer_response(Answer::NotFound),
         }
     }
 }
 
 impl Api {
-    async fn ask(&self, make: impl FnOnce(RequestId) -> Input + Send + 'static) -> Response {
+    async fn ask(&self, into_input: impl FnOnce(RequestId) -> Input + Send + 'static) -> Response {
         let (answer, answered) = oneshot::channel();
-        let call = Call {
-            make: Box::new(make),
+        let call = IncomingRequest {
+            into_input: Box::new(into_input),
             answer,
         };
         if self.calls.try_send(call).is_err() {
-            return later(Duration::from_secs(1));
+            return retry_later(Duration::from_secs(1));
         }
-        match tokio::time::timeout(ANSWER_WITHIN, answered).await {
-            Ok(Ok(answer)) => respond(answer),
-            _ => later(Duration::from_secs(1)),
+        match tokio::time::timeout(ANSWER_TIMEOUT, answered).await {
+            Ok(Ok(answer)) => answer_response(answer),
+            _ => retry_later(Duration::from_secs(1)),
         }
     }
 }
 
 /// Reads the body, unless it is larger than the protocol allows.
-async fn read(request: Request) -> Result<Vec<u8>, Response> {
+async fn read_body(request: Request) -> Result<Vec<u8>, Response> {
     let too_large = || {
-        text(
+        json_response(
             StatusCode::PAYLOAD_TOO_LARGE,
-            wire::user::error_answer("body too large"),
+            wire::user::error_body("body too large"),
         )
     };
     let length = request
         .headers()
         .get(header::CONTENT_LENGTH)
         .and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
-    if length.is_some_and(|length| length > BODY_MOST) {
+    if length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(too_large());
     }
     let body: Body = request.into_body();
-    match body.into_bytes_limit(BODY_MOST).await {
+    match body.into_bytes_limit(MAX_BODY_BYTES).await {
         Ok(bytes) => Ok(bytes.to_vec()),
         Err(_) => Err(too_large()),
     }
 }
 
-fn text(status: StatusCode, body: String) -> Response {
+fn json_response(status: StatusCode, body: String) -> Response {
     Response::builder()
         .status(status)
         .content_type("application/json")
         .body(body)
 }
 
-fn later(retry: Duration) -> Response {
-    let mut response = text(
+fn retry_later(retry: Duration) -> Response {
+    let mut response = json_response(
         StatusCode::SERVICE_UNAVAILABLE,
-        wire::user::error_answer("try again later"),
+        wire::user::error_body("try again later"),
     );
     let seconds = retry.as_secs_f64().ceil().max(1.0) as u64;
     response
@@ -297,44 +305,47 @@
     response
 }
 
-fn respond(answer: Answer) -> Response {
+fn answer_response(answer: Answer) -> Response {
     use crate::core::job::JobState;
     match answer {
-        Answer::Accepted(id) => text(
+        Answer::Accepted(id) => json_response(
             StatusCode::CREATED,
-            wire::user::job_answer(&id, JobState::Pending, None),
+            wire::user::job_body(&id, JobState::Pending, None),
         ),
-        Answer::Known(id, state) => text(StatusCode::OK, wire::user::job_answer(&id, state, None)),
-        Answer::Status(id, state, done, running) => text(
+        Answer::Known(id, state) => {
+            json_response(StatusCode::OK, wire::user::job_body(&id, state, None))
+        }
+        Answer::Status(id, state, done, running) => json_response(
             StatusCode::OK,
-            wire::user::job_answer(&id, state, Some((done, running))),
+            wire::user::job_body(&id, state, Some((done, running))),
         ),
         Answer::Waiting(id, waits_on) => {
-            text(StatusCode::OK, wire::user::waiting_answer(&id, &waits_on))
+            json_response(StatusCode::OK, wire::user::waiting_body(&id, &waits_on))
         }
-        Answer::NotFound => text(
-            StatusCode::NOT_FOUND,
-            wire::user::error_answer("no such job"),
-        ),
-        Answer::Impossible(reason) => text(
+        Answer::NotFound => {
+            json_response(StatusCode::NOT_FOUND, wire::user::error_body("no such job"))
+        }
+        Answer::Impossible(reason) => json_response(
             StatusCode::UNPROCESSABLE_ENTITY,
-            wire::user::error_answer(&reason),
+            wire::user::error_body(&reason),
         ),
         Answer::Licences(view, age) => {
-            text(StatusCode::OK, wire::user::licences_answer(&view, age))
+            json_response(StatusCode::OK, wire::user::licences_body(&view, age))
+        }
+        Answer::Rollout(status) => json_response(StatusCode::OK, wire::user::rollout_body(&status)),
+        Answer::Drains(machines) => {
+            json_response(StatusCode::OK, wire::user::drains_body(&machines))
         }
-        Answer::Rollout(status) => text(StatusCode::OK, wire::user::rollout_answer(&status)),
-        Answer::Drains(machines) => text(StatusCode::OK, wire::user::drains_answer(&machines)),
-        Answer::Later { retry } => later(retry),
-        Answer::Ready(true) => text(StatusCode::OK, "{}".into()),
-        Answer::Ready(false) => later(Duration::from_secs(1)),
-        Answer::Commands { token, commands } => text(
+        Answer::Later { retry } => retry_later(retry),
+        Answer::Ready(true) => json_response(StatusCode::OK, "{}".into()),
+        Answer::Ready(false) => retry_later(Duration::from_secs(1)),
+        Answer::Commands { token, commands } => json_response(
             StatusCode::OK,
-            wire::worker::commands(token, None, &commands),
+            wire::worker::commands_body(token, None, &commands),
         ),
-        Answer::Redirect(node) => text(
+        Answer::Redirect(node) => json_response(
             StatusCode::MISDIRECTED_REQUEST,
-            wire::worker::redirect(node.as_deref()),
+            wire::worker::redirect_body(node.as_deref()),
         ),
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
         Err(error) if error.use_stderr() => {
-            eprintln!("kiteyard: {}", one_line(&error.to_string()));
+            eprintln!("kiteyard: {}", error_line(&error.to_string()));
             return ExitCode::from(2);
         }
         Err(help) => {
@@ -27,9 +27,9 @@
 }
 
 /// Returns the error message of the argument parser on one line, without the usage text.
-fn one_line(error: &str) -> String {
-    let what = error.split("\n\n").next().unwrap_or(error);
-    let words: Vec<&str> = what.split_whitespace().collect();
+fn error_line(error: &str) -> String {
+    let message = error.split("\n\n").next().unwrap_or(error);
+    let words: Vec<&str> = message.split_whitespace().collect();
     words.join(" ").trim_start_matches("error: ").to_owned()
 }
 
@@ -42,17 +42,17 @@
         return Ok(());
     }
     // Libraries log errors only.
-    let levels = Targets::new()
+    let log_filter = Targets::new()
         .with_default(Level::ERROR)
         .with_target("kiteyard", cli.log_level);
-    let lines = tracing_subscriber::fmt::layer()
+    let log_layer = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .without_time()
         .with_target(false);
     tracing_subscriber::registry()
-        .with(lines)
-        .with(levels)
+        .with(log_layer)
+        .with(log_filter)
         .init();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -60,12 +60,12 @@
     pub cloud: CloudLimits,
     pub resources: Resources,
     /// Maximum error of the wall clock.
-    #[serde(default = "minute")]
+    #[serde(default = "default_time_bound_ms")]
     pub time_bound_ms: f64,
 }
 
 /// Conservative default: clocks that may be far off.
-fn minute() -> f64 {
+fn default_time_bound_ms() -> f64 {
     60_000.0
 }
 
@@ -104,31 +104,31 @@
 }
 
 /// Maximum relative drift between monotonic clocks.
-pub const DRIFT: f64 = 0.001;
+pub const MAX_CLOCK_DRIFT: f64 = 0.001;
 /// Safety margin on a time span that two processes measure.
-pub const MARGIN: Duration = Duration::from_millis(300);
+pub const CLOCK_MARGIN: Duration = Duration::from_millis(300);
 /// Part of the cancellation time beyond a leader's term and a worker's lease, during which
 /// unanswered direct commands to a worker become void.
 const CANCEL_MARGIN: Duration = Duration::from_secs(3);
 /// Minimum TTL of a leader's lease; a shorter one would expire during slow responses.
-const TTL_LEAST: Duration = Duration::from_secs(2);
+const MIN_LEADER_TTL: Duration = Duration::from_secs(2);
 
 impl Workers {
     /// Upper bound on the time from the last answer to a worker to the end of its lease.
     pub fn lease_bound(&self) -> Duration {
-        seconds(self.lease_s * (1.0 + 2.0 * DRIFT)) + MARGIN
+        seconds(self.lease_s * (1.0 + 2.0 * MAX_CLOCK_DRIFT)) + CLOCK_MARGIN
     }
 
     /// Time that a leader may go on without learning of cancellations: its workers' leases
     /// must then expire within the rest of the cancellation time.
-    pub fn left_to_cancel(&self) -> Duration {
+    pub fn max_cancellation_lag(&self) -> Duration {
         let left = seconds(self.cancel_s).saturating_sub(self.lease_bound());
         left.saturating_sub(CANCEL_MARGIN)
     }
 }
 
 /// Minimum number of changes that a transaction must allow.
-pub const TXN_OPS_LEAST: usize = 4;
+pub const MIN_TXN_OPS: usize = 4;
 
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
@@ -173,13 +173,13 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct Resources {
     /// Share of one core.
-    #[serde(default = "tenth")]
+    #[serde(default = "default_cpu_share")]
     pub cpu_share: f64,
     pub sockets: usize,
 }
 
 /// Conservative default: a small node.
-fn tenth() -> f64 {
+fn default_cpu_share() -> f64 {
     0.1
 }
 
@@ -199,11 +199,11 @@
                 field: error.path().to_string(),
                 message: error.inner().to_string(),
             })?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), SettingsError> {
+    fn validate(&self) -> Result<(), SettingsError> {
         let fail = |field: &str, message: &str| {
             Err(SettingsError::Field {
                 field: field.into(),
@@ -250,12 +250,12 @@
                 return fail(field, "must be greater than zero");
             }
         }
-        if workers.left_to_cancel() < TTL_LEAST {
-            let least = workers.lease_bound() + CANCEL_MARGIN + TTL_LEAST;
+        if workers.max_cancellation_lag() < MIN_LEADER_TTL {
+            let min = workers.lease_bound() + CANCEL_MARGIN + MIN_LEADER_TTL;
             let message = format!(
                 "must be at least {:.1} s with `lease_s` = {}: within it, the term of a leader \
                  that misses a cancellation and then its workers' leases must end",
-                least.as_secs_f64(),
+                min.as_secs_f64(),
                 workers.lease_s
             );
             return fail("params.workers.cancel_s", &message);
@@ -266,10 +266,10 @@
         if !(0.0..1e9).contains(&params.time_bound_ms) {
             return fail("params.time_bound_ms", "must be zero or more");
         }
-        if params.state.txn_ops < TXN_OPS_LEAST {
+        if params.state.txn_ops < MIN_TXN_OPS {
             return fail("params.state.txn_ops", "must be at least 4");
         }
-        if next.txn_ops.is_some_and(|ops| ops < TXN_OPS_LEAST) {
+        if next.txn_ops.is_some_and(|ops| ops < MIN_TXN_OPS) {
             return fail("params.state.next.txn_ops", "must be at least 4");
         }
         if params.resources.sockets < 64 {
@@ -278,7 +278,7 @@
         Ok(())
     }
 
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.peers.len() + 1
     }
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct RentalMessage<'a> {
+struct ProvisionBody<'a> {
     charter: &'a str,
     frame: &'a str,
     field: &'a str,
@@ -68,28 +68,28 @@
     how_many: u32,
 }
 
-pub fn rental(rental: &ProvisioningRequest) -> String {
-    let message = RentalMessage {
-        charter: &rental.id,
-        frame: &rental.machine_type,
-        field: &rental.zone,
-        gusts: rental.spot,
-        how_many: rental.count,
+pub fn provision_body(request: &ProvisioningRequest) -> String {
+    let body = ProvisionBody {
+        charter: &request.id,
+        frame: &request.machine_type,
+        field: &request.zone,
+        gusts: request.spot,
+        how_many: request.count,
     };
-    serde_json::to_string(&message).unwrap_or_default()
+    serde_json::to_string(&body).unwrap_or_default()
 }
 
 #[derive(Debug, Deserialize, Serialize)]
-struct Names {
+struct MachineNames {
     perches: Vec<Arc<str>>,
 }
 
-pub fn parse_names(body: &[u8]) -> Option<Vec<Arc<str>>> {
-    Some(serde_json::from_slice::<Names>(body).ok()?.perches)
+pub fn parse_machine_names(body: &[u8]) -> Option<Vec<Arc<str>>> {
+    Some(serde_json::from_slice::<MachineNames>(body).ok()?.perches)
 }
 
-pub fn release(machines: &[Arc<str>]) -> String {
-    let names = Names {
+pub fn release_body(machines: &[Arc<str>]) -> String {
+    let names = MachineNames {
         perches: machines.to_vec(),
     };
     serde_json::to_string(&names).unwrap_or_default()
@@ -150,7 +150,7 @@
         (200, CloudRequest::List { .. }) => {
             parse_list(body).map(|(machines, more)| CloudReply::Machines { machines, more })
         }
-        (200, CloudRequest::Provision(_)) => parse_names(body).map(CloudReply::Provisioned),
+        (200, CloudRequest::Provision(_)) => parse_machine_names(body).map(CloudReply::Provisioned),
         (200, CloudRequest::Release { .. }) => Some(CloudReply::Released),
         _ => None,
     };
@@ -159,8 +159,8 @@
 
 fn is_no_capacity(body: &[u8]) -> bool {
     #[derive(Deserialize)]
-    struct Trouble {
+    struct ErrorBody {
         error: String,
     }
-    serde_json::from_slice::<Trouble>(body).is_ok_and(|t| t.error == "no capacity")
+    serde_json::from_slice::<ErrorBody>(body).is_ok_and(|body| body.error == "no capacity")
 }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -156,7 +156,9 @@
         (404, StateRequest::Get { .. }) => StateReply::Missing,
         (404, StateRequest::Renew { .. }) => StateReply::LeaseGone,
         (409, StateRequest::Txn { .. }) => StateReply::Conflict,
-        (400, request) if puts_under_lease(request) && names_lease(body) => StateReply::LeaseGone,
+        (400, request) if puts_under_lease(request) && is_lease_error(body) => {
+            StateReply::LeaseGone
+        }
         (400, _) => StateReply::Rejected,
         (410, StateRequest::Watch { .. }) => StateReply::TooOld,
         _ => StateReply::Unclear,
@@ -170,7 +172,7 @@
 }
 
 /// Returns whether the body reports an expired lease. Other errors concern the request.
-fn names_lease(body: &[u8]) -> bool {
+fn is_lease_error(body: &[u8]) -> bool {
     let error: Result<ErrorBody, _> = serde_json::from_slice(body);
     error.is_ok_and(|body| body.error == NO_SUCH_LEASE)
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -82,24 +82,24 @@
 }
 
 /// Parses the dependencies of a job: each named once, and none of them the job itself.
-fn parse_needs(id: &JobId, names: Vec<String>) -> Result<Vec<JobId>, String> {
-    let mut needs = Vec::new();
+fn parse_dependencies(id: &JobId, names: Vec<String>) -> Result<Vec<JobId>, String> {
+    let mut dependencies = Vec::new();
     let mut seen = BTreeSet::new();
     for (index, name) in names.iter().enumerate() {
-        let need = JobId::parse(name).ok_or(format!("waits_on[{index}]: invalid job id"))?;
-        if need == *id {
+        let dependency = JobId::parse(name).ok_or(format!("waits_on[{index}]: invalid job id"))?;
+        if dependency == *id {
             return Err(format!("waits_on[{index}]: job depends on itself"));
         }
-        if !seen.insert(need.clone()) {
-            return Err(format!("waits_on[{index}]: duplicate of {need}"));
+        if !seen.insert(dependency.clone()) {
+            return Err(format!("waits_on[{index}]: duplicate of {dependency}"));
         }
-        needs.push(need);
+        dependencies.push(dependency);
     }
-    Ok(needs)
+    Ok(dependencies)
 }
 
 /// Deserializes a submission; an error names the field that it concerns.
-fn read_submission(body: &[u8]) -> Result<Submission, String> {
+fn deserialize_submission(body: &[u8]) -> Result<Submission, String> {
     // Serde would also accept an array of the values in field order.
     if !body.trim_ascii_start().starts_with(b"{") {
         return Err("expected a JSON object".into());
@@ -112,7 +112,7 @@
 
 /// Parses and validates a submission. Its licences are ignored unless `licensed` is set.
 pub fn parse_submission(body: &[u8], licensed: bool) -> Result<JobSpec, String> {
-    let s = read_submission(body)?;
+    let s = deserialize_submission(body)?;
     let id = JobId::parse(&s.uid).ok_or("uid: invalid job id")?;
     if !(1..=100_000).contains(&s.strings) {
         return Err("strings: out of range".into());
@@ -135,7 +135,7 @@
         Some(value) if licensed && !value.is_null() => parse_licences(value)?,
         _ => BTreeMap::new(),
     };
-    let needs = parse_needs(&id, s.waits_on.unwrap_or_default())?;
+    let needs = parse_dependencies(&id, s.waits_on.unwrap_or_default())?;
     let names = [("flight", &s.flight), ("crew", &s.crew), ("sail", &s.sail)];
     for (field, text) in names {
         if text.is_empty() || text.len() > 200 {
@@ -201,7 +201,7 @@
 }
 
 /// Encodes a job's state, with the counts of completed and running tasks if given.
-pub fn job_answer(id: &JobId, state: JobState, counts: Option<(u32, u32)>) -> String {
+pub fn job_body(id: &JobId, state: JobState, counts: Option<(u32, u32)>) -> String {
     let answer = JobAnswer {
         uid: id.as_str(),
         attitude: attitude(state),
@@ -213,7 +213,7 @@
 }
 
 /// Encodes the state of a pending job and the jobs that it still waits for.
-pub fn waiting_answer(id: &JobId, waits_on: &[JobId]) -> String {
+pub fn waiting_body(id: &JobId, waits_on: &[JobId]) -> String {
     let answer = JobAnswer {
         uid: id.as_str(),
         attitude: attitude(JobState::Pending),
@@ -226,7 +226,7 @@
 
 /// Encodes the use of each licence. `fresh` marks an answer of the leader within its term;
 /// other nodes give the age of their information.
-pub fn licences_answer(view: &[LicenceView], age: Option<Duration>) -> String {
+pub fn licences_body(view: &[LicenceView], age: Option<Duration>) -> String {
     let answer = serde_json::json!({
         "licences": view,
         "fresh": age.is_none(),
@@ -236,12 +236,12 @@
 }
 
 /// Encodes the status of a rollout.
-pub fn rollout_answer(status: &Status) -> String {
+pub fn rollout_body(status: &Status) -> String {
     serde_json::to_string(status).unwrap_or_default()
 }
 
 /// Encodes machines that are draining, or planned to: one per line, as line length is bounded.
-pub fn drains_answer(machines: &[MachineView]) -> String {
+pub fn drains_body(machines: &[MachineView]) -> String {
     let lines = machines
         .iter()
         .map(|machine| serde_json::to_string(machine).unwrap_or_default());
@@ -277,8 +277,8 @@
 
 /// Parses an operator's rollout order from the path after `/rollout/`.
 pub fn parse_order(path: &str) -> Result<Ask, String> {
-    let (order, what) = path.split_once('/').unwrap_or((path, ""));
-    let order = match (order, what) {
+    let (order, argument) = path.split_once('/').unwrap_or((path, ""));
+    let order = match (order, argument) {
         ("pause", "") => Order::Pause,
         ("resume", "") => Order::Resume,
         ("newest", "") => Order::Newest,
@@ -293,6 +293,6 @@
     Ok(Ask::Order(order))
 }
 
-pub fn error_answer(message: &str) -> String {
+pub fn error_body(message: &str) -> String {
     serde_json::json!({ "error": message }).to_string()
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -53,9 +53,9 @@
         return Err("launch: must be 1 or more".into());
     }
     let mut tasks = Vec::with_capacity(r.strings.len());
-    let mut job = None;
+    let mut previous_job = None;
     for entry in &r.strings {
-        let task = parse_task(entry.string, &mut job).ok_or("string: invalid task id")?;
+        let task = parse_task(entry.string, &mut previous_job).ok_or("string: invalid task id")?;
         let phase = match entry.attitude {
             "pulling" => TaskPhase::Fetching,
             "waiting" => TaskPhase::Waiting,
@@ -94,13 +94,13 @@
 }
 
 /// Parses a task ID. Reuses the previous job ID, which most tasks of a report share.
-fn parse_task(text: &str, last: &mut Option<JobId>) -> Option<TaskId> {
+fn parse_task(text: &str, previous_job: &mut Option<JobId>) -> Option<TaskId> {
     let (job, index) = text.rsplit_once('/')?;
-    let job = match last {
-        Some(last) if last.as_str() == job => last.clone(),
+    let job = match previous_job {
+        Some(previous_job) if previous_job.as_str() == job => previous_job.clone(),
         _ => JobId::parse(job)?,
     };
-    *last = Some(job.clone());
+    *previous_job = Some(job.clone());
     Some(TaskId {
         job,
         index: index.parse().ok()?,
@@ -126,7 +126,7 @@
 }
 
 /// Encodes the answer to a report or, with a session, a direct command request.
-pub fn commands(token: u64, session: Option<u64>, commands: &[Command]) -> String {
+pub fn commands_body(token: u64, session: Option<u64>, commands: &[Command]) -> String {
     let signals = commands
         .iter()
         .map(|command| {
@@ -156,7 +156,7 @@
 }
 
 /// Encodes a redirect of a worker to another node, or to any node if none is given.
-pub fn redirect(node: Option<&str>) -> String {
+pub fn redirect_body(node: Option<&str>) -> String {
     match node {
         Some(node) => serde_json::json!({ "spotter": node }).to_string(),
         None => "{}".into(),
