--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -14,30 +14,30 @@
 };
 use serde_json::Value;
 
-use crate::ask::{Ask, Next, Tried};
+use crate::retry::{AttemptOutcome, RetryState, RetryStep};
 
 /// Timeout of one attempt; the next node is tried after it.
-const ANSWER: Duration = Duration::from_secs(5);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Size limit of a response body: about 200 bytes for each machine of a fleet.
-const BODY_MOST: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Sends requests to a cluster's nodes.
 pub struct Client {
     http: HttpClient<HttpConnector, Full<Bytes>>,
     nodes: Vec<SocketAddr>,
-    within: Duration,
+    retry_time: Duration,
 }
 
 /// Final response of a node.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// JSON body; null if the body is not JSON.
     pub body: Value,
 }
 
-impl Answer {
+impl Response {
     /// Returns the job's state, or `unknown` if the body has none.
     pub fn state(&self) -> &str {
         self.body["attitude"].as_str().unwrap_or("unknown")
@@ -51,62 +51,67 @@
 
 impl Client {
     /// Creates a client of these nodes that retries each request for `within`.
-    pub fn new(nodes: Vec<SocketAddr>, within: Duration) -> Self {
+    pub fn new(nodes: Vec<SocketAddr>, retry_time: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
         Self {
             http: HttpClient::builder(TokioExecutor::new()).build(connector),
             nodes,
-            within,
+            retry_time,
         }
     }
 
     /// Returns the response of each node to a GET request, in the order of the nodes; `None`
     /// for a node that did not respond.
-    pub async fn ask_each(&self, path: &str) -> Vec<Option<Answer>> {
-        let mut answers = Vec::new();
+    pub async fn get_from_each(&self, path: &str) -> Vec<Option<Response>> {
+        let mut responses = Vec::new();
         for node in 0..self.nodes.len() {
-            let tried = self.once(node, &Method::GET, path, None).await;
-            answers.push(tried.map(|(status, _, body)| Answer { status, body }));
+            let response = self.attempt(node, &Method::GET, path, None).await;
+            responses.push(response.map(|(status, _, body)| Response { status, body }));
         }
-        answers
+        responses
     }
 
     /// Returns a client of one node alone, with the same retry time.
-    pub fn only(&self, node: usize) -> Self {
+    pub fn for_node(&self, node: usize) -> Self {
         Self {
             http: self.http.clone(),
             nodes: self.nodes.get(node).copied().into_iter().collect(),
-            within: self.within,
+            retry_time: self.retry_time,
         }
     }
 
     /// Sends a request until a node responds finally; `None` if none did in time.
-    pub async fn ask(&self, method: Method, path: &str, body: Option<&Value>) -> Option<Answer> {
-        let first = Instant::now();
-        let mut ask = Ask::new(self.nodes.len(), self.within);
-        let mut node = ask.node();
+    pub async fn request(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<&Value>,
+    ) -> Option<Response> {
+        let started = Instant::now();
+        let mut retries = RetryState::new(self.nodes.len(), self.retry_time);
+        let mut node = retries.node();
         loop {
-            let tried = self.once(node, &method, path, body).await;
-            let outcome = match &tried {
-                Some((status, retry, _)) => Tried::Status(*status, *retry),
-                None => Tried::Nothing,
+            let response = self.attempt(node, &method, path, body).await;
+            let outcome = match &response {
+                Some((status, retry_after, _)) => AttemptOutcome::Status(*status, *retry_after),
+                None => AttemptOutcome::NoResponse,
             };
-            match ask.step(first.elapsed(), outcome) {
-                Next::Final(status) => {
-                    let body = tried.map(|(_, _, body)| body).unwrap_or_default();
-                    return Some(Answer { status, body });
+            match retries.next_step(started.elapsed(), outcome) {
+                RetryStep::Final(status) => {
+                    let body = response.map(|(_, _, body)| body).unwrap_or_default();
+                    return Some(Response { status, body });
                 }
-                Next::Again { node: next, after } => {
-                    tokio::time::sleep(after).await;
+                RetryStep::Retry { node: next, delay } => {
+                    tokio::time::sleep(delay).await;
                     node = next;
                 }
-                Next::GiveUp => return None,
+                RetryStep::GiveUp => return None,
             }
         }
     }
 
-    async fn once(
+    async fn attempt(
         &self,
         node: usize,
         method: &Method,
@@ -120,17 +125,18 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(text)))
             .ok()?;
-        let answer = async {
+        let exchange = async {
             let response = self.http.request(request).await.ok()?;
             let status = response.status().as_u16();
-            let retry = response.headers().get(header::RETRY_AFTER);
-            let retry = retry.and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
-            let retry = retry.and_then(|s| Duration::try_from_secs_f64(s).ok());
-            let body = Limited::new(response.into_body(), BODY_MOST);
+            let retry_after = response.headers().get(header::RETRY_AFTER);
+            let retry_after =
+                retry_after.and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
+            let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
+            let body = Limited::new(response.into_body(), MAX_BODY_BYTES);
             let bytes = body.collect().await.ok()?.to_bytes();
             let body = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
-            Some((status, retry, body))
+            Some((status, retry_after, body))
         };
-        tokio::time::timeout(ANSWER, answer).await.ok()?
+        tokio::time::timeout(ATTEMPT_TIMEOUT, exchange).await.ok()?
     }
 }
--- a/crates/ctl/src/drain.rs
+++ b/crates/ctl/src/drain.rs
@@ -7,7 +7,7 @@
 use kiteyard_ctl::client::Client;
 use serde_json::{Value, json};
 
-use crate::{Cli, accepted, seconds};
+use crate::{Cli, expect_ok, parse_seconds};
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
@@ -21,7 +21,7 @@
         #[arg(required = true)]
         machines: Vec<String>,
         /// Seconds after which remaining tasks are stopped; without it, the drain waits for them
-        #[arg(long, value_parser = seconds)]
+        #[arg(long, value_parser = parse_seconds)]
         by_s: Option<f64>,
     },
     /// List machines that are draining, and what each waits for
@@ -53,17 +53,17 @@
         ),
     };
     // Only the leader knows the machines; other nodes respond with 503, and the next is tried.
-    let answer = client.ask(method, path, body.as_ref()).await;
-    match accepted(answer, "drains") {
-        Ok(answer) => {
-            show(cli, &answer.body);
+    let response = client.request(method, path, body.as_ref()).await;
+    match expect_ok(response, "drains") {
+        Ok(response) => {
+            print_drains(cli, &response.body);
             ExitCode::SUCCESS
         }
         Err(code) => code,
     }
 }
 
-fn show(cli: &Cli, body: &Value) {
+fn print_drains(cli: &Cli, body: &Value) {
     if cli.json {
         println!("{body}");
         return;
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -13,7 +13,7 @@
     Read(String, String),
     /// The file is not a valid job description.
     #[error("{file}: line {line}: {message}")]
-    Form {
+    Syntax {
         /// The file's name.
         file: String,
         /// Line number, from 1.
@@ -63,22 +63,22 @@
     /// Team whose quota the job uses.
     pub team: String,
     /// Kind of the job.
-    #[serde(default = "array")]
+    #[serde(default = "default_kind")]
     pub kind: Kind,
     /// Priority of the job.
-    #[serde(default = "normal")]
+    #[serde(default = "default_priority")]
     pub priority: Priority,
     /// Number of tasks.
-    #[serde(default = "one")]
+    #[serde(default = "default_tasks")]
     pub tasks: u32,
     /// CPUs of each task.
-    #[serde(default = "one_cpu")]
+    #[serde(default = "default_amount")]
     pub cpus: f64,
     /// GPUs of each task.
     #[serde(default)]
     pub gpus: f64,
     /// Memory of each task, in GB.
-    #[serde(default = "one_cpu")]
+    #[serde(default = "default_amount")]
     pub memory_gb: f64,
     /// Image that a task starts from.
     pub image: String,
@@ -114,19 +114,19 @@
     pub licences: BTreeMap<String, u32>,
 }
 
-fn array() -> Kind {
+fn default_kind() -> Kind {
     Kind::Array
 }
 
-fn normal() -> Priority {
+fn default_priority() -> Priority {
     Priority::Normal
 }
 
-fn one() -> u32 {
+fn default_tasks() -> u32 {
     1
 }
 
-fn one_cpu() -> f64 {
+fn default_amount() -> f64 {
     1.0
 }
 
@@ -141,10 +141,10 @@
 
     /// Parses the text of a job file; errors name `file`.
     pub fn parse(file: &str, text: &str) -> Result<Self, JobError> {
-        kiteyard_toml_file::parse(text).map_err(|wrong| JobError::Form {
+        kiteyard_toml_file::parse(text).map_err(|error| JobError::Syntax {
             file: file.to_owned(),
-            line: wrong.line,
-            message: wrong.message,
+            line: error.line,
+            message: error.message,
         })
     }
 
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -2,6 +2,6 @@
 
 #![warn(missing_docs, unreachable_pub)]
 
-pub mod ask;
 pub mod client;
 pub mod job;
+pub mod retry;
--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/retry.rs
@@ -5,29 +5,29 @@
 
 use std::time::Duration;
 
-const PAUSE: Duration = Duration::from_secs(1);
-const PAUSE_MOST: Duration = Duration::from_secs(30);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
 
 /// Outcome of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Tried {
+pub enum AttemptOutcome {
     /// Status of a response, and its retry delay if it has one.
     Status(u16, Option<Duration>),
     /// No connection, or no response in time; the request may have been executed.
-    Nothing,
+    NoResponse,
 }
 
 /// Next step after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Next {
+pub enum RetryStep {
     /// The status is final.
     Final(u16),
     /// Retry at this node after a delay.
-    Again {
+    Retry {
         /// Index of the node in the list.
         node: usize,
         /// Delay before the attempt.
-        after: Duration,
+        delay: Duration,
     },
     /// The time for retries is over.
     GiveUp,
@@ -35,20 +35,20 @@
 
 /// Attempts of one request at several nodes.
 #[derive(Debug)]
-pub struct Ask {
-    nodes: usize,
+pub struct RetryState {
+    node_count: usize,
     node: usize,
     /// Time for retries, counted from the start of the first attempt.
-    within: Duration,
+    retry_time: Duration,
 }
 
-impl Ask {
-    /// Creates the state of a request that starts with the first of `nodes` nodes.
-    pub fn new(nodes: usize, within: Duration) -> Self {
+impl RetryState {
+    /// Creates the state of a request that starts with the first of `node_count` nodes.
+    pub fn new(node_count: usize, retry_time: Duration) -> Self {
         Self {
-            nodes: nodes.max(1),
+            node_count: node_count.max(1),
             node: 0,
-            within,
+            retry_time,
         }
     }
 
@@ -58,26 +58,28 @@
     }
 
     /// Returns the next step after an attempt that ended `since_first` after the first one began.
-    pub fn step(&mut self, since_first: Duration, tried: Tried) -> Next {
-        let wait = match tried {
-            Tried::Status(status @ (200 | 201 | 400 | 404 | 422), _) => {
-                return Next::Final(status);
+    pub fn next_step(&mut self, since_first: Duration, outcome: AttemptOutcome) -> RetryStep {
+        let retry_delay = match outcome {
+            AttemptOutcome::Status(status @ (200 | 201 | 400 | 404 | 422), _) => {
+                return RetryStep::Final(status);
             }
-            Tried::Status(_, retry) => retry.unwrap_or(PAUSE).clamp(PAUSE, PAUSE_MOST),
-            Tried::Nothing => PAUSE,
+            AttemptOutcome::Status(_, retry_after) => retry_after
+                .unwrap_or(RETRY_DELAY)
+                .clamp(RETRY_DELAY, MAX_RETRY_DELAY),
+            AttemptOutcome::NoResponse => RETRY_DELAY,
         };
-        self.node = (self.node + 1) % self.nodes;
+        self.node = (self.node + 1) % self.node_count;
         // An unreachable node causes no delay until every node has been tried.
-        let after = match tried {
-            Tried::Nothing if self.node != 0 => Duration::ZERO,
-            _ => wait,
+        let delay = match outcome {
+            AttemptOutcome::NoResponse if self.node != 0 => Duration::ZERO,
+            _ => retry_delay,
         };
-        match since_first + after < self.within {
-            true => Next::Again {
+        match since_first + delay < self.retry_time {
+            true => RetryStep::Retry {
                 node: self.node,
-                after,
+                delay,
             },
-            false => Next::GiveUp,
+            false => RetryStep::GiveUp,
         }
     }
 }
