--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -83,21 +83,21 @@
     description: Arc<JobDescription>,
     submitted: Duration,
     accepted: bool,
-    told_done: bool,
+    reported_done: bool,
     done: HashSet<TaskName>,
 }
 
 #[derive(Debug)]
 struct Placement {
     machine: String,
-    started: Duration,
+    started_at: Duration,
 }
 
 #[derive(Debug)]
 struct DoubleStart {
     task: TaskName,
     machine: String,
-    other: String,
+    other_machine: String,
     at: Duration,
 }
 
@@ -124,8 +124,8 @@
 pub struct Checks {
     team_limit: f64,
     jobs: HashMap<String, Job>,
-    on_machines: HashMap<TaskName, Vec<Placement>>,
-    started_once: HashSet<TaskName>,
+    placements: HashMap<TaskName, Vec<Placement>>,
+    started_tasks: HashSet<TaskName>,
     team_cpus: BTreeMap<usize, f64>,
     double_starts: Vec<DoubleStart>,
     over_limits: Vec<OverLimit>,
@@ -155,11 +155,11 @@
     }
 
     /// Records a job before its first submission.
-    pub fn submitted(&mut self, description: Arc<JobDescription>, now: Duration) {
+    pub fn record_submission(&mut self, description: Arc<JobDescription>, now: Duration) {
         let job = Job {
             submitted: now,
             accepted: false,
-            told_done: false,
+            reported_done: false,
             done: HashSet::new(),
             description: description.clone(),
         };
@@ -167,30 +167,30 @@
     }
 
     /// Records that a job was accepted.
-    pub fn accepted(&mut self, id: &str) {
+    pub fn record_acceptance(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted = true;
         }
     }
 
     /// Records the state in a response to a poll or a submission.
-    pub fn told(&mut self, id: &str, state: JobState) {
+    pub fn record_state(&mut self, id: &str, state: JobState) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let all_done = job.done.len() == job.description.tasks as usize;
-        if state == JobState::Done && !all_done {
+        let all_completed = job.done.len() == job.description.tasks as usize;
+        if state == JobState::Done && !all_completed {
             let job = id.to_owned();
             self.violations.push(Violation::NotDone { job });
-        } else if state != JobState::Done && (job.told_done || state == JobState::Cancelled) {
+        } else if state != JobState::Done && (job.reported_done || state == JobState::Cancelled) {
             let job = id.to_owned();
             self.violations.push(Violation::WentBack { job });
         }
-        job.told_done |= state == JobState::Done;
+        job.reported_done |= state == JobState::Done;
     }
 
     /// Records that a poll got 404.
-    pub fn not_found(&mut self, id: &str) {
+    pub fn record_not_found(&mut self, id: &str) {
         if self.jobs.get(id).is_some_and(|job| job.accepted) {
             let job = id.to_owned();
             self.violations.push(Violation::Forgotten { job });
@@ -198,30 +198,30 @@
     }
 
     /// Records an event on a machine; returns the task's first start if the event is that.
-    pub fn happened(&mut self, machine: &str, event: &TaskEvent) -> Option<FirstStart> {
-        match event.what {
-            TaskChange::Started => self.started(machine, event),
-            TaskChange::Left { completed } => {
-                self.left(machine, event, completed);
+    pub fn record_event(&mut self, machine: &str, event: &TaskEvent) -> Option<FirstStart> {
+        match event.change {
+            TaskChange::Started => self.record_start(machine, event),
+            TaskChange::Ended { completed } => {
+                self.record_end(machine, event, completed);
                 None
             }
         }
     }
 
-    fn started(&mut self, machine: &str, event: &TaskEvent) -> Option<FirstStart> {
+    fn record_start(&mut self, machine: &str, event: &TaskEvent) -> Option<FirstStart> {
         self.starts += 1;
-        let placements = self.on_machines.entry(event.task.clone()).or_default();
+        let placements = self.placements.entry(event.task.clone()).or_default();
         for placement in placements.iter() {
             self.double_starts.push(DoubleStart {
                 task: event.task.clone(),
                 machine: machine.to_owned(),
-                other: placement.machine.clone(),
-                at: event.at.max(placement.started),
+                other_machine: placement.machine.clone(),
+                at: event.at.max(placement.started_at),
             });
         }
         placements.push(Placement {
             machine: machine.to_owned(),
-            started: event.at,
+            started_at: event.at,
         });
         let job = self.jobs.get(job_of(&event.task))?;
         let team = job.description.team;
@@ -234,16 +234,16 @@
                 at: event.at,
             });
         }
-        let first = self.started_once.insert(event.task.clone());
-        first.then_some(FirstStart {
+        let is_first = self.started_tasks.insert(event.task.clone());
+        is_first.then_some(FirstStart {
             urgent: job.description.urgent,
             submitted: job.submitted,
             at: event.at,
         })
     }
 
-    fn left(&mut self, machine: &str, event: &TaskEvent, completed: bool) {
-        let Some(placements) = self.on_machines.get_mut(&event.task) else {
+    fn record_end(&mut self, machine: &str, event: &TaskEvent, completed: bool) {
+        let Some(placements) = self.placements.get_mut(&event.task) else {
             return;
         };
         let Some(index) = placements.iter().position(|p| p.machine == machine) else {
@@ -251,32 +251,32 @@
         };
         let placement = placements.swap_remove(index);
         if placements.is_empty() {
-            self.on_machines.remove(&event.task);
+            self.placements.remove(&event.task);
         }
         self.double_starts.retain(|suspicion| {
-            let explained = suspicion.task == event.task
-                && suspicion.other == machine
+            let is_explained = suspicion.task == event.task
+                && suspicion.other_machine == machine
                 && event.at <= suspicion.at;
-            !explained
+            !is_explained
         });
         let Some(job) = self.jobs.get_mut(job_of(&event.task)) else {
             return;
         };
         let (team, cpus) = (job.description.team, job.description.cpus);
-        if completed && !job.done.insert(event.task.clone()) && event.at > placement.started {
+        if completed && !job.done.insert(event.task.clone()) && event.at > placement.started_at {
             let task = event.task.clone();
             self.violations.push(Violation::CompletedTwice { task });
         }
         self.completed += u64::from(completed);
         *self.team_cpus.entry(team).or_default() -= cpus;
-        self.lower(team, cpus, event.at);
+        self.deduct_usage(team, cpus, event.at);
     }
 
     /// Deducts a task that had ended from the usage that was counted at or after its end.
-    fn lower(&mut self, team: usize, cpus: f64, left: Duration) {
+    fn deduct_usage(&mut self, team: usize, cpus: f64, ended_at: Duration) {
         let limit = self.team_limit + EPSILON;
         for over in &mut self.over_limits {
-            if over.team == team && left <= over.at {
+            if over.team == team && ended_at <= over.at {
                 over.cpus -= cpus;
             }
         }
@@ -295,7 +295,7 @@
 
     /// Returns the number of tasks on machines.
     pub fn running(&self) -> usize {
-        self.on_machines.len()
+        self.placements.len()
     }
 
     /// Returns the progress of the accepted jobs.
@@ -304,9 +304,9 @@
         let mut counts = JobCounts::default();
         for job in accepted {
             counts.accepted += 1;
-            counts.done += usize::from(job.told_done);
-            let all = job.done.len() == job.description.tasks as usize;
-            counts.completed += usize::from(all);
+            counts.done += usize::from(job.reported_done);
+            let all_completed = job.done.len() == job.description.tasks as usize;
+            counts.completed += usize::from(all_completed);
         }
         counts
     }
@@ -317,7 +317,7 @@
         all.extend(self.double_starts.iter().map(|double| Violation::RanTwice {
             task: double.task.clone(),
             on: double.machine.clone(),
-            also_on: double.other.clone(),
+            also_on: double.other_machine.clone(),
         }));
         all.extend(self.over_limits.iter().map(|over| Violation::TeamLimit {
             team: over.team,
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -40,7 +40,7 @@
 }
 
 /// Returns the name of a controller.
-pub fn name(index: usize) -> String {
+pub fn controller_name(index: usize) -> String {
     format!("controller-{index}")
 }
 
@@ -73,11 +73,11 @@
     let known: Vec<Value> = others
         .map(|other| {
             let peer = addresses[other].peer;
-            json!({"label": name(other), "site": zone(other), "peer_addr": peer})
+            json!({"label": controller_name(other), "site": zone(other), "peer_addr": peer})
         })
         .collect();
     json!({
-        "label": name(index),
+        "label": controller_name(index),
         "site": zone(index),
         "api_addr": addresses[index].api,
         "cluster_listen": addresses[index].peer,
@@ -147,18 +147,21 @@
             let settings = settings(config, index, addresses, services);
             std::fs::write(controllers.settings_path(index), settings.to_string())?;
             controllers.children.push(None);
-            controllers.start_one(index)?;
+            controllers.start_process(index)?;
         }
         Ok(controllers)
     }
 
     fn settings_path(&self, index: usize) -> PathBuf {
-        self.directory.join(format!("{}.json", name(index)))
+        self.directory
+            .join(format!("{}.json", controller_name(index)))
     }
 
     /// Starts the process of one controller.
-    pub fn start_one(&mut self, index: usize) -> std::io::Result<()> {
-        let log_path = self.directory.join(format!("{}.log", name(index)));
+    pub fn start_process(&mut self, index: usize) -> std::io::Result<()> {
+        let log_path = self
+            .directory
+            .join(format!("{}.log", controller_name(index)));
         let log = File::options().create(true).append(true).open(log_path)?;
         let child = Command::new(&self.binary)
             .arg("--config")
@@ -169,15 +172,15 @@
             .stderr(log)
             .spawn()
             .map_err(|error| {
-                let what = format!("can't start controller {}: {error}", self.binary.display());
-                std::io::Error::new(error.kind(), what)
+                let message = format!("can't start controller {}: {error}", self.binary.display());
+                std::io::Error::new(error.kind(), message)
             })?;
         self.children[index] = Some(child);
         Ok(())
     }
 
     /// Kills the process of one controller, if it is running.
-    pub fn end_one(&mut self, index: usize) {
+    pub fn kill_process(&mut self, index: usize) {
         if let Some(mut child) = self.children[index].take() {
             // The process may have exited already.
             let _ = child.kill();
@@ -192,7 +195,7 @@
     }
 
     /// Returns controllers whose process has exited unexpectedly.
-    pub fn ended(&mut self) -> Vec<usize> {
+    pub fn exited(&mut self) -> Vec<usize> {
         let mut ended = Vec::new();
         for (index, child) in self.children.iter_mut().enumerate() {
             let exited = child
@@ -209,7 +212,7 @@
 impl Drop for Controllers {
     fn drop(&mut self) {
         for index in 0..self.children.len() {
-            self.end_one(index);
+            self.kill_process(index);
         }
     }
 }
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -37,15 +37,15 @@
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
     let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
-    if spread == 0.0 {
+    let sum_xx: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
+    if sum_xx == 0.0 {
         return None;
     }
-    let together: f64 = points
+    let sum_xy: f64 = points
         .iter()
         .map(|point| (point.x - mean_x) * (point.y - mean_y))
         .sum();
-    let slope = together / spread;
+    let slope = sum_xy / sum_xx;
     let mut line = Line {
         slope,
         offset: mean_y - slope * mean_x,
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -41,14 +41,14 @@
 const FIRST_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 64, 0, 1);
 
 /// Times fixed by the protocol.
-const ANSWER_WITHIN: Duration = Duration::from_secs(4);
-const NEXT_CONTROLLER_AFTER: Duration = Duration::from_secs(1);
-const REDIRECT_MOST_S: f64 = 0.5;
-const REPORTS_APART: Duration = Duration::from_millis(500);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
+const NEXT_CONTROLLER_DELAY: Duration = Duration::from_secs(1);
+const MAX_REDIRECT_DELAY_S: f64 = 0.5;
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Relative jitter of the report interval, in both directions.
-const REPORT_SPREAD: f64 = 0.25;
+const REPORT_JITTER: f64 = 0.25;
 /// Shortest and longest boot, as factors of the nominal boot time.
-const BOOT_TIMES: (f64, f64) = (0.6, 1.5);
+const BOOT_TIME_FACTORS: (f64, f64) = (0.6, 1.5);
 
 /// Controller that workers report to.
 #[derive(Debug, Clone)]
@@ -63,7 +63,7 @@
     number: u64,
     zone: String,
     rented: Duration,
-    boots_until: Duration,
+    booted_at: Duration,
     worker: Mutex<HollowWorker>,
     changed: Notify,
     state: Mutex<SlotState>,
@@ -127,11 +127,11 @@
     spotter: Option<String>,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn count(counter: &AtomicU64) {
+fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
@@ -166,10 +166,10 @@
                 direct_traffic: Arc::default(),
             }),
         };
-        let answering = fleet.clone();
+        let handler = fleet.clone();
         let traffic = fleet.shared.direct_traffic.clone();
         tokio::spawn(serve(listener, traffic, move |request| {
-            let reply = answering.direct(&request);
+            let reply = handler.handle_direct(&request);
             async move { reply }
         }));
         Ok(fleet)
@@ -199,7 +199,7 @@
         }
     }
 
-    fn start_worker(&self, zone: &str, boots: Duration) -> String {
+    fn start_worker(&self, zone: &str, boot_time: Duration) -> String {
         let shared = &self.shared;
         let now = shared.observer.now();
         let mut inner = shared.inner.write().unwrap_or_else(PoisonError::into_inner);
@@ -217,31 +217,31 @@
             lease: Duration::from_secs_f64(shared.config.lease_s),
         };
         let name = spec.name.clone();
-        let up = now + boots;
+        let up = now + boot_time;
         let worker = HollowWorker::new(spec, shared.jobs.clone(), shared.seed ^ number, up);
         let slot = Arc::new(Slot {
             number,
             zone: zone.to_owned(),
             rented: now,
-            boots_until: up,
+            booted_at: up,
             worker: Mutex::new(worker),
             changed: Notify::new(),
             state: Mutex::new(SlotState::Up),
         });
         inner.by_name.insert(name.clone(), slot.clone());
         inner.by_address.insert(IpAddr::V4(address), slot.clone());
-        tokio::spawn(self.clone().report_for_ever(slot));
+        tokio::spawn(self.clone().report_loop(slot));
         name
     }
 
     /// Fails machines without notice.
     pub fn fail_machines(&self, count: usize) {
         let up: Vec<Arc<Slot>> = {
-            let inner = self.read();
+            let inner = self.inner();
             let up = inner
                 .by_name
                 .values()
-                .filter(|slot| *locked(&slot.state) == SlotState::Up);
+                .filter(|slot| *lock(&slot.state) == SlotState::Up);
             up.take(count).cloned().collect()
         };
         for slot in up {
@@ -249,16 +249,16 @@
         }
     }
 
-    fn stop(&self, slot: &Slot, becomes: SlotState) {
-        *locked(&slot.state) = becomes;
-        let mut worker = locked(&slot.worker);
+    fn stop(&self, slot: &Slot, new_state: SlotState) {
+        *lock(&slot.state) = new_state;
+        let mut worker = lock(&slot.worker);
         worker.stop(self.shared.observer.now());
-        self.tell(&mut worker);
+        self.publish_events(&mut worker);
         drop(worker);
         slot.changed.notify_one();
     }
 
-    fn read(&self) -> std::sync::RwLockReadGuard<'_, Inner> {
+    fn inner(&self) -> std::sync::RwLockReadGuard<'_, Inner> {
         self.shared
             .inner
             .read()
@@ -266,31 +266,33 @@
     }
 
     /// Passes the worker's events to the observer; the worker's lock keeps them in order.
-    fn tell(&self, worker: &mut HollowWorker) {
+    fn publish_events(&self, worker: &mut HollowWorker) {
         let events = worker.take_events();
-        self.shared.observer.happened(&worker.spec().name, &events);
+        self.shared
+            .observer
+            .record_events(&worker.spec().name, &events);
     }
 
     /// Handles a request of a controller to a worker.
-    fn direct(&self, request: &IncomingRequest) -> Reply {
+    fn handle_direct(&self, request: &IncomingRequest) -> Reply {
         let slot = self
-            .read()
+            .inner()
             .by_address
             .get(&request.local_addr.ip())
             .cloned();
         let now = self.shared.observer.now();
-        let Some(slot) = slot.filter(|slot| slot.boots_until <= now) else {
+        let Some(slot) = slot.filter(|slot| slot.booted_at <= now) else {
             return Reply::new(503, "{}");
         };
-        if *locked(&slot.state) != SlotState::Up {
+        if *lock(&slot.state) != SlotState::Up {
             return Reply::new(503, "{}");
         }
         match (&request.method, request.path.as_str()) {
             (&Method::POST, "/do") => self.execute(&slot, now, &request.body),
             (&Method::GET, "/show") => {
-                let mut worker = locked(&slot.worker);
+                let mut worker = lock(&slot.worker);
                 let (report, _) = worker.report(now);
-                self.tell(&mut worker);
+                self.publish_events(&mut worker);
                 Reply::new(200, report)
             }
             _ => Reply::new(404, "{}"),
@@ -299,33 +301,33 @@
 
     fn execute(&self, slot: &Slot, now: Duration, body: &[u8]) -> Reply {
         let counts = &self.shared.counts;
-        count(&counts.direct_commands);
+        increment(&counts.direct_commands);
         let Ok(commands) = serde_json::from_slice::<Commands>(body) else {
             return Reply::new(400, "{}");
         };
-        let mut worker = locked(&slot.worker);
-        let outcome = worker.direct(now, &commands);
+        let mut worker = lock(&slot.worker);
+        let outcome = worker.handle_direct(now, &commands);
         let (report, _) = worker.report(now);
-        self.tell(&mut worker);
+        self.publish_events(&mut worker);
         drop(worker);
         slot.changed.notify_one();
         match outcome {
             DirectOutcome::Executed => Reply::new(200, report),
             DirectOutcome::Refused => {
-                count(&counts.direct_refused);
+                increment(&counts.direct_refused);
                 Reply::new(409, report)
             }
             DirectOutcome::Malformed => Reply::new(400, "{}"),
         }
     }
 
-    async fn report_for_ever(self, slot: Arc<Slot>) {
+    async fn report_loop(self, slot: Arc<Slot>) {
         let shared = self.shared.clone();
         let interval = shared.config.report_s;
-        let booting = slot.boots_until.saturating_sub(shared.observer.now());
-        tokio::time::sleep(booting).await;
-        let first = locked(&slot.worker).draw() * interval;
-        let mut due = shared.observer.now() + Duration::from_secs_f64(first);
+        let boot_remaining = slot.booted_at.saturating_sub(shared.observer.now());
+        tokio::time::sleep(boot_remaining).await;
+        let first_delay_s = lock(&slot.worker).random_fraction() * interval;
+        let mut due = shared.observer.now() + Duration::from_secs_f64(first_delay_s);
         let mut reporter = Reporter {
             controller: slot.number as usize % shared.controllers.len(),
             connection: None,
@@ -333,21 +335,21 @@
         let mut last_sent = None;
         loop {
             let now = shared.observer.now();
-            let wake = self.advance(&slot, now, &mut due, last_sent);
-            if *locked(&slot.state) != SlotState::Up {
+            let wake_at = self.advance(&slot, now, &mut due, last_sent);
+            if *lock(&slot.state) != SlotState::Up {
                 return;
             }
             if now < due {
-                let pause = wake.saturating_sub(now);
-                let _ = tokio::time::timeout(pause, slot.changed.notified()).await;
+                let delay = wake_at.saturating_sub(now);
+                let _ = tokio::time::timeout(delay, slot.changed.notified()).await;
                 continue;
             }
             last_sent = Some(now);
             let pause = self.report(&slot, &mut reporter).await;
-            let spread = 1.0 + REPORT_SPREAD * (2.0 * locked(&slot.worker).draw() - 1.0);
+            let jitter = 1.0 + REPORT_JITTER * (2.0 * lock(&slot.worker).random_fraction() - 1.0);
             due = match pause {
                 Some(pause) => shared.observer.now() + pause,
-                None => now + Duration::from_secs_f64(interval * spread),
+                None => now + Duration::from_secs_f64(interval * jitter),
             };
         }
     }
@@ -361,11 +363,11 @@
         due: &mut Duration,
         last_sent: Option<Duration>,
     ) -> Duration {
-        let mut worker = locked(&slot.worker);
+        let mut worker = lock(&slot.worker);
         worker.advance(now);
-        self.tell(&mut worker);
+        self.publish_events(&mut worker);
         if worker.take_changed() {
-            let earliest = last_sent.map_or(now, |sent| now.max(sent + REPORTS_APART));
+            let earliest = last_sent.map_or(now, |sent| now.max(sent + MIN_REPORT_INTERVAL));
             *due = (*due).min(earliest);
         }
         worker.next_due().min(*due)
@@ -376,50 +378,50 @@
         let shared = &self.shared;
         let counts = &shared.counts;
         let (text, sent) = {
-            let mut worker = locked(&slot.worker);
+            let mut worker = lock(&slot.worker);
             let report = worker.report(shared.observer.now());
             // The report includes all changes up to now.
             worker.take_changed();
-            self.tell(&mut worker);
+            self.publish_events(&mut worker);
             report
         };
-        count(&counts.reports);
+        increment(&counts.reports);
         let to = &shared.controllers[reporter.controller];
         let traffic = &shared.report_traffic;
         let connection = reporter
             .connection
             .get_or_insert_with(|| Connection::new(to.address, traffic.clone()));
         let body = Bytes::from(text);
-        let answer = connection
-            .call(Method::POST, "/checkin", body, ANSWER_WITHIN)
+        let response = connection
+            .call(Method::POST, "/checkin", body, REPORT_TIMEOUT)
             .await;
-        match answer {
+        match response {
             Some((200, body)) => {
-                count(&counts.answered_by[reporter.controller]);
-                self.take_answer(slot, sent, &body);
+                increment(&counts.answered_by[reporter.controller]);
+                self.handle_response(slot, sent, &body);
                 None
             }
             Some((421, body)) => {
-                count(&counts.redirects);
+                increment(&counts.redirects);
                 reporter.connection = None;
-                let draw = locked(&slot.worker).draw();
-                Some(reporter.redirected(&shared.controllers, &body, draw))
+                let fraction = lock(&slot.worker).random_fraction();
+                Some(reporter.follow_redirect(&shared.controllers, &body, fraction))
             }
             _ => {
-                count(&counts.reports_failed);
+                increment(&counts.reports_failed);
                 reporter.connection = None;
-                Some(reporter.next(&shared.controllers))
+                Some(reporter.switch_to_next(&shared.controllers))
             }
         }
     }
 
-    fn take_answer(&self, slot: &Slot, sent: SentReport, body: &[u8]) {
+    fn handle_response(&self, slot: &Slot, sent: SentReport, body: &[u8]) {
         let commands: Commands = serde_json::from_slice(body).unwrap_or_default();
-        let mut worker = locked(&slot.worker);
-        if !worker.answered(self.shared.observer.now(), sent, &commands) {
-            count(&self.shared.counts.answers_dropped);
+        let mut worker = lock(&slot.worker);
+        if !worker.handle_response(self.shared.observer.now(), sent, &commands) {
+            increment(&self.shared.counts.answers_dropped);
         }
-        self.tell(&mut worker);
+        self.publish_events(&mut worker);
     }
 }
 
@@ -430,22 +432,27 @@
 }
 
 impl Reporter {
-    fn next(&mut self, controllers: &[Controller]) -> Duration {
+    fn switch_to_next(&mut self, controllers: &[Controller]) -> Duration {
         self.controller = (self.controller + 1) % controllers.len();
-        NEXT_CONTROLLER_AFTER
+        NEXT_CONTROLLER_DELAY
     }
 
-    fn redirected(&mut self, controllers: &[Controller], body: &[u8], draw: f64) -> Duration {
-        let named = serde_json::from_slice::<Redirect>(body)
+    fn follow_redirect(
+        &mut self,
+        controllers: &[Controller],
+        body: &[u8],
+        fraction: f64,
+    ) -> Duration {
+        let target = serde_json::from_slice::<Redirect>(body)
             .ok()
             .and_then(|redirect| redirect.spotter)
             .and_then(|name| controllers.iter().position(|other| other.name == name));
-        match named {
+        match target {
             Some(other) if other != self.controller => {
                 self.controller = other;
-                Duration::from_secs_f64(draw * REDIRECT_MOST_S)
+                Duration::from_secs_f64(fraction * MAX_REDIRECT_DELAY_S)
             }
-            _ => self.next(controllers),
+            _ => self.switch_to_next(controllers),
         }
     }
 }
@@ -467,20 +474,20 @@
         }]
     }
 
-    fn list(&self, after: &str, most: usize) -> (Vec<Machine>, bool) {
+    fn list(&self, after: &str, limit: usize) -> (Vec<Machine>, bool) {
         let now = self.shared.observer.now();
-        let inner = self.read();
+        let inner = self.inner();
         let range = (Bound::Excluded(after), Bound::Unbounded);
         let mut slots = inner.by_name.range::<str, _>(range);
-        let machines = slots.by_ref().take(most).map(|(name, slot)| {
-            let attitude = match *locked(&slot.state) {
-                SlotState::Up if slot.boots_until > now => MachineState::Starting,
+        let machines = slots.by_ref().take(limit).map(|(name, slot)| {
+            let attitude = match *lock(&slot.state) {
+                SlotState::Up if slot.booted_at > now => MachineState::Starting,
                 SlotState::Up => MachineState::Running,
                 SlotState::Failed | SlotState::Gone => MachineState::Failed,
             };
             Machine {
                 uid: name.clone(),
-                endpoint: locked(&slot.worker).spec().endpoint,
+                endpoint: lock(&slot.worker).spec().endpoint,
                 frame: MACHINE_TYPE.to_owned(),
                 field: slot.zone.clone(),
                 gusts: false,
@@ -498,27 +505,28 @@
         if rental.frame != MACHINE_TYPE || rental.gusts || !zone_known {
             return Vec::new();
         }
-        let free = {
-            let inner = self.read();
+        let available = {
+            let inner = self.inner();
             let up = inner.by_name.values();
-            let up = up.filter(|slot| *locked(&slot.state) == SlotState::Up);
+            let up = up.filter(|slot| *lock(&slot.state) == SlotState::Up);
             self.shared.config.workers.saturating_sub(up.count())
         };
-        let rented = free.min(rental.how_many as usize);
-        let (least, most) = BOOT_TIMES;
+        let rented = available.min(rental.how_many as usize);
+        let (min_factor, max_factor) = BOOT_TIME_FACTORS;
         let numbers = 0..rented;
         let names = numbers.map(|number| {
             // Spread evenly over the range of boot times, which needs no random numbers.
-            let place = (number as f64 + 0.5) / rented as f64;
-            let boots = self.shared.config.boot_s * (least + (most - least) * place);
-            self.start_worker(&rental.field, Duration::from_secs_f64(boots))
+            let fraction = (number as f64 + 0.5) / rented as f64;
+            let boot_s =
+                self.shared.config.boot_s * (min_factor + (max_factor - min_factor) * fraction);
+            self.start_worker(&rental.field, Duration::from_secs_f64(boot_s))
         });
         names.collect()
     }
 
     fn release(&self, names: &[String]) {
         for name in names {
-            let slot = self.read().by_name.get(name).cloned();
+            let slot = self.inner().by_name.get(name).cloned();
             let Some(slot) = slot else { continue };
             self.stop(&slot, SlotState::Gone);
             let mut inner = self
@@ -527,7 +535,7 @@
                 .write()
                 .unwrap_or_else(PoisonError::into_inner);
             inner.by_name.remove(name);
-            let address = locked(&slot.worker).spec().endpoint.ip();
+            let address = lock(&slot.worker).spec().endpoint.ip();
             inner.by_address.remove(&address);
         }
     }
--- a/crates/scale-test/src/guard.rs
+++ b/crates/scale-test/src/guard.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 
 /// Maximum number of processes of one run.
-pub const PROCESSES_MOST: usize = 300;
+pub const MAX_PROCESSES: usize = 300;
 
 /// Upper bounds of the memory of a run, from runs of up to 4,000 workers.
 const BASE_KB: u64 = 300_000;
@@ -15,7 +15,7 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Refusal {
     /// The run would have too many processes.
-    #[error("the run needs {processes} processes; the maximum is {PROCESSES_MOST}")]
+    #[error("the run needs {processes} processes; the maximum is {MAX_PROCESSES}")]
     Processes {
         /// Number of processes.
         processes: usize,
@@ -56,7 +56,7 @@
     available_kb: Option<u64>,
 ) -> Result<(), Refusal> {
     let processes = config.controllers.count + 1;
-    if processes > PROCESSES_MOST {
+    if processes > MAX_PROCESSES {
         return Err(Refusal::Processes { processes });
     }
     let needed_kb = estimated_kb(config);
--- a/crates/scale-test/src/latency.rs
+++ b/crates/scale-test/src/latency.rs
@@ -5,8 +5,8 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-const MICROSECONDS_MOST: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+const MAX_MICROSECONDS: u64 = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Histogram of latencies.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 
 impl Default for Latencies {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, MICROSECONDS_MOST, DIGITS)
+        let histogram = Histogram::new_with_bounds(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
             .expect("the bounds are constants that fit");
         Self { histogram }
     }
@@ -40,7 +40,7 @@
 impl Latencies {
     /// Records a latency, capped at ten minutes.
     pub fn record(&mut self, latency: Duration) {
-        let micros = (latency.as_micros() as u64).clamp(1, MICROSECONDS_MOST);
+        let micros = (latency.as_micros() as u64).clamp(1, MAX_MICROSECONDS);
         self.histogram.saturating_record(micros);
     }
 
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -23,11 +23,11 @@
 #[command(name = "scale-test", version)]
 struct Cli {
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Debug, Subcommand)]
-enum Verb {
+enum Command {
     /// Run the cell that a file describes, once
     Run {
         file: PathBuf,
@@ -53,7 +53,7 @@
         results: Vec<PathBuf>,
         /// Quantity that the lines are fitted over
         #[arg(long, value_enum, default_value = "workers")]
-        by: By,
+        by: FitAxis,
         /// Also print the values of the lines there
         #[arg(long)]
         at: Option<f64>,
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
-enum By {
+enum FitAxis {
     Workers,
     Starts,
 }
@@ -78,27 +78,27 @@
         error: serde_json::Error,
     },
     #[error("sweep: `--workers` or `--starts-per-worker` is required")]
-    NothingToSweep,
+    MissingSweepValues,
     #[error(transparent)]
     Run(#[from] RunError),
     #[error("{0} rule violations or unexpected controller exits; see the result")]
-    Broken(usize),
+    RulesBroken(usize),
 }
 
 impl Failure {
     fn exit_code(&self) -> ExitCode {
         match self {
-            Self::Config { .. } | Self::NothingToSweep | Self::File { .. } => {
+            Self::Config { .. } | Self::MissingSweepValues | Self::File { .. } => {
                 ExitCode::from(EXIT_USAGE)
             }
-            Self::NotAResult { .. } | Self::Run(_) | Self::Broken(_) => ExitCode::FAILURE,
+            Self::NotAResult { .. } | Self::Run(_) | Self::RulesBroken(_) => ExitCode::FAILURE,
         }
     }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    match carry_out(cli.verb) {
+    match execute(cli.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("scale-test: {failure}");
@@ -107,14 +107,14 @@
     }
 }
 
-fn carry_out(verb: Verb) -> Result<(), Failure> {
-    match verb {
-        Verb::Run { file, out } => {
+fn execute(command: Command) -> Result<(), Failure> {
+    match command {
+        Command::Run { file, out } => {
             let config = load(&file)?;
             let name = config.name.clone();
             run_all(&[(name, config)], &out)
         }
-        Verb::Sweep {
+        Command::Sweep {
             file,
             workers,
             starts_per_worker,
@@ -124,14 +124,14 @@
             let runs = sweep(&file, &config, &workers, &starts_per_worker)?;
             run_all(&runs, &out)
         }
-        Verb::Report { results, by, at } => {
+        Command::Report { results, by, at } => {
             let results: Vec<RunResult> = results
                 .iter()
                 .map(|path| read_result(path))
                 .collect::<Result<_, _>>()?;
             let axis = match by {
-                By::Workers => Axis::Workers,
-                By::Starts => Axis::StartsPerSecond,
+                FitAxis::Workers => Axis::Workers,
+                FitAxis::Starts => Axis::StartsPerSecond,
             };
             print!("{}", report(&results, axis, at));
             Ok(())
@@ -147,7 +147,7 @@
     starts_per_worker: &[f64],
 ) -> Result<Vec<(String, Config)>, Failure> {
     if workers.is_empty() && starts_per_worker.is_empty() {
-        return Err(Failure::NothingToSweep);
+        return Err(Failure::MissingSweepValues);
     }
     let by_workers = workers.iter().map(|count| {
         let name = format!("{}-{count}-workers", config.name);
@@ -155,7 +155,7 @@
     });
     let by_starts = starts_per_worker.iter().map(|starts| {
         let name = format!("{}-{starts}-starts", config.name);
-        (name, config.with_starts(*starts))
+        (name, config.with_starts_per_worker(*starts))
     });
     let runs = by_workers.chain(by_starts).map(|(name, changed)| {
         let changed = changed.map_err(|error| Failure::Config {
@@ -168,7 +168,7 @@
 }
 
 fn run_all(runs: &[(String, Config)], out: &Path) -> Result<(), Failure> {
-    let mut broken = 0;
+    let mut violation_count = 0;
     for (name, config) in runs {
         // Each run has its own runtime, so that no task of one run continues in the next.
         let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -180,12 +180,12 @@
         runtime.shutdown_background();
         let result = result?;
         write_result(&out.join(format!("{name}.json")), &result)?;
-        broken += result.violations.len() + result.controllers_ended.len();
+        violation_count += result.violations.len() + result.controllers_ended.len();
         print!("{}", runs_table(&[&result]));
     }
-    match broken {
+    match violation_count {
         0 => Ok(()),
-        _ => Err(Failure::Broken(broken)),
+        _ => Err(Failure::RulesBroken(violation_count)),
     }
 }
 
--- a/crates/scale-test/src/observer.rs
+++ b/crates/scale-test/src/observer.rs
@@ -14,7 +14,7 @@
 
 /// Collector of the events of one run.
 pub struct Observer {
-    started: Instant,
+    started_at: Instant,
     inner: Mutex<Inner>,
 }
 
@@ -30,7 +30,7 @@
 
 /// Latencies of jobs and polls sent during the measurement.
 #[derive(Debug, Clone, Copy)]
-pub struct Observed {
+pub struct LatencyPercentiles {
     /// From submission to the first start of each task of an urgent job.
     pub urgent_starts: Percentiles,
     /// From submission to the first start of each task of another job.
@@ -53,14 +53,14 @@
             polls: Latencies::default(),
         };
         Arc::new(Self {
-            started: Instant::now(),
+            started_at: Instant::now(),
             inner: Mutex::new(inner),
         })
     }
 
     /// Returns the time since the start of the run, the origin of all times in it.
     pub fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
@@ -68,57 +68,57 @@
     }
 
     /// Sets the measurement window for the latencies.
-    pub fn measure(&self, from: Duration, until: Duration) {
+    pub fn set_window(&self, from: Duration, until: Duration) {
         self.inner().window = Some((from, until));
     }
 
     /// Records a job before its first submission, and returns the time.
-    pub fn submitted(&self, job: Arc<JobDescription>) -> Duration {
+    pub fn record_submission(&self, job: Arc<JobDescription>) -> Duration {
         let now = self.now();
-        self.inner().checks.submitted(job, now);
+        self.inner().checks.record_submission(job, now);
         now
     }
 
     /// Records that a job first submitted at `submitted` was accepted.
-    pub fn accepted(&self, id: &str, submitted: Duration) {
+    pub fn record_acceptance(&self, id: &str, submitted: Duration) {
         let latency = self.now().saturating_sub(submitted);
         let mut inner = self.inner();
-        inner.checks.accepted(id);
-        if inner.counts(submitted) {
+        inner.checks.record_acceptance(id);
+        if inner.in_window(submitted) {
             inner.submissions.record(latency);
         }
     }
 
     /// Records the state of a job that a user received.
-    pub fn told(&self, id: &str, state: JobState) {
-        self.inner().checks.told(id, state);
+    pub fn record_state(&self, id: &str, state: JobState) {
+        self.inner().checks.record_state(id, state);
     }
 
-    /// Records the response to a poll that was sent at `asked`.
-    pub fn polled(&self, asked: Duration) {
-        let latency = self.now().saturating_sub(asked);
+    /// Records the response to a poll that was sent at `sent`.
+    pub fn record_poll(&self, sent: Duration) {
+        let latency = self.now().saturating_sub(sent);
         let mut inner = self.inner();
-        if inner.counts(asked) {
+        if inner.in_window(sent) {
             inner.polls.record(latency);
         }
     }
 
     /// Records that a user's request for a job got 404.
-    pub fn not_found(&self, id: &str) {
-        self.inner().checks.not_found(id);
+    pub fn record_not_found(&self, id: &str) {
+        self.inner().checks.record_not_found(id);
     }
 
     /// Records events on a machine.
-    pub fn happened(&self, machine: &str, events: &[TaskEvent]) {
+    pub fn record_events(&self, machine: &str, events: &[TaskEvent]) {
         if events.is_empty() {
             return;
         }
         let mut inner = self.inner();
         for event in events {
-            let Some(first) = inner.checks.happened(machine, event) else {
+            let Some(first) = inner.checks.record_event(machine, event) else {
                 continue;
             };
-            if !inner.counts(first.submitted) {
+            if !inner.in_window(first.submitted) {
                 continue;
             }
             let latency = first.at.saturating_sub(first.submitted);
@@ -155,9 +155,9 @@
     }
 
     /// Returns the percentiles of the latencies.
-    pub fn observed(&self) -> Observed {
+    pub fn latencies(&self) -> LatencyPercentiles {
         let inner = self.inner();
-        Observed {
+        LatencyPercentiles {
             urgent_starts: inner.urgent_starts.percentiles(),
             other_starts: inner.other_starts.percentiles(),
             submissions: inner.submissions.percentiles(),
@@ -167,7 +167,7 @@
 }
 
 impl Inner {
-    fn counts(&self, at: Duration) -> bool {
+    fn in_window(&self, at: Duration) -> bool {
         self.window
             .is_some_and(|(from, until)| from <= at && at < until)
     }
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -20,7 +20,7 @@
 }
 
 impl Axis {
-    fn of(self, result: &RunResult) -> f64 {
+    fn value(self, result: &RunResult) -> f64 {
         match self {
             Self::Workers => result.config.fleet.workers as f64,
             Self::StartsPerSecond => result.tasks.starts_per_s,
@@ -40,117 +40,117 @@
     /// Title with unit.
     pub name: &'static str,
     /// Returns its value in a result.
-    pub of: fn(&RunResult) -> f64,
+    pub value: fn(&RunResult) -> f64,
 }
 
 const MEASURES: &[Measure] = &[
     Measure {
         name: "starts a second",
-        of: |r| r.tasks.starts_per_s,
+        value: |r| r.tasks.starts_per_s,
     },
     Measure {
         name: "tasks running",
-        of: |r| r.tasks.running as f64,
+        value: |r| r.tasks.running as f64,
     },
     Measure {
         name: "leader: cores",
-        of: |r| r.leader.cores,
+        value: |r| r.leader.cores,
     },
     Measure {
         name: "leader: peak memory, MB",
-        of: |r| r.leader.peak_resident_mb,
+        value: |r| r.leader.peak_resident_mb,
     },
     Measure {
         name: "leader: sockets",
-        of: |r| r.leader.sockets,
+        value: |r| r.leader.sockets,
     },
     Measure {
         name: "other controller: cores",
-        of: |r| r.followers.map_or(f64::NAN, |f| f.cores),
+        value: |r| r.followers.map_or(f64::NAN, |f| f.cores),
     },
     Measure {
         name: "other controller: peak memory, MB",
-        of: |r| r.followers.map_or(f64::NAN, |f| f.peak_resident_mb),
+        value: |r| r.followers.map_or(f64::NAN, |f| f.peak_resident_mb),
     },
     Measure {
         name: "other controller: sockets",
-        of: |r| r.followers.map_or(f64::NAN, |f| f.sockets),
+        value: |r| r.followers.map_or(f64::NAN, |f| f.sockets),
     },
     Measure {
         name: "state: requests a second",
-        of: |r| r.state.requests_per_s,
+        value: |r| r.state.requests_per_s,
     },
     Measure {
         name: "state: changes a second",
-        of: |r| r.state.changes_per_s,
+        value: |r| r.state.changes_per_s,
     },
     Measure {
         name: "state: bytes in a second",
-        of: |r| r.state.bytes_received_per_s,
+        value: |r| r.state.bytes_received_per_s,
     },
     Measure {
         name: "state: bytes out a second",
-        of: |r| r.state.bytes_sent_per_s,
+        value: |r| r.state.bytes_sent_per_s,
     },
     Measure {
         name: "state: keys at the end",
-        of: |r| r.state.keys as f64,
+        value: |r| r.state.keys as f64,
     },
     Measure {
         name: "state: bytes stored at the end",
-        of: |r| r.state.bytes as f64,
+        value: |r| r.state.bytes as f64,
     },
     Measure {
         name: "state: bytes of the largest value",
-        of: |r| r.state.largest_value as f64,
+        value: |r| r.state.largest_value as f64,
     },
     Measure {
         name: "cloud: requests a second",
-        of: |r| r.cloud.requests_per_s,
+        value: |r| r.cloud.requests_per_s,
     },
     Measure {
         name: "cloud: bytes a second",
-        of: |r| r.cloud.bytes_per_s,
+        value: |r| r.cloud.bytes_per_s,
     },
     Measure {
         name: "reports a second",
-        of: |r| r.workers.reports_per_s,
+        value: |r| r.workers.reports_per_s,
     },
     Measure {
         name: "direct commands a second",
-        of: |r| r.workers.direct_commands_per_s,
+        value: |r| r.workers.direct_commands_per_s,
     },
     Measure {
         name: "all workers: bytes a second",
-        of: |r| r.workers.bytes_per_s,
+        value: |r| r.workers.bytes_per_s,
     },
     Measure {
         name: "a worker: bytes sent a second",
-        of: |r| r.workers.bytes_sent_per_worker_s,
+        value: |r| r.workers.bytes_sent_per_worker_s,
     },
     Measure {
         name: "a worker: bytes received a second",
-        of: |r| r.workers.bytes_received_per_worker_s,
+        value: |r| r.workers.bytes_received_per_worker_s,
     },
     Measure {
         name: "users: submissions a second",
-        of: |r| r.users.submissions_per_s,
+        value: |r| r.users.submissions_per_s,
     },
     Measure {
         name: "users: polls a second",
-        of: |r| r.users.polls_per_s,
+        value: |r| r.users.polls_per_s,
     },
     Measure {
         name: "users: bytes a second",
-        of: |r| r.users.bytes_per_s,
+        value: |r| r.users.bytes_per_s,
     },
     Measure {
         name: "harness: cores",
-        of: |r| r.harness.cores,
+        value: |r| r.harness.cores,
     },
     Measure {
         name: "harness: peak memory, MB",
-        of: |r| r.harness.peak_resident_mb,
+        value: |r| r.harness.peak_resident_mb,
     },
 ];
 
@@ -158,7 +158,7 @@
 /// value of each line there.
 pub fn report(results: &[RunResult], axis: Axis, target: Option<f64>) -> String {
     let mut sorted: Vec<&RunResult> = results.iter().collect();
-    sorted.sort_by(|one, other| axis.of(one).total_cmp(&axis.of(other)));
+    sorted.sort_by(|one, other| axis.value(one).total_cmp(&axis.value(other)));
     let mut text = runs_table(&sorted);
     text.push('\n');
     text.push_str(&slopes_table(&sorted, axis, target));
@@ -217,8 +217,8 @@
         let points: Vec<Point> = results
             .iter()
             .map(|result| Point {
-                x: axis.of(result),
-                y: (measure.of)(result),
+                x: axis.value(result),
+                y: (measure.value)(result),
             })
             .filter(|point| point.y.is_finite())
             .collect();
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -18,21 +18,21 @@
 
 use crate::{
     config::{Config, Fault},
-    controllers::{Addresses, Controllers, Services, free_addresses, name},
+    controllers::{Addresses, Controllers, Services, controller_name, free_addresses},
     fleet::{Controller, Fleet},
     guard::{self, Refusal},
     jobs::Jobs,
     observer::Observer,
     procfs,
     result::{RunResult, TasksResult, UsersResult},
-    snapshot::{FleetNumbers, Snapshot, UserNumbers, Window, process_result},
+    snapshot::{FleetSnapshot, Snapshot, UserSnapshot, Window, process_result},
     users::Users,
 };
 
 /// Time within which a controller must be ready.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const READY_AGAIN: Duration = Duration::from_millis(100);
-const ROUND: Duration = Duration::from_millis(200);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Reason for which a run has no result.
 #[derive(Debug, thiserror::Error)]
@@ -44,7 +44,7 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// No controller became ready in time.
-    #[error("no controller was ready within {} s; see the logs in {directory}", READY_WITHIN.as_secs())]
+    #[error("no controller was ready within {} s; see the logs in {directory}", READY_TIMEOUT.as_secs())]
     NotReady {
         /// Directory of the controllers' logs.
         directory: String,
@@ -64,7 +64,7 @@
     state: StateService,
     cloud: CloudService,
     users: Users,
-    ended: Vec<usize>,
+    exited: Vec<usize>,
 }
 
 /// Runs the cell; writes settings and logs of the controllers to the directory.
@@ -72,10 +72,10 @@
     let total = procfs::machine_memory_kb();
     guard::check(config, total, procfs::available_memory_kb())?;
     std::fs::create_dir_all(directory)?;
-    let load_before = procfs::load_average().unwrap_or(0.0);
+    let load_average_before = procfs::load_average().unwrap_or(0.0);
     let mut cell = Cell::start(config, directory).await?;
     tokio::select! {
-        result = cell.measure(load_before) => Ok(result),
+        result = cell.measure(load_average_before) => Ok(result),
         _ = tokio::signal::ctrl_c() => Err(RunError::Stopped),
     }
 }
@@ -85,14 +85,17 @@
         let jobs = Arc::new(Jobs::default());
         let observer = Observer::new(config.team_limit_cpus());
         let addresses = free_addresses(config.controllers.count)?;
-        let named = addresses.iter().enumerate().map(|(index, own)| Controller {
-            name: name(index),
-            address: own.api,
-        });
+        let report_targets = addresses
+            .iter()
+            .enumerate()
+            .map(|(index, controller)| Controller {
+                name: controller_name(index),
+                address: controller.api,
+            });
         let fleet = Fleet::start(
             &config.fleet,
             config.seed,
-            named.collect(),
+            report_targets.collect(),
             jobs.clone(),
             observer.clone(),
         )?;
@@ -104,8 +107,9 @@
             cloud: cloud_address,
         };
         let controllers = Controllers::start(config, directory, &addresses, services)?;
-        let fronts: Vec<SocketAddr> = addresses.iter().map(|own| own.api).collect();
-        let users = Users::new(config, &fronts, jobs, observer.clone());
+        let api_addresses: Vec<SocketAddr> =
+            addresses.iter().map(|controller| controller.api).collect();
+        let users = Users::new(config, &api_addresses, jobs, observer.clone());
         let cell = Self {
             config: config.clone(),
             controllers,
@@ -115,10 +119,10 @@
             state,
             cloud,
             users,
-            ended: Vec::new(),
+            exited: Vec::new(),
         };
         cell.fleet.start_workers(config.fleet.workers);
-        match cell.ready().await {
+        match cell.wait_until_ready().await {
             true => Ok(cell),
             false => Err(RunError::NotReady {
                 directory: directory.display().to_string(),
@@ -127,48 +131,49 @@
     }
 
     /// Waits until a controller is ready; returns false on timeout.
-    async fn ready(&self) -> bool {
-        let until = self.observer.now() + READY_WITHIN;
+    async fn wait_until_ready(&self) -> bool {
+        let until = self.observer.now() + READY_TIMEOUT;
         let traffic: Arc<Traffic> = Arc::default();
         while self.observer.now() < until {
-            for own in &self.addresses {
-                let mut connection = Connection::new(own.api, traffic.clone());
-                let asked = connection.call(Method::GET, "/ready", Bytes::new(), READY_AGAIN);
-                if matches!(asked.await, Some((200, _))) {
+            for controller in &self.addresses {
+                let mut connection = Connection::new(controller.api, traffic.clone());
+                let response =
+                    connection.call(Method::GET, "/ready", Bytes::new(), READY_POLL_INTERVAL);
+                if matches!(response.await, Some((200, _))) {
                     return true;
                 }
             }
-            tokio::time::sleep(READY_AGAIN).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         false
     }
 
-    async fn measure(&mut self, load_before: f64) -> RunResult {
-        let begins = self.observer.now();
-        let from = begins + Duration::from_secs_f64(self.config.duration.warmup_s);
+    async fn measure(&mut self, load_average_before: f64) -> RunResult {
+        let start_time = self.observer.now();
+        let from = start_time + Duration::from_secs_f64(self.config.duration.warmup_s);
         let until = from + Duration::from_secs_f64(self.config.duration.measured_s);
-        self.observer.measure(from, until);
+        self.observer.set_window(from, until);
         let users = self.users.clone();
-        let submitting = tokio::spawn(async move { users.submit_until(until).await });
-        self.play_faults(begins, from).await;
+        let submission_task = tokio::spawn(async move { users.submit_until(until).await });
+        self.inject_faults(start_time, from).await;
         let first = self.snapshot();
-        self.play_faults(begins, until).await;
+        self.inject_faults(start_time, until).await;
         let last = self.snapshot();
-        submitting.abort();
-        let drained = until + Duration::from_secs_f64(self.config.duration.drain_s);
-        self.drain(drained).await;
-        self.result(&first, &last, load_before)
+        submission_task.abort();
+        let drain_until = until + Duration::from_secs_f64(self.config.duration.drain_s);
+        self.drain(drain_until).await;
+        self.result(&first, &last, load_average_before)
     }
 
     /// Injects the faults that are due until a time, and restarts killed controllers.
-    async fn play_faults(&mut self, begins: Duration, until: Duration) {
+    async fn inject_faults(&mut self, start_time: Duration, until: Duration) {
         let mut restarts: Vec<(Duration, usize)> = Vec::new();
         let restart_after = Duration::from_secs_f64(self.config.controllers.restart_s);
         loop {
             let now = self.observer.now();
             let mut due = Vec::new();
             self.config.faults.retain(|fault| {
-                let is_due = begins + fault.at() <= now;
+                let is_due = start_time + fault.at() <= now;
                 if is_due {
                     due.push(fault.clone());
                 }
@@ -177,7 +182,7 @@
             for fault in due {
                 match fault {
                     Fault::ControllerRestart { controller, .. } => {
-                        self.controllers.end_one(controller);
+                        self.controllers.kill_process(controller);
                         restarts.push((now + restart_after, controller));
                     }
                     Fault::MachinesFail { count, .. } => self.fleet.fail_machines(count),
@@ -185,16 +190,16 @@
             }
             for (_, controller) in restarts.extract_if(.., |(at, _)| *at <= now) {
                 // A controller that can't be restarted counts as ended.
-                if self.controllers.start_one(controller).is_err() {
-                    self.ended.push(controller);
+                if self.controllers.start_process(controller).is_err() {
+                    self.exited.push(controller);
                 }
             }
             if now >= until && restarts.is_empty() {
                 return;
             }
             let pause = match now < until {
-                true => (until - now).min(ROUND),
-                false => ROUND,
+                true => (until - now).min(CHECK_INTERVAL),
+                false => CHECK_INTERVAL,
             };
             tokio::time::sleep(pause).await;
         }
@@ -207,12 +212,12 @@
             if counts.done == counts.accepted {
                 return;
             }
-            tokio::time::sleep(ROUND).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
     fn snapshot(&mut self) -> Snapshot {
-        self.ended.extend(self.controllers.ended());
+        self.exited.extend(self.controllers.exited());
         let fleet = self.fleet.counts();
         let users = self.users.counts();
         let traffic = |pick: fn(&Traffic) -> u64| {
@@ -231,7 +236,7 @@
             state: self.state.counts(),
             stored: self.state.size(),
             cloud: self.cloud.counts(),
-            fleet: FleetNumbers {
+            fleet: FleetSnapshot {
                 reports: fleet.reports.load(Ordering::Relaxed),
                 redirects: fleet.redirects.load(Ordering::Relaxed),
                 reports_failed: fleet.reports_failed.load(Ordering::Relaxed),
@@ -241,7 +246,7 @@
                 sent: traffic(Traffic::sent),
                 received: traffic(Traffic::received),
             },
-            users: UserNumbers {
+            users: UserSnapshot {
                 submissions: users.submissions.load(Ordering::Relaxed),
                 polls: users.polls.load(Ordering::Relaxed),
                 retries: users.retries.load(Ordering::Relaxed),
@@ -254,30 +259,30 @@
         }
     }
 
-    fn result(&self, first: &Snapshot, last: &Snapshot, load_before: f64) -> RunResult {
+    fn result(&self, first: &Snapshot, last: &Snapshot, load_average_before: f64) -> RunResult {
         let window = Window {
             first,
             last,
             seconds: (last.at - first.at).as_secs_f64(),
         };
         let leader = window.leader();
-        let observed = self.observer.observed();
+        let latencies = self.observer.latencies();
         let workers = self.config.fleet.workers as f64;
         let load = &self.config.load;
         RunResult {
             measured_s: window.seconds,
-            load_average_before: load_before,
+            load_average_before,
             load_average_after: procfs::load_average().unwrap_or(0.0),
             leader: window.controller(leader),
             followers: window.followers(leader),
-            controllers_ended: self.ended.clone(),
+            controllers_ended: self.exited.clone(),
             state: window.state(),
             cloud: window.cloud(),
             workers: window.workers(workers),
             users: UsersResult {
                 not_accepted: self.users.counts().not_accepted.load(Ordering::Relaxed),
-                submit_latency: observed.submissions,
-                poll_latency: observed.polls,
+                submit_latency: latencies.submissions,
+                poll_latency: latencies.polls,
                 ..window.users()
             },
             tasks: TasksResult {
@@ -285,8 +290,8 @@
                 starts_per_s: window.rate(|at| at.starts),
                 completed_per_s: window.rate(|at| at.completed),
                 running: last.running,
-                urgent_start: observed.urgent_starts,
-                other_start: observed.other_starts,
+                urgent_start: latencies.urgent_starts,
+                other_start: latencies.other_starts,
             },
             harness: process_result(Some(&first.harness), Some(&last.harness), window.seconds),
             jobs: self.observer.job_counts(),
--- a/crates/scale-test/src/snapshot.rs
+++ b/crates/scale-test/src/snapshot.rs
@@ -29,9 +29,9 @@
     /// Counters of the cloud.
     pub cloud: CloudCounts,
     /// Counters of the workers.
-    pub fleet: FleetNumbers,
+    pub fleet: FleetSnapshot,
     /// Counters of the users.
-    pub users: UserNumbers,
+    pub users: UserSnapshot,
     /// Number of task starts, repeated ones included.
     pub starts: u64,
     /// Number of completed tasks.
@@ -41,7 +41,7 @@
 }
 
 /// Counters of the workers at one moment.
-pub struct FleetNumbers {
+pub struct FleetSnapshot {
     /// Reports that were sent.
     pub reports: u64,
     /// Reports answered with 421.
@@ -61,7 +61,7 @@
 }
 
 /// Counters of the users at one moment.
-pub struct UserNumbers {
+pub struct UserSnapshot {
     /// Jobs submitted for the first time.
     pub submissions: u64,
     /// Polls.
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -27,17 +27,17 @@
 };
 
 /// Times fixed by the protocol.
-const SUBMIT_WITHIN: Duration = Duration::from_secs(5);
-const SUBMIT_AGAIN: Duration = Duration::from_secs(1);
-const SUBMIT_FOR: Duration = Duration::from_secs(60);
-const POLL_EVERY_S: f64 = 5.0;
-const POLL_WITHIN: Duration = Duration::from_secs(2);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+const SUBMIT_RETRY_DELAY: Duration = Duration::from_secs(1);
+const SUBMIT_RETRY_TIME: Duration = Duration::from_secs(60);
+const POLL_INTERVAL_S: f64 = 5.0;
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Relative jitter of the poll interval, which keeps users from polling in step.
-const POLL_SPREAD: f64 = 0.2;
+const POLL_JITTER: f64 = 0.2;
 
 const TASK_CPUS: f64 = 1.0;
 const TASK_MEM_GB: f64 = 1.0;
-const TASKS_MOST: u64 = 10_000;
+const MAX_TASKS: u64 = 10_000;
 /// Distinguishes the random sequence of urgent jobs from that of the others.
 const URGENT_SEED: u64 = 0x5eed;
 
@@ -64,7 +64,7 @@
 
 struct Shared {
     config: Config,
-    fronts: Vec<Front>,
+    pools: Vec<ConnectionPool>,
     jobs: Arc<Jobs>,
     observer: Arc<Observer>,
     counts: UserCounts,
@@ -73,7 +73,7 @@
 }
 
 /// Pool of idle connections to one controller.
-struct Front {
+struct ConnectionPool {
     address: SocketAddr,
     idle: Mutex<Vec<Connection>>,
 }
@@ -85,11 +85,11 @@
 }
 
 #[derive(Deserialize)]
-struct JobAnswer {
+struct JobResponse {
     attitude: JobState,
 }
 
-fn count(counter: &AtomicU64) {
+fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
@@ -101,14 +101,14 @@
         jobs: Arc<Jobs>,
         observer: Arc<Observer>,
     ) -> Self {
-        let fronts = controllers.iter().map(|address| Front {
+        let pools = controllers.iter().map(|address| ConnectionPool {
             address: *address,
             idle: Mutex::default(),
         });
         Self {
             shared: Arc::new(Shared {
                 config: config.clone(),
-                fronts: fronts.collect(),
+                pools: pools.collect(),
                 jobs,
                 observer,
                 counts: UserCounts::default(),
@@ -148,7 +148,7 @@
         let observer = &self.shared.observer;
         let mut at = observer.now();
         loop {
-            let rate = jobs_per_s * times_at(&self.shared.config.load, at);
+            let rate = jobs_per_s * arrival_factor(&self.shared.config.load, at);
             let Ok(gaps) = Exp::new(rate) else { return };
             let gap: f64 = gaps.sample(&mut random);
             match Duration::try_from_secs_f64(gap) {
@@ -158,7 +158,7 @@
             tokio::time::sleep(at.saturating_sub(observer.now())).await;
             let job = self.draw_job(kind, &mut random);
             let seed = random.random();
-            tokio::spawn(self.clone().follow(job, SmallRng::seed_from_u64(seed)));
+            tokio::spawn(self.clone().run_job(job, SmallRng::seed_from_u64(seed)));
         }
     }
 
@@ -189,15 +189,15 @@
         }
     }
 
-    async fn follow(self, job: JobDescription, mut random: SmallRng) {
+    async fn run_job(self, job: JobDescription, mut random: SmallRng) {
         let shared = &self.shared;
         let text = submission(&job);
         let id = job.id.clone();
         let job = shared.jobs.upload(job);
-        let submitted = shared.observer.submitted(job);
-        count(&shared.counts.submissions);
+        let submitted = shared.observer.record_submission(job);
+        increment(&shared.counts.submissions);
         if !self.submit(&id, &text, submitted, &mut random).await {
-            count(&shared.counts.not_accepted);
+            increment(&shared.counts.not_accepted);
             return;
         }
         self.poll_until_done(&id, &mut random).await;
@@ -213,25 +213,25 @@
         let shared = &self.shared;
         loop {
             let body = Bytes::from(text.to_owned());
-            let answer = self
-                .ask(Method::POST, "/work", body, SUBMIT_WITHIN, random)
+            let response = self
+                .request(Method::POST, "/work", body, SUBMIT_TIMEOUT, random)
                 .await;
-            match answer {
+            match response {
                 Some((200 | 201, body)) => {
-                    shared.observer.accepted(id, submitted);
-                    if let Ok(answer) = serde_json::from_slice::<JobAnswer>(&body) {
-                        shared.observer.told(id, answer.attitude);
+                    shared.observer.record_acceptance(id, submitted);
+                    if let Ok(response) = serde_json::from_slice::<JobResponse>(&body) {
+                        shared.observer.record_state(id, response.attitude);
                     }
                     return true;
                 }
                 Some((400 | 422, _)) => return false,
                 _ => {}
             }
-            if shared.observer.now() > submitted + SUBMIT_FOR {
+            if shared.observer.now() > submitted + SUBMIT_RETRY_TIME {
                 return false;
             }
-            count(&shared.counts.retries);
-            tokio::time::sleep(SUBMIT_AGAIN).await;
+            increment(&shared.counts.retries);
+            tokio::time::sleep(SUBMIT_RETRY_DELAY).await;
         }
     }
 
@@ -239,32 +239,32 @@
         let shared = &self.shared;
         let path = format!("/work/{id}");
         loop {
-            let spread = 1.0 + POLL_SPREAD * (2.0 * random.random::<f64>() - 1.0);
-            tokio::time::sleep(Duration::from_secs_f64(POLL_EVERY_S * spread)).await;
-            let asked = shared.observer.now();
-            count(&shared.counts.polls);
-            let answer = self
-                .ask(Method::GET, &path, Bytes::new(), POLL_WITHIN, random)
+            let jitter = 1.0 + POLL_JITTER * (2.0 * random.random::<f64>() - 1.0);
+            tokio::time::sleep(Duration::from_secs_f64(POLL_INTERVAL_S * jitter)).await;
+            let sent = shared.observer.now();
+            increment(&shared.counts.polls);
+            let response = self
+                .request(Method::GET, &path, Bytes::new(), POLL_TIMEOUT, random)
                 .await;
-            match answer {
+            match response {
                 Some((200, body)) => {
-                    shared.observer.polled(asked);
-                    let Ok(answer) = serde_json::from_slice::<JobAnswer>(&body) else {
+                    shared.observer.record_poll(sent);
+                    let Ok(response) = serde_json::from_slice::<JobResponse>(&body) else {
                         continue;
                     };
-                    shared.observer.told(id, answer.attitude);
-                    if answer.attitude == JobState::Done {
+                    shared.observer.record_state(id, response.attitude);
+                    if response.attitude == JobState::Done {
                         return;
                     }
                 }
-                Some((404, _)) => shared.observer.not_found(id),
-                _ => count(&shared.counts.polls_failed),
+                Some((404, _)) => shared.observer.record_not_found(id),
+                _ => increment(&shared.counts.polls_failed),
             }
         }
     }
 
     /// Sends a request to a random controller, over an idle connection if there is one.
-    async fn ask(
+    async fn request(
         &self,
         method: Method,
         path: &str,
@@ -272,25 +272,25 @@
         timeout: Duration,
         random: &mut SmallRng,
     ) -> Option<(u16, Bytes)> {
-        let fronts = &self.shared.fronts;
-        let front = &fronts[random.random_range(0..fronts.len())];
-        let idle = {
-            let mut idle = front.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let pools = &self.shared.pools;
+        let pool = &pools[random.random_range(0..pools.len())];
+        let connection = {
+            let mut idle = pool.idle.lock().unwrap_or_else(PoisonError::into_inner);
             idle.pop()
         };
-        let mut connection =
-            idle.unwrap_or_else(|| Connection::new(front.address, self.shared.traffic.clone()));
-        let answer = connection.call(method, path, body, timeout).await;
-        if answer.is_some() {
-            let mut idle = front.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut connection = connection
+            .unwrap_or_else(|| Connection::new(pool.address, self.shared.traffic.clone()));
+        let response = connection.call(method, path, body, timeout).await;
+        if response.is_some() {
+            let mut idle = pool.idle.lock().unwrap_or_else(PoisonError::into_inner);
             idle.push(connection);
         }
-        answer
+        response
     }
 }
 
 /// Returns the factor of the arrival rate at a time.
-pub fn times_at(load: &LoadConfig, at: Duration) -> f64 {
+pub fn arrival_factor(load: &LoadConfig, at: Duration) -> f64 {
     let at = at.as_secs_f64();
     match &load.peak {
         Some(peak) if peak.at_s <= at && at < peak.at_s + peak.for_s => peak.times,
@@ -300,11 +300,11 @@
 
 fn draw_tasks(load: &LoadConfig, random: &mut SmallRng) -> u32 {
     // The number of failures before the first success has the mean 1/p - 1.
-    let more = match Geometric::new(1.0 / load.tasks_per_job) {
+    let failures = match Geometric::new(1.0 / load.tasks_per_job) {
         Ok(distribution) => distribution.sample(random),
         Err(_) => 0,
     };
-    (more + 1).min(TASKS_MOST) as u32
+    (failures + 1).min(MAX_TASKS) as u32
 }
 
 fn submission(job: &JobDescription) -> String {
--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -14,7 +14,7 @@
 use crate::jobs::{JobDescription, Jobs, TaskName};
 
 /// Relative jitter of the time of an image download, in both directions.
-const FETCH_SPREAD: f64 = 1.0 / 3.0;
+const FETCH_JITTER: f64 = 1.0 / 3.0;
 /// Tolerance for rounding errors in sums.
 const EPSILON: f64 = 1e-9;
 
@@ -47,7 +47,7 @@
     /// Time at which the event was due.
     pub at: Duration,
     /// Change of the task.
-    pub what: TaskChange,
+    pub change: TaskChange,
 }
 
 /// Change of a task on a machine.
@@ -56,7 +56,7 @@
     /// The task has its image and runs on the machine.
     Started,
     /// The task is no longer on the machine.
-    Left {
+    Ended {
         /// Whether it completed, as opposed to being stopped or refused.
         completed: bool,
     },
@@ -93,7 +93,7 @@
 }
 
 impl HollowTask {
-    fn takes_room(&self) -> bool {
+    fn uses_capacity(&self) -> bool {
         !matches!(self.phase, Phase::Exited(_))
     }
 }
@@ -190,9 +190,9 @@
     seq: u64,
     token: u64,
     /// Start of the lease: the last answered report was sent, or the session began.
-    lease_from: Duration,
+    lease_start: Duration,
     /// Time at which a higher token last caused a report.
-    token_told: Option<Duration>,
+    token_reported_at: Option<Duration>,
     tasks: BTreeMap<(TaskName, u64), HollowTask>,
     /// Time at which each image is on the machine; the cache holds all images.
     images: HashMap<String, Duration>,
@@ -210,8 +210,8 @@
             session: 1,
             seq: 0,
             token: 0,
-            lease_from: now,
-            token_told: None,
+            lease_start: now,
+            token_reported_at: None,
             tasks: BTreeMap::new(),
             images: HashMap::new(),
             changed: false,
@@ -225,7 +225,7 @@
     }
 
     /// Draws a number between 0 and 1 from the worker's own random sequence.
-    pub fn draw(&mut self) -> f64 {
+    pub fn random_fraction(&mut self) -> f64 {
         self.random.random()
     }
 
@@ -245,20 +245,20 @@
             Phase::Fetching { until } | Phase::Running { until } => Some(until),
             Phase::Exited(_) => None,
         });
-        phases.fold(self.lease_ends(), Duration::min)
+        phases.fold(self.lease_end(), Duration::min)
     }
 
-    fn lease_ends(&self) -> Duration {
-        self.lease_from + self.spec.lease
+    fn lease_end(&self) -> Duration {
+        self.lease_start + self.spec.lease
     }
 
     /// Applies all changes that are due by now.
     pub fn advance(&mut self, now: Duration) {
-        let until = now.min(self.lease_ends());
+        let until = now.min(self.lease_end());
         self.advance_tasks(until);
-        if now > self.lease_ends() {
+        if now > self.lease_end() {
             self.end_session();
-            self.lease_from = now;
+            self.lease_start = now;
         }
     }
 
@@ -285,7 +285,7 @@
             self.events.push(TaskEvent {
                 task: key.0.clone(),
                 at: until,
-                what: TaskChange::Started,
+                change: TaskChange::Started,
             });
         }
         if let Phase::Running { until } = task.phase
@@ -297,14 +297,14 @@
             self.events.push(TaskEvent {
                 task: key.0.clone(),
                 at: until,
-                what: TaskChange::Left { completed: true },
+                change: TaskChange::Ended { completed: true },
             });
         }
     }
 
     /// Kills and forgets every task, and begins the next session.
     fn end_session(&mut self) {
-        let at = self.lease_ends();
+        let at = self.lease_end();
         self.drop_tasks(at);
         self.session += 1;
         self.changed = true;
@@ -316,7 +316,7 @@
                 self.events.push(TaskEvent {
                     task: name,
                     at,
-                    what: TaskChange::Left { completed: false },
+                    change: TaskChange::Ended { completed: false },
                 });
             }
         }
@@ -366,20 +366,25 @@
     }
 
     /// Handles a response of 200 to a report; returns false if it had to be dropped.
-    pub fn answered(&mut self, now: Duration, sent: SentReport, commands: &Commands) -> bool {
+    pub fn handle_response(
+        &mut self,
+        now: Duration,
+        sent: SentReport,
+        commands: &Commands,
+    ) -> bool {
         self.advance(now);
         let token = commands.handle.unwrap_or(0);
         if sent.session != self.session || token < self.token || commands.handle.is_none() {
             return false;
         }
         self.raise_token(now, token);
-        self.lease_from = self.lease_from.max(sent.at);
+        self.lease_start = self.lease_start.max(sent.at);
         self.execute(now, commands);
         true
     }
 
     /// Handles direct commands; the response is a report in any case.
-    pub fn direct(&mut self, now: Duration, commands: &Commands) -> DirectOutcome {
+    pub fn handle_direct(&mut self, now: Duration, commands: &Commands) -> DirectOutcome {
         self.advance(now);
         let (Some(token), Some(session)) = (commands.handle, commands.launch) else {
             return DirectOutcome::Malformed;
@@ -397,9 +402,12 @@
             return;
         }
         self.token = token;
-        let pause = self.spec.lease / 2;
-        if self.token_told.is_none_or(|told| now >= told + pause) {
-            self.token_told = Some(now);
+        let min_interval = self.spec.lease / 2;
+        if self
+            .token_reported_at
+            .is_none_or(|at| now >= at + min_interval)
+        {
+            self.token_reported_at = Some(now);
             self.changed = true;
         }
     }
@@ -425,13 +433,13 @@
         let in_use = self
             .tasks
             .iter()
-            .any(|((name, _), task)| *name == command.task && task.takes_room());
+            .any(|((name, _), task)| *name == command.task && task.uses_capacity());
         let phase = match &job {
             None => Phase::Exited(ExitReason::NoSuch),
             Some(_) if in_use => Phase::Exited(ExitReason::InUse),
-            Some(job) if !self.has_room(job) => Phase::Exited(ExitReason::NoRoom),
+            Some(job) if !self.has_capacity(job) => Phase::Exited(ExitReason::NoRoom),
             Some(job) => {
-                let until = self.image_ready(now, job);
+                let until = self.image_ready_at(now, job);
                 Phase::Fetching { until }
             }
         };
@@ -447,9 +455,9 @@
         self.changed = true;
     }
 
-    fn has_room(&self, job: &JobDescription) -> bool {
+    fn has_capacity(&self, job: &JobDescription) -> bool {
         let (mut cpus, mut mem_gb) = (job.cpus, job.mem_gb);
-        for task in self.tasks.values().filter(|task| task.takes_room()) {
+        for task in self.tasks.values().filter(|task| task.uses_capacity()) {
             if let Some(job) = &task.job {
                 cpus += job.cpus;
                 mem_gb += job.mem_gb;
@@ -459,13 +467,13 @@
     }
 
     /// Returns the time at which the job's image is on the machine; starts its download if needed.
-    fn image_ready(&mut self, now: Duration, job: &JobDescription) -> Duration {
+    fn image_ready_at(&mut self, now: Duration, job: &JobDescription) -> Duration {
         if let Some(ready) = self.images.get(&job.image) {
             return now.max(*ready);
         }
         let nominal = job.image_gb / self.spec.fetch_gb_per_s;
-        let spread = 1.0 + FETCH_SPREAD * (2.0 * self.draw() - 1.0);
-        let ready = now + Duration::from_secs_f64(nominal * spread);
+        let jitter = 1.0 + FETCH_JITTER * (2.0 * self.random_fraction() - 1.0);
+        let ready = now + Duration::from_secs_f64(nominal * jitter);
         self.images.insert(job.image.clone(), ready);
         ready
     }
@@ -475,14 +483,14 @@
         let Some(task) = self.tasks.get_mut(&key) else {
             return;
         };
-        if !task.takes_room() {
+        if !task.uses_capacity() {
             return;
         }
         if matches!(task.phase, Phase::Running { .. }) {
             self.events.push(TaskEvent {
                 task: key.0,
                 at: now,
-                what: TaskChange::Left { completed: false },
+                change: TaskChange::Ended { completed: false },
             });
         }
         task.phase = Phase::Exited(ExitReason::Halted);
@@ -491,7 +499,10 @@
 
     fn reap(&mut self, command: &Command) {
         let key = (command.task.clone(), command.attempt);
-        let exited = self.tasks.get(&key).is_some_and(|task| !task.takes_room());
+        let exited = self
+            .tasks
+            .get(&key)
+            .is_some_and(|task| !task.uses_capacity());
         if exited {
             self.tasks.remove(&key);
         }
