--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Sends a request until a node responds finally; `None` if none did in time.
+    /// Sends a request until a node gives a final response; `None` if none did in time.
     pub async fn request(
         &self,
         method: Method,
--- a/crates/ctl/src/retry.rs
+++ b/crates/ctl/src/retry.rs
@@ -1,7 +1,7 @@
 //! Retries of one request across nodes, as a state machine without clocks or sockets.
 //!
 //! If a node can't be reached or its response is not final, the next node is tried. Retries
-//! follow the protocol: after a second or the delay that the node gives, for a minute in all.
+//! follow the protocol: after a second or the delay that the node gives, for one minute in total.
 
 use std::time::Duration;
 
