--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -1,35 +1,35 @@
-//! A straight line through points, by least squares.
+//! Linear least-squares fit.
 
 use serde::{Deserialize, Serialize};
 
-/// A point in the plane.
+/// Data point.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// What it is placed by.
+    /// Independent variable.
     pub x: f64,
-    /// What was measured there.
+    /// Measured value at `x`.
     pub y: f64,
 }
 
-/// A straight line.
+/// Fitted line.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// How much `y` rises with `x`.
+    /// Slope of the line.
     pub slope: f64,
-    /// Where the line is at 0.
+    /// Value of the line at 0.
     pub offset: f64,
-    /// The furthest that a point is from the line.
+    /// Largest distance of a point from the line, along `y`.
     pub largest_error: f64,
 }
 
 impl Line {
-    /// Where the line is at `x`.
+    /// Returns the value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.slope * x + self.offset
     }
 }
 
-/// The line, or none where the points do not give one.
+/// Returns the fitted line, or `None` if the points do not determine one.
 pub fn fit(points: &[Point]) -> Option<Line> {
     if points.len() < 2 {
         return None;
@@ -37,15 +37,15 @@
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
     let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
-    if spread == 0.0 {
+    let sum_xx: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
+    if sum_xx == 0.0 {
         return None;
     }
-    let together: f64 = points
+    let sum_xy: f64 = points
         .iter()
         .map(|point| (point.x - mean_x) * (point.y - mean_y))
         .sum();
-    let slope = together / spread;
+    let slope = sum_xy / sum_xx;
     let mut line = Line {
         slope,
         offset: mean_y - slope * mean_x,
--- a/crates/scale-test/src/latency.rs
+++ b/crates/scale-test/src/latency.rs
@@ -1,14 +1,14 @@
-//! Latencies in a histogram, and what is told of them.
+//! Histogram of latencies and its percentiles.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-const MICROSECONDS_MOST: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+const MAX_MICROSECONDS: u64 = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of latencies.
+/// Histogram of latencies.
 #[derive(Debug)]
 pub struct Latencies {
     histogram: Histogram<u64>,
@@ -17,34 +17,34 @@
 /// Percentiles in seconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// How many were recorded.
+    /// Number of latencies recorded.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50_s: f64,
-    /// The 90th percentile.
+    /// 90th percentile.
     pub p90_s: f64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99_s: f64,
-    /// The longest one.
+    /// Maximum.
     pub max_s: f64,
 }
 
 impl Default for Latencies {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, MICROSECONDS_MOST, DIGITS)
+        let histogram = Histogram::new_with_bounds(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
             .expect("the bounds are constants that fit");
         Self { histogram }
     }
 }
 
 impl Latencies {
-    /// Records a latency, as ten minutes at most.
+    /// Records a latency, capped at ten minutes.
     pub fn record(&mut self, latency: Duration) {
-        let micros = (latency.as_micros() as u64).clamp(1, MICROSECONDS_MOST);
+        let micros = (latency.as_micros() as u64).clamp(1, MAX_MICROSECONDS);
         self.histogram.saturating_record(micros);
     }
 
-    /// The percentiles of all that was recorded.
+    /// Returns the percentiles of all recorded latencies.
     pub fn percentiles(&self) -> Percentiles {
         let seconds = |micros: u64| micros as f64 / 1e6;
         let at = |quantile| seconds(self.histogram.value_at_quantile(quantile));
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -1,4 +1,5 @@
-//! Users: an arrival process, submissions with retries, and polls until a job is done.
+//! Simulated users: an arrival process, submissions with retries, and polls until a job is
+//! done.
 
 use std::{
     net::SocketAddr,
@@ -25,29 +26,29 @@
     observer::Observer,
 };
 
-/// Times of the protocol.
-const SUBMIT_WITHIN: Duration = Duration::from_secs(5);
-const SUBMIT_AGAIN: Duration = Duration::from_secs(1);
-const SUBMIT_FOR: Duration = Duration::from_secs(60);
-const POLL_EVERY_S: f64 = 5.0;
-const POLL_WITHIN: Duration = Duration::from_secs(2);
-/// Polls are spread, so that users don't ask in step.
-const POLL_SPREAD: f64 = 0.2;
+/// Times fixed by the protocol.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+const SUBMIT_RETRY_DELAY: Duration = Duration::from_secs(1);
+const SUBMIT_RETRY_TIME: Duration = Duration::from_secs(60);
+const POLL_INTERVAL_S: f64 = 5.0;
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Relative jitter of the poll interval, which keeps users from polling in step.
+const POLL_JITTER: f64 = 0.2;
 
 const TASK_CPUS: f64 = 1.0;
 const TASK_MEM_GB: f64 = 1.0;
-const TASKS_MOST: u64 = 10_000;
-/// Each kind of jobs draws from a sequence of its own.
+const MAX_TASKS: u64 = 10_000;
+/// Distinguishes the random sequence of urgent jobs from that of the others.
 const URGENT_SEED: u64 = 0x5eed;
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub struct UserCounts {
     /// Jobs submitted for the first time.
     pub submissions: AtomicU64,
     /// Jobs that were refused, or not accepted in time.
     pub not_accepted: AtomicU64,
-    /// Submissions that were tried again.
+    /// Retries of submissions.
     pub retries: AtomicU64,
     /// Polls.
     pub polls: AtomicU64,
@@ -55,7 +56,7 @@
     pub polls_failed: AtomicU64,
 }
 
-/// Users of one run.
+/// Simulated users of one run.
 #[derive(Clone)]
 pub struct Users {
     shared: Arc<Shared>,
@@ -63,7 +64,7 @@
 
 struct Shared {
     config: Config,
-    fronts: Vec<Front>,
+    pools: Vec<ConnectionPool>,
     jobs: Arc<Jobs>,
     observer: Arc<Observer>,
     counts: UserCounts,
@@ -71,8 +72,8 @@
     next_job: AtomicU64,
 }
 
-/// Connections to one controller that nobody uses just now.
-struct Front {
+/// Pool of idle connections to one controller.
+struct ConnectionPool {
     address: SocketAddr,
     idle: Mutex<Vec<Connection>>,
 }
@@ -84,30 +85,30 @@
 }
 
 #[derive(Deserialize)]
-struct JobAnswer {
+struct JobResponse {
     attitude: JobState,
 }
 
-fn count(counter: &AtomicU64) {
+fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
 impl Users {
-    /// Users who reach the controllers at these addresses.
+    /// Creates users of the controllers at these addresses.
     pub fn new(
         config: &Config,
         controllers: &[SocketAddr],
         jobs: Arc<Jobs>,
         observer: Arc<Observer>,
     ) -> Self {
-        let fronts = controllers.iter().map(|address| Front {
+        let pools = controllers.iter().map(|address| ConnectionPool {
             address: *address,
             idle: Mutex::default(),
         });
         Self {
             shared: Arc::new(Shared {
                 config: config.clone(),
-                fronts: fronts.collect(),
+                pools: pools.collect(),
                 jobs,
                 observer,
                 counts: UserCounts::default(),
@@ -117,17 +118,17 @@
         }
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     pub fn counts(&self) -> &UserCounts {
         &self.shared.counts
     }
 
-    /// Bytes of all that users exchanged with the controllers.
+    /// Returns the bytes exchanged between users and controllers.
     pub fn traffic(&self) -> &Traffic {
         &self.shared.traffic
     }
 
-    /// Submits until that time; every job is followed on its own.
+    /// Submits jobs until a time; a task of its own follows each job.
     pub async fn submit_until(&self, end: Duration) {
         let load = &self.shared.config.load;
         let workers = self.shared.config.fleet.workers as f64;
@@ -147,7 +148,7 @@
         let observer = &self.shared.observer;
         let mut at = observer.now();
         loop {
-            let rate = jobs_per_s * times_at(&self.shared.config.load, at);
+            let rate = jobs_per_s * arrival_factor(&self.shared.config.load, at);
             let Ok(gaps) = Exp::new(rate) else { return };
             let gap: f64 = gaps.sample(&mut random);
             match Duration::try_from_secs_f64(gap) {
@@ -157,7 +158,7 @@
             tokio::time::sleep(at.saturating_sub(observer.now())).await;
             let job = self.draw_job(kind, &mut random);
             let seed = random.random();
-            tokio::spawn(self.clone().follow(job, SmallRng::seed_from_u64(seed)));
+            tokio::spawn(self.clone().run_job(job, SmallRng::seed_from_u64(seed)));
         }
     }
 
@@ -177,7 +178,7 @@
                 true => "img-urgent".to_owned(),
                 false => format!("img-{}", random.random_range(0..load.images)),
             },
-            // An urgent start is measured without a fetch.
+            // Urgent starts are measured without an image download.
             image_gb: if urgent { 0.0 } else { load.image_gb },
             run_s: if urgent {
                 load.urgent_run_s
@@ -188,15 +189,15 @@
         }
     }
 
-    async fn follow(self, job: JobDescription, mut random: SmallRng) {
+    async fn run_job(self, job: JobDescription, mut random: SmallRng) {
         let shared = &self.shared;
         let text = submission(&job);
         let id = job.id.clone();
         let job = shared.jobs.upload(job);
-        let submitted = shared.observer.submitted(job);
-        count(&shared.counts.submissions);
+        let submitted = shared.observer.record_submission(job);
+        increment(&shared.counts.submissions);
         if !self.submit(&id, &text, submitted, &mut random).await {
-            count(&shared.counts.not_accepted);
+            increment(&shared.counts.not_accepted);
             return;
         }
         self.poll_until_done(&id, &mut random).await;
@@ -212,25 +213,25 @@
         let shared = &self.shared;
         loop {
             let body = Bytes::from(text.to_owned());
-            let answer = self
-                .ask(Method::POST, "/work", body, SUBMIT_WITHIN, random)
+            let response = self
+                .request(Method::POST, "/work", body, SUBMIT_TIMEOUT, random)
                 .await;
-            match answer {
+            match response {
                 Some((200 | 201, body)) => {
-                    shared.observer.accepted(id, submitted);
-                    if let Ok(answer) = serde_json::from_slice::<JobAnswer>(&body) {
-                        shared.observer.told(id, answer.attitude);
+                    shared.observer.record_acceptance(id, submitted);
+                    if let Ok(response) = serde_json::from_slice::<JobResponse>(&body) {
+                        shared.observer.record_state(id, response.attitude);
                     }
                     return true;
                 }
                 Some((400 | 422, _)) => return false,
                 _ => {}
             }
-            if shared.observer.now() > submitted + SUBMIT_FOR {
+            if shared.observer.now() > submitted + SUBMIT_RETRY_TIME {
                 return false;
             }
-            count(&shared.counts.retries);
-            tokio::time::sleep(SUBMIT_AGAIN).await;
+            increment(&shared.counts.retries);
+            tokio::time::sleep(SUBMIT_RETRY_DELAY).await;
         }
     }
 
@@ -238,32 +239,32 @@
         let shared = &self.shared;
         let path = format!("/work/{id}");
         loop {
-            let spread = 1.0 + POLL_SPREAD * (2.0 * random.random::<f64>() - 1.0);
-            tokio::time::sleep(Duration::from_secs_f64(POLL_EVERY_S * spread)).await;
-            let asked = shared.observer.now();
-            count(&shared.counts.polls);
-            let answer = self
-                .ask(Method::GET, &path, Bytes::new(), POLL_WITHIN, random)
+            let jitter = 1.0 + POLL_JITTER * (2.0 * random.random::<f64>() - 1.0);
+            tokio::time::sleep(Duration::from_secs_f64(POLL_INTERVAL_S * jitter)).await;
+            let sent = shared.observer.now();
+            increment(&shared.counts.polls);
+            let response = self
+                .request(Method::GET, &path, Bytes::new(), POLL_TIMEOUT, random)
                 .await;
-            match answer {
+            match response {
                 Some((200, body)) => {
-                    shared.observer.polled(asked);
-                    let Ok(answer) = serde_json::from_slice::<JobAnswer>(&body) else {
+                    shared.observer.record_poll(sent);
+                    let Ok(response) = serde_json::from_slice::<JobResponse>(&body) else {
                         continue;
                     };
-                    shared.observer.told(id, answer.attitude);
-                    if answer.attitude == JobState::Done {
+                    shared.observer.record_state(id, response.attitude);
+                    if response.attitude == JobState::Done {
                         return;
                     }
                 }
-                Some((404, _)) => shared.observer.not_found(id),
-                _ => count(&shared.counts.polls_failed),
+                Some((404, _)) => shared.observer.record_not_found(id),
+                _ => increment(&shared.counts.polls_failed),
             }
         }
     }
 
-    /// One request to any controller, over a connection that is free.
-    async fn ask(
+    /// Sends a request to a random controller, over an idle connection if there is one.
+    async fn request(
         &self,
         method: Method,
         path: &str,
@@ -271,25 +272,25 @@
         timeout: Duration,
         random: &mut SmallRng,
     ) -> Option<(u16, Bytes)> {
-        let fronts = &self.shared.fronts;
-        let front = &fronts[random.random_range(0..fronts.len())];
-        let idle = {
-            let mut idle = front.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let pools = &self.shared.pools;
+        let pool = &pools[random.random_range(0..pools.len())];
+        let connection = {
+            let mut idle = pool.idle.lock().unwrap_or_else(PoisonError::into_inner);
             idle.pop()
         };
-        let mut connection =
-            idle.unwrap_or_else(|| Connection::new(front.address, self.shared.traffic.clone()));
-        let answer = connection.call(method, path, body, timeout).await;
-        if answer.is_some() {
-            let mut idle = front.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut connection = connection
+            .unwrap_or_else(|| Connection::new(pool.address, self.shared.traffic.clone()));
+        let response = connection.call(method, path, body, timeout).await;
+        if response.is_some() {
+            let mut idle = pool.idle.lock().unwrap_or_else(PoisonError::into_inner);
             idle.push(connection);
         }
-        answer
+        response
     }
 }
 
-/// How many times the usual arrivals there are.
-pub fn times_at(load: &LoadConfig, at: Duration) -> f64 {
+/// Returns the factor of the arrival rate at a time.
+pub fn arrival_factor(load: &LoadConfig, at: Duration) -> f64 {
     let at = at.as_secs_f64();
     match &load.peak {
         Some(peak) if peak.at_s <= at && at < peak.at_s + peak.for_s => peak.times,
@@ -298,12 +299,12 @@
 }
 
 fn draw_tasks(load: &LoadConfig, random: &mut SmallRng) -> u32 {
-    // Failures before the first success have the mean 1/p - 1.
-    let more = match Geometric::new(1.0 / load.tasks_per_job) {
+    // The number of failures before the first success has the mean 1/p - 1.
+    let failures = match Geometric::new(1.0 / load.tasks_per_job) {
         Ok(distribution) => distribution.sample(random),
         Err(_) => 0,
     };
-    (more + 1).min(TASKS_MOST) as u32
+    (failures + 1).min(MAX_TASKS) as u32
 }
 
 fn submission(job: &JobDescription) -> String {
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud's interface over HTTP, with limits, latency and outages. Machines are kept by
-//! whoever plays them, behind `Machines`.
+//! HTTP interface of the cloud, with limits, latency and outages. An implementation of
+//! `Machines` holds the machines.
 
 use std::{
     collections::BTreeMap,
@@ -17,29 +17,29 @@
 
 use crate::{
     availability::Availability,
-    http::{Asked, Reply, Traffic, serve},
+    http::{IncomingRequest, Reply, Traffic, serve},
     rate_limit::RateLimit,
 };
 
-const PAGE_MOST: usize = 500;
-const RENT_MOST: u32 = 50;
-const RELEASE_MOST: usize = 100;
-/// Bursts are worth so many seconds.
+const MAX_PAGE_MACHINES: usize = 500;
+const MAX_RENTED_MACHINES: u32 = 50;
+const MAX_RELEASED_MACHINES: usize = 100;
+/// Size of a burst, in seconds of the rate limit.
 const BURST_S: f64 = 2.0;
 
-/// What the service admits and how it behaves.
+/// Limits, latency and outages of the service.
 #[derive(Debug, Clone)]
 pub struct CloudSettings {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
     /// Latency and outages.
     pub availability: Availability,
 }
 
-/// A machine type as the interface lists it.
+/// Machine type as the interface lists it.
 #[derive(Debug, Clone, Serialize)]
 pub struct MachineType {
-    /// The type's name.
+    /// Name of the type.
     pub label: String,
     /// CPUs of a machine.
     pub cpus: f64,
@@ -49,83 +49,83 @@
     pub mem_gb: f64,
     /// Image cache of a machine, in GB.
     pub local_gb: f64,
-    /// How fast a machine fetches images, in GB a second.
+    /// Image download rate of a machine, in GB per second.
     pub fetch_gb_per_s: f64,
     /// Price of an ordinary machine.
     pub hourly: f64,
     /// Price of a spot machine.
     pub market_price: f64,
-    /// How long a machine usually takes to boot, in seconds.
+    /// Nominal boot time of a machine, in seconds.
     pub boot_s: f64,
     /// Zones that offer the type.
     pub fields: Vec<String>,
 }
 
-/// A machine as the interface lists it.
+/// Machine as the interface lists it.
 #[derive(Debug, Clone, Serialize)]
 pub struct Machine {
-    /// The machine's name.
+    /// Name of the machine.
     pub uid: String,
-    /// Where its worker listens.
+    /// Address at which its worker listens.
     pub endpoint: SocketAddr,
-    /// Its type.
+    /// Machine type.
     pub frame: String,
-    /// Its zone.
+    /// Zone.
     pub field: String,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     pub gusts: bool,
-    /// How far it is.
+    /// State of the machine.
     pub attitude: MachineState,
     /// Time since it was rented, in seconds.
     pub age_s: f64,
 }
 
-/// How far a machine is.
+/// State of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It boots.
+    /// The machine is booting.
     Starting,
-    /// It is up.
+    /// The machine is up.
     Running,
-    /// It has failed.
+    /// The machine has failed.
     Failed,
 }
 
-/// A request for machines.
+/// Request for machines.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Rental {
-    /// The request's name: repeated, it rents nothing more.
+    /// Idempotency key: a repeated request rents no further machines.
     pub charter: String,
-    /// The machine type.
+    /// Machine type.
     pub frame: String,
-    /// The zone.
+    /// Zone.
     pub field: String,
-    /// Spot machines are asked for.
+    /// Whether spot machines are requested.
     #[serde(default)]
     pub gusts: bool,
-    /// How many machines.
+    /// Number of machines.
     pub how_many: u32,
 }
 
-/// The machines behind the interface.
+/// Machines behind the interface.
 pub trait Machines: Send + Sync + 'static {
-    /// The machine types on offer.
+    /// Returns the machine types on offer.
     fn types(&self) -> Vec<MachineType>;
-    /// Machines in the order of their names, beyond `after`, and whether there are more.
-    fn list(&self, after: &str, most: usize) -> (Vec<Machine>, bool);
-    /// Names of the machines rented; none: there is no capacity.
+    /// Returns machines in the order of their names, after `after`, and whether there are more.
+    fn list(&self, after: &str, limit: usize) -> (Vec<Machine>, bool);
+    /// Rents machines and returns their names; none if there is no capacity.
     fn rent(&self, rental: &Rental) -> Vec<String>;
-    /// Takes machines back; unknown names are passed over.
+    /// Takes machines back; unknown names are ignored.
     fn release(&self, names: &[String]);
 }
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloudCounts {
     /// Requests of any kind.
     pub requests: u64,
-    /// Requests refused by the limit.
+    /// Requests refused by the rate limit.
     pub refused: u64,
     /// Bytes received.
     pub bytes_received: u64,
@@ -142,8 +142,8 @@
 struct Shared {
     settings: CloudSettings,
     machines: Arc<dyn Machines>,
-    limit: Mutex<RateLimit>,
-    /// Answers of rentals by their name: repeated, they rent nothing.
+    rate_limit: Mutex<RateLimit>,
+    /// Rented machines by the request's idempotency key.
     rentals: Mutex<BTreeMap<String, Vec<String>>>,
     requests: AtomicU64,
     refused: AtomicU64,
@@ -152,35 +152,35 @@
 }
 
 #[derive(Serialize)]
-struct Types {
+struct MachineTypesBody {
     frames: Vec<MachineType>,
 }
 
 #[derive(Serialize)]
-struct Listed {
+struct MachineListBody {
     perches: Vec<Machine>,
     more: bool,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Names {
+struct MachineNamesBody {
     perches: Vec<String>,
 }
 
 impl CloudService {
-    /// Starts to serve on a free port of loopback.
+    /// Starts serving on a free loopback port.
     pub async fn start(
         settings: CloudSettings,
         machines: Arc<dyn Machines>,
     ) -> std::io::Result<(Self, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let limit = RateLimit::new(settings.rps, settings.rps * BURST_S);
+        let rate_limit = RateLimit::new(settings.rps, settings.rps * BURST_S);
         let service = Self {
             shared: Arc::new(Shared {
                 settings,
                 machines,
-                limit: Mutex::new(limit),
+                rate_limit: Mutex::new(rate_limit),
                 rentals: Mutex::default(),
                 requests: AtomicU64::new(0),
                 refused: AtomicU64::new(0),
@@ -188,15 +188,15 @@
                 started: Instant::now(),
             }),
         };
-        let answering = service.clone();
+        let handler = service.clone();
         let traffic = service.shared.traffic.clone();
-        tokio::spawn(serve(listener, traffic, move |asked| {
-            answering.clone().answer(asked)
+        tokio::spawn(serve(listener, traffic, move |request| {
+            handler.clone().handle(request)
         }));
         Ok((service, address))
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     pub fn counts(&self) -> CloudCounts {
         CloudCounts {
             requests: self.shared.requests.load(Ordering::Relaxed),
@@ -207,49 +207,49 @@
     }
 
     fn admit(&self, now: Duration) -> bool {
-        let limit = self.shared.limit.lock();
-        limit
+        let rate_limit = self.shared.rate_limit.lock();
+        rate_limit
             .unwrap_or_else(PoisonError::into_inner)
             .admit(now, 1.0)
     }
 
-    async fn answer(self, asked: Asked) -> Reply {
+    async fn handle(self, request: IncomingRequest) -> Reply {
         let shared = &self.shared;
         shared.requests.fetch_add(1, Ordering::Relaxed);
         tokio::time::sleep(shared.settings.availability.latency).await;
         let now = shared.started.elapsed();
-        if shared.settings.availability.is_out(now) {
+        if shared.settings.availability.in_outage(now) {
             return Reply::new(503, r#"{"error":"trouble"}"#);
         }
         if !self.admit(now) {
             shared.refused.fetch_add(1, Ordering::Relaxed);
             return Reply::too_many_requests();
         }
-        match (&asked.method, asked.path.as_str()) {
+        match (&request.method, request.path.as_str()) {
             (&Method::GET, "/flavors") => Reply::json(
                 200,
-                &Types {
+                &MachineTypesBody {
                     frames: shared.machines.types(),
                 },
             ),
-            (&Method::GET, "/hosts") => self.list(&asked),
-            (&Method::POST, "/hosts") => self.rent(&asked),
-            (&Method::POST, "/hosts/release") => self.release(&asked),
+            (&Method::GET, "/hosts") => self.list(&request),
+            (&Method::POST, "/hosts") => self.rent(&request),
+            (&Method::POST, "/hosts/release") => self.release(&request),
             _ => Reply::malformed(),
         }
     }
 
-    fn list(&self, asked: &Asked) -> Reply {
-        let after = asked.query("after").unwrap_or_default();
-        let page = asked.query("page").and_then(|page| page.parse().ok());
-        let most = page.unwrap_or(PAGE_MOST).min(PAGE_MOST);
-        let (perches, more) = self.shared.machines.list(after, most);
-        Reply::json(200, &Listed { perches, more })
+    fn list(&self, request: &IncomingRequest) -> Reply {
+        let after = request.query("after").unwrap_or_default();
+        let page = request.query("page").and_then(|page| page.parse().ok());
+        let limit = page.unwrap_or(MAX_PAGE_MACHINES).min(MAX_PAGE_MACHINES);
+        let (perches, more) = self.shared.machines.list(after, limit);
+        Reply::json(200, &MachineListBody { perches, more })
     }
 
-    fn rent(&self, asked: &Asked) -> Reply {
-        let rental = match serde_json::from_slice::<Rental>(&asked.body) {
-            Ok(rental) if (1..=RENT_MOST).contains(&rental.how_many) => rental,
+    fn rent(&self, request: &IncomingRequest) -> Reply {
+        let rental = match serde_json::from_slice::<Rental>(&request.body) {
+            Ok(rental) if (1..=MAX_RENTED_MACHINES).contains(&rental.how_many) => rental,
             _ => return Reply::malformed(),
         };
         let mut rentals = self
@@ -257,21 +257,21 @@
             .rentals
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if let Some(known) = rentals.get(&rental.charter) {
-            let perches = known.clone();
-            return Reply::json(200, &Names { perches });
+        if let Some(rented) = rentals.get(&rental.charter) {
+            let perches = rented.clone();
+            return Reply::json(200, &MachineNamesBody { perches });
         }
         let perches = self.shared.machines.rent(&rental);
         if perches.is_empty() {
             return Reply::new(503, r#"{"error":"no capacity"}"#);
         }
         rentals.insert(rental.charter, perches.clone());
-        Reply::json(200, &Names { perches })
+        Reply::json(200, &MachineNamesBody { perches })
     }
 
-    fn release(&self, asked: &Asked) -> Reply {
-        match serde_json::from_slice::<Names>(&asked.body) {
-            Ok(names) if names.perches.len() <= RELEASE_MOST => {
+    fn release(&self, request: &IncomingRequest) -> Reply {
+        match serde_json::from_slice::<MachineNamesBody>(&request.body) {
+            Ok(names) if names.perches.len() <= MAX_RELEASED_MACHINES => {
                 self.shared.machines.release(&names.perches);
                 Reply::new(200, "{}")
             }
--- a/src/core/assignment_index.rs
+++ b/src/core/assignment_index.rs
@@ -5,8 +5,8 @@
 //! because the state service limits the number of changes and a large array reaches every machine
 //! within moments.
 
-mod answers;
 mod record;
+mod write_results;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -66,7 +66,7 @@
     /// Whether the stored value exceeds the service's current limit; it stays unchanged until all
     /// its machines are listed elsewhere.
     oversized: bool,
-    /// Whether an entry found no room at the last write.
+    /// Whether an entry did not fit at the last write.
     crowded: bool,
     /// Sequence number of its last write.
     last_write: u64,
@@ -95,7 +95,7 @@
     digest: u64,
     /// Whether it deletes an oversized shard whose machines are listed elsewhere.
     deletes_oversized: bool,
-    /// Whether an entry found no room in it.
+    /// Whether an entry did not fit.
     crowded: bool,
 }
 
@@ -169,7 +169,7 @@
     }
 
     /// Records the revision found by rereading a shard; none if it was not read.
-    pub fn reread(&mut self, shard: u32, version: Option<u64>) {
+    pub fn record_reread(&mut self, shard: u32, version: Option<u64>) {
         let Some(shard) = self.shards.get_mut(&shard) else {
             return;
         };
@@ -196,33 +196,36 @@
 
     /// Returns an unused shard number whose key sorts after `last`.
     fn new_shard_number(&self, last: Option<&str>) -> u32 {
-        let after = |id: &u32| last.is_none_or(|last| *id.to_string() > *last);
-        let free = |id: &u32| !self.shards.contains_key(id) && after(id);
+        let sorts_after_last = |id: &u32| last.is_none_or(|last| *id.to_string() > *last);
+        let is_unused = |id: &u32| !self.shards.contains_key(id) && sorts_after_last(id);
         // Any longer number that begins with the digits of `last` sorts after it.
-        let longer = (1..u32::MAX.ilog10()).filter_map(|digits| {
+        let longer_numbers = (1..u32::MAX.ilog10()).filter_map(|digits| {
             let first: u32 = last?.parse().ok()?;
             let scale = 10_u32.checked_pow(digits)?;
             let end = first.checked_add(1)?.checked_mul(scale)?;
             Some(first * scale..end)
         });
-        let small = 0..FIRST_SHARD_NUMBERS;
-        let mut numbers = small.chain(longer.flatten());
-        numbers.find(free).unwrap_or(u32::MAX)
+        let first_numbers = 0..FIRST_SHARD_NUMBERS;
+        let mut numbers = first_numbers.chain(longer_numbers.flatten());
+        numbers.find(is_unused).unwrap_or(u32::MAX)
     }
 
-    /// Returns the shard for one more machine: the emptiest that has room left.
+    /// Returns the shard for one more machine: the one with the fewest expected bytes that can hold
+    /// it.
     fn shard_for(&mut self, machine: &Machine) -> u32 {
-        let room = self.max_value_bytes / 4 * 3;
+        let max_bytes = self.max_value_bytes / 4 * 3;
         // A version that does not support oversized shards trusts the shard that it reads last, so
         // the shard that is written has to sort last.
         let last = self.last_oversized();
-        let after = |id: u32| last.as_ref().is_none_or(|last| id.to_string() > *last);
+        let sorts_after_last = |id: u32| last.as_ref().is_none_or(|last| id.to_string() > *last);
         let chosen = self
             .shards
             .iter()
-            .filter(|(id, shard)| !shard.oversized && !shard.crowded && after(**id))
+            .filter(|(id, shard)| !shard.oversized && !shard.crowded && sorts_after_last(**id))
             .map(|(id, shard)| (shard.expected_bytes, *id))
-            .filter(|(expected_bytes, _)| expected_bytes + expected_entry_bytes(machine) <= room)
+            .filter(|(expected_bytes, _)| {
+                expected_bytes + expected_entry_bytes(machine) <= max_bytes
+            })
             .min();
         let id = match chosen {
             Some((_, id)) => id,
@@ -334,7 +337,7 @@
                 true => delete(key),
                 false => put(key, &record),
             });
-            self.write_sent(&write);
+            self.record_sent_write(&write);
             writes.push(write);
         }
         (!writes.is_empty()).then_some((writes, conditions, changes))
@@ -342,7 +345,7 @@
 
     /// Records a write in flight. Until its answer only jobs listed both before and after count: a
     /// start for a job that this write drops must not be sent.
-    fn write_sent(&mut self, write: &ShardWrite) {
+    fn record_sent_write(&mut self, write: &ShardWrite) {
         for listing in &write.machines {
             let Some(machine) = self.machines.get_mut(&listing.machine) else {
                 continue;
@@ -352,7 +355,7 @@
                 && listing.jobs.is_empty()
                 && self.assignment_index.is_moving(entry)
             {
-                // The machine found no room, and its current listing stays.
+                // The machine did not fit, and its current listing stays.
                 continue;
             }
             entry.jobs.retain(|id| listing.jobs.contains(id));
@@ -361,7 +364,7 @@
         }
     }
 
-    /// Records that nothing is stored of a shard that lists nothing.
+    /// Records that nothing is stored for a shard that lists no jobs.
     fn record_empty_shard(&mut self, write: &ShardWrite) {
         for listing in &write.machines {
             let Some(machine) = self.machines.get_mut(&listing.machine) else {
@@ -394,7 +397,7 @@
         }
     }
 
-    /// Detaches machines that found no room in a crowded shard, so that they get another one.
+    /// Detaches machines that did not fit into a crowded shard, so that they get another one.
     fn detach_from_crowded(&mut self, write: &ShardWrite) {
         if !write.crowded || write.empty {
             return;
@@ -403,8 +406,8 @@
             let Some(machine) = self.machines.get_mut(&listing.machine) else {
                 continue;
             };
-            let own = machine.assignment.listed_in == Some(write.shard);
-            if own
+            let is_own = machine.assignment.listed_in == Some(write.shard);
+            if is_own
                 || machine.assignment.may_be_written
                 || machine.assignment.shard != Some(write.shard)
             {
@@ -462,11 +465,11 @@
                 // These machines get no more tasks, and the next leader need not wait for them.
                 false => {
                     let is_moving = self.assignment_index.is_moving(&m.assignment);
-                    let leaves = matches!(m.state, MachineState::Leaving | MachineState::Lost)
+                    let is_leaving = matches!(m.state, MachineState::Leaving | MachineState::Lost)
                         && m.assignment.may_be_stored
                         && m.tasks.is_empty()
                         && !m.unresolved;
-                    (leaves && !is_moving) || (is_moving && self.can_move(m))
+                    (is_leaving && !is_moving) || (is_moving && self.can_move(m))
                 }
             })
             .map(|m| m.id.clone())
@@ -494,13 +497,13 @@
         due
     }
 
-    /// Returns whether the machine may hold tasks and a shard may have room to list it.
+    /// Returns whether the machine may hold tasks and its shard, if any, may have space to list it.
     fn can_move(&self, machine: &Machine) -> bool {
-        let own = machine
+        let own_shard = machine
             .assignment
             .shard
             .and_then(|id| self.assignment_index.shards.get(&id));
-        !own.is_some_and(|shard| shard.crowded) && !Self::jobs_possibly_on(machine).is_empty()
+        !own_shard.is_some_and(|shard| shard.crowded) && !Self::jobs_possibly_on(machine).is_empty()
     }
 
     /// Builds the deletion of an oversized shard, which lists nothing afterwards.
@@ -544,7 +547,7 @@
             } else {
                 // Tasks of listed jobs may run there, so their entries stay regardless of size.
                 for job in &kept {
-                    builder.list(machine, job, usize::MAX);
+                    builder.list_job(machine, job, usize::MAX);
                 }
                 machines[position].jobs = kept;
             }
@@ -555,15 +558,16 @@
         let max_bytes = self.assignment_index.max_value_bytes;
         let mut staying = BTreeSet::new();
         for (position, jobs) in moving {
-            match builder.list_all(members[position], &jobs, max_bytes) {
+            match builder.list_jobs(members[position], &jobs, max_bytes) {
                 true => machines[position].jobs = jobs,
                 false => drop(staying.insert(position)),
             }
         }
-        // A job that finds no room waits until others are removed.
+        // A job that does not fit waits until others are removed.
         let mut crowded = !staying.is_empty();
         for (position, job) in new {
-            if !staying.contains(&position) && builder.list(members[position], &job, max_bytes) {
+            if !staying.contains(&position) && builder.list_job(members[position], &job, max_bytes)
+            {
                 machines[position].jobs.insert(job);
             } else {
                 crowded = true;
--- a/src/core/assignment_index/record.rs
+++ b/src/core/assignment_index/record.rs
@@ -65,6 +65,7 @@
         })
     }
 }
+
 /// Returns a digest that distinguishes stored values of a shard.
 pub(super) fn digest(record: &ShardRecord) -> u64 {
     let mut hasher = DefaultHasher::new();
@@ -81,7 +82,7 @@
     bytes: usize,
 }
 
-/// Maximum bytes of a number, and quotes and separators around a name.
+/// Maximum bytes of a number, and bytes of the quotes and separators around a name.
 const NUMBER_BYTES: usize = 7;
 const NAME_OVERHEAD_BYTES: usize = 4;
 
@@ -97,7 +98,7 @@
     }
 
     /// Lists all given jobs with a machine, or none if they don't fit.
-    pub(super) fn list_all(
+    pub(super) fn list_jobs(
         &mut self,
         machine: &Machine,
         jobs: &BTreeSet<JobId>,
@@ -113,13 +114,13 @@
             self.bytes + name_bytes + kind_bytes + position_bytes + jobs.len() * NUMBER_BYTES
                 <= max_bytes;
         for job in jobs.iter().filter(|_| fits) {
-            self.list(machine, job, usize::MAX);
+            self.list_job(machine, job, usize::MAX);
         }
         fits
     }
 
     /// Lists a job with a machine, unless the value would then exceed `max_bytes` bytes.
-    pub(super) fn list(&mut self, machine: &Machine, job: &JobId, max_bytes: usize) -> bool {
+    pub(super) fn list_job(&mut self, machine: &Machine, job: &JobId, max_bytes: usize) -> bool {
         let kind = (
             machine.machine_type.clone(),
             machine.zone.clone(),
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -26,7 +26,7 @@
     Renew {
         sent: Duration,
     },
-    /// Proves the claim and the cache after a renewal that was sent at `renewal_sent`.
+    /// Verifies the claim and the cache after a renewal that was sent at `renewal_sent`.
     Verify {
         claim: u64,
         renewal_sent: Duration,
@@ -35,7 +35,7 @@
     Claim {
         lease: u64,
         sent: Duration,
-        prior: election::PreviousLeader,
+        previous: election::PreviousLeader,
     },
     Probe,
     StoredHeartbeat,
@@ -47,12 +47,12 @@
         request: RequestId,
         spec: Arc<JobSpec>,
         accepted_ms: u64,
-        tries: u8,
+        attempts: u8,
     },
     Cancel {
         request: RequestId,
         id: JobId,
-        ends: Option<(terminal_states::JobIdRange, terminal_states::TerminalStates)>,
+        states: Option<(terminal_states::JobIdRange, terminal_states::TerminalStates)>,
     },
     ReadTerminalState(Box<user_requests::TerminalRead>),
     /// Reads whether a job that a submission depends on is active.
--- a/src/core/capacity_snapshot.rs
+++ b/src/core/capacity_snapshot.rs
@@ -11,8 +11,8 @@
     machine::{AttemptKey, Machine, MachineId},
 };
 
-/// Machine as seen by one pass. A pass checks every machine for most jobs, so the figures that rule
-/// machines out are kept here: most are ruled out by these numbers alone.
+/// Machine as seen by one pass. A pass checks every machine for most jobs, and the figures kept
+/// here suffice to rule out most machines.
 pub(super) struct MachineCapacity {
     pub id: MachineId,
     pub machine_type: Arc<str>,
@@ -76,14 +76,15 @@
 }
 
 impl MachineCapacity {
-    /// Returns a lower bound of the highest victim's priority if room is made here for the job.
+    /// Returns a lower bound of the highest priority among the victims of a preemption here for the
+    /// job, or none if no victims are needed.
     pub fn min_highest_victim(&self, spec: &JobSpec, reclaims: bool) -> Option<Priority> {
         if spec.need.fits_in(&self.free.plus(&self.stopping)) {
             return None;
         }
         let below = spec.priority as usize + usize::from(reclaims);
-        let some = |resources: &Resources| *resources != Resources::default();
-        let lowest = self.preemptible[..below].iter().position(some)?;
+        let is_used = |resources: &Resources| *resources != Resources::default();
+        let lowest = self.preemptible[..below].iter().position(is_used)?;
         Priority::ALL.get(lowest).copied()
     }
 }
@@ -110,9 +111,9 @@
     }
 }
 
-/// Task that found neither room nor victims in this pass. Tasks that need the same kinds of machine
-/// and at least as many resources would find none either, so that with a long queue most jobs need
-/// not check every machine.
+/// Task for which neither free capacity nor victims were found in this pass. Tasks that need the
+/// same kinds of machine and at least as many resources would find none either, so that with a long
+/// queue most jobs need not be checked against every machine.
 pub(super) struct Unplaceable {
     pub spec: Arc<JobSpec>,
 }
@@ -138,7 +139,7 @@
     /// Indexes of machines that are not full, and some that have become full since. Under high load
     /// nearly all are full, and thousands of waiting jobs each look for one.
     open_machines: Vec<usize>,
-    /// The same by free GPUs.
+    /// Like `open_machines`, for free GPUs.
     open_gpu_machines: Vec<usize>,
     /// Resources of each team's tasks, including those that unresponsive machines may hold.
     pub usage: Usage,
@@ -147,7 +148,7 @@
     /// Tasks of the selected job by zone, including stopping ones.
     pub job_zones: BTreeMap<Arc<str>, u32>,
     /// Jobs that are listed for unresponsive machines.
-    pub on_unresolved: HashSet<JobId>,
+    pub unresolved_jobs: HashSet<JobId>,
     /// Tasks by job and zone, counted at the first use.
     tasks_by_zone: Option<HashMap<JobId, BTreeMap<Arc<str>, u32>>>,
 }
@@ -157,7 +158,7 @@
         machines: Vec<MachineCapacity>,
         usage: Usage,
         stopping_usage: Usage,
-        on_unresolved: HashSet<JobId>,
+        unresolved_jobs: HashSet<JobId>,
     ) -> Self {
         let zones: BTreeSet<&Arc<str>> = machines.iter().map(|capacity| &capacity.zone).collect();
         let mut snapshot = Self {
@@ -169,7 +170,7 @@
             usage,
             stopping_usage,
             job_zones: BTreeMap::new(),
-            on_unresolved,
+            unresolved_jobs,
             tasks_by_zone: None,
         };
         snapshot.find_open_machines();
@@ -186,7 +187,7 @@
             (open(|free| free.cpus), open(|free| free.gpus));
     }
 
-    /// Returns the machines that may currently have room for such a task.
+    /// Returns the indexes of machines that may currently have capacity for a task of the job.
     pub fn may_fit(&self, spec: &JobSpec) -> impl Iterator<Item = usize> {
         // A task that needs almost nothing may fit on any machine.
         let (open, all) = match (
@@ -232,10 +233,10 @@
         false
     }
 
-    /// Returns whether a similar job found no room. A nominated job may still use room that is
-    /// reserved for it alone.
-    pub fn rules_out(&self, spec: &JobSpec, nominated: bool) -> bool {
-        !nominated && self.unplaceable.iter().any(|task| task.covers(spec))
+    /// Returns whether no capacity was found for a similar job. A nominated job is not ruled out,
+    /// since it may use capacity that is reserved for it alone.
+    pub fn rules_out(&self, spec: &JobSpec, is_nominated: bool) -> bool {
+        !is_nominated && self.unplaceable.iter().any(|task| task.covers(spec))
     }
 
     /// Selects a job and looks up its tasks by zone, including the stopping ones. The tasks are
@@ -246,10 +247,10 @@
         if !depends_on_zones(spec) {
             return;
         }
-        let counted = self
+        let zones_by_job = self
             .tasks_by_zone
-            .get_or_insert_with(|| count_by_zone(machines));
-        if let Some(zones) = counted.get(&spec.id) {
+            .get_or_insert_with(|| count_by_job_and_zone(machines));
+        if let Some(zones) = zones_by_job.get(&spec.id) {
             self.job_zones.clone_from(zones);
         }
     }
@@ -262,14 +263,14 @@
         *sum = sum.plus(&spec.need);
         self.usage.add(&spec.team, &spec.need);
         *self.job_zones.entry(capacity.zone.clone()).or_insert(0) += 1;
-        if let (Some(counted), true) = (&mut self.tasks_by_zone, depends_on_zones(spec)) {
-            let zones = counted.entry(spec.id.clone()).or_default();
+        if let (Some(zones_by_job), true) = (&mut self.tasks_by_zone, depends_on_zones(spec)) {
+            let zones = zones_by_job.entry(spec.id.clone()).or_default();
             *zones.entry(capacity.zone.clone()).or_insert(0) += 1;
         }
     }
 
     /// Recalculates a machine on which tasks were stopped or starts were withdrawn.
-    pub fn recount(&mut self, index: usize, machine: &Machine) {
+    pub fn recompute_machine(&mut self, index: usize, machine: &Machine) {
         self.tasks_by_zone = None;
         self.machines[index].recompute(machine);
         self.find_open_machines();
@@ -281,10 +282,10 @@
         for capacity in &mut self.machines {
             capacity.reservations.retain(|(_, job, _)| *job != spec.id);
         }
-        self.reserve(spec, nominations);
+        self.reserve_nominations(spec, nominations);
     }
 
-    pub fn reserve(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
+    pub fn reserve_nominations(&mut self, spec: &JobSpec, nominations: &[MachineId]) {
         for machine in nominations {
             // Machines are sorted by id.
             if let Ok(at) = self.machines.binary_search_by(|c| c.id.cmp(machine)) {
@@ -300,26 +301,26 @@
     spec.one_zone || spec.spread || spec.kind == Kind::Service
 }
 
-fn count_by_zone(
+fn count_by_job_and_zone(
     machines: &BTreeMap<MachineId, Machine>,
 ) -> HashMap<JobId, BTreeMap<Arc<str>, u32>> {
-    let mut counted: HashMap<JobId, BTreeMap<Arc<str>, u32>> = HashMap::new();
+    let mut zones_by_job: HashMap<JobId, BTreeMap<Arc<str>, u32>> = HashMap::new();
     for machine in machines.values() {
         for ((task, _), p) in &machine.tasks {
             if p.exited() || p.spec.as_ref().is_some_and(|spec| !depends_on_zones(spec)) {
                 continue;
             }
-            let zones = counted.entry(task.job.clone()).or_default();
+            let zones = zones_by_job.entry(task.job.clone()).or_default();
             *zones.entry(machine.zone.clone()).or_insert(0) += 1;
         }
     }
-    counted
+    zones_by_job
 }
 
 /// Returns the jobs listed for machines whose tasks are not known yet.
 pub(super) fn jobs_on_unresolved(machines: &BTreeMap<MachineId, Machine>) -> HashSet<JobId> {
-    let on_unresolved = machines.values().filter(|m| m.unresolved);
-    on_unresolved
+    let unresolved_machines = machines.values().filter(|m| m.unresolved);
+    unresolved_machines
         .flat_map(|m| m.assignment.possible_jobs().cloned())
         .collect()
 }
--- a/src/core/cluster/reports.rs
+++ b/src/core/cluster/reports.rs
@@ -2,8 +2,8 @@
 //! and ends of tasks.
 //!
 //! A report counts only if it is newer than all others seen of its session, and a task missing from
-//! it is gone only if the report can't have been overtaken by the task's start. One end never
-//! releases a task twice, since it may already run elsewhere by then.
+//! it is gone only if the report can't have been overtaken by the task's start. The end of an
+//! attempt never releases its task twice, since the task may already run elsewhere by then.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -21,11 +21,15 @@
 
 impl ClusterState {
     /// Processes a report and returns the token and commands of its answer, or none if it is late.
-    pub fn report(&mut self, report: &WorkerReport, now: Duration) -> Option<(u64, Vec<Command>)> {
+    pub fn process_report(
+        &mut self,
+        report: &WorkerReport,
+        now: Duration,
+    ) -> Option<(u64, Vec<Command>)> {
         let id = report.machine.clone();
         if self.provisioning.was_released(&id) {
             // The machine no longer exists: the report was delayed, and nobody waits for an answer.
-            debug!(machine = %id, "ignoring report of a returned machine");
+            debug!(machine = %id, "ignoring report of a released machine");
             return None;
         }
         let token = self.token;
@@ -36,24 +40,24 @@
             debug!(machine = %id, report.session, report.seq, "ignoring late report");
             return None;
         }
-        let new_session = report.session > machine.session;
-        if new_session {
+        let is_new_session = report.session > machine.session;
+        if is_new_session {
             machine.begin_session(report.session);
         }
         machine.record_contact(report, token, now);
         machine.record_spot_notice(report, now);
-        if new_session {
+        if is_new_session {
             self.end_former_session(&id, now);
         }
         self.apply_regular_report(&id, report, now);
         if self.availability(&id, now) != before {
             self.requeue();
         }
-        self.answer(&id, report.seq)
+        self.answer_report(&id, report.seq)
     }
 
     /// Returns the token and the commands that answer a machine's report.
-    fn answer(&mut self, id: &MachineId, seq: u64) -> Option<(u64, Vec<Command>)> {
+    fn answer_report(&mut self, id: &MachineId, seq: u64) -> Option<(u64, Vec<Command>)> {
         // While a direct command is in flight no other commands are sent, since the two could be
         // executed in the wrong order.
         let commands = match self.machines.get(id)?.direct_in_flight {
@@ -144,24 +148,24 @@
         phase: TaskPhase,
         now: Duration,
     ) {
-        let adopted = !self.machines[id].tasks.contains_key(&key);
-        if adopted {
-            self.adopt(id, &key, phase, now);
+        let is_adopted = !self.machines[id].tasks.contains_key(&key);
+        if is_adopted {
+            self.adopt_task(id, &key, phase, now);
         }
         let machine = self.machines.get_mut(id).expect("known machine");
         let placement = machine.tasks.get_mut(&key).expect("adopted");
         let before = placement.phase;
-        if matches!(before, Phase::Sent { .. }) && !adopted {
+        if matches!(before, Phase::Sent { .. }) && !is_adopted {
             self.start_rate.record_start(now);
         }
-        // A task listed twice in one report has ended only once.
+        // A task that one report lists twice has ended only once.
         if before == Phase::Seen(phase) {
             return;
         }
         placement.phase = Phase::Seen(phase);
         // The start time of an adopted running task is unknown: counted from now, its run time
         // would be too short and estimates would look too long.
-        if phase == TaskPhase::Running && !adopted {
+        if phase == TaskPhase::Running && !is_adopted {
             placement.running_since = Some(now);
         }
         let placement = placement.clone();
@@ -172,21 +176,21 @@
         if phase == TaskPhase::Waiting {
             self.stop_after_fetch(id, &key, now);
         }
-        self.count_running(&key.0, &placement, before, phase);
+        self.update_running_count(&key.0, &placement, before, phase);
         if let TaskPhase::Exited(reason) = phase {
             self.task_exited(id, &key.0, placement, reason, now);
         }
     }
 
     /// Updates the number of a job's running tasks.
-    fn count_running(
+    fn update_running_count(
         &mut self,
         task: &TaskId,
         placement: &Placement,
         before: Phase,
         phase: TaskPhase,
     ) {
-        if placement.foreign {
+        if placement.is_orphaned {
             return;
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -215,8 +219,8 @@
         if !machine.busy() {
             machine.idle_since = now;
         }
-        // `count_running` has already decremented the running count; releasing the slot must not do
-        // so again.
+        // `update_running_count` has already decremented the running count; releasing the slot must
+        // not do so again.
         let placement = Placement {
             phase: Phase::Seen(TaskPhase::Waiting),
             ..placement
@@ -225,8 +229,8 @@
     }
 
     /// Adopts a reported task that this leader did not start: one that a previous leader started,
-    /// or a stray one that is to be stopped.
-    fn adopt(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
+    /// or an orphaned one that is to be stopped.
+    fn adopt_task(&mut self, id: &MachineId, key: &AttemptKey, phase: TaskPhase, now: Duration) {
         let decision = self.decide_adoption(&key.0, phase);
         let is_ours = decision == AdoptionDecision::Adopt;
         let job = self.jobs.get_mut(&key.0.job);
@@ -249,7 +253,7 @@
                 since: now,
                 running_since: None,
                 stop,
-                foreign: !is_ours,
+                is_orphaned: !is_ours,
                 start_sent_seq: 0,
             },
         );
@@ -269,11 +273,11 @@
     ) {
         self.queue.pass_requested = true;
         if reason == Some(ExitReason::Done) {
-            if !placement.foreign {
+            if !placement.is_orphaned {
                 self.release_slot(id, task, placement);
             }
             self.finish_task(task, now);
-        } else if !placement.foreign {
+        } else if !placement.is_orphaned {
             self.release_slot(id, task, placement);
             self.task_failed(id, task, reason, now);
         }
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -16,7 +16,7 @@
     machine::{AttemptKey, Machine, MachineId, MachineState, Phase, TaskPhase},
 };
 
-/// A machine is underused if at most one part in this many of it is in use.
+/// A machine is underused if at most `1 / UNDERUSED_DIVISOR` of it is in use.
 const UNDERUSED_DIVISOR: f64 = 4.0;
 /// Minimum age of a replica before it is moved.
 const MIN_REPLICA_AGE: Duration = Duration::from_secs(30);
@@ -45,7 +45,7 @@
                 let Some(id) = self.underused_machine(now) else {
                     return;
                 };
-                info!(machine = %id, why = "underused", "emptying machine before its release");
+                info!(machine = %id, why = "underused", "machine marked for release");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.state = MachineState::Leaving;
                 id
@@ -69,8 +69,8 @@
             })
             .filter(|m| {
                 m.tasks.values().filter(|p| !p.exited()).all(|p| {
-                    let replica = p.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
-                    replica
+                    let is_replica = p.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
+                    is_replica
                         && p.phase == Phase::Seen(TaskPhase::Running)
                         && !p.stopping()
                         && now > p.since + MIN_REPLICA_AGE
@@ -83,7 +83,8 @@
             .map(|m| m.id.clone())
     }
 
-    /// Whether other busy machines have capacity and the images for all tasks of the machine.
+    /// Returns whether other busy machines have capacity and the images for all tasks of the
+    /// machine.
     fn fits_elsewhere(&self, machine: &Machine, now: Duration) -> bool {
         let mut free_capacity: Vec<_> = self
             .machines
@@ -113,7 +114,7 @@
         let running: Vec<AttemptKey> = self.machines[id]
             .tasks
             .iter()
-            .filter(|(_, p)| !p.exited() && !p.stopping() && !p.foreign)
+            .filter(|(_, p)| !p.exited() && !p.stopping() && !p.is_orphaned)
             .map(|(key, _)| key.clone())
             .collect();
         let mut stopped_by_service: HashMap<JobId, u32> = HashMap::new();
@@ -137,7 +138,7 @@
             if self.disruption_ledger.check(now, &ask).is_ok() {
                 self.disruption_ledger.record_stop(now, &ask);
                 *stopped += 1;
-                self.stop(id, &key, self.config.options.grace, now);
+                self.stop_task(id, &key, self.config.options.grace, now);
             }
         }
     }
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -73,7 +73,7 @@
         counts_by_service
     }
 
-    /// Whether the machine is cordoned: no new tasks are placed on it.
+    /// Returns whether the machine is cordoned: no new tasks are placed on it.
     pub(super) fn is_cordoned(&self, id: &str) -> bool {
         !self.drains.machines.is_empty() && self.drains.machines.contains_key(id)
     }
@@ -98,21 +98,21 @@
                 continue;
             };
             info!(machine = %id, tasks = machine.tasks.len(), "machine cordoned for a drain");
-            let decided = machine.tasks.iter();
-            let decided = decided.filter(|(_, p)| p.phase == Phase::Decided);
-            let decided: Vec<AttemptKey> = decided.map(|(key, _)| key.clone()).collect();
-            for key in decided {
-                self.stop(&id, &key, Duration::ZERO, now);
+            let unsent = machine.tasks.iter();
+            let unsent = unsent.filter(|(_, p)| p.phase == Phase::Decided);
+            let unsent: Vec<AttemptKey> = unsent.map(|(key, _)| key.clone()).collect();
+            for key in unsent {
+                self.stop_task(&id, &key, Duration::ZERO, now);
             }
         }
         self.requeue();
     }
 
-    /// Whether a drained machine has been released or never existed.
+    /// Returns whether a drained machine has been released or never existed.
     pub(super) fn is_gone(&self, id: &str, now: Duration) -> bool {
-        let known = self.machines.contains_key(id);
+        let is_known = self.machines.contains_key(id);
         // After a failover the cloud's list may show machines that the assignment index lacks.
-        !known && now > self.leading_since + self.config.list_lag * 3
+        !is_known && now > self.leading_since + self.config.list_lag * 3
     }
 
     /// Advances all drains.
@@ -122,9 +122,9 @@
             return;
         }
         let pause = self.drains_pause.or_else(|| {
-            let clear =
+            let is_reachable =
                 !self.reachability.is_uncertain && self.reachability.partitioned_zones.is_empty();
-            (!clear || self.has_unresolved_machines()).then_some(WaitReason::Outlook)
+            (!is_reachable || self.has_unresolved_machines()).then_some(WaitReason::Outlook)
         });
         if pause != self.logged_drains_pause {
             match &pause {
@@ -141,25 +141,31 @@
                 continue;
             };
             let mut tasks = self.remaining_tasks(&id, &services, now);
-            let left = tasks.len() as u32;
+            let remaining_count = tasks.len() as u32;
             let is_overdue = order.by_ms.is_some_and(|by| self.wall_ms >= by);
             let (stop, waits) = match pause {
-                Some(why) if left > 0 => (Vec::new(), why),
+                Some(why) if remaining_count > 0 => (Vec::new(), why),
                 _ => drain::step(now, is_overdue, &mut tasks, &mut self.disruption_ledger),
             };
-            let empty = machine.tasks.is_empty() && !machine.unresolved;
+            let is_empty = machine.tasks.is_empty() && !machine.unresolved;
             let can_release =
-                empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
+                is_empty && matches!(machine.state, MachineState::Up | MachineState::Booting);
             if can_release && pause.is_none() {
-                info!(machine = %id, why = "drained", "releasing machine");
+                info!(machine = %id, why = "drained", "machine marked for release");
                 let machine = self.machines.get_mut(&id).expect("just seen");
                 machine.state = MachineState::Leaving;
             }
             for key in stop {
                 info!(task = %key.0, machine = %id, "stopping task on draining machine");
-                self.stop(&id, &key, self.config.options.grace, now);
+                self.stop_task(&id, &key, self.config.options.grace, now);
             }
-            draining.insert(id, DrainProgress { tasks: left, waits });
+            draining.insert(
+                id,
+                DrainProgress {
+                    tasks: remaining_count,
+                    waits,
+                },
+            );
         }
         self.draining = draining;
     }
@@ -172,8 +178,8 @@
         now: Duration,
     ) -> Vec<Task<AttemptKey>> {
         let placements = self.machines[id].tasks.iter();
-        let left = placements.filter(|(_, p)| !p.exited() && !p.foreign);
-        let mut tasks: Vec<Task<AttemptKey>> = left
+        let remaining = placements.filter(|(_, p)| !p.exited() && !p.is_orphaned);
+        let mut tasks: Vec<Task<AttemptKey>> = remaining
             .filter_map(|(key, placement)| {
                 let spec = placement.spec.as_ref()?;
                 let kind = match spec.kind {
@@ -196,8 +202,8 @@
         tasks
     }
 
-    /// Whether a task could start on another machine now. The image does not matter: a fetch is
-    /// better than a drain that never completes.
+    /// Returns whether a task could start on another machine now. The image does not matter: a
+    /// fetch is better than a drain that never completes.
     fn has_capacity_elsewhere(&self, id: &MachineId, placement: &Placement, now: Duration) -> bool {
         let Some(spec) = &placement.spec else {
             return false;
@@ -220,7 +226,7 @@
     }
 }
 
-/// Run time that a stop would lose, at most one checkpoint interval.
+/// Returns the run time that a stop would lose, at most one checkpoint interval.
 fn unsaved_run_time(placement: &Placement, now: Duration) -> Duration {
     let Some(spec) = placement.spec.as_ref().filter(|s| s.kind != Kind::Service) else {
         return Duration::ZERO;
--- a/src/core/election/mod.rs
+++ b/src/core/election/mod.rs
@@ -6,8 +6,8 @@
 //! of its claim, and every write of a leader is conditional on that claim.
 //!
 //! A node never acts past its term, and a renewal alone never extends the term. A missing leader
-//! key proves neither that this node's claim is valid nor that a leader which the holder of the
-//! key superseded has stopped.
+//! key does not imply that this node's claim is valid, nor that a leader which was superseded by
+//! the holder of that key has stopped.
 
 mod failover;
 mod key_removal;
@@ -44,8 +44,8 @@
     renewal_in_flight: bool,
     campaign_in_flight: bool,
     retry_at: Duration,
-    /// This process has requested the leadership itself, so a leader key of this node need not
-    /// belong to the previous process.
+    /// This process has requested the leadership itself, so a leader key with this node's name does
+    /// not necessarily belong to the previous process.
     has_requested_claim: bool,
     /// Latest time at which the claim is known to have been valid.
     verified_at: Duration,
@@ -74,16 +74,16 @@
     has_superseded: bool,
 }
 
-/// State of the previous leader at the time of a claim, which tells when it has stopped acting.
+/// State of the previous leader at the time of a claim, which determines when it stops acting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PreviousLeader {
-    /// Its lease has expired, and its term before that.
+    /// The lease has expired, and the term ended before that.
     LeaseExpired,
-    /// It was the previous process of this node.
+    /// The leader was the previous process of this node.
     SameNode,
-    /// It has resigned.
+    /// The leader has resigned.
     Resigned,
-    /// It may act until the end of its term, which it last renewed before this claim.
+    /// The leader may act until the end of its term, which it last renewed before this claim.
     Superseded,
 }
 
@@ -154,13 +154,13 @@
         {
             return;
         }
-        let Some(prior) = self.previous_leader() else {
+        let Some(previous) = self.previous_leader() else {
             return;
         };
         self.election.campaign_in_flight = true;
         match self.election.lease {
             None => self.request_lease(),
-            Some(lease) => self.claim_leadership(lease, prior),
+            Some(lease) => self.claim_leadership(lease, previous),
         }
     }
 
@@ -169,20 +169,27 @@
         self.call(Purpose::Grant, StateRequest::Grant { ttl });
     }
 
-    fn claim_leadership(&mut self, lease: u64, prior: PreviousLeader) {
+    fn claim_leadership(&mut self, lease: u64, previous: PreviousLeader) {
         // By the time of the reply, the leader key may already be the one of this claim.
-        self.election.has_requested_claim |= prior != PreviousLeader::SameNode;
+        self.election.has_requested_claim |= previous != PreviousLeader::SameNode;
         let sent = self.now();
-        let request = self.claim_transaction(lease, prior);
-        self.call(Purpose::Claim { lease, sent, prior }, request);
+        let request = self.claim_transaction(lease, previous);
+        self.call(
+            Purpose::Claim {
+                lease,
+                sent,
+                previous,
+            },
+            request,
+        );
     }
 
     /// Builds the transaction that makes this node the leader.
-    fn claim_transaction(&self, lease: u64, prior: PreviousLeader) -> StateRequest {
+    fn claim_transaction(&self, lease: u64, previous: PreviousLeader) -> StateRequest {
         let version = self.cache.leader.as_ref().map_or(0, |(_, v)| *v);
         let record = LeaderRecord {
             node: self.config.node.clone(),
-            superseded: prior == PreviousLeader::Superseded,
+            superseded: previous == PreviousLeader::Superseded,
         };
         StateRequest::Txn {
             // A process with an outdated generation or an outdated list of partitioned zones can't
@@ -282,14 +289,14 @@
     /// refused, lost or slow miss cancellations that other nodes have confirmed.
     fn verify_claim(&mut self) {
         let Some(claim) = self.claim() else { return };
-        let (asked, renewed) = (self.now(), self.election.last_renewal_sent);
-        self.election.verification_sent_at = asked;
+        let (sent, renewal_sent) = (self.now(), self.election.last_renewal_sent);
+        self.election.verification_sent_at = sent;
         self.call_with_timeout(
             self.failover_timeout(),
             Purpose::Verify {
                 claim,
-                renewal_sent: renewed,
-                sent: asked,
+                renewal_sent,
+                sent,
             },
             self.watch_request(Duration::ZERO),
         );
@@ -306,22 +313,22 @@
         self.election.verified_at
     }
 
-    /// Handles the reply to a verification. If the claim was valid after `asked`, the cache holds
+    /// Handles the reply to a verification. If the claim was valid after `sent`, the cache holds
     /// everything stored before that, so a node within its term knows each cancellation that was
     /// confirmed more than a term ago.
     pub(super) fn verification_answered(
         &mut self,
         claim: u64,
-        renewed: Duration,
-        asked: Duration,
+        renewal_sent: Duration,
+        sent: Duration,
         reply: StateReply,
     ) {
         let is_cache_current = self.apply_watch_reply(reply);
         let stored_claim = self.cache.leader.as_ref().map(|(_, version)| *version);
         // A replaced claim was dropped while the events were applied.
         if is_cache_current && self.election.claim == Some(claim) && stored_claim == Some(claim) {
-            self.election.verified_at = self.election.verified_at.max(asked);
-            let term_end = renewed + self.config.leader_term;
+            self.election.verified_at = self.election.verified_at.max(sent);
+            let term_end = renewal_sent + self.config.leader_term;
             self.election.valid_until = self.election.valid_until.max(term_end);
         }
     }
@@ -330,14 +337,14 @@
         &mut self,
         lease: u64,
         sent: Duration,
-        prior: PreviousLeader,
+        previous: PreviousLeader,
         reply: StateReply,
     ) {
         self.election.campaign_in_flight = false;
         let now = self.now();
         match reply {
             StateReply::Committed { revision } if self.election.lease == Some(lease) => {
-                self.begin_claim(revision, sent, prior);
+                self.begin_claim(revision, sent, previous);
             }
             StateReply::LeaseGone => {
                 self.election.lease = None;
@@ -350,14 +357,14 @@
     }
 
     /// Starts the failover after the claim was written. This node acts once it is verified.
-    fn begin_claim(&mut self, claim: u64, sent: Duration, prior: PreviousLeader) {
+    fn begin_claim(&mut self, claim: u64, sent: Duration, previous: PreviousLeader) {
         let now = self.now();
-        info!(claim, after = ?(now - sent), ?prior, "claimed the leadership; loading the state");
+        info!(claim, after = ?(now - sent), prior = ?previous, "claimed the leadership; loading the state");
         self.election.claim = Some(claim);
         // The cache may still miss requests that were confirmed before the claim.
         self.election.valid_until = Duration::ZERO;
         self.election.verified_at = sent;
-        self.election.previous_stopped_at = match prior {
+        self.election.previous_stopped_at = match previous {
             PreviousLeader::SameNode => Duration::ZERO,
             PreviousLeader::LeaseExpired | PreviousLeader::Resigned => now,
             PreviousLeader::Superseded => now + self.config.leader_ttl,
@@ -403,7 +410,7 @@
 
     pub(super) fn drop_leadership(&mut self, reason: &str) {
         if self.election.claim.take().is_some() {
-            info!(reason, "stopped leading");
+            info!(why = reason, "stopped leading");
         }
         self.cluster = None;
         self.election.loader = None;
--- a/src/core/failures.rs
+++ b/src/core/failures.rs
@@ -1,6 +1,6 @@
 //! Handling of task failures: attributing them to the machine or to the job.
 //!
-//! A faulty machine fails tasks of many jobs and is returned. A job submitted with an error fails
+//! A faulty machine fails tasks of many jobs and is released. A job submitted with an error fails
 //! on every machine until its user cancels it; it must not make machines look faulty, nor take
 //! resources from healthy jobs.
 
@@ -62,8 +62,8 @@
                 job.failed_on.insert(id.clone());
             }
             let failures = job.failures;
-            let faulty = job.faulty();
-            if faulty {
+            let is_faulty = job.faulty();
+            if is_faulty {
                 // Its owner must cancel it; until then it is retried at increasing intervals.
                 if job.placed == 0 {
                     job.probes += 1;
@@ -89,17 +89,17 @@
         }
         if job.spec.kind == Kind::Gang {
             let id = task.job.clone();
-            debug!(job = %id,why = ?reason, "task of a gang ended before the gang was done");
+            debug!(job = %id, why = ?reason, "task of a gang ended before the gang was done");
             match reason {
                 Some(ExitReason::Incomplete) => self.continue_fetching(&id, now),
-                _ => self.break_gang(&id, Duration::ZERO, now),
+                _ => self.stop_gang(&id, Duration::ZERO, now),
             }
         }
     }
 
     /// Keeps the fetching tasks of a gang that was not complete in time, usually because some tasks
-    /// fetched an image that others had. If they were stopped, they would start to fetch anew with
-    /// the next attempt and be late again.
+    /// fetched an image that others had. If they were stopped, the next attempt would fetch from
+    /// the start and be late again.
     fn continue_fetching(&mut self, id: &JobId, now: Duration) {
         let is_fetching = |p: &Placement| {
             matches!(
@@ -115,7 +115,7 @@
         if let (Some(job), true) = (self.jobs.get_mut(id), any_fetching) {
             job.fetches_between_attempts = true;
         } else {
-            self.break_gang(id, Duration::ZERO, now);
+            self.stop_gang(id, Duration::ZERO, now);
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Removes the failures that a job recorded on machines before it was found to be faulty. Two
-    /// such jobs could otherwise make healthy machines look faulty and cause their return.
+    /// such jobs could otherwise make healthy machines look faulty and cause their release.
     fn clear_machine_failures(&mut self, id: &JobId) {
         for machine in self.machines.values_mut() {
             machine.failures.retain(|(job, _)| job != id);
--- a/src/core/heartbeat.rs
+++ b/src/core/heartbeat.rs
@@ -2,8 +2,8 @@
 //!
 //! The lease is long, so that work continues during an outage of the state service. A
 //! partitioned leader would keep the leadership for as long, and every worker that can't reach
-//! it would lose its tasks. So a leader that no node hears is superseded, a leader that the state
-//! service refuses resigns on request, and a leader that hears no workers steps down by itself.
+//! it would lose its tasks. So a leader that no node reaches is superseded, a leader that the state
+//! service refuses resigns on request, and a leader that no worker reaches steps down by itself.
 //! All of this affects availability only: that no task runs twice is ensured by the claim and by
 //! the bound on how long a previous leader may act, whatever the heartbeats say.
 
@@ -27,11 +27,11 @@
 pub struct Heartbeats {
     next_send: Duration,
     probe_in_flight: bool,
-    /// Leader that is asked to resign once the state service has answered, and its claim.
+    /// Leader to be requested to resign once the state service has answered, and its claim.
     refused_leader: Option<(String, u64)>,
 }
 
-/// Time that a worker waits for the answer to a report.
+/// Time for which a worker waits for the answer to a report.
 const WORKER_ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 /// Delay before a worker tries another node.
 pub const WORKER_RETRY_DELAY: Duration = Duration::from_secs(1);
@@ -84,16 +84,16 @@
         since.is_some_and(|at| self.now() > at + worker_move_time(self.config.report_interval))
     }
 
-    pub(super) fn hears_leader(&self) -> bool {
-        self.membership.nodes.hears_leader(self.now())
+    pub(super) fn reaches_leader(&self) -> bool {
+        self.membership.nodes.reaches_leader(self.now())
     }
 
-    /// Returns another node that hears the leader.
-    pub(super) fn peer_hearing_leader(&self) -> Option<String> {
+    /// Returns another node that reaches the leader.
+    pub(super) fn peer_reaching_leader(&self) -> Option<String> {
         let (leader, claim) = self.known_leader()?;
         self.membership
             .nodes
-            .peer_hearing_leader(leader, claim, self.now())
+            .peer_reaching_leader(leader, claim, self.now())
     }
 
     /// Returns the leader and its claim: by the stored key, or by the other nodes' heartbeats while
@@ -134,8 +134,8 @@
                 false => nodes.leader_silence(now).max(Duration::from_millis(1)),
             },
             state_service_silence: nodes.state_service_silence(now),
-            machines_heard: self.membership.detector.machines_heard(),
-            told: self.announced_state(),
+            reachable_machines: self.membership.detector.reachable_machines(),
+            announced_state: self.announced_state(),
         };
         let needs_probe = heartbeat.state_service_silence > HEARTBEAT_INTERVAL;
         for to in self.config.peers.clone() {
@@ -177,7 +177,7 @@
         if is_from_leader && heartbeat.state_service_silence > STATE_REFUSED_TIMEOUT && is_served {
             // The state service may be down for all nodes by now. If the leader resigned then,
             // nobody could lead until it is back, and the workers would lose their leases. So
-            // the leader is asked only after the service has answered this node.
+            // the request is sent only after the service has answered this node.
             self.heartbeats.refused_leader = Some((from.clone(), heartbeat.claim));
             self.probe_state_service();
         }
@@ -213,21 +213,21 @@
         }
         let is_lost = nodes.is_leader_lost(*version, self.config.leader_silence_limit, now);
         is_lost.then(|| {
-            info!(leader = %record.node, claim = version, "superseding a leader no node hears");
+            info!(leader = %record.node, claim = version, "superseding a leader that no node reaches");
             PreviousLeader::Superseded
         })
     }
 
-    /// Updates the leader's view of which machines are reachable. A leader that hears no machine
-    /// and gets no answers is partitioned itself: it hands the leadership over to the node that
-    /// hears the most machines, or releases it.
+    /// Updates the leader's view of which machines are reachable. A leader without reports and
+    /// answers is partitioned itself: it hands the leadership over to the node that reaches the
+    /// most machines, or releases it.
     pub(super) fn update_reachability(&mut self) {
         let now = self.now();
         let reachability = self.membership.detector.reachability();
         let (is_isolated, is_uncertain) = (reachability.is_isolated, reachability.is_uncertain);
         let zones_to_probe = self.membership.detector.silent_zones();
         if let Some(cluster) = &mut self.cluster {
-            for machine in std::mem::take(&mut cluster.returned_machines) {
+            for machine in std::mem::take(&mut cluster.released_machines) {
                 self.membership.detector.forget(&machine);
             }
             let previous = &cluster.reachability;
@@ -247,24 +247,24 @@
             return;
         }
         let best_peer = self.membership.nodes.best_peer(now);
-        let has_settled =
+        let have_workers_moved =
             self.membership.leading_for(now) > worker_move_time(self.config.report_interval);
-        // Evaluated only if another node hears machines, as it iterates over all machines.
+        // Evaluated only if another node reaches machines, as it iterates over all machines.
         let own_machines = || {
             self.membership
                 .detector
-                .machines_heard()
+                .reachable_machines()
                 .values()
                 .sum::<u32>()
         };
-        let is_peer_better = has_settled
+        let is_peer_better = have_workers_moved
             && best_peer
                 .as_ref()
                 .is_some_and(|(_, machines)| *machines >= 3 && *machines > 2 * own_machines());
         if is_isolated || is_peer_better {
             self.transfer_leadership(
                 best_peer.map(|(node, _)| node),
-                "it hears few or no workers",
+                "few or no workers reach this node",
             );
         }
     }
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -27,15 +27,16 @@
 const LEADING_DIGITS: usize = 8;
 
 impl JobId {
-    /// Parses an id, accepting only the agreed form, so that an id can be part of a key or a path.
+    /// Parses an id. Accepts only `run-` and 1 to 40 digits, so that an id can be part of a key or
+    /// a path.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(JOB_PREFIX)?.as_bytes();
-        let fits = (1..=40).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
+        let is_valid = (1..=40).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
         let mut leading_digits = [0; LEADING_DIGITS];
         for (to, digit) in leading_digits.iter_mut().zip(digits) {
             *to = *digit;
         }
-        fits.then(|| Self {
+        is_valid.then(|| Self {
             leading_digits: u64::from_be_bytes(leading_digits),
             text: Arc::from(text),
         })
@@ -168,10 +169,10 @@
 const TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + TOLERANCE
-            && self.gpus <= room.gpus + TOLERANCE
-            && self.memory_gb <= room.memory_gb + TOLERANCE
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + TOLERANCE
+            && self.gpus <= available.gpus + TOLERANCE
+            && self.memory_gb <= available.memory_gb + TOLERANCE
     }
 
     pub fn plus(&self, other: &Resources) -> Resources {
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Returns the number of tasks of this size that fit into `room`.
-    pub fn count_fitting(&self, room: &Resources) -> u32 {
+    /// Returns the number of tasks of this size that fit into `available`.
+    pub fn count_fitting(&self, available: &Resources) -> u32 {
         let ratio = |need: f64, have: f64| {
             if need <= 0.0 {
                 f64::INFINITY
@@ -199,9 +200,9 @@
                 ((have + TOLERANCE) / need).floor().max(0.0)
             }
         };
-        ratio(self.cpus, room.cpus)
-            .min(ratio(self.gpus, room.gpus))
-            .min(ratio(self.memory_gb, room.memory_gb))
+        ratio(self.cpus, available.cpus)
+            .min(ratio(self.gpus, available.gpus))
+            .min(ratio(self.memory_gb, available.memory_gb))
             .min(1e6) as u32
     }
 
@@ -281,7 +282,7 @@
 #[serde(deny_unknown_fields)]
 pub struct JobRecord {
     pub spec: Arc<JobSpec>,
-    /// Time at which the job was accepted, in milliseconds of the time of day.
+    /// Time at which the job was accepted, in Unix milliseconds.
     pub accepted_ms: u64,
 }
 
@@ -291,8 +292,8 @@
 pub struct TerminalRecord {
     pub state: JobState,
     pub done: u32,
-    /// Time at which the job ended, in milliseconds of the time of day. Stored only if an active
-    /// job waited for this one: its times count from then, under any later leader.
+    /// Time at which the job ended, in Unix milliseconds. Stored only if an active job waited for
+    /// this one: its times count from then, under any later leader.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
 }
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -154,10 +154,11 @@
     pub need: Resources,
     pub since: Duration,
     pub running_since: Option<Duration>,
-    /// Stop request, if the task was told to stop.
+    /// Stop request, if any.
     pub stop: Option<Stop>,
-    /// Whether the task belongs to a finished or unknown job, or runs elsewhere.
-    pub foreign: bool,
+    /// Whether the task occupies no slot of a job: the job is finished or unknown, or the task is
+    /// done or placed elsewhere.
+    pub is_orphaned: bool,
     /// Last report whose answer carried the start, or 0 if none did. Until a later report arrives
     /// that answer may be in flight, whatever was seen of the task since, and a start that arrives
     /// after the worker has forgotten the attempt would run it again.
@@ -204,7 +205,7 @@
     Up,
     /// Its worker's lease has expired; it may return with a new session.
     Lost,
-    /// About to be returned to the cloud.
+    /// Marked for release to the cloud.
     Leaving,
 }
 
@@ -221,7 +222,7 @@
     pub last_known_worker: Option<(SocketAddr, u64)>,
     pub state: MachineState,
     pub session: u64,
-    /// Newest report in this session, and newest message of any kind.
+    /// Newest regular report in this session, and newest report of any kind that was applied.
     pub report_seq: u64,
     pub content_seq: u64,
     /// Token for this worker, raised to fence off a direct command whose outcome is unclear.
@@ -229,14 +230,14 @@
     /// Whether a direct command is in flight.
     pub direct_in_flight: bool,
     /// Earliest time of the next direct command.
-    pub direct_retry: Duration,
+    pub direct_retry_at: Duration,
     /// Latest session whose lease has expired; reports from it are late.
     pub expired_session: u64,
     /// Whether the worker has been seen to know this leader's token.
     pub fenced: bool,
     /// Entry in the stored assignment index.
     pub assignment: AssignmentEntry,
-    /// Whether it may hold tasks that a previous leader started.
+    /// Whether the machine may hold tasks that a previous leader started.
     pub unresolved: bool,
     pub answered_at: Option<Duration>,
     pub heard_at: Option<Duration>,
@@ -318,7 +319,7 @@
             content_seq: 0,
             token: 0,
             direct_in_flight: false,
-            direct_retry: Duration::ZERO,
+            direct_retry_at: Duration::ZERO,
             expired_session: 0,
             fenced: false,
             assignment: AssignmentEntry::default(),
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -222,7 +222,7 @@
             open.in_flight = true;
             return Some(CloudRequest::Provision(open.request.clone()));
         }
-        let leaving: Vec<MachineId> = self
+        let to_release: Vec<MachineId> = self
             .machines
             .values()
             .filter(|m| m.state == MachineState::Leaving && m.tasks.is_empty() && !m.unresolved)
@@ -232,10 +232,14 @@
             .map(|m| m.id.clone())
             .take(100)
             .collect();
-        if !leaving.is_empty() {
-            info!(machines = ?leaving, "releasing machines");
-            self.provisioning.releasing.extend(leaving.iter().cloned());
-            return Some(CloudRequest::Release { machines: leaving });
+        if !to_release.is_empty() {
+            info!(machines = ?to_release, "releasing machines");
+            self.provisioning
+                .releasing
+                .extend(to_release.iter().cloned());
+            return Some(CloudRequest::Release {
+                machines: to_release,
+            });
         }
         if now >= self.provisioning.next_list {
             self.provisioning.next_list = now + self.config.list_lag.max(Duration::from_secs(4));
@@ -252,7 +256,7 @@
         None
     }
 
-    pub fn cloud_reply(
+    pub fn apply_cloud_reply(
         &mut self,
         request: &CloudRequest,
         reply: CloudReply,
@@ -292,7 +296,7 @@
                 let listing = self.provisioning.listing.take().unwrap_or_default();
                 self.provisioning.complete_list_requested_at =
                     Some(self.provisioning.list_requested_at);
-                self.merge_list(&listing, now);
+                self.merge_machine_list(&listing, now);
                 self.record_complete_list(now);
             }
             (CloudRequest::Types, CloudReply::Types(types)) => self.types = Arc::new(types),
@@ -341,14 +345,14 @@
         }
     }
 
-    fn merge_list(&mut self, listing: &[ListedMachine], now: Duration) {
+    fn merge_machine_list(&mut self, listing: &[ListedMachine], now: Duration) {
         for listed in listing {
-            let lagging = self
+            let is_lagging = self
                 .provisioning
                 .released
                 .get(&listed.id)
                 .is_some_and(|at| now < *at + self.config.list_lag * 3);
-            if lagging {
+            if is_lagging {
                 continue;
             }
             if !self.machines.contains_key(&listed.id) {
@@ -374,13 +378,13 @@
     /// Marks the machines to release: those that failed, did not boot in time, are
     /// unresponsive, fail tasks repeatedly, or are idle.
     fn plan_scale_in(&mut self, now: Duration) {
-        let unresolved = self.has_unresolved_machines();
+        let has_unresolved = self.has_unresolved_machines();
         let boot_times: HashMap<Arc<str>, f64> = self
             .types
             .iter()
             .map(|t| (t.name.clone(), t.boot_s))
             .collect();
-        let mut leaving: Vec<(MachineId, &'static str)> = Vec::new();
+        let mut marked: Vec<(MachineId, &'static str)> = Vec::new();
         for m in self.machines.values() {
             let boot_s = boot_times.get(&m.machine_type).copied().unwrap_or(60.0);
             let boot_timeout = Duration::from_secs_f64(boot_s * 4.0 + 30.0);
@@ -388,23 +392,23 @@
             match m.state {
                 MachineState::Leaving => {}
                 _ if m.listed_failed && now > last_heard + self.config.worker_lease_bound => {
-                    leaving.push((m.id.clone(), "failed"));
+                    marked.push((m.id.clone(), "failed"));
                 }
                 MachineState::Booting if !m.unresolved && now > m.first_seen + boot_timeout => {
-                    leaving.push((m.id.clone(), "boot timed out"));
+                    marked.push((m.id.clone(), "boot timed out"));
                 }
                 MachineState::Lost if now > last_heard + self.config.worker_lease_bound * 5 => {
-                    leaving.push((m.id.clone(), "unresponsive"));
+                    marked.push((m.id.clone(), "unresponsive"));
                 }
-                MachineState::Up if m.failures.len() >= 2 => leaving.push((m.id.clone(), "faulty")),
+                MachineState::Up if m.failures.len() >= 2 => marked.push((m.id.clone(), "faulty")),
                 _ => {}
             }
         }
-        if !unresolved {
+        if !has_unresolved {
             let idle = self.idle_machines(now).into_iter();
-            leaving.extend(idle.map(|id| (id, "idle")));
+            marked.extend(idle.map(|id| (id, "idle")));
         }
-        for (id, why) in leaving {
+        for (id, why) in marked {
             info!(machine = %id, why, "machine marked for release");
             let machine = self.machines.get_mut(&id).expect("just listed");
             machine.state = MachineState::Leaving;
@@ -412,7 +416,7 @@
         }
     }
 
-    /// Idle machines that can be released while spare capacity for services remains: the
+    /// Returns idle machines that can be released while spare capacity for services remains: the
     /// most expensive first, and at equal prices those with the least useful images.
     fn idle_machines(&self, now: Duration) -> Vec<MachineId> {
         let mut idle: Vec<&Machine> = self
@@ -436,7 +440,7 @@
             }
         };
         // Capacity for two replicas of each service class, and for the expected arrivals.
-        let services = self.services().into_iter().map(|spec| (spec, 2));
+        let services = self.largest_services().into_iter().map(|spec| (spec, 2));
         let wanted: Vec<(Arc<JobSpec>, u32)> = services.chain(self.expected_arrivals()).collect();
         let mut spare: Vec<(Arc<JobSpec>, u32)> = Vec::new();
         for (spec, wanted) in wanted {
@@ -461,16 +465,16 @@
         removable
     }
 
-    /// Time that a machine may stay idle: a multiple of its boot time, since the cost of
-    /// keeping it is weighed against the time and money to boot a new one.
+    /// Returns the time that a machine may stay idle: a multiple of its boot time, since the cost
+    /// of keeping it is weighed against the time and money to boot a new one.
     pub(super) fn idle_time(&self, machine_type: &str) -> Duration {
         let boot = self.types.iter().find(|t| &*t.name == machine_type);
         let boot = crate::settings::seconds(boot.map_or(0.0, |t| t.boot_s));
         boot.mul_f64(self.config.options.idle_boots)
     }
 
-    /// The largest active service of each class.
-    fn services(&self) -> Vec<Arc<JobSpec>> {
+    /// Returns the largest active service of each class.
+    fn largest_services(&self) -> Vec<Arc<JobSpec>> {
         let mut by_class: BTreeMap<Arc<str>, Arc<JobSpec>> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.spec.kind == Kind::Service) {
             let entry = by_class
--- a/src/core/scale_out.rs
+++ b/src/core/scale_out.rs
@@ -1,4 +1,4 @@
-//! Planning of new machines for waiting work that neither running nor booting machines take.
+//! Plans new machines for waiting work that running and booting machines won't take soon.
 
 pub mod arrivals;
 mod plan;
@@ -65,7 +65,7 @@
     /// one request per job, the request rate delayed the scale-out of an empty fleet.
     fn plan_orders(&mut self, now: Duration) -> Vec<ScaleOutOrder> {
         let mut plan = ScaleOutPlan::default();
-        // A gang bound to one zone may wait while idle machines have room for a part of it.
+        // A gang bound to one zone may wait while idle machines have capacity for a part of it.
         let mut idle = UpcomingCapacity::default();
         for machine in self.machines.values() {
             plan.count_machines(&machine.zone, 1);
@@ -96,7 +96,7 @@
         let spec = demand.spec.clone();
         if !spec.one_zone {
             demand.tasks = plan.upcoming.fill(&spec, None, demand.tasks);
-        } else if let Some(zone) = zone_with_room(&spec, demand.tasks, &plan.upcoming, idle) {
+        } else if let Some(zone) = zone_with_capacity(&spec, demand.tasks, &plan.upcoming, idle) {
             let left = idle.fill(&spec, Some(&zone), demand.tasks);
             demand.tasks = plan.upcoming.fill(&spec, Some(&zone), left);
         }
@@ -104,14 +104,14 @@
             return;
         }
         while demand.tasks > 0 {
-            let room_in = |zone: &str| match spec.one_zone {
+            let slots_in = |zone: &str| match spec.one_zone {
                 true => plan.upcoming.slots(&spec, Some(zone)) + idle.slots(&spec, Some(zone)),
                 false => 0,
             };
-            let Some((kind, count)) = self.choose_machine_kind(&demand, room_in, plan) else {
+            let Some((kind, count)) = self.choose_machine_kind(&demand, slots_in, plan) else {
                 break;
             };
-            plan.order(&kind, self.size(&kind.machine_type), count, &spec);
+            plan.order_machines(&kind, self.size(&kind.machine_type), count, &spec);
             if spec.one_zone {
                 demand.tasks = idle.fill(&spec, Some(&kind.zone), demand.tasks);
                 demand.tasks = plan.upcoming.fill(&spec, Some(&kind.zone), demand.tasks);
@@ -150,21 +150,21 @@
                 let Some((kind, count)) = self.choose_machine_kind(&demand, |_| 0, plan) else {
                     break;
                 };
-                plan.order(&kind, self.size(&kind.machine_type), count, &spec);
+                plan.order_machines(&kind, self.size(&kind.machine_type), count, &spec);
                 tasks = plan.upcoming.fill(&spec, None, tasks);
             }
         }
     }
 
-    /// Size of the largest machine type that the job may use.
+    /// Returns the size of the largest machine type that the job may use.
     fn largest_size(&self, spec: &JobSpec) -> Resources {
         let types = self.types.iter().filter(|t| spec.allows_type(&t.name));
         let largest = types.max_by_key(|t| spec.need.count_fitting(&t.size));
         largest.map(|t| t.size).unwrap_or_default()
     }
 
-    /// Expected arrivals by class during the boot of a machine, for the classes that can't
-    /// wait for one.
+    /// Returns the expected arrivals by class during the boot of a machine, for the classes that
+    /// can't wait for one.
     pub(super) fn expected_arrivals(&self) -> Vec<(Arc<JobSpec>, u32)> {
         let within = |spec: &JobSpec| match self.wait_budget_s(spec) > 0.0 {
             true => Duration::ZERO,
@@ -187,16 +187,17 @@
             .unwrap_or_default()
     }
 
-    /// Waiting tasks by job, the highest priority first. Of arrays, only the tasks that the
-    /// machines that are up won't have completed by the time new ones have booted.
+    /// Returns the waiting tasks by job, the highest priority first. Of arrays, only the tasks that
+    /// the machines that are up won't have completed by the time new ones have booted.
     fn demands(&self, now: Duration) -> Vec<Demand> {
         let batch_capacity = self.batch_capacity();
         let unresolved = jobs_on_unresolved(&self.machines);
-        let is_held = |id: &JobId, job: &Job| job.version < self.claim && unresolved.contains(id);
+        let may_run_already =
+            |id: &JobId, job: &Job| job.version < self.claim && unresolved.contains(id);
         let mut jobs: Vec<_> = self
             .jobs
             .iter()
-            .filter(|(id, j)| j.retry_at <= now && !j.faulty() && !is_held(id, j))
+            .filter(|(id, j)| j.retry_at <= now && !j.faulty() && !may_run_already(id, j))
             .map(|(_, j)| j)
             .filter(|j| j.waiting_count() as usize > j.nominations.len())
             .collect();
@@ -236,8 +237,8 @@
         demands
     }
 
-    /// Seconds of work that may be queued for the machines that are up before new ones are
-    /// requested: zero if the wait objective is shorter than boot and image fetch.
+    /// Returns the seconds of work that may be queued for the machines that are up before new ones
+    /// are requested: zero if the wait objective is shorter than boot and image fetch.
     fn wait_budget_s(&self, spec: &JobSpec) -> f64 {
         let objectives = self.config.objectives.iter();
         let objectives = objectives.filter(|o| o.kind == "wait" && *o.class == *spec.class);
@@ -246,7 +247,7 @@
         left.clamp(0.0, SCALE_OUT_HORIZON.as_secs_f64())
     }
 
-    /// Resources that teams with a limit may still use.
+    /// Returns the resources that teams with a limit may still use.
     fn remaining_limits(&self) -> HashMap<Arc<str>, Resources> {
         let limit_or_infinity = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         let teams = self.config.teams.iter();
@@ -271,8 +272,9 @@
         remaining
     }
 
-    /// Returns the cheapest machine kind for the tasks that the cloud has not refused, and the
-    /// number of machines. `existing_slots` returns the tasks that fit in a zone already.
+    /// Returns the cheapest machine kind for the tasks, among those that the cloud has not refused,
+    /// and the number of machines. `existing_slots` returns the number of tasks that already fit in
+    /// a zone.
     fn choose_machine_kind(
         &self,
         demand: &Demand,
@@ -324,21 +326,21 @@
     }
 }
 
-/// Returns a zone that has room for all tasks of a job.
-fn zone_with_room(
+/// Returns a zone that has capacity for all tasks of a job.
+fn zone_with_capacity(
     spec: &JobSpec,
     tasks: u32,
     upcoming: &UpcomingCapacity,
     idle: &UpcomingCapacity,
 ) -> Option<Arc<str>> {
     let zones = upcoming.zones().chain(idle.zones());
-    let has_room = |zone: &&Arc<str>| {
+    let has_capacity = |zone: &&Arc<str>| {
         let zone = Some(&***zone);
         idle.slots(spec, zone) + upcoming.slots(spec, zone) >= tasks
     };
     zones
-        .min_by_key(|zone| !has_room(zone))
-        .filter(has_room)
+        .min_by_key(|zone| !has_capacity(zone))
+        .filter(has_capacity)
         .cloned()
 }
 
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -68,7 +68,7 @@
 }
 
 impl ClusterState {
-    /// Whether tasks may be placed on the machine now.
+    /// Returns whether tasks may be placed on the machine now.
     pub fn usable(&self, machine: &Machine, now: Duration) -> bool {
         machine.state == MachineState::Up
             && machine.fenced
@@ -80,8 +80,8 @@
             })
     }
 
-    /// Whether commands can be delivered to the zone. If not, nothing is started there, and
-    /// nothing is preempted there.
+    /// Returns whether commands can be delivered to the zone. If not, nothing is started or
+    /// preempted there.
     pub(super) fn is_zone_reachable(&self, zone: &str) -> bool {
         !self.reachability.is_uncertain
             && !self.reachability.partitioned_zones.contains(zone)
@@ -96,9 +96,9 @@
         let positions = self.deadline_order();
         self.queue.reorder(&positions, &self.jobs);
         self.update_seat_holders(now);
-        let mut snapshot = self.snapshot(now);
+        let mut snapshot = self.capacity_snapshot(now);
         self.closed_priority = self.priority_to_close(now);
-        // Arrays that had their turn on machines with their image, in queue order.
+        // Arrays already tried on machines with their image, in queue order.
         let mut locality_round: Vec<JobId> = Vec::new();
         loop {
             if !self.shares_locality_round(locality_round.first()) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Whether the job is skipped in this pass.
+    /// Returns whether the job is skipped in this pass.
     fn should_skip(&mut self, snapshot: &mut CapacitySnapshot, id: &JobId, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -133,7 +133,7 @@
             return true;
         }
         let spec = &job.spec;
-        if (job.version < self.claim && snapshot.on_unresolved.contains(id))
+        if (job.version < self.claim && snapshot.unresolved_jobs.contains(id))
             || self
                 .closed_priority
                 .is_some_and(|closed_priority| spec.priority <= closed_priority)
@@ -160,8 +160,8 @@
         true
     }
 
-    /// Whether even the smallest startable part of the job (a whole gang, or one task) exceeds
-    /// the limits of its team or the free licence seats.
+    /// Returns whether even the smallest startable part of the job (a whole gang, or one task)
+    /// exceeds the limits of its team or the free licence seats.
     fn is_at_limit(&self, snapshot: &CapacitySnapshot, spec: &JobSpec, now: Duration) -> bool {
         let min_tasks = match spec.kind {
             Kind::Gang => spec.tasks,
@@ -207,8 +207,8 @@
     }
 
     /// Builds the capacity snapshot for one pass.
-    fn snapshot(&self, now: Duration) -> CapacitySnapshot {
-        let (usage, leaving) = self.usage();
+    fn capacity_snapshot(&self, now: Duration) -> CapacitySnapshot {
+        let (usage, stopping_usage) = self.usage();
         let capacities: Vec<MachineCapacity> = self
             .machines
             .values()
@@ -218,18 +218,18 @@
         let mut snapshot = CapacitySnapshot::new(
             capacities,
             usage,
-            leaving,
+            stopping_usage,
             jobs_on_unresolved(&self.machines),
         );
         for job in self.jobs.values().filter(|j| !j.nominations.is_empty()) {
-            snapshot.reserve(&job.spec, &job.nominations);
+            snapshot.reserve_nominations(&job.spec, &job.nominations);
         }
         snapshot
     }
 
-    /// Fills machines with an array's tasks in the order of their cost. Placing a task changes
-    /// only the cost of its own machine, and makes that machine cheaper for the next task, so
-    /// the machines are compared only once.
+    /// Fills machines with an array's tasks in the order of their cost. Placing a task changes only
+    /// the cost of the machine that it is placed on, and makes it cheaper for the next task, so the
+    /// machines are compared only once.
     ///
     /// With `with_image`, uses only machines that have the image or are fetching it.
     pub(super) fn fill_machines(
@@ -334,14 +334,14 @@
         let nominations_before = self.jobs[&id].nominations.len();
         let spec = self.jobs[&id].spec.clone();
         self.take_seats(&spec, &task, attempt, now);
-        self.place(machine, task, attempt, now);
+        self.record_placement(machine, task, attempt, now);
         snapshot.record_placement(candidate, &spec);
         if self.jobs[&id].nominations.len() != nominations_before {
-            self.refresh_held(snapshot, &id);
+            self.refresh_reservations(snapshot, &id);
         }
     }
 
-    fn refresh_held(&self, snapshot: &mut CapacitySnapshot, id: &JobId) {
+    fn refresh_reservations(&self, snapshot: &mut CapacitySnapshot, id: &JobId) {
         let job = &self.jobs[id];
         snapshot.refresh_reservations(&job.spec, &job.nominations);
     }
@@ -365,7 +365,7 @@
         exceeds(team.cpus_max, sum.cpus) || exceeds(team.gpus_max, sum.gpus)
     }
 
-    /// Whether the job's constraints allow a task on the machine, free resources aside.
+    /// Returns whether the job's constraints allow a task on the machine, free resources aside.
     fn is_allowed(
         &self,
         snapshot: &CapacitySnapshot,
@@ -377,8 +377,8 @@
             && is_zone_allowed(&snapshot.job_zones, &capacity.zone, spec)
     }
 
-    /// Checks that a task fits twice: without the nominated tasks, and again with those of equal
-    /// or higher priority taken as running.
+    /// Returns whether a task fits, both without the nominated tasks and with those of equal or
+    /// higher priority counted as running.
     fn fits(
         &self,
         snapshot: &CapacitySnapshot,
@@ -416,8 +416,8 @@
             .map(|(_, candidate)| candidate)
     }
 
-    /// Cost of placing a task of the job on the machine, or none if it does not fit there. The
-    /// machine with the lowest cost is preferred.
+    /// Returns the cost of placing a task of the job on the machine, or none if it does not fit
+    /// there. The machine with the lowest cost is preferred.
     fn placement_cost(
         &self,
         snapshot: &CapacitySnapshot,
@@ -477,20 +477,21 @@
         )
     }
 
-    /// Extra price of the machine over a spot machine of its type, as a fraction of the on-demand
-    /// price.
+    /// Returns the extra price of the machine over a spot machine of its type, as a fraction of the
+    /// on-demand price.
     fn on_demand_premium(&self, machine: &Machine) -> f64 {
         let price = |spot| self.price(&machine.machine_type, spot);
         (1.0 - price(true) / price(false).max(1e-9)).max(0.0)
     }
 
-    /// Price of the machine as a fraction of the price of the most expensive type.
+    /// Returns the price of the machine as a fraction of the price of the most expensive type.
     fn relative_price(&self, machine: &Machine) -> f64 {
         let max_price = self.types.iter().map(|t| t.price).fold(0.0, f64::max);
         self.price(&machine.machine_type, machine.spot) / max_price.max(1e-9)
     }
 
-    /// Preempts for the waiting tasks of a job that have no nomination yet.
+    /// Preempts for the waiting tasks of a job that have no nomination yet. Returns false, since
+    /// none of them is placed yet.
     fn preempt_for(
         &mut self,
         snapshot: &mut CapacitySnapshot,
@@ -543,8 +544,8 @@
                 .is_some_and(|m| m.tasks.values().any(|p| p.stopping() && !p.exited()))
         });
         if job.nominations.len() != count_before {
-            self.refresh_held(snapshot, id);
-            // Jobs of the same priority may have had their turn in this pass already.
+            self.refresh_reservations(snapshot, id);
+            // Jobs of the same priority may already have been tried in this pass.
             self.retry_by(now + RELEASE_RETRY_DELAY);
         }
     }
@@ -577,9 +578,9 @@
         best
     }
 
-    /// Whether any plan for the machine would be worse than `best`. This check avoids visiting
-    /// all tasks of each machine for each waiting service, which took most of the time of a pass
-    /// under high load.
+    /// Returns whether any plan for the machine would be worse than `best`. This check avoids
+    /// visiting all tasks of each machine for each waiting service, which took most of the time of
+    /// a pass under high load.
     fn is_worse_than(
         &self,
         capacity: &MachineCapacity,
@@ -622,7 +623,7 @@
         let capacity = &snapshot.machines[index];
         let machine = &self.machines[&capacity.id];
         let mut free = capacity.free;
-        // The job's own nominations here stand for other tasks of it.
+        // The job's own nominations here belong to its other tasks.
         for (_, job, need) in &capacity.reservations {
             if *job == spec.id {
                 free = free.minus(need);
@@ -644,16 +645,16 @@
         }
         // Newest first, so that a team loses the tasks that exceed its guarantee.
         candidates.sort_by(|a, b| (b.2, b.0).cmp(&(a.2, a.0)));
-        let mut leaving = match reclaims {
+        let mut stopping_usage = match reclaims {
             true => snapshot.stopping_usage.clone(),
             false => Usage::default(),
         };
         candidates.retain(|(_, victim, _)| {
             let is_eligible = victim.priority < spec.priority
-                || (reclaims && self.may_reclaim(snapshot, &leaving, spec, victim));
+                || (reclaims && self.may_reclaim(snapshot, &stopping_usage, spec, victim));
             if is_eligible {
                 if reclaims {
-                    leaving.add(&victim.team, &victim.need);
+                    stopping_usage.add(&victim.team, &victim.need);
                 }
                 free = free.plus(&victim.need);
             }
@@ -696,8 +697,8 @@
         Some(plan)
     }
 
-    /// Whether one more task of the job, added to the team's running and nominated tasks, is
-    /// within the team's guarantee.
+    /// Returns whether one more task of the job, added to the team's running and nominated tasks,
+    /// is within the team's guarantee.
     fn is_within_guarantee(&self, snapshot: &CapacitySnapshot, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.get(&spec.team) else {
             return false;
@@ -710,13 +711,13 @@
         sum.cpus <= team.cpus + 1e-6 && sum.gpus <= team.gpus + 1e-6
     }
 
-    /// Whether the victim may be stopped because its team, another one, exceeds its guarantee
-    /// without the tasks that are stopping. A victim of a higher priority is not reclaimed, since
-    /// it would only preempt in turn.
+    /// Returns whether the victim may be stopped because its team, which must be another one,
+    /// exceeds its guarantee even without the tasks that are stopping. A victim of a higher
+    /// priority is not reclaimed, since it would only preempt another task itself.
     fn may_reclaim(
         &self,
         snapshot: &CapacitySnapshot,
-        leaving: &Usage,
+        stopping_usage: &Usage,
         spec: &JobSpec,
         victim: &JobSpec,
     ) -> bool {
@@ -729,12 +730,12 @@
         let remaining = snapshot
             .usage
             .of(&victim.team)
-            .minus(&leaving.of(&victim.team));
+            .minus(&stopping_usage.of(&victim.team));
         remaining.cpus > team.cpus + 1e-6 || remaining.gpus > team.gpus + 1e-6
     }
 
-    /// Whether stopping one more replica of the service would breach its disruption budget.
-    /// Counts the replica in `more`.
+    /// Returns whether stopping one more replica of the service would breach its disruption budget.
+    /// Counts the replica in `stopping`.
     fn breaches_budget(
         &self,
         victim: &JobSpec,
@@ -770,15 +771,15 @@
             if let Some(victim) = self.jobs.get(&key.0.job).map(|j| j.spec.clone()) {
                 snapshot.stopping_usage.add(&victim.team, &victim.need);
             }
-            self.stop(&machine, key, grace, now);
+            self.stop_task(&machine, key, grace, now);
         }
-        snapshot.recount(plan.index, &self.machines[&machine]);
+        snapshot.recompute_machine(plan.index, &self.machines[&machine]);
         self.jobs
             .get_mut(id)
             .expect("active job")
             .nominations
             .push(machine.clone());
-        self.refresh_held(snapshot, id);
+        self.refresh_reservations(snapshot, id);
         self.clear_lower_nominations(snapshot, plan.index, spec);
     }
 
@@ -799,14 +800,14 @@
         {
             free = free.plus(&p.need);
         }
-        for held in &snapshot.machines[index].reservations {
-            if held.0 >= spec.priority {
-                free = free.minus(&held.2);
+        for reservation in &snapshot.machines[index].reservations {
+            if reservation.0 >= spec.priority {
+                free = free.minus(&reservation.2);
             } else {
-                lower.push(held.clone());
+                lower.push(reservation.clone());
             }
         }
-        lower.sort_by_key(|held| Reverse(held.0));
+        lower.sort_by_key(|reservation| Reverse(reservation.0));
         for (_, job, need) in lower {
             if need.fits_in(&free) {
                 free = free.minus(&need);
@@ -820,7 +821,7 @@
                 info!(job = %job, machine = %machine.id, "nomination cleared for a higher priority; requeueing job");
                 self.counts.cleared += 1;
                 self.queue.push(&job, entry);
-                self.refresh_held(snapshot, &job);
+                self.refresh_reservations(snapshot, &job);
             }
         }
     }
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -12,8 +12,8 @@
 };
 
 impl ClusterState {
-    /// Places all tasks of a gang at once, after every task of its last attempt has exited.
-    /// Returns whether it did.
+    /// Places all tasks of a gang at once, after every task of its last attempt has exited. Returns
+    /// whether they were placed.
     pub(super) fn place_gang(
         &mut self,
         snapshot: &mut CapacitySnapshot,
@@ -25,7 +25,7 @@
             return false;
         }
         let has_remaining_tasks = match depends_on_zones(spec) {
-            // For such a job, `zones` counts the tasks that are still on machines.
+            // For such a job, `job_zones` counts the tasks that are still on machines.
             true => !snapshot.job_zones.is_empty(),
             false => self.machines.values().any(|m| {
                 let mut tasks = m.tasks.iter();
@@ -43,7 +43,7 @@
                 let job = self.jobs.get_mut(id).expect("active job");
                 job.fetches_between_attempts = false;
                 job.nominations.clear();
-                self.refresh_held(snapshot, id);
+                self.refresh_reservations(snapshot, id);
                 let attempt = self.next_attempt();
                 for (index, candidate) in tasks.iter().zip(candidates) {
                     let machine = snapshot.machines[candidate].id.clone();
@@ -92,15 +92,17 @@
             }
         }
         let waited = Duration::from_millis(self.wall_ms.saturating_sub(self.jobs[id].ready_ms));
-        let held_priority = match waited > self.config.options.gather_after {
+        let reservation_priority = match waited > self.config.options.gather_after {
             true => Some(spec.priority),
             false => spec.priority.next_lower(),
         };
-        if let Some(held_priority) = held_priority {
+        if let Some(reservation_priority) = reservation_priority {
             for index in best {
-                snapshot.machines[index]
-                    .reservations
-                    .push((held_priority, id.clone(), spec.need));
+                snapshot.machines[index].reservations.push((
+                    reservation_priority,
+                    id.clone(),
+                    spec.need,
+                ));
             }
         }
     }
@@ -118,7 +120,7 @@
         if !snapshot.may_hold(spec, tasks.len(), zones, |capacity| capacity.free) {
             return None;
         }
-        let free_before: Vec<Resources> = snapshot.machines.iter().map(|r| r.free).collect();
+        let free_before: Vec<Resources> = snapshot.machines.iter().map(|c| c.free).collect();
         let zones_before = snapshot.job_zones.clone();
         let mut chosen = Vec::new();
         for capacity in &mut snapshot.machines {
@@ -157,7 +159,7 @@
             if !snapshot.may_hold(spec, tasks.len(), &zones, max_free) {
                 continue;
             }
-            let free_before: Vec<Resources> = snapshot.machines.iter().map(|r| r.free).collect();
+            let free_before: Vec<Resources> = snapshot.machines.iter().map(|c| c.free).collect();
             let zones_before = snapshot.job_zones.clone();
             let mut plans = Vec::new();
             for capacity in &mut snapshot.machines {
--- a/src/core/state_cache.rs
+++ b/src/core/state_cache.rs
@@ -1,6 +1,6 @@
 //! A node's cache of the live keys, kept current by watching the state service.
 //!
-//! The reply to a watch with a zero wait proves that the cache is as recent as the moment the
+//! The reply to a watch with a zero wait verifies that the cache is as recent as the moment the
 //! watch was sent, so one such request serves every poll received before it.
 
 use std::{collections::BTreeMap, sync::Arc};
@@ -116,15 +116,15 @@
     /// can't be parsed, in which case the key is recorded as unreadable.
     fn parse_value<T: DeserializeOwned>(&mut self, event: &Event) -> Option<T> {
         let value = event.value.as_ref();
-        let read = value.map(|value| serde_json::from_str(value.get()));
-        match read {
+        let parsed = value.map(|value| serde_json::from_str(value.get()));
+        match parsed {
             Some(Err(_)) => {
                 self.unreadable.insert(event.key.clone(), event.revision);
                 None
             }
-            read => {
+            parsed => {
                 self.unreadable.remove(&event.key);
-                read.and_then(Result::ok)
+                parsed.and_then(Result::ok)
             }
         }
     }
@@ -144,12 +144,12 @@
                 return Some(StateChange::MachineTypes);
             }
             GENERATION_KEY => {
-                let there = event.value.is_some();
+                let exists = event.value.is_some();
                 let cluster = self.parse_value(event).filter(ClusterGeneration::is_valid);
-                if there && cluster.is_none() {
+                if exists && cluster.is_none() {
                     self.unreadable.insert(event.key.clone(), revision);
                 }
-                let revision = if there { revision } else { 0 };
+                let revision = if exists { revision } else { 0 };
                 self.generation = (cluster.unwrap_or_default(), revision);
                 return Some(StateChange::Generation);
             }
--- a/src/core/stored_heartbeat.rs
+++ b/src/core/stored_heartbeat.rs
@@ -1,10 +1,10 @@
 //! Leader heartbeats stored in the state service, for nodes that the direct ones don't reach.
 //!
-//! A node that hears neither the leader nor a node that does can't tell a dead leader from one
-//! whose connections are refused. The node and a live leader both reach the state service, so
-//! a leader that some node may not hear periodically stores there that it is alive and how many
-//! machines it hears. The writes are made only in that case and cost nothing otherwise. A stored
-//! heartbeat is not a claim and affects availability only.
+//! A node that reaches neither the leader nor a node that does can't distinguish a dead leader
+//! from one whose connections are refused. The node and a live leader both reach the state
+//! service, so a leader whose heartbeats may not reach some node periodically stores one there,
+//! with the number of its reachable machines. The writes are made only in that case and cost
+//! nothing otherwise. A stored heartbeat is not a claim and affects availability only.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     pub claim: u64,
     /// Number of machines that reported to the leader recently.
     #[serde(rename = "hears")]
-    pub machines_heard: u32,
+    pub reachable_machines: u32,
 }
 
 #[derive(Debug, Default)]
@@ -50,20 +50,20 @@
         }
         let Some(claim) = self.claim() else { return };
         let nodes = &self.membership.nodes;
-        let hears_leader = |node: &String| nodes.peer_hears_leader(node, claim, now);
+        let reaches_leader = |node: &String| nodes.peer_reaches_leader(node, claim, now);
         if self.membership.leading_for(now) < FIRST_HEARTBEAT_DELAY
-            || self.config.peers.iter().all(hears_leader)
+            || self.config.peers.iter().all(reaches_leader)
         {
             return;
         }
         self.heartbeat_writer.write_in_flight = true;
         self.write_queue.charge(1.0);
-        let machines_heard = self.membership.detector.machines_heard().values().sum();
+        let reachable_machines = self.membership.detector.reachable_machines().values().sum();
         let changes = vec![put(
             STORED_HEARTBEAT_KEY,
             &StoredHeartbeat {
                 claim,
-                machines_heard,
+                reachable_machines,
             },
         )];
         let conditions = vec![if_version(LEADER_KEY, claim)];
@@ -81,11 +81,11 @@
         self.heartbeat_writer.next_write = self.now() + STORED_HEARTBEAT_INTERVAL;
     }
 
-    /// Returns whether the leader stores heartbeats and no other node is known to hear it. Workers
-    /// should turn to a node that hears the leader, if there is one: it forwards their reports.
+    /// Returns whether the leader stores heartbeats and no other node is known to reach it. Workers
+    /// should turn to a node that reaches the leader, if there is one: it forwards their reports.
     pub(super) fn leader_stores_heartbeats(&self) -> bool {
         let leader = self.cache.leader.as_ref();
-        self.peer_hearing_leader().is_none()
+        self.peer_reaching_leader().is_none()
             && leader.is_some_and(|(_, claim)| {
                 self.membership
                     .nodes
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -3,8 +3,8 @@
 //!
 //! The replicas of a hung machine may start elsewhere only after its lease has expired or the
 //! machine is gone, and it is gone once the cloud has confirmed its return. A partitioned machine
-//! keeps working, though, so a machine is returned only while most of its zone is heard, which
-//! rules out a partition of the zone.
+//! keeps working, though, so a machine is returned only while most of its zone is reachable,
+//! which rules out a partition of the zone.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -26,7 +26,7 @@
     fn long_running_tasks(&self) -> usize {
         let tasks = self.tasks.values().filter(|p| {
             let is_long_running = p.spec.as_ref().is_some_and(|s| s.kind != Kind::Array);
-            is_long_running && !p.foreign && !p.exited() && !p.stopping()
+            is_long_running && !p.is_orphaned && !p.exited() && !p.stopping()
         });
         tasks.count()
     }
@@ -39,7 +39,7 @@
 }
 
 impl ClusterState {
-    /// Returns whether the machine missed a report and should be asked whether it still answers.
+    /// Returns whether the machine missed a report and should be probed by a direct command.
     pub(super) fn should_probe(&self, machine: &Machine, now: Duration) -> bool {
         machine.is_silent_for(self.config.report_interval * 3 / 2, now)
             && !machine.commands_unanswered
@@ -53,21 +53,21 @@
         let lag = self.config.list_lag * 2;
         let heard_at = machine.heard_at.unwrap_or(machine.first_seen);
         let has_missed_report = now > heard_at + self.config.report_interval * 5 / 4 + REPORT_GRACE;
-        let (listed_at, list_read) = (
+        let (listed_at, list_requested_at) = (
             machine.listed_at,
             self.provisioning.complete_list_requested_at,
         );
         has_missed_report
             && listed_at
-                .zip(list_read)
-                .is_some_and(|(at, read)| read > at + lag)
+                .zip(list_requested_at)
+                .is_some_and(|(at, requested)| requested > at + lag)
     }
 
     /// Returns the machines to be returned to the cloud so that nothing runs there any more, those
     /// with the most replicas first.
     pub(super) fn plan_unresponsive_returns(&mut self, now: Duration) -> Vec<MachineId> {
         // A leader without a recent verification of its claim may be partitioned itself.
-        if now > self.claim_proven_at + self.config.renew_interval * 2
+        if now > self.claim_verified_at + self.config.renew_interval * 2
             || self.reachability.is_uncertain
         {
             return Vec::new();
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -96,7 +96,8 @@
     Cancel,
 }
 
-const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay after which a client should repeat a request that could not be answered.
+const CLIENT_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Attempts to store a submission that conflicts with other writes.
 const MAX_STORE_ATTEMPTS: u8 = 4;
 
@@ -104,7 +105,12 @@
     pub(super) fn submit(&mut self, request: RequestId, spec: Arc<JobSpec>) {
         let is_available = self.cache.loaded && !self.cannot_read_state();
         let Some(types) = self.cache.machine_types.clone().filter(|_| is_available) else {
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         };
         let id = spec.id.clone();
@@ -118,7 +124,12 @@
             return;
         }
         if !spec.needs.is_empty() && !self.all_support_dependencies() {
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         }
         self.check_dependencies(DependencyCheck {
@@ -139,7 +150,12 @@
                     return;
                 }
             } else if self.cache.is_unreadable(dependency) {
-                self.answer(check.request, Answer::Later { retry: RETRY_DELAY });
+                self.answer(
+                    check.request,
+                    Answer::Later {
+                        retry: CLIENT_RETRY_DELAY,
+                    },
+                );
                 return;
             } else if !self.terminal_cache.contains_key(dependency) {
                 let key = job_key(dependency);
@@ -181,7 +197,12 @@
                     }
                     Err(_) => {
                         self.report_unreadable(&entry.key);
-                        self.answer(check.request, Answer::Later { retry: RETRY_DELAY });
+                        self.answer(
+                            check.request,
+                            Answer::Later {
+                                retry: CLIENT_RETRY_DELAY,
+                            },
+                        );
                     }
                 }
             }
@@ -194,13 +215,18 @@
                     JobQuery::ForSubmission(Box::new(check)),
                 );
             }
-            _ => self.answer(check.request, Answer::Later { retry: RETRY_DELAY }),
+            _ => self.answer(
+                check.request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            ),
         }
     }
 
     /// Stores a job on condition that no record of it exists in any format, and that the
     /// generation is the one this node knows.
-    fn accept(&mut self, request: RequestId, spec: Arc<JobSpec>, tries: u8) {
+    fn accept(&mut self, request: RequestId, spec: Arc<JobSpec>, attempts: u8) {
         let id = spec.id.clone();
         let (cluster, generation) = self.cache.generation;
         let Some(absence) = terminal_states::absence_conditions(&cluster, &id, &self.ranges) else {
@@ -208,7 +234,7 @@
             match self.ranges.get(&range).is_some() {
                 // The range holds a terminal state of this job.
                 true => self.queue_query(request, id, JobQuery::Resubmit(spec, MAX_STORE_ATTEMPTS)),
-                false => self.read_range(request, id, AfterRangeRead::Accept(spec, tries)),
+                false => self.read_range(request, id, AfterRangeRead::Accept(spec, attempts)),
             }
             return;
         };
@@ -227,7 +253,7 @@
                 request,
                 spec,
                 accepted_ms,
-                tries,
+                attempts,
             },
             StateRequest::Txn {
                 conditions,
@@ -253,11 +279,16 @@
             .cache_range(&JobIdRange::containing(&id).0, reply)
             .is_none()
         {
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         }
         match then {
-            AfterRangeRead::Accept(spec, tries) => self.accept(request, spec, tries),
+            AfterRangeRead::Accept(spec, attempts) => self.accept(request, spec, attempts),
             AfterRangeRead::Cancel => self.cancel(request, id),
         }
     }
@@ -271,9 +302,9 @@
         let known = match reply {
             StateReply::Missing => KnownRange::default(),
             StateReply::Entry(entry) => match serde_json::from_str(entry.value.get()) {
-                Ok(ends) => KnownRange {
+                Ok(states) => KnownRange {
                     version: entry.version,
-                    states: ends,
+                    states,
                 },
                 Err(_) => {
                     self.report_unreadable(&entry.key);
@@ -339,7 +370,7 @@
         request: RequestId,
         spec: Arc<JobSpec>,
         accepted_ms: u64,
-        tries: u8,
+        attempts: u8,
         reply: StateReply,
     ) {
         let id = spec.id.clone();
@@ -354,15 +385,18 @@
             // The job exists already, or the range or the generation has changed.
             StateReply::Conflict => {
                 self.ranges.forget(&JobIdRange::containing(&id).0);
-                self.queue_query(request, id, JobQuery::Resubmit(spec, tries + 1));
+                self.queue_query(request, id, JobQuery::Resubmit(spec, attempts + 1));
             }
-            StateReply::Refused {
-                retry_after: retry, ..
-            } => {
-                let retry = retry.unwrap_or(RETRY_DELAY);
+            StateReply::Refused { retry_after, .. } => {
+                let retry = retry_after.unwrap_or(CLIENT_RETRY_DELAY);
                 self.answer(request, Answer::Later { retry });
             }
-            _ => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
+            _ => self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            ),
         }
     }
 
@@ -373,7 +407,12 @@
             || self.cannot_read_state()
             || self.user_requests.queued.len() >= self.config.max_waiting_requests
         {
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
         } else {
             self.user_requests
                 .queued
@@ -407,7 +446,12 @@
             if is_current {
                 self.resolve(pending);
             } else {
-                self.answer(pending.request, Answer::Later { retry: RETRY_DELAY });
+                self.answer(
+                    pending.request,
+                    Answer::Later {
+                        retry: CLIENT_RETRY_DELAY,
+                    },
+                );
             }
         }
     }
@@ -417,7 +461,12 @@
         let PendingQuery { request, id, query } = pending;
         if self.cannot_read_state() || self.cache.is_unreadable(&id) {
             // The stored record has a format that this build can't read.
-            self.answer(request, Answer::Later { retry: RETRY_DELAY });
+            self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            );
             return;
         }
         let Some(_) = self.cache.jobs.get(&id) else {
@@ -483,7 +532,7 @@
             self.queue_query(request, id, JobQuery::Withdraw);
             return;
         };
-        let job = if_version(job_key(&id), job.version);
+        let is_unchanged = if_version(job_key(&id), job.version);
         let (cluster, generation) = self.cache.generation;
         let record = TerminalRecord::cancelled(self.task_counts(&id).0);
         let ended = [(id.clone(), record)];
@@ -492,7 +541,7 @@
             self.read_range(request, id, AfterRangeRead::Cancel);
             return;
         };
-        let mut conditions = vec![job, if_version(GENERATION_KEY, generation)];
+        let mut conditions = vec![is_unchanged, if_version(GENERATION_KEY, generation)];
         conditions.extend(terminal_write.conditions);
         let mut changes = vec![delete(job_key(&id))];
         changes.extend(terminal_write.changes);
@@ -500,7 +549,7 @@
             Purpose::Cancel {
                 request,
                 id,
-                ends: terminal_write.states,
+                states: terminal_write.states,
             },
             StateRequest::Txn {
                 conditions,
@@ -520,11 +569,11 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        ends: Option<(JobIdRange, terminal_states::TerminalStates)>,
+        states: Option<(JobIdRange, terminal_states::TerminalStates)>,
         reply: StateReply,
     ) {
         let now = self.now();
-        self.range_written(&id, ends, &reply);
+        self.range_written(&id, states, &reply);
         match reply {
             StateReply::Committed { revision } => {
                 self.cache_terminal_state(id.clone(), TerminalRecord::cancelled(0));
@@ -536,7 +585,12 @@
             }
             // Done or cancelled meanwhile: query the job again.
             StateReply::Conflict => self.queue_query(request, id, JobQuery::Withdraw),
-            _ => self.answer(request, Answer::Later { retry: RETRY_DELAY }),
+            _ => self.answer(
+                request,
+                Answer::Later {
+                    retry: CLIENT_RETRY_DELAY,
+                },
+            ),
         }
     }
 
@@ -544,19 +598,13 @@
     pub(super) fn range_written(
         &mut self,
         id: &JobId,
-        ends: Option<(JobIdRange, terminal_states::TerminalStates)>,
+        states: Option<(JobIdRange, terminal_states::TerminalStates)>,
         reply: &StateReply,
     ) {
-        match (reply, ends) {
-            (StateReply::Committed { revision }, Some((range, ends))) => {
+        match (reply, states) {
+            (StateReply::Committed { revision }, Some((range, states))) => {
                 let version = *revision;
-                self.ranges.update(
-                    range,
-                    KnownRange {
-                        version,
-                        states: ends,
-                    },
-                );
+                self.ranges.update(range, KnownRange { version, states });
             }
             (StateReply::Committed { .. }, None) => {}
             _ => self.ranges.forget(&JobIdRange::containing(id).0),
@@ -589,7 +637,12 @@
                     Some(record) => Some((record, entry.version)),
                     None => {
                         self.report_unreadable(&entry.key);
-                        self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
+                        self.answer(
+                            read.request,
+                            Answer::Later {
+                                retry: CLIENT_RETRY_DELAY,
+                            },
+                        );
                         return;
                     }
                 }
@@ -599,7 +652,12 @@
                 match self.cache_range(&range, reply) {
                     Some(known) => known.states.get(name).map(|record| (record, known.version)),
                     None => {
-                        self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
+                        self.answer(
+                            read.request,
+                            Answer::Later {
+                                retry: CLIENT_RETRY_DELAY,
+                            },
+                        );
                         return;
                     }
                 }
@@ -609,7 +667,12 @@
                 return;
             }
             _ => {
-                self.answer(read.request, Answer::Later { retry: RETRY_DELAY });
+                self.answer(
+                    read.request,
+                    Answer::Later {
+                        retry: CLIENT_RETRY_DELAY,
+                    },
+                );
                 return;
             }
         };
@@ -647,11 +710,16 @@
         match read.query {
             JobQuery::Status | JobQuery::Withdraw => self.answer(request, Answer::NotFound),
             JobQuery::Reject(reason) => self.answer(request, Answer::Impossible(reason)),
-            JobQuery::Resubmit(spec, tries) if tries < MAX_STORE_ATTEMPTS => {
-                self.accept(request, spec, tries)
+            JobQuery::Resubmit(spec, attempts) if attempts < MAX_STORE_ATTEMPTS => {
+                self.accept(request, spec, attempts)
             }
             JobQuery::Resubmit(..) | JobQuery::ForDependent(_) => {
-                self.answer(request, Answer::Later { retry: RETRY_DELAY });
+                self.answer(
+                    request,
+                    Answer::Later {
+                        retry: CLIENT_RETRY_DELAY,
+                    },
+                );
             }
             JobQuery::ForSubmission(check) => {
                 self.reject_for_dependency(*check, "was never accepted")
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -31,8 +31,8 @@
 /// Interval between ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time between a SIGTERM and the end of the process, to hand over leadership and to answer
-/// the requests in flight.
+/// Time between a SIGTERM and the end of the process, in which the leadership is handed over and
+/// the requests in flight are answered.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(800);
 
 /// Request received by the server, with the channel for its answer.
@@ -73,14 +73,14 @@
                 peers: peer::Peers::new(&settings, max_requests),
             };
             let mut next_request: RequestId = 0;
-            let mut retired_at = None;
+            let mut shutdown_started = None;
             loop {
                 // Polled in a fixed order, so that runs are reproducible.
                 tokio::select! {
                     biased;
                     _ = tick.tick() => {
                         if shutdown_requested.load(Ordering::Relaxed) {
-                            let since = *retired_at.get_or_insert_with(|| {
+                            let since = *shutdown_started.get_or_insert_with(|| {
                                 driver.step(Input::Shutdown);
                                 Instant::now()
                             });
